--- a/src/main/java/tinroad/Classes.java
+++ b/src/main/java/tinroad/Classes.java
@@ -9,12 +9,15 @@
 import tinroad.Controller.RequestClass;
 
 /**
- * The classes of requests by place, and what is summed over them, kept up with every sample: no event walks over all classes. A
- * change is prepared in a version beside the one that counts, which hears of all samples meanwhile, and takes its place at once.
- * Knows the time only from {@link #advance}, and nothing of what the sums are used for.
+ * The classes of requests by place, and what is summed over them, kept up with every sample: no
+ * event walks over all classes. A change is prepared in a version beside the one that counts, which
+ * hears of all samples meanwhile, and takes its place at once. Knows the time only from {@link
+ * #advance}, and nothing of what the sums are used for.
  */
 final class Classes {
-    /** The specs of one version, what is measured of them, where there is anything, and the sums. */
+    /**
+     * The specs of one version, what is measured of them, where there is anything, and the sums.
+     */
     private static final class Version {
         final Places<RequestClass> specs;
         final Places<ClassStats> stats;
@@ -52,8 +55,10 @@
     private final Learned learned;
     private final double span;
     private final boolean worthByWork;
+
     /** Nothing was asked, changed or restored yet. */
     private boolean untouched = true;
+
     private Version now = new Version();
     private Version staged;
     private double clock;
@@ -61,10 +66,17 @@
 
     /**
      * @param span ms in which what was asked and served falls to its e-th part
-     * @param lag how far behind a class is that has this ratio of what was asked, beside the worst ratio
+     * @param lag how far behind a class is that has this ratio of what was asked, beside the worst
+     *     ratio
      * @param worthByWork a class's worth is for each ms of its run
      */
-    Classes(List<RequestClass> specs, Learned learned, double span, DoubleBinaryOperator lag, boolean worthByWork, double clock) {
+    Classes(
+            List<RequestClass> specs,
+            Learned learned,
+            double span,
+            DoubleBinaryOperator lag,
+            boolean worthByWork,
+            double clock) {
         this.learned = learned;
         this.span = span;
         telling = new Telling(lag);
@@ -91,19 +103,20 @@
     }
 
     /**
-     * What has samples or a memory of them. Until the first request, change or memory all, with what is assumed of them: that
-     * is what a memory may be of.
+     * What has samples or a memory of them. Until the first request, change or memory all, with
+     * what is assumed of them: that is what a memory may be of.
      */
     List<ClassStats> known() {
         if (untouched) {
             return IntStream.range(0, now.specs.size()).mapToObj(learned::nothing).toList();
         }
         List<ClassStats> known = new ArrayList<>();
-        now.stats.forEach(s -> {
-            if (s.known) {
-                known.add(s);
-            }
-        });
+        now.stats.forEach(
+                s -> {
+                    if (s.known) {
+                        known.add(s);
+                    }
+                });
         return known;
     }
 
@@ -139,7 +152,10 @@
         return calm > 0 ? now.run.value() / calm : 1;
     }
 
-    /** This class's part of the weight that those served worst share; nothing for one that was taken out. */
+    /**
+     * This class's part of the weight that those served worst share; nothing for one that was taken
+     * out.
+     */
     double lagShare(ClassStats s) {
         return counts(s) ? telling.lagShare(s, now.size, clock) : 0;
     }
--- a/src/main/java/tinroad/Controller.java
+++ b/src/main/java/tinroad/Controller.java
@@ -5,9 +5,9 @@
 
 /**
  * The interface of the overload controller: what a server tells it (the methods), what it may do
- * ({@link Actions}) and the types both use. All times are milliseconds on the server's own monotonic
- * clock. An implementation is driven by one thread and calls its {@code Actions} only from inside an
- * event method. One object serves one life of one server process.
+ * ({@link Actions}) and the types both use. All times are milliseconds on the server's own
+ * monotonic clock. An implementation is driven by one thread and calls its {@code Actions} only
+ * from inside an event method. One object serves one life of one server process.
  */
 public interface Controller {
 
@@ -41,32 +41,39 @@
     }
 
     /**
-     * Begins with what an earlier life learned, faded by its age; called once, right after the start, or never. {@code cold}:
-     * what runs here was just started, and is slower than it was then.
+     * Begins with what an earlier life learned, faded by its age; called once, right after the
+     * start, or never. {@code cold}: what runs here was just started, and is slower than it was
+     * then.
      */
-    default void restore(Map<String, Known> known, boolean cold) { }
+    default void restore(Map<String, Known> known, boolean cold) {}
 
     /**
-     * Prepares a part of a change of classes and tenants, as many parts as it takes. Nothing of it counts before
-     * {@link #commit}, so that no event waits long for a large change.
+     * Prepares a part of a change of classes and tenants, as many parts as it takes. Nothing of it
+     * counts before {@link #commit}, so that no event waits long for a large change.
      */
-    default void stage(List<ClassAt> classes, List<TenantAt> tenants) { }
+    default void stage(List<ClassAt> classes, List<TenantAt> tenants) {}
 
     /**
-     * All that was staged counts from now on, at one instant. What is in hand keeps the due time, the effect and the tenant that
-     * it came under; what was learned of a place that stays used stays.
+     * All that was staged counts from now on, at one instant. What is in hand keeps the due time,
+     * the effect and the tenant that it came under; what was learned of a place that stays used
+     * stays.
      */
-    default void commit(double now) { }
+    default void commit(double now) {}
 
     /** Nothing that was staged since the last commit counts. */
-    default void unstage() { }
+    default void unstage() {}
 
-    /** What the controller may do. Every action takes effect at the time of the event being handled. */
+    /**
+     * What the controller may do. Every action takes effect at the time of the event being handled.
+     */
     interface Actions {
         /** Starts a held request or resumes a paused one. */
         void run(String id);
 
-        /** Final answer: turned away unrun. {@code stayAway} 0: no advice; {@code last}: do not retry elsewhere. */
+        /**
+         * Final answer: turned away unrun. {@code stayAway} 0: no advice; {@code last}: do not
+         * retry elsewhere.
+         */
         void refuse(String id, double stayAway, boolean last);
 
         /** Final answer: error, no promise. */
@@ -107,59 +114,143 @@
     }
 
     /** A learned value, in ms or as a part, and how many samples stand behind it. */
-    record Known(double value, double weight) { }
+    record Known(double value, double weight) {}
 
     /** How a run or a call ended. */
-    enum Outcome { OK, FAILED, QUEUE_FULL, TIMED_OUT, CONNECT_ERROR, RESET, CANCELED, IGNORED }
+    enum Outcome {
+        OK,
+        FAILED,
+        QUEUE_FULL,
+        TIMED_OUT,
+        CONNECT_ERROR,
+        RESET,
+        CANCELED,
+        IGNORED
+    }
 
     /** What callers make of {@link Actions#say}. */
-    enum Say { NONE, MIN_RANK, TOKENS, BIAS }
+    enum Say {
+        NONE,
+        MIN_RANK,
+        TOKENS,
+        BIAS
+    }
 
     /** What {@link Actions#halt} does. */
-    enum Halt { NONE, DROP, PAUSE }
+    enum Halt {
+        NONE,
+        DROP,
+        PAUSE
+    }
 
     /** Whether a request may be run again. */
-    enum Semantics { FREE, GUARDED, SINGLE_SHOT }
+    enum Semantics {
+        FREE,
+        GUARDED,
+        SINGLE_SHOT
+    }
 
     /** What lies below this server. */
-    enum Below { NONE, COMMON, NEXT_HOP }
+    enum Below {
+        NONE,
+        COMMON,
+        NEXT_HOP
+    }
 
-    /** A request as read. {@code due} 0: not told; {@code key} and {@code repeats} null and {@code work} 0: absent. */
-    record Request(String id, int classIndex, int tenant, int caller, double memoryKb, double due, double age,
-            double rank, double work, String key, String repeats, boolean resent, boolean write) { }
+    /**
+     * A request as read. {@code due} 0: not told; {@code key} and {@code repeats} null and {@code
+     * work} 0: absent.
+     */
+    record Request(
+            String id,
+            int classIndex,
+            int tenant,
+            int caller,
+            double memoryKb,
+            double due,
+            double age,
+            double rank,
+            double work,
+            String key,
+            String repeats,
+            boolean resent,
+            boolean write) {}
 
-    /** The server's own gauges, NaN where absent: share of cores busy, wanting a core, memory share, connections. */
-    record Gauges(double coreUse, double onCores, double memoryShare, double connections) { }
+    /**
+     * The server's own gauges, NaN where absent: share of cores busy, wanting a core, memory share,
+     * connections.
+     */
+    record Gauges(double coreUse, double onCores, double memoryShare, double connections) {}
 
-    /** A request class. {@code aimStretch} 0: the aim is fixed. {@code keyWindow}: for guarded classes. */
-    record RequestClass(double aim, double aimStretch, double deadline, double worth, double lateShare,
-            Semantics semantics, double keyWindow, boolean calls, double skipWorth) { }
+    /**
+     * A request class. {@code aimStretch} 0: the aim is fixed. {@code keyWindow}: for guarded
+     * classes.
+     */
+    record RequestClass(
+            double aim,
+            double aimStretch,
+            double deadline,
+            double worth,
+            double lateShare,
+            Semantics semantics,
+            double keyWindow,
+            boolean calls,
+            double skipWorth) {}
 
     /** A tenant's part: requests a second over the whole fleet, and share of the service. */
-    record Tenant(double quotaPerSecond, double share) { }
+    record Tenant(double quotaPerSecond, double share) {}
 
     /**
-     * A class at its place, which requests name. {@code spec} null: no request comes under it any more; those in hand go on. A
-     * spec at a place that had none begins with nothing learned; the place is given anew only once nothing in hand names it.
+     * A class at its place, which requests name. {@code spec} null: no request comes under it any
+     * more; those in hand go on. A spec at a place that had none begins with nothing learned; the
+     * place is given anew only once nothing in hand names it.
      */
-    record ClassAt(int place, RequestClass spec) { }
+    record ClassAt(int place, RequestClass spec) {}
 
     /** The same of a tenant. */
-    record TenantAt(int place, Tenant spec) { }
+    record TenantAt(int place, Tenant spec) {}
 
     /** Weights of the operators' goal. */
-    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) { }
+    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
     /** The figures of the rules a server must keep. */
-    record Rules(double answerSlack, double coldFrom, double rampTime, double drainGrace, double crowdPerCore,
-            double crowdSpan) { }
+    record Rules(
+            double answerSlack,
+            double coldFrom,
+            double rampTime,
+            double drainGrace,
+            double crowdPerCore,
+            double crowdSpan) {}
 
-    /** What lies below: this server's share of its calls, the span of the mean, how long a call given up stays. */
-    record Dependency(Below kind, double callShare, double callSpan, double lingers) { }
+    /**
+     * What lies below: this server's share of its calls, the span of the mean, how long a call
+     * given up stays.
+     */
+    record Dependency(Below kind, double callShare, double callSpan, double lingers) {}
 
     /** All a server is told at its start. */
-    record Settings(List<RequestClass> classes, List<Tenant> tenants, Goal goal, Rules rules, Dependency below,
-            Say say, Halt halt, int cores, int servers, int callers, boolean cold, boolean passesDeadline,
-            double idle, double memoryKb, double runFactor, double keyKb, double freshFor, double maxStayAway,
-            boolean passesStayAway, boolean marksRetry, double overShareWorth, double step, boolean worthByWork) { }
+    record Settings(
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            Goal goal,
+            Rules rules,
+            Dependency below,
+            Say say,
+            Halt halt,
+            int cores,
+            int servers,
+            int callers,
+            boolean cold,
+            boolean passesDeadline,
+            double idle,
+            double memoryKb,
+            double runFactor,
+            double keyKb,
+            double freshFor,
+            double maxStayAway,
+            boolean passesStayAway,
+            boolean marksRetry,
+            double overShareWorth,
+            double step,
+            boolean worthByWork) {}
 }
--- a/src/main/java/tinroad/Expiring.java
+++ b/src/main/java/tinroad/Expiring.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Names that are kept until a time each. Looks only at those whose time has come: the others cost nothing meanwhile. */
+/**
+ * Names that are kept until a time each. Looks only at those whose time has come: the others cost
+ * nothing meanwhile.
+ */
 final class Expiring {
     private record Kept(String name, double until) implements Comparable<Kept> {
         @Override
@@ -14,6 +17,7 @@
     }
 
     private final Map<String, Kept> kept = new HashMap<>();
+
     /** Those removed before their time stay here until it has come. */
     private final PriorityQueue<Kept> byTime = new PriorityQueue<>();
 
--- a/src/main/java/tinroad/FadingRates.java
+++ b/src/main/java/tinroad/FadingRates.java
@@ -3,14 +3,16 @@
 import java.util.Arrays;
 
 /**
- * Rates by place that fade with time. Each has its own time stamp and is faded only when it is read or added to, so that time
- * passing costs nothing. Times in ms, as they are given. Nothing is held for chunks never used.
+ * Rates by place that fade with time. Each has its own time stamp and is faded only when it is read
+ * or added to, so that time passing costs nothing. Times in ms, as they are given. Nothing is held
+ * for chunks never used.
  */
 final class FadingRates {
     private static final int BITS = 8;
 
     /** The time in which a rate falls to its e-th part. */
     private final double span;
+
     /** Each rate and then its time stamp. */
     private double[][] chunks = new double[1][];
 
--- a/src/main/java/tinroad/Learned.java
+++ b/src/main/java/tinroad/Learned.java
@@ -2,23 +2,33 @@
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import tinroad.ClassStats.Patience;
 import tinroad.Controller.Known;
 import tinroad.Controller.RequestClass;
 
-/** What the module has learned of its classes and callers: all that may outlive the process. Times in ms. */
+/**
+ * What the module has learned of its classes and callers: all that may outlive the process. Times
+ * in ms.
+ */
 final class Learned {
     /** What the part of callers that come back weighs, whose samples are not counted. */
     private static final double UNCOUNTED = 4;
+
     /** So many waits are remembered for each class. */
     private static final int WAITS = 4;
 
-    /** Without samples a run is assumed to take this part of its class's aim, which weighs so many samples. */
+    /**
+     * Without samples a run is assumed to take this part of its class's aim, which weighs so many
+     * samples.
+     */
     private final double part;
+
     private final double weight;
-    /** Part of the requests whose caller comes back while a calm server would keep its connection. */
+
+    /**
+     * Part of the requests whose caller comes back while a calm server would keep its connection.
+     */
     double returning = 1;
 
     /** Nothing yet. */
@@ -69,10 +79,16 @@
         return all;
     }
 
-    /** Begins with what an earlier life knew, on cores of this part of their speed. What no class can be is left out. */
+    /**
+     * Begins with what an earlier life knew, on cores of this part of their speed. What no class
+     * can be is left out.
+     */
     void restore(Map<String, Known> known, double speed, Classes classes) {
         for (String name : known.keySet()) {
-            int place = name.matches("(run|calm)[.][0-9]{1,8}") ? Integer.parseInt(name.substring(name.indexOf('.') + 1)) : -1;
+            int place =
+                    name.matches("(run|calm)[.][0-9]{1,8}")
+                            ? Integer.parseInt(name.substring(name.indexOf('.') + 1))
+                            : -1;
             if (classes.at(place) != null) {
                 classes.change(place, (s, c) -> restore(s, c, known, speed));
             }
@@ -86,7 +102,11 @@
         Known calm = known.get("calm." + s.place);
         if (usable(run)) {
             // Guards against another day's slowness: no more is expected than without any memory.
-            s.run = Math.min(run(s, c), (usable(calm) ? Math.min(run.value(), calm.value()) : run.value()) / speed);
+            s.run =
+                    Math.min(
+                            run(s, c),
+                            (usable(calm) ? Math.min(run.value(), calm.value()) : run.value())
+                                    / speed);
         }
     }
 
--- a/src/main/java/tinroad/OverloadController.java
+++ b/src/main/java/tinroad/OverloadController.java
@@ -1,4 +1,5 @@
 package tinroad;
+
 // The types, events and actions used here are in Controller.java, beside this file.
 
 import java.util.ArrayDeque;
@@ -9,114 +10,238 @@
 import java.util.Map;
 
 /**
- * The overload controller of one server: idle control, admission, hold and run, refusals, health, guards.
- * Decides from the settings, told at the start and by changes, and from the events of this server alone.
+ * The overload controller of one server: idle control, admission, hold and run, refusals, health,
+ * guards. Decides from the settings, told at the start and by changes, and from the events of this
+ * server alone.
  */
 public final class OverloadController implements Controller {
     // --- tuned values; times in ms, the rest ratios ---
     /** The one repeating timer: fine enough to answer before a due time within the slack. */
     private static final double TICK = 20;
+
     /** Idle time of a calm server and the sweep's period, from the source's test pool. */
     private static final double IDLE_CALM = 5000;
+
     private static final double SWEEP = 1000;
+
     /** Floor of the idle time, in parts of the calm one: sooner, and the handshakes cost more. */
     private static final double IDLE_FLOOR = 0.2;
-    /** Part of the requests whose caller was here within IDLE_CALM that makes all of that time worth it. */
+
+    /**
+     * Part of the requests whose caller was here within IDLE_CALM that makes all of that time worth
+     * it.
+     */
     private static final double RETURNS_FULL = 0.5;
+
     /** Least idle time: a caller's answer and its next request may cross within this. */
     private static final double IDLE_LEAST = 100;
-    /** How fast the idle time falls with the excess over the baseline, and its growth a sweep when calm. */
+
+    /**
+     * How fast the idle time falls with the excess over the baseline, and its growth a sweep when
+     * calm.
+     */
     private static final double IDLE_GAIN = 2;
+
     private static final double IDLE_REGROW = 1.25;
-    /** Averages: of run latency a sample, of the calm baselines a sample or sweep, of outcomes a sample. */
+
+    /**
+     * Averages: of run latency a sample, of the calm baselines a sample or sweep, of outcomes a
+     * sample.
+     */
     private static final double EWMA_RUN = 0.1;
+
     private static final double EWMA_CALM = 0.02;
     private static final double EWMA_OUTCOME = 0.2;
+
     /** Memory of the tenants' rates, and of what each class was asked and got. */
     private static final double RATE_SPAN = 3000;
+
     private static final double SERVED_SPAN = 20000;
-    /** A single sample may move a run average by this factor of itself at most: one giant is not a trend. */
+
+    /**
+     * A single sample may move a run average by this factor of itself at most: one giant is not a
+     * trend.
+     */
     private static final double SAMPLE_CAP = 4;
+
     /** Runs a core at the start, and the part of the told crowd that is never passed. */
     private static final double RUNS_PER_CORE = 1.25;
+
     private static final double CROWD_PART = 0.6;
+
     /** Cores count as full from this use on; more than this many a core wanting one is a crowd. */
     private static final double CORES_FULL = 0.92;
+
     private static final double CORES_CROWDED = 1.6;
-    /** Steps of the rank cut a tick of pressure and a tick of calm, and its top in parts of one class. */
+
+    /**
+     * Steps of the rank cut a tick of pressure and a tick of calm, and its top in parts of one
+     * class.
+     */
     private static final double CUT_RISE = 0.01;
+
     private static final double CUT_FALL = 0.004;
     private static final double CUT_TOP = 2;
+
     /** Share of its aim that a request's estimated answer may take, for the spread of run times. */
     private static final double ADMIT_PART = 0.65;
-    /** How much more of it, by the part of arrivals that are retries: elsewhere it would meet the same. */
+
+    /**
+     * How much more of it, by the part of arrivals that are retries: elsewhere it would meet the
+     * same.
+     */
     private static final double ADMIT_JAM = 0.8;
-    /** A request in time is admitted beside fewer than this: one giant or hung run must not idle a core. */
+
+    /**
+     * A request in time is admitted beside fewer than this: one giant or hung run must not idle a
+     * core.
+     */
     private static final int ALWAYS = 2;
-    /** Served time of the runs under way over their classes' means that is still chance, for skewed work. */
+
+    /**
+     * Served time of the runs under way over their classes' means that is still chance, for skewed
+     * work.
+     */
     private static final double STRETCH_CALM = 1.5;
+
     /** One run counts for so many of its class at most: a single giant is no slowdown. */
     private static final double STRETCH_CAP = 8;
+
     /** Waits this near, in parts of the deadline, are one. */
     private static final double WAIT_SAME = 0.01;
+
     /** Votes that make a wait a usual one, and the most that it keeps. */
     private static final double WAIT_KNOWN = 5;
+
     private static final double WAIT_VOTES = 20;
+
     /** Runs this much slower than calm are this server's own trouble. */
     private static final double SLOW_RATIO = 1.6;
+
     /** A run's expected time at the start, in parts of its aim, and what it weighs in samples. */
     private static final double FIRST_RUN = 0.25;
+
     private static final double FIRST_WEIGHT = 2;
-    /** A class this much better served than the worst is not counted as worst; asked this often, it tells. */
+
+    /**
+     * A class this much better served than the worst is not counted as worst; asked this often, it
+     * tells.
+     */
     private static final double LAG_SPAN = 0.1;
+
     private static final double VALUE_SAMPLES = 10;
+
     /** Failed share of recent runs that shuts admission, and the share at which it reopens. */
     private static final double SICK_AT = 0.5;
+
     private static final double WELL_AT = 0.15;
-    /** Failed share over which checks hear of it: under it, leaving the list would lose what succeeds. */
+
+    /**
+     * Failed share over which checks hear of it: under it, leaving the list would lose what
+     * succeeds.
+     */
     private static final double OFF_AT = 0.9;
-    /** Arrivals grown by this are retries of what fails elsewhere, too; so long, in ms, they take to tell. */
+
+    /**
+     * Arrivals grown by this are retries of what fails elsewhere, too; so long, in ms, they take to
+     * tell.
+     */
     private static final double OTHERS_FAIL = 1.5;
+
     private static final double OTHERS_TELL = 1000;
-    /** Nothing ended for this many mean runs on any core, which no single giant does: the work hangs. */
+
+    /**
+     * Nothing ended for this many mean runs on any core, which no single giant does: the work
+     * hangs.
+     */
     private static final double HANG_RUNS = 10;
+
     /** While shut, one probe is let in this often. */
     private static final double PROBE_GAP = 250;
-    /** Part of the memory that held work, runs and keys may fill; the rest is for what arrives meanwhile. */
+
+    /**
+     * Part of the memory that held work, runs and keys may fill; the rest is for what arrives
+     * meanwhile.
+     */
     private static final double MEMORY_PART = 0.92;
+
     private static final double RUN_MEMORY_PART = 0.85;
-    /** Part of this server's share of the calls below that it ever has in hand, those given up included. */
+
+    /**
+     * Part of this server's share of the calls below that it ever has in hand, those given up
+     * included.
+     */
     private static final double CALL_PART = 0.8;
-    /** This many times slower than usual: a run that is late counts as a giant, a call tells of too many. */
+
+    /**
+     * This many times slower than usual: a run that is late counts as a giant, a call tells of too
+     * many.
+     */
     private static final double FAR_OVER = 2;
-    /** How far one call may raise the calm time of calls, so that a slow spell is not soon taken for calm. */
+
+    /**
+     * How far one call may raise the calm time of calls, so that a slow spell is not soon taken for
+     * calm.
+     */
     private static final double CALL_DRIFT = 0.002;
-    /** What a slow call leaves of the calls allowed at once; a quick one adds a whole one for all of them. */
+
+    /**
+     * What a slow call leaves of the calls allowed at once; a quick one adds a whole one for all of
+     * them.
+     */
     private static final double CALL_CUT = 0.8;
-    /** A tenant is over its share this many spreads of chance beyond its quota and part beside others. */
+
+    /**
+     * A tenant is over its share this many spreads of chance beyond its quota and part beside
+     * others.
+     */
     private static final double OVER_SPREAD = 2.5;
+
     /** Part of the longest advice that load alone may give: all of it sets callers swinging. */
     private static final double LOAD_ADVICE = 0.5;
-    /** The same in the mean while shut, spread over the callers: told all alike they come as one. */
+
+    /**
+     * The same in the mean while shut, spread over the callers: told all alike they come as one.
+     */
     private static final double SHUT_ADVICE = 0.4;
-    /** Marked retries beyond this part of the arrivals: others refuse too, so trying them again is no use. */
+
+    /**
+     * Marked retries beyond this part of the arrivals: others refuse too, so trying them again is
+     * no use.
+     */
     private static final double RESENT_GENERAL = 0.2;
+
     /** Requests are read this late, in parts of their aims: reads and handshakes eat the cores. */
     private static final double BEHIND = 0.1;
-    /** What a marked retry counts in the order: serving a fresh request saves all its further tries. */
+
+    /**
+     * What a marked retry counts in the order: serving a fresh request saves all its further tries.
+     */
     private static final double RESENT_PART = 0.5;
-    /** Requests that callers may have out here, in parts of what may run: some wait while others run. */
+
+    /**
+     * Requests that callers may have out here, in parts of what may run: some wait while others
+     * run.
+     */
     private static final double TOKEN_ROOM = 2;
+
     /** The level sent back moves in steps of this, so that it is not said anew at every tick. */
     private static final double SAY_STEP = 0.05;
 
-    private enum State { HELD, JOINED, RUNNING, AT_CALL }
+    private enum State {
+        HELD,
+        JOINED,
+        RUNNING,
+        AT_CALL
+    }
 
     /** One request in hand. */
     private static final class Work {
         final String id;
+
         /** What it came under, whatever has changed since. */
         final RequestClass spec;
+
         final ClassStats stats;
         final int tenant;
         final Tenant quota;
@@ -138,7 +263,14 @@
         double leftCoreAt;
         double away;
 
-        Work(Request r, RequestClass c, ClassStats s, Tenant t, double now, boolean told, double spent) {
+        Work(
+                Request r,
+                RequestClass c,
+                ClassStats s,
+                Tenant t,
+                double now,
+                boolean told,
+                double spent) {
             id = r.id();
             spec = c;
             stats = s;
@@ -220,8 +352,14 @@
         clock = now;
         lastEnd = now;
         lastSweep = now;
-        classes = new Classes(settings.classes(), learned, SERVED_SPAN, OverloadController::lag,
-                settings.worthByWork(), now);
+        classes =
+                new Classes(
+                        settings.classes(),
+                        learned,
+                        SERVED_SPAN,
+                        OverloadController::lag,
+                        settings.worthByWork(),
+                        now);
         tenants = new Tenants(settings.tenants(), RATE_SPAN);
         limit = Math.max(1, settings.cores() * RUNS_PER_CORE);
         idle = longestIdle();
@@ -272,7 +410,15 @@
             return;
         }
         ClassStats s = classes.ask(r.classIndex());
-        Work w = new Work(r, c, s, tenants.at(r.tenant()), now, set.passesDeadline(), spent(now, r, c, s));
+        Work w =
+                new Work(
+                        r,
+                        c,
+                        s,
+                        tenants.at(r.tenant()),
+                        now,
+                        set.passesDeadline(),
+                        spent(now, r, c, s));
         all.put(w.id, w);
         memory += w.kb;
         tenants.ask(w.tenant, 1000 / RATE_SPAN, now);
@@ -292,10 +438,11 @@
     }
 
     /**
-     * Guards against work that is late on arrival. Fresh tries of a class come with one of a few waits, as
-     * many as callers have habits; a last try comes with what remains of the deadline. A wait longer than all
-     * usual ones tells what earlier tries have spent of the deadline, a shorter one what a server has spent.
-     * Where no wait is told, a marked retry has waited elsewhere, or stayed away for as long as it was asked.
+     * Guards against work that is late on arrival. Fresh tries of a class come with one of a few
+     * waits, as many as callers have habits; a last try comes with what remains of the deadline. A
+     * wait longer than all usual ones tells what earlier tries have spent of the deadline, a
+     * shorter one what a server has spent. Where no wait is told, a marked retry has waited
+     * elsewhere, or stayed away for as long as it was asked.
      */
     private double spent(double now, Request r, RequestClass c, ClassStats s) {
         if (!set.passesDeadline() || r.due() <= 0) {
@@ -318,17 +465,24 @@
         return known ? Math.max(0, Math.min(next, c.deadline()) - wait) : 0;
     }
 
-    /** How many callers come back while a calm server would keep their connection; the rest are forgotten. */
+    /**
+     * How many callers come back while a calm server would keep their connection; the rest are
+     * forgotten.
+     */
     private void countReturn(double now, int caller) {
         Iterator<Double> oldest = lastSeen.values().iterator();
         while (oldest.hasNext() && oldest.next() < now - longestIdle()) {
             oldest.remove();
         }
-        learned.returning += EWMA_CALM * ((lastSeen.remove(caller) != null ? 1 : 0) - learned.returning);
+        learned.returning +=
+                EWMA_CALM * ((lastSeen.remove(caller) != null ? 1 : 0) - learned.returning);
         lastSeen.put(caller, now);
     }
 
-    /** A repeat of a kept request never runs: it gets the other's result, or fails where memory is short. */
+    /**
+     * A repeat of a kept request never runs: it gets the other's result, or fails where memory is
+     * short.
+     */
     private void join(Work w, RequestClass c) {
         if (memory > memoryPart(MEMORY_PART)) {
             answerFailed(w);
@@ -347,7 +501,9 @@
         return memory + key <= memoryPart(MEMORY_PART);
     }
 
-    /** Guards the drain rule: nothing that arrived after the grace is run; nor what is due at once. */
+    /**
+     * Guards the drain rule: nothing that arrived after the grace is run; nor what is due at once.
+     */
     private boolean late(Work w, double now) {
         return w.arrived > drainAt + set.rules().drainGrace() - set.step() || now >= dueGuard(w);
     }
@@ -373,7 +529,8 @@
     /** While shut: the part of the arrivals that would succeed, and a probe now and then. */
     private boolean probe(double now) {
         probeCredit += hung ? 0 : 1 - failing;
-        if (running + held.size() >= set.cores() || probeCredit < 1 && now - lastProbe < PROBE_GAP) {
+        if (running + held.size() >= set.cores()
+                || probeCredit < 1 && now - lastProbe < PROBE_GAP) {
             return false;
         }
         probeCredit = Math.max(0, probeCredit - 1);
@@ -400,7 +557,9 @@
         double span = 0;
         if (c.semantics() == Semantics.GUARDED) {
             span = c.keyWindow() + set.step();
-        } else if (c.semantics() == Semantics.FREE && set.freshFor() > 0 && r.key() != null
+        } else if (c.semantics() == Semantics.FREE
+                && set.freshFor() > 0
+                && r.key() != null
                 && memory + set.keyKb() <= memoryPart(RUN_MEMORY_PART)) {
             span = w.due - now + set.freshFor();
         }
@@ -451,14 +610,21 @@
         act.run(w.id);
     }
 
-    /** How many may run: follows the cores' use, more where runs wait off the cores; below the crowd. */
+    /**
+     * How many may run: follows the cores' use, more where runs wait off the cores; below the
+     * crowd.
+     */
     private double limit() {
         return Math.max(1, Math.min(limit / onCore(), crowd()));
     }
 
-    /** Part of a run's time on the cores; the rest waits for disk. Reads and handshakes may hide it. */
+    /**
+     * Part of a run's time on the cores; the rest waits for disk. Reads and handshakes may hide it.
+     */
     private double onCore() {
-        return meanRunning > 0 ? Math.max(1 / set.rules().crowdPerCore(), meanOnCores / meanRunning) : 1;
+        return meanRunning > 0
+                ? Math.max(1 / set.rules().crowdPerCore(), meanOnCores / meanRunning)
+                : 1;
     }
 
     private void measureOnCore(double onCores) {
@@ -469,7 +635,9 @@
         }
     }
 
-    /** Part of the crowd survived, less while cold; what waits at calls may come back as part of it. */
+    /**
+     * Part of the crowd survived, less while cold; what waits at calls may come back as part of it.
+     */
     private double crowd() {
         Rules rules = set.rules();
         double warm = 1;
@@ -481,8 +649,9 @@
     }
 
     /**
-     * Worth to the goal by expected work; what can no longer meet its aim counts by its late share. Retries
-     * count less: guards against jams that feed on their retries; may harm one that met only full neighbours.
+     * Worth to the goal by expected work; what can no longer meet its aim counts by its late share.
+     * Retries count less: guards against jams that feed on their retries; may harm one that met
+     * only full neighbours.
      */
     private double priority(Work w) {
         double run = run(w);
@@ -490,7 +659,10 @@
         return value(w) * share * tenantWorth(w) * (w.resent ? RESENT_PART : 1) / run;
     }
 
-    /** What one answer in time adds to the goal; the classes served worst share the worst one's weight. */
+    /**
+     * What one answer in time adds to the goal; the classes served worst share the worst one's
+     * weight.
+     */
     private double value(Work w) {
         double asked = classes.asked();
         double worth = classes.worth();
@@ -503,7 +675,9 @@
         return (set.goal().whole() + set.goal().worstWindow()) * own * asked / worth + bonus;
     }
 
-    /** How far a class is behind that is served so, beside the worst: who is near shares its weight. */
+    /**
+     * How far a class is behind that is served so, beside the worst: who is near shares its weight.
+     */
     private static double lag(double ratio, double worst) {
         return Math.max(0, 1 - (ratio - worst) / LAG_SPAN);
     }
@@ -533,8 +707,9 @@
     }
 
     /**
-     * Guards against a sudden slowdown, which ended runs show too late: what runs now has been served for
-     * longer than its class takes. Some giants at once look the same, and are slow work too.
+     * Guards against a sudden slowdown, which ended runs show too late: what runs now has been
+     * served for longer than its class takes. Some giants at once look the same, and are slow work
+     * too.
      */
     private void measureStretch() {
         double served = 0;
@@ -579,17 +754,28 @@
         if (!ok) {
             return;
         }
-        classes.change(w.stats, w.spec, (s, c) -> {
-            s.away += EWMA_RUN * (w.away - s.away);
-            double sample = Math.max(1, coreTime - w.servedAtStart);
-            s.run = blend(learned.run(s, c), sample, Math.max(EWMA_RUN, 1 / ++s.runs));
-            if (running <= set.cores() && (!set.cold() || clock - startedAt >= set.rules().rampTime())) {
-                s.calm = blend(learned.calm(s, c), sample, Math.max(EWMA_CALM, 1 / ++s.calmRuns));
-            }
-        });
+        classes.change(
+                w.stats,
+                w.spec,
+                (s, c) -> {
+                    s.away += EWMA_RUN * (w.away - s.away);
+                    double sample = Math.max(1, coreTime - w.servedAtStart);
+                    s.run = blend(learned.run(s, c), sample, Math.max(EWMA_RUN, 1 / ++s.runs));
+                    if (running <= set.cores()
+                            && (!set.cold() || clock - startedAt >= set.rules().rampTime())) {
+                        s.calm =
+                                blend(
+                                        learned.calm(s, c),
+                                        sample,
+                                        Math.max(EWMA_CALM, 1 / ++s.calmRuns));
+                    }
+                });
     }
 
-    /** The first samples count alike, so that no single one decides; later ones by the average's weight. */
+    /**
+     * The first samples count alike, so that no single one decides; later ones by the average's
+     * weight.
+     */
     private static double blend(double mean, double sample, double weight) {
         return mean + weight * (Math.min(sample, SAMPLE_CAP * mean) - mean);
     }
@@ -697,7 +883,10 @@
         boolean slow = !ok || elapsed > Math.max(FAR_OVER * callCalm, FIRST_RUN * c.aim());
         double most = Math.max(1, crowd());
         callLimit = Math.min(callLimit, most);
-        callLimit = slow ? Math.max(1, callLimit * CALL_CUT) : Math.min(most, callLimit + 1 / callLimit);
+        callLimit =
+                slow
+                        ? Math.max(1, callLimit * CALL_CUT)
+                        : Math.min(most, callLimit + 1 / callLimit);
     }
 
     private void resume(Work w) {
@@ -714,7 +903,10 @@
         act.skip(w.id);
     }
 
-    /** Places what calls may be made; what cannot call in time goes on without, where that has a worth. */
+    /**
+     * Places what calls may be made; what cannot call in time goes on without, where that has a
+     * worth.
+     */
     private void placeCalls(double now) {
         for (Work w : List.copyOf(callQueue)) {
             RequestClass c = w.spec;
@@ -736,8 +928,8 @@
     }
 
     /**
-     * Guards the dependency: never over this server's share, calls given up included. Where the share is less
-     * than one call, calls are paid for by the time they take.
+     * Guards the dependency: never over this server's share, calls given up included. Where the
+     * share is less than one call, calls are paid for by the time they take.
      */
     private boolean mayCall(double within) {
         double share = set.below().kind() == Below.COMMON ? set.below().callShare() * CALL_PART : 0;
@@ -752,15 +944,19 @@
     // --- answers ---
 
     /**
-     * Turns away what never ran. Own trouble: go elsewhere. General load: do not retry; many marked retries
-     * tell of it; where none are marked, any may have been elsewhere. Advice lasts as long as the held work
-     * takes and this request waited: all callers gone for longer than that leaves the cores idle.
+     * Turns away what never ran. Own trouble: go elsewhere. General load: do not retry; many marked
+     * retries tell of it; where none are marked, any may have been elsewhere. Advice lasts as long
+     * as the held work takes and this request waited: all callers gone for longer than that leaves
+     * the cores idle.
      */
     private void refuse(Work w) {
         boolean closed = shut() || drainAt < Double.MAX_VALUE;
         boolean local = closed || classes.slowdown() > SLOW_RATIO;
         double most = set.passesStayAway() ? set.maxStayAway() * (local ? 1 : LOAD_ADVICE) : 0;
-        double away = closed ? most : Math.min(most, ahead(0) * onCore() / set.cores() + clock - w.arrived);
+        double away =
+                closed
+                        ? most
+                        : Math.min(most, ahead(0) * onCore() / set.cores() + clock - w.arrived);
         away = shut() && most > 0 ? returns.tell(w.caller, clock, SHUT_ADVICE * most, most) : away;
         w.answered = true;
         boolean general = !set.marksRetry() || w.resent || resentPart > RESENT_GENERAL;
@@ -818,9 +1014,14 @@
         placeCalls(now);
     }
 
-    /** Answers everything before it is due, and turns away held work that can no longer meet its aim. */
+    /**
+     * Answers everything before it is due, and turns away held work that can no longer meet its
+     * aim.
+     */
     private void watch(double now) {
-        hung = running >= Math.min(set.cores(), (int) limit()) && now - lastEnd > HANG_RUNS * meanRun();
+        hung =
+                running >= Math.min(set.cores(), (int) limit())
+                        && now - lastEnd > HANG_RUNS * meanRun();
         for (Work w : List.copyOf(all.values())) {
             if (w.answered) {
                 continue;
@@ -831,17 +1032,23 @@
                 if (now >= dueGuard(w) || hung || misses && running >= set.cores()) {
                     refuse(w);
                 }
-            } else if (now >= dueGuard(w) || now >= w.aimAt && cut > 0 && !held.isEmpty() && worthless(w)) {
+            } else if (now >= dueGuard(w)
+                    || now >= w.aimAt && cut > 0 && !held.isEmpty() && worthless(w)) {
                 answerFailed(w);
             }
         }
     }
 
-    /** Late for sure, and may be stopped; what waits could still be in time. Guards against giants. */
+    /**
+     * Late for sure, and may be stopped; what waits could still be in time. Guards against giants.
+     */
     private boolean worthless(Work w) {
         RequestClass c = w.spec;
         boolean far = set.halt() != Halt.NONE && coreTime - w.servedAtStart > FAR_OVER * usual(w);
-        return far && w.state == State.RUNNING && c.lateShare() == 0 && c.semantics() == Semantics.FREE;
+        return far
+                && w.state == State.RUNNING
+                && c.lateShare() == 0
+                && c.semantics() == Semantics.FREE;
     }
 
     /** Mean run that the runs under way should take, not stretched by how long they have taken. */
@@ -860,26 +1067,31 @@
         cut = pressed ? Math.min(top, cut + CUT_RISE) : Math.max(0, cut - CUT_FALL);
         missed = false;
         double closed = shut() ? 1 : cut;
-        double level = switch (set.say()) {
-            case NONE -> 0;
-            case MIN_RANK -> closed;
-            case TOKENS -> limit() * (1 - closed) * TOKEN_ROOM / Math.max(1, set.callers());
-            case BIAS -> 1 - closed;
-        };
+        double level =
+                switch (set.say()) {
+                    case NONE -> 0;
+                    case MIN_RANK -> closed;
+                    case TOKENS -> limit() * (1 - closed) * TOKEN_ROOM / Math.max(1, set.callers());
+                    case BIAS -> 1 - closed;
+                };
         if (set.say() != Say.NONE && Math.abs(level - said) >= SAY_STEP || level == 0 && said > 0) {
             said = level;
             act.say(level);
         }
     }
 
-    /** The design's sweep: idle time against the calm baselines; runs allowed against the cores' use. */
+    /**
+     * The design's sweep: idle time against the calm baselines; runs allowed against the cores'
+     * use.
+     */
     private void sweep(Gauges g) {
         double connections = g.connections();
         keepOpenInAJam();
         double excess = classes.slowdown() - 1;
         if (connections > 0 && clock - startedAt > longestIdle()) {
             if (calmSweeps == 0 || running <= set.cores() && held.isEmpty()) {
-                calmConnections += Math.max(EWMA_CALM, 1 / ++calmSweeps) * (connections - calmConnections);
+                calmConnections +=
+                        Math.max(EWMA_CALM, 1 / ++calmSweeps) * (connections - calmConnections);
             }
             excess = Math.max(excess, connections / calmConnections - 1);
         }
@@ -900,19 +1112,26 @@
     }
 
     /**
-     * Guards against jams in which reads and handshakes eat the cores, whatever began them: each connection
-     * closed is opened anew, while a full table turns callers away for free. While requests are read late the
-     * idle time doubles up to the callers' own, then falls back slowly; not while runs are slow themselves,
-     * when the design shrinks it. May harm where the callers that hold the table are not those that ask.
+     * Guards against jams in which reads and handshakes eat the cores, whatever began them: each
+     * connection closed is opened anew, while a full table turns callers away for free. While
+     * requests are read late the idle time doubles up to the callers' own, then falls back slowly;
+     * not while runs are slow themselves, when the design shrinks it. May harm where the callers
+     * that hold the table are not those that ask.
      */
     private void keepOpenInAJam() {
         double longer = Math.max(longestIdle(), Math.min(set.idle(), 2 * keepOpen));
-        keepOpen = behind > BEHIND && classes.slowdown() < 1 + 2 * BEHIND ? longer : keepOpen / IDLE_REGROW;
+        keepOpen =
+                behind > BEHIND && classes.slowdown() < 1 + 2 * BEHIND
+                        ? longer
+                        : keepOpen / IDLE_REGROW;
     }
 
-    /** Idle time when calm: where callers seldom come back, their connections are not worth keeping. */
+    /**
+     * Idle time when calm: where callers seldom come back, their connections are not worth keeping.
+     */
     private double calmIdle() {
-        return Math.max(Math.min(IDLE_LEAST / IDLE_FLOOR, longestIdle()),
+        return Math.max(
+                Math.min(IDLE_LEAST / IDLE_FLOOR, longestIdle()),
                 longestIdle() * Math.min(1, learned.returning / RETURNS_FULL));
     }
 
@@ -927,7 +1146,10 @@
     private void tellHealth() {
         if (shut() != shutLogged) {
             shutLogged = shut();
-            act.log(!shutLogged ? "open again" : (hung ? "nothing ends" : "runs fail") + ": admission shut");
+            act.log(
+                    !shutLogged
+                            ? "open again"
+                            : (hung ? "nothing ends" : "runs fail") + ": admission shut");
         }
         boolean fails = sick && failing > OFF_AT && !othersFail();
         boolean now = !hung && !fails && drainAt == Double.MAX_VALUE;
@@ -937,7 +1159,9 @@
         }
     }
 
-    /** Guards against a fleet that leaves the list as one when what lies behind all of them fails. */
+    /**
+     * Guards against a fleet that leaves the list as one when what lies behind all of them fails.
+     */
     private boolean othersFail() {
         return clock - sickAt < OTHERS_TELL || rates() > OTHERS_FAIL * ratesWhenSick;
     }
@@ -948,8 +1172,9 @@
     }
 
     /**
-     * Moves the clock, the averages by time, and the work done by each core so far. Off the callers' lists
-     * nothing comes that could prove a failing server well, so while nothing ends the evidence fades.
+     * Moves the clock, the averages by time, and the work done by each core so far. Off the
+     * callers' lists nothing comes that could prove a failing server well, so while nothing ends
+     * the evidence fades.
      */
     private void advance(double now) {
         double passed = now - clock;
@@ -964,8 +1189,9 @@
         failing *= sick && clock - lastEnd > RATE_SPAN ? fadeRate : 1;
         sick &= failing > WELL_AT;
         classes.advance(now);
-        lent = Math.max(0, lent - passed * set.below().callShare() * CALL_PART / 2)
-                + passed * (calls + lingering.size());
+        lent =
+                Math.max(0, lent - passed * set.below().callShare() * CALL_PART / 2)
+                        + passed * (calls + lingering.size());
         while (!lingering.isEmpty() && lingering.peek() <= now) {
             lingering.remove();
         }
--- a/src/main/java/tinroad/Places.java
+++ b/src/main/java/tinroad/Places.java
@@ -5,19 +5,27 @@
 import java.util.function.Consumer;
 
 /**
- * Values by place, in chunks, so that a later version of a large table shares with the one before all chunks but those that it
- * changes. Guards against a change of one entry that costs by the size of the table. Nothing is held for chunks never used.
+ * Values by place, in chunks, so that a later version of a large table shares with the one before
+ * all chunks but those that it changes. Guards against a change of one entry that costs by the size
+ * of the table. Nothing is held for chunks never used.
  */
 final class Places<T> {
     private static final int BITS = 8;
     private static final int CHUNK = 1 << BITS;
-    /** Places beyond this are a mistake of whoever gives them: the table grows up to the highest one. */
+
+    /**
+     * Places beyond this are a mistake of whoever gives them: the table grows up to the highest
+     * one.
+     */
     static final int MOST = 1 << 24;
 
     private Object[][] chunks;
+
     /** Which chunks belong to this version alone; the others may be seen by another one. */
     private boolean[] own;
+
     private int size;
+
     /** By which tests hold what an event costs. */
     private long reads;
 
@@ -41,7 +49,10 @@
         return all;
     }
 
-    /** The next version, which is this one until something is set in it; what is set in this one afterwards it may see or not. */
+    /**
+     * The next version, which is this one until something is set in it; what is set in this one
+     * afterwards it may see or not.
+     */
     Places<T> next() {
         Places<T> next = new Places<>(chunks.clone(), size);
         next.reads = reads;
@@ -53,7 +64,9 @@
     T get(int place) {
         reads++;
         int chunk = place >> BITS;
-        return place < 0 || chunk >= chunks.length || chunks[chunk] == null ? null : (T) chunks[chunk][place & CHUNK - 1];
+        return place < 0 || chunk >= chunks.length || chunks[chunk] == null
+                ? null
+                : (T) chunks[chunk][place & CHUNK - 1];
     }
 
     /** Sets the value at this place, null for none; the table grows as it must. */
--- a/src/main/java/tinroad/Sum.java
+++ b/src/main/java/tinroad/Sum.java
@@ -1,15 +1,15 @@
 package tinroad;
 
 /**
- * A sum that is kept by adding and taking away. Neumaier's compensated summation: guards against drift, as what each addition
- * rounds away is kept beside it.
+ * A sum that is kept by adding and taking away. Neumaier's compensated summation: guards against
+ * drift, as what each addition rounds away is kept beside it.
  */
 final class Sum {
     private double sum;
     private double rounded;
 
     /** Nothing. */
-    Sum() { }
+    Sum() {}
 
     /** The same as another. */
     Sum(Sum other) {
--- a/src/main/java/tinroad/Telling.java
+++ b/src/main/java/tinroad/Telling.java
@@ -5,9 +5,9 @@
 import java.util.function.Predicate;
 
 /**
- * The classes that were asked often enough lately for the part of it that was served to tell, and how far each is behind. At
- * most as many as there were requests in that time. What is gone over after each change lies in arrays: classes that are asked
- * seldom lie all over the memory.
+ * The classes that were asked often enough lately for the part of it that was served to tell, and
+ * how far each is behind. At most as many as there were requests in that time. What is gone over
+ * after each change lies in arrays: classes that are asked seldom lie all over the memory.
  */
 final class Telling {
     private final DoubleBinaryOperator lag;
@@ -18,10 +18,14 @@
     private double worst = 1;
     private double lags;
     private boolean stale = true;
+
     /** When the first of them tells no more. */
     private double quietAt;
 
-    /** {@code lag}: how far behind a class is that has this ratio, beside the worst ratio: the module's to say. */
+    /**
+     * {@code lag}: how far behind a class is that has this ratio, beside the worst ratio: the
+     * module's to say.
+     */
     Telling(DoubleBinaryOperator lag) {
         this.lag = lag;
     }
@@ -59,7 +63,10 @@
         stale = true;
     }
 
-    /** How far this class is behind, as a part of all of so many classes. One that does not tell counts as well served. */
+    /**
+     * How far this class is behind, as a part of all of so many classes. One that does not tell
+     * counts as well served.
+     */
     double lagShare(ClassStats s, int classes, double now) {
         if (stale || now > quietAt) {
             refresh(classes, now);
--- a/src/main/java/tinroad/Tenants.java
+++ b/src/main/java/tinroad/Tenants.java
@@ -4,7 +4,10 @@
 import tinroad.Controller.Tenant;
 import tinroad.Controller.TenantAt;
 
-/** The tenants by place and what each asks for lately. A change is prepared in a version beside the one that counts. */
+/**
+ * The tenants by place and what each asks for lately. A change is prepared in a version beside the
+ * one that counts.
+ */
 final class Tenants {
     private final FadingRates rates;
     private Places<Tenant> now;
--- a/src/main/java/tinroad/catalog/Catalog.java
+++ b/src/main/java/tinroad/catalog/Catalog.java
@@ -5,7 +5,10 @@
 import tinroad.Controller.RequestClass;
 import tinroad.Controller.Tenant;
 
-/** One version of all routes and tenants, which never changes. A later version shares with it what both have. */
+/**
+ * One version of all routes and tenants, which never changes. A later version shares with it what
+ * both have.
+ */
 public final class Catalog {
     private final long epoch;
     private final long number;
@@ -13,12 +16,16 @@
     private final Table<Tenant, Account> tenants;
 
     /** A route: a class of requests, at the place by which the module knows it. */
-    public record Route(String name, int place, RequestClass spec) implements Entry<RequestClass> { }
+    public record Route(String name, int place, RequestClass spec) implements Entry<RequestClass> {}
 
     /** A tenant, at the place by which the module knows it. */
-    public record Account(String name, int place, Tenant spec) implements Entry<Tenant> { }
+    public record Account(String name, int place, Tenant spec) implements Entry<Tenant> {}
 
-    Catalog(long epoch, long number, Table<RequestClass, Route> routes, Table<Tenant, Account> tenants) {
+    Catalog(
+            long epoch,
+            long number,
+            Table<RequestClass, Route> routes,
+            Table<Tenant, Account> tenants) {
         this.epoch = epoch;
         this.number = number;
         this.routes = routes;
@@ -26,9 +33,18 @@
     }
 
     /** The catalog of settings read whole: the places are those of the lists. */
-    public static Catalog of(long epoch, long number, List<String> routeNames, List<RequestClass> specs, List<String> tenantNames,
+    public static Catalog of(
+            long epoch,
+            long number,
+            List<String> routeNames,
+            List<RequestClass> specs,
+            List<String> tenantNames,
             List<Tenant> quotas) {
-        return new Catalog(epoch, number, Table.of(Kind.ROUTES, routeNames, specs), Table.of(Kind.TENANTS, tenantNames, quotas));
+        return new Catalog(
+                epoch,
+                number,
+                Table.of(Kind.ROUTES, routeNames, specs),
+                Table.of(Kind.TENANTS, tenantNames, quotas));
     }
 
     /** The same content, known to be that of another version. */
@@ -46,20 +62,27 @@
         return number;
     }
 
-    /** What is in it, as a hash: two catalogs with the same routes and tenants, whatever their places, have the same one. */
+    /**
+     * What is in it, as a hash: two catalogs with the same routes and tenants, whatever their
+     * places, have the same one.
+     */
     public String hash() {
         return routes.hash().plus(tenants.hash()).toString();
     }
 
     /** The hash of what a change, which may not have been checked, would lead to. */
     public String hashAfter(Change c) {
-        return routes.after(c.putRoutes(), c.removedRoutes()).plus(tenants.after(c.putTenants(), c.removedTenants())).toString();
+        return routes.after(c.putRoutes(), c.removedRoutes())
+                .plus(tenants.after(c.putTenants(), c.removedTenants()))
+                .toString();
     }
 
     /** Whether it holds already what a change leads to. */
     boolean holds(Change c) {
-        return c.after() != null ? c.after().equals(hash())
-                : routes.has(c.putRoutes(), c.removedRoutes()) && tenants.has(c.putTenants(), c.removedTenants());
+        return c.after() != null
+                ? c.after().equals(hash())
+                : routes.has(c.putRoutes(), c.removedRoutes())
+                        && tenants.has(c.putTenants(), c.removedTenants());
     }
 
     /** How many routes there are. */
--- a/src/main/java/tinroad/catalog/Change.java
+++ b/src/main/java/tinroad/catalog/Change.java
@@ -6,19 +6,31 @@
 import tinroad.Controller.Tenant;
 
 /**
- * A batch of puts and removals, all or nothing. It follows the version {@code number - 1} of the same epoch, or begins
- * a higher epoch with number 1. A name is put or removed, never both.
+ * A batch of puts and removals, all or nothing. It follows the version {@code number - 1} of the
+ * same epoch, or begins a higher epoch with number 1. A name is put or removed, never both.
  *
  * @param epoch of the publisher: lower ones than the catalog's are fenced off
  * @param before the hash of the content that it follows, or null: not told
  * @param after the hash of the content that it leads to, or null: not told
  */
-public record Change(long epoch, long number, Map<String, RequestClass> putRoutes, Set<String> removedRoutes,
-        Map<String, Tenant> putTenants, Set<String> removedTenants, String before, String after) {
+public record Change(
+        long epoch,
+        long number,
+        Map<String, RequestClass> putRoutes,
+        Set<String> removedRoutes,
+        Map<String, Tenant> putTenants,
+        Set<String> removedTenants,
+        String before,
+        String after) {
 
     /** One that does not tell what it follows and leads to. */
-    public Change(long epoch, long number, Map<String, RequestClass> putRoutes, Set<String> removedRoutes,
-            Map<String, Tenant> putTenants, Set<String> removedTenants) {
+    public Change(
+            long epoch,
+            long number,
+            Map<String, RequestClass> putRoutes,
+            Set<String> removedRoutes,
+            Map<String, Tenant> putTenants,
+            Set<String> removedTenants) {
         this(epoch, number, putRoutes, removedRoutes, putTenants, removedTenants, null, null);
     }
 
--- a/src/main/java/tinroad/catalog/ContentHash.java
+++ b/src/main/java/tinroad/catalog/ContentHash.java
@@ -3,9 +3,10 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A hash of a set of entries: the sum of the entries' own hashes modulo 2^128 (AdHash, Bellare and Micciancio 1997). So it knows no
- * order, and an entry that is put or removed is added or subtracted, whatever the size of the table. It tells contents apart that
- * differ by mistake or by another publisher; it is no protection from someone who wants two contents to look alike.
+ * A hash of a set of entries: the sum of the entries' own hashes modulo 2^128 (AdHash, Bellare and
+ * Micciancio 1997). So it knows no order, and an entry that is put or removed is added or
+ * subtracted, whatever the size of the table. It tells contents apart that differ by mistake or by
+ * another publisher; it is no protection from someone who wants two contents to look alike.
  */
 record ContentHash(long high, long low) {
     static final ContentHash EMPTY = new ContentHash(0, 0);
@@ -35,11 +36,14 @@
 
     ContentHash plus(ContentHash other) {
         long sum = low + other.low;
-        return new ContentHash(high + other.high + (Long.compareUnsigned(sum, low) < 0 ? 1 : 0), sum);
+        return new ContentHash(
+                high + other.high + (Long.compareUnsigned(sum, low) < 0 ? 1 : 0), sum);
     }
 
     ContentHash minus(ContentHash other) {
-        return new ContentHash(high - other.high - (Long.compareUnsigned(low, other.low) < 0 ? 1 : 0), low - other.low);
+        return new ContentHash(
+                high - other.high - (Long.compareUnsigned(low, other.low) < 0 ? 1 : 0),
+                low - other.low);
     }
 
     @Override
--- a/src/main/java/tinroad/catalog/Editor.java
+++ b/src/main/java/tinroad/catalog/Editor.java
@@ -15,8 +15,9 @@
 import tinroad.config.Shared;
 
 /**
- * Makes one version of the catalog from the one before it, and gives out places. Used by one thread at a time, beside the
- * event loop. A place is given anew only after {@link #routeFree} or {@link #tenantFree}: the loop says so once nothing in hand names it.
+ * Makes one version of the catalog from the one before it, and gives out places. Used by one thread
+ * at a time, beside the event loop. A place is given anew only after {@link #routeFree} or {@link
+ * #tenantFree}: the loop says so once nothing in hand names it.
  */
 public final class Editor {
     private final Side<RequestClass, Catalog.Route> routes;
@@ -26,28 +27,31 @@
     /** What became of a change. */
     public sealed interface Outcome {
         /** The next version, and what it changes. */
-        record Taken(Catalog next, Delta delta) implements Outcome { }
+        record Taken(Catalog next, Delta delta) implements Outcome {}
 
         /** Nothing of it counts; a line for each fault. */
-        record Refused(List<String> faults) implements Outcome { }
+        record Refused(List<String> faults) implements Outcome {}
 
         /** It was taken before: nothing changes. */
-        record Repeated() implements Outcome { }
+        record Repeated() implements Outcome {}
 
         /** Its publisher's epoch is over. */
-        record Fenced(long epoch) implements Outcome { }
+        record Fenced(long epoch) implements Outcome {}
 
         /** Versions before it are missing, from this number on. */
-        record Gap(long missing) implements Outcome { }
+        record Gap(long missing) implements Outcome {}
 
         /**
-         * It follows another content than the one that serves, or is another change under a number that was taken: two publish
-         * with one epoch, or the log and the settings file don't belong together. {@code known} is the hash of what serves.
+         * It follows another content than the one that serves, or is another change under a number
+         * that was taken: two publish with one epoch, or the log and the settings file don't belong
+         * together. {@code known} is the hash of what serves.
          */
-        record Diverged(String known) implements Outcome { }
+        record Diverged(String known) implements Outcome {}
     }
 
-    /** Begins with a catalog whose places are all taken in turn, as {@link Catalog#of} leaves them. */
+    /**
+     * Begins with a catalog whose places are all taken in turn, as {@link Catalog#of} leaves them.
+     */
     public Editor(Catalog first) {
         current = first;
         routes = new Side<>(new Places(first.routeTable().places(), SettingsCheck.MOST_CLASSES));
@@ -81,15 +85,17 @@
     }
 
     /**
-     * Takes a change that leads from the current version to a file read whole, as {@link Whole} makes it: it may leave out
-     * numbers, and begin a higher epoch with any.
+     * Takes a change that leads from the current version to a file read whole, as {@link Whole}
+     * makes it: it may leave out numbers, and begin a higher epoch with any.
      */
     public Outcome offerWhole(Change c) {
         if (c.epoch() < current.epoch()) {
             return new Outcome.Fenced(current.epoch());
         }
         if (c.epoch() == current.epoch() && c.number() <= current.number()) {
-            return c.number() < current.number() || current.holds(c) ? new Outcome.Repeated() : new Outcome.Diverged(current.hash());
+            return c.number() < current.number() || current.holds(c)
+                    ? new Outcome.Repeated()
+                    : new Outcome.Diverged(current.hash());
         }
         if (c.after() != null && c.after().equals(current.hash())) {
             // A file that was brought first: what it leads to serves already.
@@ -113,11 +119,24 @@
         if (!faults.isEmpty()) {
             return new Outcome.Refused(faults.lines());
         }
-        List<ClassAt> changedClasses = new ArrayList<>(c.putRoutes().size() + c.removedRoutes().size());
-        List<TenantAt> changedTenants = new ArrayList<>(c.putTenants().size() + c.removedTenants().size());
-        current = new Catalog(c.epoch(), c.number(),
-                routes.take(current.routeTable(), c.putRoutes(), c.removedRoutes(), (at, spec) -> changedClasses.add(new ClassAt(at, spec))),
-                tenants.take(current.tenantTable(), c.putTenants(), c.removedTenants(), (at, spec) -> changedTenants.add(new TenantAt(at, spec))));
+        List<ClassAt> changedClasses =
+                new ArrayList<>(c.putRoutes().size() + c.removedRoutes().size());
+        List<TenantAt> changedTenants =
+                new ArrayList<>(c.putTenants().size() + c.removedTenants().size());
+        current =
+                new Catalog(
+                        c.epoch(),
+                        c.number(),
+                        routes.take(
+                                current.routeTable(),
+                                c.putRoutes(),
+                                c.removedRoutes(),
+                                (at, spec) -> changedClasses.add(new ClassAt(at, spec))),
+                        tenants.take(
+                                current.tenantTable(),
+                                c.putTenants(),
+                                c.removedTenants(),
+                                (at, spec) -> changedTenants.add(new TenantAt(at, spec))));
         return new Outcome.Taken(current, new Delta(changedClasses, changedTenants));
     }
 
@@ -136,7 +155,11 @@
             int gone = 0;
             for (String name : removed) {
                 if (table.get(name) == null) {
-                    faults.add(word + " " + SettingsCheck.shown(name) + " can't be removed: there is none");
+                    faults.add(
+                            word
+                                    + " "
+                                    + SettingsCheck.shown(name)
+                                    + " can't be removed: there is none");
                 } else if (put.containsKey(name)) {
                     faults.add(word + " " + SettingsCheck.shown(name) + " is both put and removed");
                 } else {
@@ -150,14 +173,23 @@
                 added += table.get(e.getKey()) == null ? 1 : 0;
             }
             if (added > places.room()) {
-                faults.add(word + ": no place for " + added + " new ones before what still runs under "
-                        + (places.waiting() + gone) + " removed ones has ended");
+                faults.add(
+                        word
+                                + ": no place for "
+                                + added
+                                + " new ones before what still runs under "
+                                + (places.waiting() + gone)
+                                + " removed ones has ended");
             }
             return table.size() - gone + added;
         }
 
         /** The next table; each change of a place is told. */
-        Table<S, E> take(Table<S, E> table, Map<String, S> put, Set<String> removed, BiConsumer<Integer, S> told) {
+        Table<S, E> take(
+                Table<S, E> table,
+                Map<String, S> put,
+                Set<String> removed,
+                BiConsumer<Integer, S> told) {
             TreePMap<String, E> entries = table.entries();
             for (String name : removed) {
                 int place = entries.get(name).place();
--- a/src/main/java/tinroad/catalog/Places.java
+++ b/src/main/java/tinroad/catalog/Places.java
@@ -4,8 +4,8 @@
 import java.util.BitSet;
 
 /**
- * Which places of a table are given out. Guards against two entries at one place: a place is given anew only once it was left and
- * then said to be free, each once.
+ * Which places of a table are given out. Guards against two entries at one place: a place is given
+ * anew only once it was left and then said to be free, each once.
  */
 final class Places {
     private final int most;
--- a/src/main/java/tinroad/catalog/Table.java
+++ b/src/main/java/tinroad/catalog/Table.java
@@ -6,13 +6,19 @@
 import org.pcollections.TreePMap;
 
 /**
- * One table of a catalog, which never changes. A sorted tree: 40 bytes a node, where the hashed map of the same library takes 96 (measured).
+ * One table of a catalog, which never changes. A sorted tree: 40 bytes a node, where the hashed map
+ * of the same library takes 96 (measured).
  *
- * @param places how many places it was given at the first; later ones are the {@link Places}' to know
+ * @param places how many places it was given at the first; later ones are the {@link Places}' to
+ *     know
  */
-record Table<S, E extends Entry<S>>(Kind<S, E> kind, TreePMap<String, E> entries, ContentHash hash, int places) {
-    /** The table of a list; of two with the same name, which the reader refuses, the first counts. */
-    static <S, E extends Entry<S>> Table<S, E> of(Kind<S, E> kind, List<String> names, List<S> specs) {
+record Table<S, E extends Entry<S>>(
+        Kind<S, E> kind, TreePMap<String, E> entries, ContentHash hash, int places) {
+    /**
+     * The table of a list; of two with the same name, which the reader refuses, the first counts.
+     */
+    static <S, E extends Entry<S>> Table<S, E> of(
+            Kind<S, E> kind, List<String> names, List<S> specs) {
         TreePMap<String, E> entries = TreePMap.empty();
         ContentHash hash = ContentHash.EMPTY;
         for (int i = 0; i < specs.size(); i++) {
@@ -54,6 +60,12 @@
     /** Whether these puts and removals would leave it as it is. */
     boolean has(Map<String, S> put, Set<String> removed) {
         return removed.stream().noneMatch(entries::containsKey)
-                && put.entrySet().stream().allMatch(e -> entries.containsKey(e.getKey()) && entries.get(e.getKey()).spec().equals(e.getValue()));
+                && put.entrySet().stream()
+                        .allMatch(
+                                e ->
+                                        entries.containsKey(e.getKey())
+                                                && entries.get(e.getKey())
+                                                        .spec()
+                                                        .equals(e.getValue()));
     }
 }
--- a/src/main/java/tinroad/catalog/Whole.java
+++ b/src/main/java/tinroad/catalog/Whole.java
@@ -10,8 +10,9 @@
 import tinroad.config.SiteVisitor;
 
 /**
- * A settings file that comes in entry by entry, against the catalog that serves. Holds only what differs, and a bit for each
- * entry that was seen again; what was not seen by the end is removed. Used once, by one thread.
+ * A settings file that comes in entry by entry, against the catalog that serves. Holds only what
+ * differs, and a bit for each entry that was seen again; what was not seen by the end is removed.
+ * Used once, by one thread.
  */
 public final class Whole implements SiteVisitor {
     private final Catalog base;
@@ -37,8 +38,22 @@
 
     /** What leads from the catalog to the file, as this version. */
     public Change change(long epoch, long number) {
-        Change c = new Change(epoch, number, routes.put, routes.removed(), tenants.put, tenants.removed());
-        return new Change(epoch, number, c.putRoutes(), c.removedRoutes(), c.putTenants(), c.removedTenants(), base.hash(),
+        Change c =
+                new Change(
+                        epoch,
+                        number,
+                        routes.put,
+                        routes.removed(),
+                        tenants.put,
+                        tenants.removed());
+        return new Change(
+                epoch,
+                number,
+                c.putRoutes(),
+                c.removedRoutes(),
+                c.putTenants(),
+                c.removedTenants(),
+                base.hash(),
                 base.hashAfter(c));
     }
 
--- a/src/main/java/tinroad/changelog/ChangeEncoding.java
+++ b/src/main/java/tinroad/changelog/ChangeEncoding.java
@@ -33,20 +33,24 @@
 import tinroad.config.SiteWriter;
 
 /**
- * A change as bytes: a line that names format, version and CRC-32C of version and rest, then one JSON object. Its {@code put} is in
- * the words of the settings, and read by their reader. What is read counts only once the checksum fits to the last byte.
+ * A change as bytes: a line that names format, version and CRC-32C of version and rest, then one
+ * JSON object. Its {@code put} is in the words of the settings, and read by their reader. What is
+ * read counts only once the checksum fits to the last byte.
  */
 final class ChangeEncoding {
     /** The version that is written, and the latest that is read. */
     static final int VERSION = 1;
+
     /** A longer file is no batch: it is neither written nor read. */
     static final int LONGEST = 32 * 1024 * 1024;
+
     private static final String MAGIC = "tinroad-change";
     private static final Pattern HEAD = Pattern.compile(MAGIC + " (\\d{1,6}) ([0-9a-f]{8})");
     private static final int LONGEST_HEAD = 64;
-    private static final JsonFactory JSON = JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
+    private static final JsonFactory JSON =
+            JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
 
-    private ChangeEncoding() { }
+    private ChangeEncoding() {}
 
     /** The bytes of a change. */
     static byte[] write(Change c) throws IOException {
@@ -66,12 +70,15 @@
             out.writeEndObject();
         }
         if (body.size() > LONGEST - LONGEST_HEAD) {
-            throw new IOException("a change of " + body.size() + " bytes is longer than " + LONGEST);
+            throw new IOException(
+                    "a change of " + body.size() + " bytes is longer than " + LONGEST);
         }
         CRC32C crc = checksum(VERSION);
         crc.update(body.toByteArray());
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(String.format("%s %d %08x\n", MAGIC, VERSION, crc.getValue()).getBytes(StandardCharsets.US_ASCII));
+        all.write(
+                String.format("%s %d %08x\n", MAGIC, VERSION, crc.getValue())
+                        .getBytes(StandardCharsets.US_ASCII));
         body.writeTo(all);
         return all.toByteArray();
     }
@@ -83,7 +90,8 @@
         return crc;
     }
 
-    private static void names(JsonGenerator out, String field, Set<String> names) throws IOException {
+    private static void names(JsonGenerator out, String field, Set<String> names)
+            throws IOException {
         out.writeArrayFieldStart(field);
         for (String name : new TreeSet<>(names)) {
             out.writeString(name);
@@ -91,10 +99,14 @@
         out.writeEndArray();
     }
 
-    /** Reads what its name says is the change at this position; a {@link DamagedException} where it is none. */
+    /**
+     * Reads what its name says is the change at this position; a {@link DamagedException} where it
+     * is none.
+     */
     static ChangeFolder.Batch read(InputStream in, Position at) throws IOException {
         Matcher head = head(in);
-        CheckedInputStream body = new CheckedInputStream(in, checksum(Integer.parseInt(head.group(1))));
+        CheckedInputStream body =
+                new CheckedInputStream(in, checksum(Integer.parseInt(head.group(1))));
         Fields fields = new Fields();
         fields.read(body, null);
         body.transferTo(OutputStream.nullOutputStream());
@@ -107,7 +119,10 @@
         return fields.batch();
     }
 
-    /** What comes before the entries: the hashes before and after. Costs the same for any change; the checksum is not looked at. */
+    /**
+     * What comes before the entries: the hashes before and after. Costs the same for any change;
+     * the checksum is not looked at.
+     */
     static Change readHead(InputStream in) throws IOException {
         head(in);
         Fields fields = new Fields();
@@ -117,7 +132,9 @@
 
     private static Matcher head(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int c = in.read(); c >= 0 && c != '\n' && line.length() < LONGEST_HEAD; c = in.read()) {
+        for (int c = in.read();
+                c >= 0 && c != '\n' && line.length() < LONGEST_HEAD;
+                c = in.read()) {
             line.append((char) c);
         }
         Matcher m = HEAD.matcher(line);
@@ -125,7 +142,8 @@
             throw new DamagedException("no change, or cut short");
         }
         if (Integer.parseInt(m.group(1)) > VERSION) {
-            throw new DamagedException("version " + m.group(1) + ", and this program reads " + VERSION);
+            throw new DamagedException(
+                    "version " + m.group(1) + ", and this program reads " + VERSION);
         }
         return m;
     }
@@ -155,7 +173,10 @@
                     field(in, field);
                 }
             } catch (JsonProcessingException e) {
-                throw new DamagedException("it is not JSON at byte " + e.getLocation().getByteOffset() + " behind its first line");
+                throw new DamagedException(
+                        "it is not JSON at byte "
+                                + e.getLocation().getByteOffset()
+                                + " behind its first line");
             }
         }
 
@@ -165,10 +186,14 @@
                 case "number" -> number = in.getValueAsLong(-1);
                 case "before" -> before = text(in);
                 case "after" -> after = text(in);
-                case "remove" -> each(in, table -> {
-                    Set<String> names = table.equals("classes") ? noClasses : noTenants;
-                    items(in, i -> names.add(text(in)));
-                });
+                case "remove" ->
+                        each(
+                                in,
+                                table -> {
+                                    Set<String> names =
+                                            table.equals("classes") ? noClasses : noTenants;
+                                    items(in, i -> names.add(text(in)));
+                                });
                 case "put" -> SiteReader.read(in, this, faults);
                 default -> in.skipChildren();
             }
@@ -185,7 +210,10 @@
         }
 
         ChangeFolder.Batch batch() {
-            return new ChangeFolder.Batch(new Change(epoch, number, classes, noClasses, tenants, noTenants, before, after), faults);
+            return new ChangeFolder.Batch(
+                    new Change(
+                            epoch, number, classes, noClasses, tenants, noTenants, before, after),
+                    faults);
         }
     }
 }
--- a/src/main/java/tinroad/changelog/ChangeFolder.java
+++ b/src/main/java/tinroad/changelog/ChangeFolder.java
@@ -21,12 +21,14 @@
 import tinroad.config.Faults;
 
 /**
- * The files of a change log. A batch is written beside, forced to the disk, and linked to its name: a name stands for a whole file
- * or for none, and is taken once, whoever comes second. Guards against two publishers, and against a folder that grows for ever.
+ * The files of a change log. A batch is written beside, forced to the disk, and linked to its name:
+ * a name stands for a whole file or for none, and is taken once, whoever comes second. Guards
+ * against two publishers, and against a folder that grows for ever.
  */
 public final class ChangeFolder {
     /** Batches that are kept unless told otherwise: some hours at 2,400 a day. */
     public static final int KEEP = 512;
+
     private static final String PART = ".part";
 
     private final Path folder;
@@ -39,7 +41,7 @@
     }
 
     /** A batch that was read: what can't be meant of it stands in the faults. */
-    public record Batch(Change change, Faults faults) { }
+    public record Batch(Change change, Faults faults) {}
 
     /** All positions that there are, in order. */
     public List<Position> positions() throws IOException {
@@ -65,14 +67,19 @@
         }
     }
 
-    /** The change at this position without its entries: the hashes of the contents before and after. */
+    /**
+     * The change at this position without its entries: the hashes of the contents before and after.
+     */
     Change head(Position at) throws IOException {
         try (InputStream in = open(at)) {
             return ChangeEncoding.readHead(in);
         }
     }
 
-    /** The latest position at which the content had this hash; null where no change that is there leads to it or from it. */
+    /**
+     * The latest position at which the content had this hash; null where no change that is there
+     * leads to it or from it.
+     */
     public Position locate(String hash) throws IOException {
         List<Position> there = positions();
         for (int i = there.size() - 1; i >= 0; i--) {
@@ -97,7 +104,8 @@
         if (Files.size(file) > ChangeEncoding.LONGEST) {
             throw new DamagedException("it is longer than " + ChangeEncoding.LONGEST + " bytes");
         }
-        return new BufferedInputStream(Channels.newInputStream(FileChannel.open(file, StandardOpenOption.READ)));
+        return new BufferedInputStream(
+                Channels.newInputStream(FileChannel.open(file, StandardOpenOption.READ)));
     }
 
     /** What tells whether a name stands for the same file as before; null where there is none. */
@@ -120,8 +128,8 @@
     }
 
     /**
-     * Writes the change that follows the newest one; returns only once it lasts. An {@link IOException} tells why not: it does not
-     * follow, or another publisher took its number.
+     * Writes the change that follows the newest one; returns only once it lasts. An {@link
+     * IOException} tells why not: it does not follow, or another publisher took its number.
      */
     public void append(Change c) throws IOException {
         Files.createDirectories(folder);
@@ -130,15 +138,28 @@
         Position newest = there.isEmpty() ? null : there.get(there.size() - 1);
         if (newest != null) {
             if (newest.compareTo(at) >= 0) {
-                throw new IOException("change " + at + " is taken, or its epoch is over: the newest is " + newest);
+                throw new IOException(
+                        "change "
+                                + at
+                                + " is taken, or its epoch is over: the newest is "
+                                + newest);
             }
             if (!at.follows(newest)) {
                 throw new IOException("change " + at + " does not follow the newest, " + newest);
             }
-            // A higher epoch may go on from another content: that is how a log that was damaged or rolled back is mended.
+            // A higher epoch may go on from another content: that is how a log that was damaged or
+            // rolled back is mended.
             String after = at.epoch() > newest.epoch() ? c.before() : after(newest);
             if (!after.equals(c.before())) {
-                throw new IOException("change " + at + " leads on from content " + c.before() + ", and the newest, " + newest + ", led to " + after);
+                throw new IOException(
+                        "change "
+                                + at
+                                + " leads on from content "
+                                + c.before()
+                                + ", and the newest, "
+                                + newest
+                                + ", led to "
+                                + after);
             }
         }
         link(at, ChangeEncoding.write(c));
@@ -149,14 +170,17 @@
         try {
             return read(newest).change().after();
         } catch (DamagedException e) {
-            throw new IOException("the newest change, " + newest + ", is damaged: " + e.getMessage());
+            throw new IOException(
+                    "the newest change, " + newest + ", is damaged: " + e.getMessage());
         }
     }
 
     private void link(Position at, byte[] bytes) throws IOException {
         Path part = folder.resolve(at.file() + "-" + UUID.randomUUID() + PART);
         try {
-            try (FileChannel out = FileChannel.open(part, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
+            try (FileChannel out =
+                    FileChannel.open(
+                            part, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
                 ByteBuffer left = ByteBuffer.wrap(bytes);
                 while (left.hasRemaining()) {
                     out.write(left);
@@ -166,7 +190,8 @@
             // Not a rename, which would replace what another publisher wrote in the same moment.
             Files.createLink(folder.resolve(at.file()), part);
         } catch (FileAlreadyExistsException e) {
-            throw new IOException("change " + at + " was written by another publisher in the same moment");
+            throw new IOException(
+                    "change " + at + " was written by another publisher in the same moment");
         } finally {
             Files.deleteIfExists(part);
         }
--- a/src/main/java/tinroad/changelog/LogFollower.java
+++ b/src/main/java/tinroad/changelog/LogFollower.java
@@ -10,20 +10,28 @@
 import tinroad.catalog.Whole;
 
 /**
- * Follows a change log, a change at a time and in order. Where the log can't be followed, the catalog that serves stays, and one line
- * tells why, once until it changes. A look that finds nothing costs two questions to the file system: the next name, and whether the
- * folder changed; names are listed only then, and now and again all the same. Used by one thread, which owns the editor, too.
+ * Follows a change log, a change at a time and in order. Where the log can't be followed, the
+ * catalog that serves stays, and one line tells why, once until it changes. A look that finds
+ * nothing costs two questions to the file system: the next name, and whether the folder changed;
+ * names are listed only then, and now and again all the same. Used by one thread, which owns the
+ * editor, too.
  */
 public final class LogFollower {
-    /** Looks after which the folder is listed, and a refused change is tried again, though nothing seems to have changed. */
+    /**
+     * Looks after which the folder is listed, and a refused change is tried again, though nothing
+     * seems to have changed.
+     */
     static final int ANYWAY = 64;
 
     private final ChangeFolder folder;
     private final String name;
+
     /** What an earlier life had: the log may not end before it. */
     private Position least;
+
     /** The last position of earlier epochs that was there when this one began. */
     private Position over;
+
     private Position newest;
     private String told;
     private List<Object> listed = List.of();
@@ -34,7 +42,8 @@
     /**
      * Follows the log in {@code folder}, which lines call {@code name}.
      *
-     * @param least the last position that is known to have been there, from an earlier life; null: not known
+     * @param least the last position that is known to have been there, from an earlier life; null:
+     *     not known
      */
     public LogFollower(ChangeFolder folder, String name, Position least) {
         this.folder = folder;
@@ -56,7 +65,10 @@
         }
     }
 
-    /** The same content as the version of the log that it is; unchanged where the log does not know it, or can't be read. */
+    /**
+     * The same content as the version of the log that it is; unchanged where the log does not know
+     * it, or can't be read.
+     */
     public Catalog locate(Catalog read) {
         try {
             Position at = folder.locate(read.hash());
@@ -119,7 +131,8 @@
         if (same && settled && looks % ANYWAY != 0) {
             return Step.NOTHING;
         }
-        // Once more after each change: what comes within one tick of the folder's time leaves no trace in it.
+        // Once more after each change: what comes within one tick of the folder's time leaves no
+        // trace in it.
         settled = same;
         listed = seen;
         return list(editor, at);
@@ -129,27 +142,42 @@
         List<Position> there = folder.positions();
         Position last = there.isEmpty() ? null : there.get(there.size() - 1);
         newest = last;
-        Position following = there.stream().filter(p -> p.compareTo(at) > 0).findFirst().orElse(null);
+        Position following =
+                there.stream().filter(p -> p.compareTo(at) > 0).findFirst().orElse(null);
         if (following != null && following.follows(at)) {
             return take(editor, following, folder.stamp(following));
         }
         if (following != null) {
-            throw new TroubleException(name + ": " + at.next() + " is missing, the oldest change after it is " + following
-                    + ": the settings file as it is now has to be read, by SIGHUP");
+            throw new TroubleException(
+                    name
+                            + ": "
+                            + at.next()
+                            + " is missing, the oldest change after it is "
+                            + following
+                            + ": the settings file as it is now has to be read, by SIGHUP");
         }
         if (there.contains(at) && !editor.current().hash().equals(folder.head(at).after())) {
             throw new TroubleException(diverged(at, editor.current().hash()));
         }
         for (Position p : there) {
             if (over != null && p.epoch() < at.epoch() && p.compareTo(over) > 0) {
-                throw new TroubleException(name + ": change " + p + " came after its epoch was over: not taken, "
-                        + at.epoch() + " goes on");
+                throw new TroubleException(
+                        name
+                                + ": change "
+                                + p
+                                + " came after its epoch was over: not taken, "
+                                + at.epoch()
+                                + " goes on");
             }
         }
         Position had = least != null && least.compareTo(at) > 0 ? least : at;
         if (had.epoch() > 0 && (last == null || last.compareTo(had) < 0)) {
-            throw new TroubleException(name + " was rolled back: " + had + " was taken, and " + (last == null ? "it is empty"
-                    : "the newest is " + last));
+            throw new TroubleException(
+                    name
+                            + " was rolled back: "
+                            + had
+                            + " was taken, and "
+                            + (last == null ? "it is empty" : "the newest is " + last));
         }
         least = null;
         if (told != null) {
@@ -159,7 +187,10 @@
         return Step.NOTHING;
     }
 
-    /** A higher epoch that leads on from what serves, where the next change of this one can't be taken. */
+    /**
+     * A higher epoch that leads on from what serves, where the next change of this one can't be
+     * taken.
+     */
     private Position instead(Catalog now) throws IOException {
         for (Position p : folder.positions()) {
             if (p.epoch() > now.epoch() && p.number() == 1) {
@@ -175,7 +206,8 @@
         return null;
     }
 
-    private Step take(Editor editor, Position p, Object stamp) throws IOException, TroubleException {
+    private Step take(Editor editor, Position p, Object stamp)
+            throws IOException, TroubleException {
         List<Object> attempt = List.of(p, String.valueOf(stamp), editor.current().hash());
         if (attempt.equals(tried) && looks % ANYWAY != 0) {
             return Step.NOTHING;
@@ -208,12 +240,17 @@
 
     /** What {@link #over} is once this epoch serves. */
     private Position lastBefore(long epoch, Position at) throws IOException {
-        return epoch <= at.epoch() ? over : folder.positions().stream().filter(p -> p.epoch() < epoch).reduce(at, (a, b) -> b);
+        return epoch <= at.epoch()
+                ? over
+                : folder.positions().stream()
+                        .filter(p -> p.epoch() < epoch)
+                        .reduce(at, (a, b) -> b);
     }
 
     /**
-     * Takes a settings file that was read again. The log leads: of a file that differs from what serves only one is taken whose
-     * content the log knows as a later one, or any while the log is empty.
+     * Takes a settings file that was read again. The log leads: of a file that differs from what
+     * serves only one is taken whose content the log knows as a later one, or any while the log is
+     * empty.
      */
     public Step whole(Editor editor, Whole file) {
         Position at = position(editor.current());
@@ -224,10 +261,21 @@
                 return Step.NOTHING;
             }
             if (known == null && !folder.positions().isEmpty()) {
-                return new Step(null, "settings file not taken: " + name + " knows no change to its content, " + next.after());
+                return new Step(
+                        null,
+                        "settings file not taken: "
+                                + name
+                                + " knows no change to its content, "
+                                + next.after());
             }
             if (known != null && known.compareTo(at) <= 0) {
-                return new Step(null, "settings file not taken: it is that of " + known + ", and " + at + " serves");
+                return new Step(
+                        null,
+                        "settings file not taken: it is that of "
+                                + known
+                                + ", and "
+                                + at
+                                + " serves");
             }
             Change change = known == null ? next : file.change(known.epoch(), known.number());
             Position end = lastBefore(change.epoch(), at);
@@ -247,12 +295,20 @@
     }
 
     private static String refused(Position p, List<String> faults) {
-        return "change " + p + " refused: " + faults.get(0) + (faults.size() > 1 ? " (and more: 'tinroad catalog check' tells all)" : "");
+        return "change "
+                + p
+                + " refused: "
+                + faults.get(0)
+                + (faults.size() > 1 ? " (and more: 'tinroad catalog check' tells all)" : "");
     }
 
     private static String diverged(Position p, String known) {
-        return "change " + p + " belongs to another content than " + known
-                + ", which serves: two publish with one epoch, the log was rewritten, or the settings file is another one's";
+        return "change "
+                + p
+                + " belongs to another content than "
+                + known
+                + ", which serves: two publish with one epoch, the log was rewritten, or the"
+                + " settings file is another one's";
     }
 
     /** What became of a change, in one line. */
--- a/src/main/java/tinroad/changelog/Position.java
+++ b/src/main/java/tinroad/changelog/Position.java
@@ -6,12 +6,18 @@
 public record Position(long epoch, long number) implements Comparable<Position> {
     private static final String HEAD = "change-";
     private static final int DIGITS = 19;
-    private static final Comparator<Position> ORDER = Comparator.comparingLong(Position::epoch).thenComparingLong(Position::number);
+    private static final Comparator<Position> ORDER =
+            Comparator.comparingLong(Position::epoch).thenComparingLong(Position::number);
 
-    /** The position that a file's name stands for; null where it is no batch. Asked for each name of a folder: no pattern, for its cost. */
+    /**
+     * The position that a file's name stands for; null where it is no batch. Asked for each name of
+     * a folder: no pattern, for its cost.
+     */
     static Position of(String file) {
         int dash = HEAD.length() + DIGITS;
-        if (file.length() != dash + 1 + DIGITS || !file.startsWith(HEAD) || file.charAt(dash) != '-') {
+        if (file.length() != dash + 1 + DIGITS
+                || !file.startsWith(HEAD)
+                || file.charAt(dash) != '-') {
             return null;
         }
         for (int i = HEAD.length(); i < file.length(); i++) {
@@ -20,7 +26,9 @@
             }
         }
         try {
-            return new Position(Long.parseLong(file, HEAD.length(), dash, 10), Long.parseLong(file, dash + 1, file.length(), 10));
+            return new Position(
+                    Long.parseLong(file, HEAD.length(), dash, 10),
+                    Long.parseLong(file, dash + 1, file.length(), 10));
         } catch (NumberFormatException e) {
             // More than any number: no name of ours.
             return null;
@@ -33,7 +41,9 @@
 
     /** Whether a change at this position can be the one right after {@code other}. */
     public boolean follows(Position other) {
-        return epoch == other.epoch ? number == other.number + 1 : epoch > other.epoch && number == 1;
+        return epoch == other.epoch
+                ? number == other.number + 1
+                : epoch > other.epoch && number == 1;
     }
 
     /** The one after it in the same epoch. */
--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -18,7 +18,6 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import tinroad.Controller.RequestClass;
-import tinroad.Controller.Tenant;
 import tinroad.catalog.Catalog;
 import tinroad.catalog.Change;
 import tinroad.catalog.Editor;
@@ -33,13 +32,19 @@
 import tinroad.config.SettingsCheck;
 import tinroad.config.SiteWriter;
 
-/** {@code catalog}: routes and tenants of configuration files, what differs between two, and the log of their changes. */
+/**
+ * {@code catalog}: routes and tenants of configuration files, what differs between two, and the log
+ * of their changes.
+ */
 public final class CatalogCommand extends Command {
     private static final int ENTRIES = 100;
 
     /** What is wanted. */
     enum Act {
-        SHOW(1, "FILE"), DIFF(2, "OLD NEW"), CHECK(1, "FILE or FOLDER"), PUBLISH(3, "OLD NEW FOLDER");
+        SHOW(1, "FILE"),
+        DIFF(2, "OLD NEW"),
+        CHECK(1, "FILE or FOLDER"),
+        PUBLISH(3, "OLD NEW FOLDER");
 
         private final int paths;
         private final String names;
@@ -50,36 +55,60 @@
         }
     }
 
-    @Argument(index = 0, metaVar = "show|diff|check|publish", required = true,
-            usage = "show FILE: what is in a configuration; diff OLD NEW: what would change; check FILE or FOLDER: whether it can be used; "
-                    + "publish OLD NEW FOLDER: write what differs as the next change of a log")
+    @Argument(
+            index = 0,
+            metaVar = "show|diff|check|publish",
+            required = true,
+            usage =
+                    "show FILE: what is in a configuration; diff OLD NEW: what would change; check"
+                        + " FILE or FOLDER: whether it can be used; publish OLD NEW FOLDER: write"
+                        + " what differs as the next change of a log")
     private Act act;
 
-    @Argument(index = 1, metaVar = "PATH", required = true, usage = "configuration files, and the folder of a change log")
+    @Argument(
+            index = 1,
+            metaVar = "PATH",
+            required = true,
+            usage = "configuration files, and the folder of a change log")
     private List<String> paths = new ArrayList<>();
 
     @Option(name = "--output", usage = "table or json")
     private Output output = Output.TABLE;
 
-    @Option(name = "--epoch", metaVar = "N", usage = "publish: the publisher's epoch, 1 or above (default: that of the newest change); a higher one "
-            + "ends the earlier ones")
+    @Option(
+            name = "--epoch",
+            metaVar = "N",
+            usage =
+                    "publish: the publisher's epoch, 1 or above (default: that of the newest"
+                            + " change); a higher one ends the earlier ones")
     private Long epoch;
 
-    @Option(name = "--keep", metaVar = "N", usage = "publish: newest changes that stay in the folder")
+    @Option(
+            name = "--keep",
+            metaVar = "N",
+            usage = "publish: newest changes that stay in the folder")
     private int keep = ChangeFolder.KEEP;
 
     @Override
     About about() {
-        return new About("shows, compares and checks routes and tenants of configuration files, and publishes changes",
-                "tinroad catalog publish config.old.json config.json /var/lib/tinroad/changes", "0  done; all can be used",
-                "1  a file can't be read or used, or the change was refused, a line for each fault", "2  wrong arguments");
+        return new About(
+                "shows, compares and checks routes and tenants of configuration files, and"
+                        + " publishes changes",
+                "tinroad catalog publish config.old.json config.json /var/lib/tinroad/changes",
+                "0  done; all can be used",
+                "1  a file can't be read or used, or the change was refused, a line for each fault",
+                "2  wrong arguments");
     }
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
         if (paths.size() != act.paths || epoch != null && epoch < 1 || keep < 1) {
-            err.println("tinroad: catalog " + act.name().toLowerCase(Locale.ROOT) + " takes " + act.names
-                    + ", and numbers from 1 on ('tinroad help catalog' tells more)");
+            err.println(
+                    "tinroad: catalog "
+                            + act.name().toLowerCase(Locale.ROOT)
+                            + " takes "
+                            + act.names
+                            + ", and numbers from 1 on ('tinroad help catalog' tells more)");
             return WRONG;
         }
         try {
@@ -91,7 +120,13 @@
                         return checkLog(out);
                     }
                     Catalog c = read(paths.get(0));
-                    out.println("ok: " + c.routes() + " classes, " + c.tenants() + " orgs, content " + c.hash());
+                    out.println(
+                            "ok: "
+                                    + c.routes()
+                                    + " classes, "
+                                    + c.tenants()
+                                    + " orgs, content "
+                                    + c.hash());
                 }
                 default -> publish(out);
             }
@@ -108,7 +143,13 @@
 
     private static Catalog read(String file) throws ConfigException {
         GatewayConfig c = GatewayConfig.read(Path.of(file));
-        return Catalog.of(0, 0, c.site().classNames(), c.site().settings().classes(), c.site().tenantNames(), c.site().settings().tenants());
+        return Catalog.of(
+                0,
+                0,
+                c.site().classNames(),
+                c.site().settings().classes(),
+                c.site().tenantNames(),
+                c.site().settings().tenants());
     }
 
     /** What leads from a version to a file; the file is never held whole. */
@@ -120,8 +161,14 @@
 
     private void show(PrintStream out) throws ConfigException, IOException {
         Catalog c = read(paths.get(0));
-        output.print(List.of("what", "value"), List.of(List.of("classes", c.routes()), List.of("orgs", c.tenants()),
-                List.of("content", c.hash()), List.of("bytes", Files.size(Path.of(paths.get(0))))), out);
+        output.print(
+                List.of("what", "value"),
+                List.of(
+                        List.of("classes", c.routes()),
+                        List.of("orgs", c.tenants()),
+                        List.of("content", c.hash()),
+                        List.of("bytes", Files.size(Path.of(paths.get(0))))),
+                out);
     }
 
     private void diff(PrintStream out) throws ConfigException {
@@ -145,8 +192,13 @@
         return fields;
     }
 
-    private static <S> void rows(String word, Map<String, S> put, Set<String> removed, Function<String, ? extends Entry<S>> old,
-            Function<S, Map<String, Object>> fields, List<List<Object>> rows) {
+    private static <S> void rows(
+            String word,
+            Map<String, S> put,
+            Set<String> removed,
+            Function<String, ? extends Entry<S>> old,
+            Function<S, Map<String, Object>> fields,
+            List<List<Object>> rows) {
         for (String name : new TreeSet<>(removed)) {
             rows.add(List.of(word, SettingsCheck.shown(name), "removed", "", ""));
         }
@@ -154,7 +206,13 @@
             Entry<S> before = old.apply(e.getKey());
             Map<String, Object> from = before == null ? Map.of() : fields.apply(before.spec());
             Map<String, Object> to = fields.apply(e.getValue());
-            rows.add(List.of(word, SettingsCheck.shown(e.getKey()), before == null ? "new" : "changed", unlike(from, to), unlike(to, from)));
+            rows.add(
+                    List.of(
+                            word,
+                            SettingsCheck.shown(e.getKey()),
+                            before == null ? "new" : "changed",
+                            unlike(from, to),
+                            unlike(to, from)));
         }
     }
 
@@ -183,10 +241,18 @@
                     is = String.join("; ", batch.faults().lines());
                 } else if (last != null && !at.follows(last)) {
                     is = "does not follow " + last;
-                } else if (content != null && !content.equals(c.before()) && at.epoch() > last.epoch()) {
+                } else if (content != null
+                        && !content.equals(c.before())
+                        && at.epoch() > last.epoch()) {
                     is = "good, from another content: " + c.before();
                 } else if (content != null && !content.equals(c.before())) {
-                    is = "leads on from content " + c.before() + ", and " + last + " led to " + content;
+                    is =
+                            "leads on from content "
+                                    + c.before()
+                                    + ", and "
+                                    + last
+                                    + " led to "
+                                    + content;
                 }
                 content = c.after();
             } catch (IOException e) {
@@ -205,8 +271,12 @@
         Path folder = Path.of(paths.get(2));
         ChangeFolder log = new ChangeFolder(folder, keep);
         List<Position> there = Files.isDirectory(folder) ? log.positions() : List.of();
-        Position newest = there.isEmpty() ? new Position(epoch == null ? 1 : epoch, 0) : there.get(there.size() - 1);
-        Position next = epoch == null || epoch == newest.epoch() ? newest.next() : new Position(epoch, 1);
+        Position newest =
+                there.isEmpty()
+                        ? new Position(epoch == null ? 1 : epoch, 0)
+                        : there.get(there.size() - 1);
+        Position next =
+                epoch == null || epoch == newest.epoch() ? newest.next() : new Position(epoch, 1);
         Catalog old = read(paths.get(0)).at(newest.epoch(), newest.number());
         Change c = change(old, paths.get(1), next);
         if (c.size() == 0) {
--- a/src/main/java/tinroad/cli/Check.java
+++ b/src/main/java/tinroad/cli/Check.java
@@ -11,25 +11,34 @@
 import tinroad.operator.Operator;
 import tinroad.operator.StateSettings;
 
-/** {@code check}: reads configuration and operator file and says whether a gateway could start with them. */
+/**
+ * {@code check}: reads configuration and operator file and says whether a gateway could start with
+ * them.
+ */
 public final class Check extends GatewayCommand {
     @Option(name = "--start", usage = "also start a gateway with them, and let it leave at once")
     private boolean start;
 
     @Override
     About about() {
-        return new About("reads configuration and operator file and says whether a gateway could start with them",
-                "tinroad check --config deploy/example.json --operator deploy/operator.conf", "0  it could",
+        return new About(
+                "reads configuration and operator file and says whether a gateway could start with"
+                        + " them",
+                "tinroad check --config deploy/example.json --operator deploy/operator.conf",
+                "0  it could",
                 "1  the configuration can't be used, or the start failed",
                 "2  wrong arguments, or faults in the operator file, a line for each");
     }
 
     @Override
-    void run(ConfigFile source, GatewayConfig config, Operator operator, PrintStream out) throws IOException, InterruptedException {
+    void run(ConfigFile source, GatewayConfig config, Operator operator, PrintStream out)
+            throws IOException, InterruptedException {
         if (start) {
-            // Guards a gateway that serves there: a second one beside it would take its engine and half its callers.
+            // Guards a gateway that serves there: a second one beside it would take its engine and
+            // half its callers.
             if (FastCgiFront.taken(config.listen(), false)) {
-                throw new IOException("can't listen on " + config.listen() + ": another process does");
+                throw new IOException(
+                        "can't listen on " + config.listen() + ": another process does");
             }
             try (Server server = new Server(config, null, StateSettings.NONE, FleetSettings.NONE)) {
                 server.rehearse();
--- a/src/main/java/tinroad/cli/Command.java
+++ b/src/main/java/tinroad/cli/Command.java
@@ -4,12 +4,16 @@
 import java.io.PrintStream;
 import org.kohsuke.args4j.Option;
 
-/** A command: its options are fields that the parser sets; what it is for stands in {@link About}. */
+/**
+ * A command: its options are fields that the parser sets; what it is for stands in {@link About}.
+ */
 abstract class Command {
     /** Exit status: done. */
     static final int FINE = 0;
+
     /** Exit status: could not start, or not read its input. */
     static final int FAILED = 1;
+
     /** Exit status: wrong arguments, or an operator file with faults. */
     static final int WRONG = 2;
 
@@ -23,7 +27,7 @@
      * @param example a full command line
      * @param statuses exit statuses, each with its meaning
      */
-    record About(String does, String example, String... statuses) { }
+    record About(String does, String example, String... statuses) {}
 
     /** What help tells. */
     abstract About about();
--- a/src/main/java/tinroad/cli/Completion.java
+++ b/src/main/java/tinroad/cli/Completion.java
@@ -7,15 +7,21 @@
 /** {@code completion}: prints a script that has a shell complete the command line. */
 public final class Completion extends Command {
     /** The shells. */
-    public enum Shell { BASH, ZSH }
+    public enum Shell {
+        BASH,
+        ZSH
+    }
 
     @Argument(required = true, metaVar = "SHELL", usage = "bash or zsh")
     private Shell shell;
 
     @Override
     About about() {
-        return new About("prints a script that completes command lines", "eval \"$(tinroad completion bash)\"",
-                "0  printed", "2  wrong arguments");
+        return new About(
+                "prints a script that completes command lines",
+                "eval \"$(tinroad completion bash)\"",
+                "0  printed",
+                "2  wrong arguments");
     }
 
     @Override
--- a/src/main/java/tinroad/cli/Door.java
+++ b/src/main/java/tinroad/cli/Door.java
@@ -19,14 +19,24 @@
         void read(JsonNode answer) throws IOException;
     }
 
-    private Door() { }
+    private Door() {}
 
-    /** Asks for {@code path}, and tells in one line what went wrong; {@code what} names what was asked for. */
+    /**
+     * Asks for {@code path}, and tells in one line what went wrong; {@code what} names what was
+     * asked for.
+     */
     static int ask(String control, String path, String what, PrintStream err, Reader reader) {
         try {
-            HttpRequest call = HttpRequest.newBuilder(URI.create("http://" + control + path)).timeout(PATIENCE).build();
-            HttpResponse<byte[]> answer = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE)
-                    .build().send(call, HttpResponse.BodyHandlers.ofByteArray());
+            HttpRequest call =
+                    HttpRequest.newBuilder(URI.create("http://" + control + path))
+                            .timeout(PATIENCE)
+                            .build();
+            HttpResponse<byte[]> answer =
+                    HttpClient.newBuilder()
+                            .version(HttpClient.Version.HTTP_1_1)
+                            .connectTimeout(PATIENCE)
+                            .build()
+                            .send(call, HttpResponse.BodyHandlers.ofByteArray());
             if (answer.statusCode() != 200) {
                 throw new IOException("status " + answer.statusCode() + ", no " + what);
             }
@@ -36,7 +46,13 @@
             err.println("tinroad: --control is no ADDRESS:PORT: '" + control + "'");
             return Command.WRONG;
         } catch (IOException e) {
-            err.println("tinroad: no " + what + " from " + control + ": " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+            err.println(
+                    "tinroad: no "
+                            + what
+                            + " from "
+                            + control
+                            + ": "
+                            + (e.getMessage() == null ? e.toString() : e.getMessage()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/tinroad/cli/GatewayCommand.java
+++ b/src/main/java/tinroad/cli/GatewayCommand.java
@@ -11,14 +11,23 @@
 import tinroad.operator.Operator;
 import tinroad.operator.OperatorException;
 
-/** A command that needs a gateway's configuration: finds it, and tells in one line for each fault what is wrong. */
+/**
+ * A command that needs a gateway's configuration: finds it, and tells in one line for each fault
+ * what is wrong.
+ */
 abstract class GatewayCommand extends Command {
     private static final String VARIABLE = "GW_CONFIG";
 
-    @Option(name = "--config", metaVar = "FILE", usage = "the platform's configuration (default: what GW_CONFIG names)")
+    @Option(
+            name = "--config",
+            metaVar = "FILE",
+            usage = "the platform's configuration (default: what GW_CONFIG names)")
     private String file;
 
-    @Option(name = "--operator", metaVar = "FILE", usage = "what the operators set beside it (default: none)")
+    @Option(
+            name = "--operator",
+            metaVar = "FILE",
+            usage = "what the operators set beside it (default: none)")
     private String operator;
 
     @Override
@@ -42,7 +51,8 @@
     }
 
     /** Does what the command is for; {@code operator} is null where no such file is named. */
-    abstract void run(ConfigFile source, GatewayConfig config, Operator operator, PrintStream out) throws IOException, InterruptedException;
+    abstract void run(ConfigFile source, GatewayConfig config, Operator operator, PrintStream out)
+            throws IOException, InterruptedException;
 
     /** The configuration's file. */
     final ConfigFile configFile() throws ConfigException {
--- a/src/main/java/tinroad/cli/Help.java
+++ b/src/main/java/tinroad/cli/Help.java
@@ -11,7 +11,10 @@
 
     @Override
     About about() {
-        return new About("tells what the commands do, and their options", "tinroad help serve", "0  told",
+        return new About(
+                "tells what the commands do, and their options",
+                "tinroad help serve",
+                "0  told",
                 "2  no such command");
     }
 
--- a/src/main/java/tinroad/cli/Ignored.java
+++ b/src/main/java/tinroad/cli/Ignored.java
@@ -6,24 +6,33 @@
 import java.nio.file.Path;
 
 /**
- * Which signals this process ignores. The virtual machine leaves some of those ignored that were so at its start, and
- * says nothing; the system tells, as the line {@code SigIgn} of proc(5).
+ * Which signals this process ignores. The virtual machine leaves some of those ignored that were so
+ * at its start, and says nothing; the system tells, as the line {@code SigIgn} of proc(5).
  */
 final class Ignored {
     /** Number of SIGHUP. */
     static final int HUP = 1;
+
     private static final Path STATUS = Path.of("/proc/self/status");
     private static final String FIELD = "SigIgn:";
     private static final int HEXADECIMAL = 16;
 
-    private Ignored() { }
+    private Ignored() {}
 
     /** Whether the signal of this number is ignored; false where the system does not tell. */
     static boolean signal(int number) {
         try {
-            return Files.readAllLines(STATUS, StandardCharsets.ISO_8859_1).stream().filter(line -> line.startsWith(FIELD))
-                    .anyMatch(line -> (Long.parseUnsignedLong(line.substring(FIELD.length()).strip(), HEXADECIMAL)
-                            >>> number - 1 & 1) != 0);
+            return Files.readAllLines(STATUS, StandardCharsets.ISO_8859_1).stream()
+                    .filter(line -> line.startsWith(FIELD))
+                    .anyMatch(
+                            line ->
+                                    (Long.parseUnsignedLong(
+                                                                    line.substring(FIELD.length())
+                                                                            .strip(),
+                                                                    HEXADECIMAL)
+                                                            >>> number - 1
+                                                    & 1)
+                                            != 0);
         } catch (IOException | NumberFormatException e) {
             return false;
         }
--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -34,49 +34,99 @@
 import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
 
-/** {@code lab}: plays a fleet of real gateways with faults between them, and judges what became of every request. */
+/**
+ * {@code lab}: plays a fleet of real gateways with faults between them, and judges what became of
+ * every request.
+ */
 public final class LabCommand extends Command {
     /** What the lab is asked for. */
-    enum Act { RUN, MODEL, MEMBERS, COMPARE, SCALE, LIST, CAPACITY }
+    enum Act {
+        RUN,
+        MODEL,
+        MEMBERS,
+        COMPARE,
+        SCALE,
+        LIST,
+        CAPACITY
+    }
 
     private static final String SCRIPTS = "lab";
+
     /** What the names of scripts of the scale run begin with. */
     private static final String SWEEPS = "scale-";
+
     private static final String NONE = "none";
     private static final double[] LOSSES = {0, 0.05, 0.2, 0.4};
     private static final String ENDING = ".conf";
 
-    @Argument(index = 0, metaVar = "run|model|members|compare|scale|list|capacity", required = true,
-            usage = "play a script with processes, or on virtual time; a table of the membership on virtual time; compare two programs;"
-                    + " play a sweep of hollow gateways beside real ones; list the scripts that ship; write a capacity page's tables"
-                    + " from its results")
+    @Argument(
+            index = 0,
+            metaVar = "run|model|members|compare|scale|list|capacity",
+            required = true,
+            usage =
+                    "play a script with processes, or on virtual time; a table of the membership on"
+                        + " virtual time; compare two programs; play a sweep of hollow gateways"
+                        + " beside real ones; list the scripts that ship; write a capacity page's"
+                        + " tables from its results")
     private Act act;
 
-    @Argument(index = 1, metaVar = "SCRIPT", usage = "a file, or the name of a script that ships; capacity: the page")
+    @Argument(
+            index = 1,
+            metaVar = "SCRIPT",
+            usage = "a file, or the name of a script that ships; capacity: the page")
     private String script;
 
     @Option(name = "--seed", usage = "decides all that is random")
     private long seed = 1;
 
-    @Option(name = "--seeds", metaVar = "A..B", usage = "compare: the seeds, from A to B (default: 1..5); model: one line of figures for each of them")
+    @Option(
+            name = "--seeds",
+            metaVar = "A..B",
+            usage =
+                    "compare: the seeds, from A to B (default: 1..5); model: one line of figures"
+                            + " for each of them")
     private String seeds;
 
-    @Option(name = "--jar", metaVar = "FILE", usage = "the gateways' program (default: this one); compare: given twice; scale: may be, an earlier and a later one in the same fleet")
+    @Option(
+            name = "--jar",
+            metaVar = "FILE",
+            usage =
+                    "the gateways' program (default: this one); compare: given twice; scale: may"
+                            + " be, an earlier and a later one in the same fleet")
     private List<String> jars = new ArrayList<>();
 
-    @Option(name = "--operator", metaVar = "FILE", usage = "the gateways' operator file (default: none); compare: given twice, none stands for none; scale: once for each --jar")
+    @Option(
+            name = "--operator",
+            metaVar = "FILE",
+            usage =
+                    "the gateways' operator file (default: none); compare: given twice, none stands"
+                            + " for none; scale: once for each --jar")
     private List<String> operators = new ArrayList<>();
 
-    @Option(name = "--remembers", usage = "model: what a gateway learned lasts over restarts, as the script has its folders")
+    @Option(
+            name = "--remembers",
+            usage =
+                    "model: what a gateway learned lasts over restarts, as the script has its"
+                            + " folders")
     private boolean remembers;
 
-    @Option(name = "--check", usage = "capacity: write nothing, and say what of the page is out of step")
+    @Option(
+            name = "--check",
+            usage = "capacity: write nothing, and say what of the page is out of step")
     private boolean check;
 
-    @Option(name = "--size", metaVar = "N", usage = "members: how many, may be given several times (default: 10, 30, 100)")
+    @Option(
+            name = "--size",
+            metaVar = "N",
+            usage = "members: how many, may be given several times (default: 10, 30, 100)")
     private List<Integer> sizes = new ArrayList<>();
 
-    @Option(name = "--out", metaVar = "DIR", usage = "where results, charts and the gateways' folders are left, of compare each run's (default: nowhere)")
+    @Option(
+            name = "--out",
+            metaVar = "DIR",
+            usage =
+                    "where results, charts and the gateways' folders are left, of compare each"
+                            + " run's (default: nowhere)")
     private String folder;
 
     @Option(name = "--output", usage = "table or json")
@@ -84,9 +134,12 @@
 
     @Override
     About about() {
-        return new About("plays a fleet of real gateways with faults between them",
-                "tinroad lab run first --seed 3 --out found/first", "0  rules kept",
-                "1  a rule broken, the fleet did not start, a size was not carried, or a page out of step",
+        return new About(
+                "plays a fleet of real gateways with faults between them",
+                "tinroad lab run first --seed 3 --out found/first",
+                "0  rules kept",
+                "1  a rule broken, the fleet did not start, a size was not carried, or a page out"
+                        + " of step",
                 "2  wrong arguments, or a script with faults, a line for each");
     }
 
@@ -122,11 +175,21 @@
             for (Path file : files.filter(f -> f.toString().endsWith(ENDING)).sorted().toList()) {
                 if (file.getFileName().toString().startsWith(SWEEPS)) {
                     Scale s = ScaleReader.read(file);
-                    rows.add(List.of(file.getFileName().toString().replace(ENDING, ""), s.held().gateways(), s.sizes().size() * s.seconds() / 1000, s.title()));
+                    rows.add(
+                            List.of(
+                                    file.getFileName().toString().replace(ENDING, ""),
+                                    s.held().gateways(),
+                                    s.sizes().size() * s.seconds() / 1000,
+                                    s.title()));
                     continue;
                 }
                 Script s = ScriptReader.read(file);
-                rows.add(List.of(file.getFileName().toString().replace(ENDING, ""), s.fleet().gateways(), s.length() / 1000, s.title()));
+                rows.add(
+                        List.of(
+                                file.getFileName().toString().replace(ENDING, ""),
+                                s.fleet().gateways(),
+                                s.length() / 1000,
+                                s.title()));
             }
         }
         output.print(List.of("script", "gateways", "seconds", "title"), rows, out);
@@ -139,7 +202,10 @@
 
     private Path scriptFile() {
         if (script == null) {
-            throw new IllegalArgumentException("lab " + act.name().toLowerCase(Locale.ROOT) + " needs a SCRIPT ('tinroad help lab' tells more)");
+            throw new IllegalArgumentException(
+                    "lab "
+                            + act.name().toLowerCase(Locale.ROOT)
+                            + " needs a SCRIPT ('tinroad help lab' tells more)");
         }
         Path shipped = Path.of(SCRIPTS, script + ENDING);
         return !script.contains("/") && Files.exists(shipped) ? shipped : Path.of(script);
@@ -147,7 +213,13 @@
 
     private static String self() {
         try {
-            return Path.of(LabCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI()).toString();
+            return Path.of(
+                            LabCommand.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .toURI())
+                    .toString();
         } catch (URISyntaxException e) {
             // Can't happen: it is the address of a file.
             throw new IllegalStateException(e);
@@ -166,9 +238,18 @@
         return file.equals(NONE) ? null : Path.of(file);
     }
 
-    private Report once(Script played, long number, int program, Path left, PrintStream progress) throws IOException, InterruptedException {
+    private Report once(Script played, long number, int program, Path left, PrintStream progress)
+            throws IOException, InterruptedException {
         Path work = left == null ? Files.createTempDirectory("tinroad-lab") : left;
-        try (Lab lab = new Lab(Plan.of(played, number), new Lab.Options(jar(program), work, operator(program), progress, World.Mutant.NONE))) {
+        try (Lab lab =
+                new Lab(
+                        Plan.of(played, number),
+                        new Lab.Options(
+                                jar(program),
+                                work,
+                                operator(program),
+                                progress,
+                                World.Mutant.NONE))) {
             Report report = new Report(lab.play());
             if (left != null) {
                 report.write(left);
@@ -187,7 +268,8 @@
             Script played = script();
             long broken = 0;
             for (long number : range()) {
-                Report report = new Report(new FleetModel(Plan.of(played, number), remembers).play());
+                Report report =
+                        new Report(new FleetModel(Plan.of(played, number), remembers).play());
                 out.println(report.line());
                 broken += report.broken().size();
             }
@@ -202,7 +284,10 @@
         return report.broken().isEmpty() ? FINE : FAILED;
     }
 
-    /** What the membership costs and finds, against size and loss; beside it the rules without the additions. */
+    /**
+     * What the membership costs and finds, against size and loss; beside it the rules without the
+     * additions.
+     */
     private int members(PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
         for (int size : sizes.isEmpty() ? List.of(10, 30, 100) : sizes) {
@@ -218,7 +303,8 @@
     /** Writes or checks the tables of a page; what is out of step is a line each. */
     private int capacity(PrintStream err) throws IOException, OperatorException {
         if (script == null) {
-            throw new IllegalArgumentException("lab capacity needs a PAGE ('tinroad help lab' tells more)");
+            throw new IllegalArgumentException(
+                    "lab capacity needs a PAGE ('tinroad help lab' tells more)");
         }
         if (!check) {
             CapacityPage.write(Path.of(script));
@@ -229,16 +315,23 @@
         return found.isEmpty() ? FINE : FAILED;
     }
 
-    private int play(PrintStream out, PrintStream err) throws IOException, InterruptedException, OperatorException {
+    private int play(PrintStream out, PrintStream err)
+            throws IOException, InterruptedException, OperatorException {
         Report report = once(script(), seed, 0, folder == null ? null : Path.of(folder), err);
         print(report, out);
         if (!(boolean) report.figures().get("counts")) {
-            err.println("tinroad: the load ran late by " + report.figures().get("late_p99_ms") + " ms: this run does not count");
+            err.println(
+                    "tinroad: the load ran late by "
+                            + report.figures().get("late_p99_ms")
+                            + " ms: this run does not count");
         }
-        report.broken().stream().limit(5).forEach(b -> {
-            err.println("broken: " + b.rule() + ": " + b.what());
-            b.way().forEach(err::println);
-        });
+        report.broken().stream()
+                .limit(5)
+                .forEach(
+                        b -> {
+                            err.println("broken: " + b.rule() + ": " + b.what());
+                            b.way().forEach(err::println);
+                        });
         out.println(report.fates());
         return report.broken().isEmpty() ? FINE : FAILED;
     }
@@ -254,7 +347,9 @@
     }
 
     private static String text(Object value) {
-        return value instanceof Double d && !Double.isFinite(d) ? Double.isNaN(d) ? "-" : "never" : value.toString();
+        return value instanceof Double d && !Double.isFinite(d)
+                ? Double.isNaN(d) ? "-" : "never"
+                : value.toString();
     }
 
     private long[] range() {
@@ -262,24 +357,41 @@
         if (!text.matches("\\d{1,6}\\.\\.\\d{1,6}")) {
             throw new IllegalArgumentException("--seeds must be A..B; found " + text);
         }
-        return LongStream.rangeClosed(Long.parseLong(text.replaceAll("\\..*", "")), Long.parseLong(text.replaceAll(".*\\.", ""))).toArray();
+        return LongStream.rangeClosed(
+                        Long.parseLong(text.replaceAll("\\..*", "")),
+                        Long.parseLong(text.replaceAll(".*\\.", "")))
+                .toArray();
     }
 
     /** A sweep; with --out its points, fits and charts are added to those in the folder. */
-    private int scale(PrintStream out, PrintStream err) throws IOException, InterruptedException, OperatorException {
+    private int scale(PrintStream out, PrintStream err)
+            throws IOException, InterruptedException, OperatorException {
         Scale played = ScaleReader.read(scriptFile());
         List<String> programs = jars.isEmpty() ? List.of(self()) : jars;
         Path work = Files.createTempDirectory("tinroad-scale");
         try {
-            Sweep sweep = new ScaleRun(played, new ScaleRun.Options(self(), programs, IntStream.range(0, programs.size())
-                    .mapToObj(this::operator).toList(), work, err)).play();
+            Sweep sweep =
+                    new ScaleRun(
+                                    played,
+                                    new ScaleRun.Options(
+                                            self(),
+                                            programs,
+                                            IntStream.range(0, programs.size())
+                                                    .mapToObj(this::operator)
+                                                    .toList(),
+                                            work,
+                                            err))
+                            .play();
             if (folder != null) {
                 sweep.write(Path.of(folder));
             }
             if (output == Output.JSON) {
                 sweep.json().forEach(out::println);
             } else {
-                output.print(List.of("x", "role", "metric", "value", "unit", "n", "note"), sweep.rows(), out);
+                output.print(
+                        List.of("x", "role", "metric", "value", "unit", "n", "note"),
+                        sweep.rows(),
+                        out);
             }
             return sweep.refused() ? FAILED : FINE;
         } finally {
@@ -287,7 +399,8 @@
         }
     }
 
-    private int compare(PrintStream out, PrintStream err) throws IOException, InterruptedException, OperatorException {
+    private int compare(PrintStream out, PrintStream err)
+            throws IOException, InterruptedException, OperatorException {
         if (jars.size() != 2) {
             throw new IllegalArgumentException("compare needs --jar twice");
         }
@@ -297,16 +410,39 @@
         for (long number : range()) {
             Map<String, Report> both = new LinkedHashMap<>();
             for (int program = 0; program < jars.size(); program++) {
-                Report report = once(played, number, program,
-                        folder == null ? null : Path.of(folder, "seed-" + number + "-" + (program == 0 ? "first" : "second")), null);
+                Report report =
+                        once(
+                                played,
+                                number,
+                                program,
+                                folder == null
+                                        ? null
+                                        : Path.of(
+                                                folder,
+                                                "seed-"
+                                                        + number
+                                                        + "-"
+                                                        + (program == 0 ? "first" : "second")),
+                                null);
                 broken += report.broken().size();
                 both.put(both.isEmpty() ? "a" : "b", report);
-                err.println("seed " + number + ", " + jars.get(program) + ": " + report.fates()
-                        + ((boolean) report.figures().get("counts") ? "" : "; late: does not count"));
+                err.println(
+                        "seed "
+                                + number
+                                + ", "
+                                + jars.get(program)
+                                + ": "
+                                + report.fates()
+                                + ((boolean) report.figures().get("counts")
+                                        ? ""
+                                        : "; late: does not count"));
             }
             comparison.add(both.get("a"), both.get("b"));
         }
-        output.print(List.of("figure", "first", "second", "low", "high", "pairs", "verdict"), comparison.rows(), out);
+        output.print(
+                List.of("figure", "first", "second", "low", "high", "pairs", "verdict"),
+                comparison.rows(),
+                out);
         return broken == 0 ? FINE : FAILED;
     }
 }
--- a/src/main/java/tinroad/cli/LogSink.java
+++ b/src/main/java/tinroad/cli/LogSink.java
@@ -6,7 +6,10 @@
 import tinroad.operator.LogSettings;
 import tinroad.operator.Operator;
 
-/** The log of this process as the operator file has it; without one it stays as the platform's {@code run} has it. */
+/**
+ * The log of this process as the operator file has it; without one it stays as the platform's
+ * {@code run} has it.
+ */
 final class LogSink {
     private final LogFormat format;
 
@@ -15,11 +18,15 @@
     }
 
     static LogSink of(Operator operator) {
-        // Where the plain back end is in place, as in a test that runs commands, there is nothing to set.
+        // Where the plain back end is in place, as in a test that runs commands, there is nothing
+        // to set.
         if (operator == null || !(LoggerFactory.getILoggerFactory() instanceof LoggerContext)) {
             return new LogSink(null);
         }
-        LogSink sink = new LogSink(new LogFormat((LoggerContext) LoggerFactory.getILoggerFactory(), System.err));
+        LogSink sink =
+                new LogSink(
+                        new LogFormat(
+                                (LoggerContext) LoggerFactory.getILoggerFactory(), System.err));
         sink.set(operator.log());
         return sink;
     }
--- a/src/main/java/tinroad/cli/Main.java
+++ b/src/main/java/tinroad/cli/Main.java
@@ -31,7 +31,7 @@
         COMMANDS.put("version", Version::new);
     }
 
-    private Main() { }
+    private Main() {}
 
     /** Runs the named command and exits with its status. */
     public static void main(String[] args) {
@@ -56,7 +56,12 @@
             new CmdLineParser(command, ParserProperties.defaults().withShowDefaults(false))
                     .parseArgument(Arrays.copyOfRange(args, 1, args.length));
         } catch (CmdLineException e) {
-            err.println("tinroad: " + e.getMessage().replaceAll("\\s+", " ") + " ('tinroad help " + args[0] + "' tells more)");
+            err.println(
+                    "tinroad: "
+                            + e.getMessage().replaceAll("\\s+", " ")
+                            + " ('tinroad help "
+                            + args[0]
+                            + "' tells more)");
             return Command.WRONG;
         }
         if (command.wantsHelp()) {
@@ -68,7 +73,12 @@
 
     static int noCommand(String name, PrintStream err) {
         String near = Nearest.to(name, COMMANDS.keySet());
-        err.println("tinroad: no command '" + name + "'" + (near == null ? "" : ": is '" + near + "' meant?") + commands());
+        err.println(
+                "tinroad: no command '"
+                        + name
+                        + "'"
+                        + (near == null ? "" : ": is '" + near + "' meant?")
+                        + commands());
         return Command.WRONG;
     }
 
--- a/src/main/java/tinroad/cli/MembersCall.java
+++ b/src/main/java/tinroad/cli/MembersCall.java
@@ -8,9 +8,15 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/** {@code members}: asks a running gateway, through its operators' door, whom it knows of its fleet. */
+/**
+ * {@code members}: asks a running gateway, through its operators' door, whom it knows of its fleet.
+ */
 public final class MembersCall extends Command {
-    @Option(name = "--control", metaVar = "ADDRESS:PORT", required = true, usage = "the gateway's operators' door")
+    @Option(
+            name = "--control",
+            metaVar = "ADDRESS:PORT",
+            required = true,
+            usage = "the gateway's operators' door")
     private String control;
 
     @Option(name = "--output", usage = "table or json")
@@ -18,20 +24,42 @@
 
     @Override
     About about() {
-        return new About("asks a running gateway whom it knows of its fleet", "tinroad members --control 127.0.0.1:10250", "0  printed",
-                "1  no answer, or it speaks with no others", "2  wrong arguments");
+        return new About(
+                "asks a running gateway whom it knows of its fleet",
+                "tinroad members --control 127.0.0.1:10250",
+                "0  printed",
+                "1  no answer, or it speaks with no others",
+                "2  wrong arguments");
     }
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
-        return Door.ask(control, "/api/members", "members", err, (JsonNode answer) -> {
-            if (!answer.path("members").isArray()) {
-                throw new IOException(answer.isMissingNode() ? "not JSON" : "no members");
-            }
-            List<List<Object>> rows = new ArrayList<>();
-            answer.path("members").forEach(m -> rows.add(List.of(m.path("name").asText(), m.path("status").asText(), m.path("zone").asText(),
-                    m.path("address").asText(), m.path("life").asLong(), m.path("since_ms").asLong() / 1000, m.path("by").asText())));
-            output.print(List.of("member", "status", "zone", "address", "life", "since_s", "by"), rows, out);
-        });
+        return Door.ask(
+                control,
+                "/api/members",
+                "members",
+                err,
+                (JsonNode answer) -> {
+                    if (!answer.path("members").isArray()) {
+                        throw new IOException(answer.isMissingNode() ? "not JSON" : "no members");
+                    }
+                    List<List<Object>> rows = new ArrayList<>();
+                    answer.path("members")
+                            .forEach(
+                                    m ->
+                                            rows.add(
+                                                    List.of(
+                                                            m.path("name").asText(),
+                                                            m.path("status").asText(),
+                                                            m.path("zone").asText(),
+                                                            m.path("address").asText(),
+                                                            m.path("life").asLong(),
+                                                            m.path("since_ms").asLong() / 1000,
+                                                            m.path("by").asText())));
+                    output.print(
+                            List.of("member", "status", "zone", "address", "life", "since_s", "by"),
+                            rows,
+                            out);
+                });
     }
 }
--- a/src/main/java/tinroad/cli/Output.java
+++ b/src/main/java/tinroad/cli/Output.java
@@ -25,17 +25,43 @@
     }
 
     private static String table(List<String> names, List<List<Object>> rows) {
-        List<Column> columns = names.stream().map(name -> new Column().header(name).headerAlign(HorizontalAlign.LEFT)
-                .dataAlign(rows.stream().anyMatch(row -> row.get(names.indexOf(name)) instanceof Number)
-                        ? HorizontalAlign.RIGHT : HorizontalAlign.LEFT)).toList();
-        return AsciiTable.getTable(AsciiTable.NO_BORDERS, columns.toArray(Column[]::new),
-                rows.stream().map(row -> row.stream().map(v -> v == null ? "-" : v.toString()).toArray()).toArray(Object[][]::new))
+        List<Column> columns =
+                names.stream()
+                        .map(
+                                name ->
+                                        new Column()
+                                                .header(name)
+                                                .headerAlign(HorizontalAlign.LEFT)
+                                                .dataAlign(
+                                                        rows.stream()
+                                                                        .anyMatch(
+                                                                                row ->
+                                                                                        row.get(
+                                                                                                        names
+                                                                                                                .indexOf(
+                                                                                                                        name))
+                                                                                                instanceof
+                                                                                                Number)
+                                                                ? HorizontalAlign.RIGHT
+                                                                : HorizontalAlign.LEFT))
+                        .toList();
+        return AsciiTable.getTable(
+                        AsciiTable.NO_BORDERS,
+                        columns.toArray(Column[]::new),
+                        rows.stream()
+                                .map(
+                                        row ->
+                                                row.stream()
+                                                        .map(v -> v == null ? "-" : v.toString())
+                                                        .toArray())
+                                .toArray(Object[][]::new))
                 .stripTrailing();
     }
 
     private static String json(List<String> names, List<List<Object>> rows) {
         StringWriter text = new StringWriter();
-        try (JsonGenerator json = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
+        try (JsonGenerator json =
+                new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
             json.writeStartArray();
             for (List<Object> row : rows) {
                 json.writeStartObject();
--- a/src/main/java/tinroad/cli/Serve.java
+++ b/src/main/java/tinroad/cli/Serve.java
@@ -15,36 +15,51 @@
 import tinroad.operator.OperatorException;
 import tinroad.operator.StateSettings;
 
-/** {@code serve}: one real gateway, until it is told to leave. SIGHUP has it read its files again. */
+/**
+ * {@code serve}: one real gateway, until it is told to leave. SIGHUP has it read its files again.
+ */
 public final class Serve extends GatewayCommand {
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
     @Override
     About about() {
-        return new About("serves as one gateway until SIGTERM; SIGHUP has it read its files again",
-                "tinroad serve --config deploy/example.json --operator deploy/operator.conf", "0  left when it was told to",
-                "1  could not start", "2  wrong arguments, or faults in the operator file, a line for each");
+        return new About(
+                "serves as one gateway until SIGTERM; SIGHUP has it read its files again",
+                "tinroad serve --config deploy/example.json --operator deploy/operator.conf",
+                "0  left when it was told to",
+                "1  could not start",
+                "2  wrong arguments, or faults in the operator file, a line for each");
     }
 
     @Override
-    void run(ConfigFile source, GatewayConfig config, Operator operator, PrintStream out) throws IOException, InterruptedException {
+    void run(ConfigFile source, GatewayConfig config, Operator operator, PrintStream out)
+            throws IOException, InterruptedException {
         LogSink sink = LogSink.of(operator);
-        try (Server server = new Server(config, System.getenv("TMPDIR"),
-                operator == null ? StateSettings.NONE : operator.state(), operator == null ? FleetSettings.NONE : operator.fleet(),
-                operator == null ? CatalogSettings.DEFAULT : operator.catalog())) {
-            // Before anything can reach this process: a virtual machine that nobody handles the signals for ends on them.
+        try (Server server =
+                new Server(
+                        config,
+                        System.getenv("TMPDIR"),
+                        operator == null ? StateSettings.NONE : operator.state(),
+                        operator == null ? FleetSettings.NONE : operator.fleet(),
+                        operator == null ? CatalogSettings.DEFAULT : operator.catalog())) {
+            // Before anything can reach this process: a virtual machine that nobody handles the
+            // signals for ends on them.
             if (!leaveOnNotice(server, sink)) {
                 return;
             }
             if (Signals.register("HUP", () -> reload(server, source, sink)) == null) {
                 LOG.warn("SIGHUP can't be handled here: it would end this process");
             } else if (Ignored.signal(Ignored.HUP)) {
-                LOG.warn("SIGHUP is ignored, as this process was started so: the configuration is read again only"
-                        + " while the engine is gone");
+                LOG.warn(
+                        "SIGHUP is ignored, as this process was started so: the configuration is"
+                                + " read again only while the engine is gone");
             }
             String unused = ClassArchive.unused();
             if (unused != null) {
-                LOG.warn("started without the archive of classes: {}; deploy/share-classes.sh makes it anew", unused);
+                LOG.warn(
+                        "started without the archive of classes: {}; deploy/share-classes.sh makes"
+                                + " it anew",
+                        unused);
             }
             server.rehearse();
             if (server.start() != null) {
@@ -55,13 +70,20 @@
         }
     }
 
-    /** Has a notice to leave drain the gateway; false where one has come already, and the process is about to end. */
+    /**
+     * Has a notice to leave drain the gateway; false where one has come already, and the process is
+     * about to end.
+     */
     private static boolean leaveOnNotice(Server server, LogSink sink) {
         try {
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                server.leave();
-                sink.end();
-            }, "leave"));
+            Runtime.getRuntime()
+                    .addShutdownHook(
+                            new Thread(
+                                    () -> {
+                                        server.leave();
+                                        sink.end();
+                                    },
+                                    "leave"));
             return true;
         } catch (IllegalStateException e) {
             // Nothing listens yet, so there is nothing to answer.
@@ -69,7 +91,10 @@
         }
     }
 
-    /** Guards against a file that is half written, gone or wrong: the gateway goes on with what it has of it. */
+    /**
+     * Guards against a file that is half written, gone or wrong: the gateway goes on with what it
+     * has of it.
+     */
     private synchronized void reload(Server server, ConfigFile source, LogSink sink) {
         try {
             server.reload(source);
--- a/src/main/java/tinroad/cli/StateCommand.java
+++ b/src/main/java/tinroad/cli/StateCommand.java
@@ -19,9 +19,16 @@
 /** {@code state}: what lasts of a gateway in a folder; reads only. */
 public final class StateCommand extends Command {
     /** What is wanted. */
-    enum Act { SHOW, VERIFY }
+    enum Act {
+        SHOW,
+        VERIFY
+    }
 
-    @Argument(index = 0, metaVar = "show|verify", required = true, usage = "show what the latest snapshot holds, or check all of them")
+    @Argument(
+            index = 0,
+            metaVar = "show|verify",
+            required = true,
+            usage = "show what the latest snapshot holds, or check all of them")
     private Act act;
 
     @Argument(index = 1, metaVar = "FOLDER", required = true, usage = "the folder of state")
@@ -32,8 +39,12 @@
 
     @Override
     About about() {
-        return new About("shows or checks what lasts of a gateway in a folder", "tinroad state show /var/lib/tinroad/n3",
-                "0  every file can be used", "1  a file is damaged or of a later version, or there is none", "2  wrong arguments");
+        return new About(
+                "shows or checks what lasts of a gateway in a folder",
+                "tinroad state show /var/lib/tinroad/n3",
+                "0  every file can be used",
+                "1  a file is damaged or of a later version, or there is none",
+                "2  wrong arguments");
     }
 
     @Override
@@ -66,29 +77,61 @@
         for (Recall.Candidate c : found) {
             Reading r = c.reading();
             Snapshot s = r.snapshot();
-            rows.add(s == null ? List.of(c.file(), r.why().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + r.text(), "", 0, 0, 0)
-                    : List.of(c.file(), "good", s.name(), s.life(), s.values().size(), s.ran().size()));
+            rows.add(
+                    s == null
+                            ? List.of(
+                                    c.file(),
+                                    r.why().name().toLowerCase(Locale.ROOT).replace('_', ' ')
+                                            + ": "
+                                            + r.text(),
+                                    "",
+                                    0,
+                                    0,
+                                    0)
+                            : List.of(
+                                    c.file(),
+                                    "good",
+                                    s.name(),
+                                    s.life(),
+                                    s.values().size(),
+                                    s.ran().size()));
         }
         output.print(List.of("file", "is", "gateway", "life", "values", "ran"), rows, out);
     }
 
     private void show(List<Recall.Candidate> found, PrintStream out) {
         double now = System.currentTimeMillis();
-        Snapshot s = Recall.decide(found, name(found), now,
-                Double.MAX_VALUE, 0, 0).snapshot();
+        Snapshot s = Recall.decide(found, name(found), now, Double.MAX_VALUE, 0, 0).snapshot();
         List<List<Object>> rows = new ArrayList<>();
         if (s != null) {
-            rows.add(List.of("gateway " + s.name() + (s.evacuated() ? ", evacuated" : "") + ", ids that ran", s.ran().size(), 0,
-                    Math.round((now - s.savedAt()) / 1000), s.life()));
+            rows.add(
+                    List.of(
+                            "gateway "
+                                    + s.name()
+                                    + (s.evacuated() ? ", evacuated" : "")
+                                    + ", ids that ran",
+                            s.ran().size(),
+                            0,
+                            Math.round((now - s.savedAt()) / 1000),
+                            s.life()));
             for (var e : s.values().entrySet()) {
                 Remembered r = e.getValue();
-                rows.add(List.of(e.getKey(), r.value(), r.weight(), Math.round((now - r.learnedAt()) / 1000), r.life()));
+                rows.add(
+                        List.of(
+                                e.getKey(),
+                                r.value(),
+                                r.weight(),
+                                Math.round((now - r.learnedAt()) / 1000),
+                                r.life()));
             }
         }
         output.print(List.of("what", "value", "weight", "age_s", "life"), rows, out);
     }
 
     private static String name(List<Recall.Candidate> found) {
-        return found.stream().filter(c -> c.reading().snapshot() != null).map(c -> c.reading().snapshot().name()).reduce("", (a, b) -> b);
+        return found.stream()
+                .filter(c -> c.reading().snapshot() != null)
+                .map(c -> c.reading().snapshot().name())
+                .reduce("", (a, b) -> b);
     }
 }
--- a/src/main/java/tinroad/cli/Usage.java
+++ b/src/main/java/tinroad/cli/Usage.java
@@ -12,20 +12,23 @@
 final class Usage {
     private static final int WIDTH = 110;
 
-    private Usage() { }
+    private Usage() {}
 
     private static CmdLineParser parser(Command command) {
-        return new CmdLineParser(command, ParserProperties.defaults().withShowDefaults(true).withUsageWidth(WIDTH));
+        return new CmdLineParser(
+                command, ParserProperties.defaults().withShowDefaults(true).withUsageWidth(WIDTH));
     }
 
     /** All commands. */
     static void all(PrintStream out) {
         out.println("usage: tinroad COMMAND [OPTIONS]\n\ncommands:");
-        Main.COMMANDS.forEach((name, make) -> out.printf("  %-12s %s%n", name, make.get().about().does()));
-        out.println("\n'tinroad help COMMAND' or 'tinroad COMMAND --help' tells of one.\n"
-                + "\nexample:\n  tinroad check --config deploy/example.json\n"
-                + "\nexit status:\n  0  done\n  1  could not start, or not read its input\n"
-                + "  2  wrong arguments, or an operator file with faults");
+        Main.COMMANDS.forEach(
+                (name, make) -> out.printf("  %-12s %s%n", name, make.get().about().does()));
+        out.println(
+                "\n'tinroad help COMMAND' or 'tinroad COMMAND --help' tells of one.\n"
+                        + "\nexample:\n  tinroad check --config deploy/example.json\n"
+                        + "\nexit status:\n  0  done\n  1  could not start, or not read its input\n"
+                        + "  2  wrong arguments, or an operator file with faults");
     }
 
     /** One command. */
@@ -37,8 +40,17 @@
         parser.printSingleLineUsage(line, null);
         StringWriter options = new StringWriter();
         parser.printUsage(options, null);
-        out.println("usage: tinroad " + name + line + "\n\n" + about.does() + "\n\noptions:\n" + options
-                + "\nexample:\n  " + about.example() + "\n\nexit status:");
+        out.println(
+                "usage: tinroad "
+                        + name
+                        + line
+                        + "\n\n"
+                        + about.does()
+                        + "\n\noptions:\n"
+                        + options
+                        + "\nexample:\n  "
+                        + about.example()
+                        + "\n\nexit status:");
         for (String status : about.statuses()) {
             out.println("  " + status);
         }
@@ -46,15 +58,20 @@
 
     private static List<String> options(String name) {
         return parser(Main.COMMANDS.get(name).get()).getOptions().stream()
-                .map(handler -> ((NamedOptionDef) handler.option).name()).sorted().toList();
+                .map(handler -> ((NamedOptionDef) handler.option).name())
+                .sorted()
+                .toList();
     }
 
     /** A script that completes command lines in {@code shell}: bash or zsh. */
     static String completion(String shell) {
         String names = String.join(" ", Main.COMMANDS.keySet());
-        String cases = Main.COMMANDS.keySet().stream()
-                .map(name -> "    " + name + ") words=\"" + words(name, names) + "\" ;;").collect(Collectors.joining("\n"));
-        String bash = """
+        String cases =
+                Main.COMMANDS.keySet().stream()
+                        .map(name -> "    " + name + ") words=\"" + words(name, names) + "\" ;;")
+                        .collect(Collectors.joining("\n"));
+        String bash =
+                """
                 _tinroad() {
                   local word="${COMP_WORDS[COMP_CWORD]}" before="${COMP_WORDS[COMP_CWORD-1]}" words=""
                   COMPREPLY=()
@@ -72,8 +89,11 @@
                   COMPREPLY=($(compgen -W "$words" -- "$word"))
                 }
                 complete -F _tinroad tinroad
-                """.formatted(names, cases);
-        return shell.equals("zsh") ? "#compdef tinroad\nautoload -U +X bashcompinit && bashcompinit\n" + bash : bash;
+                """
+                        .formatted(names, cases);
+        return shell.equals("zsh")
+                ? "#compdef tinroad\nautoload -U +X bashcompinit && bashcompinit\n" + bash
+                : bash;
     }
 
     private static String words(String name, String names) {
--- a/src/main/java/tinroad/cli/WireHost.java
+++ b/src/main/java/tinroad/cli/WireHost.java
@@ -1,17 +1,20 @@
 package tinroad.cli;
 
-import tinroad.OverloadController;
-import tinroad.drill.Drill;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
+import tinroad.OverloadController;
+import tinroad.drill.Drill;
 
 /** {@code wirehost}: the same decisions on the simulator's wire, on standard input and output. */
 public final class WireHost extends Command {
     @Override
     About about() {
-        return new About("hosts the decision module for the simulator, on standard input and output", "tinroad wirehost",
-                "0  the input ended where it may", "1  the input could not be read");
+        return new About(
+                "hosts the decision module for the simulator, on standard input and output",
+                "tinroad wirehost",
+                "0  the input ended where it may",
+                "1  the input could not be read");
     }
 
     @Override
--- a/src/main/java/tinroad/config/ConfigFile.java
+++ b/src/main/java/tinroad/config/ConfigFile.java
@@ -7,14 +7,19 @@
 import java.util.List;
 
 /**
- * The configuration's file. Knows from its size, time and inode whether it was written since it was read last: guards a gateway whose
- * engine stays away against reading a large file again every few seconds. Used by one thread at a time.
+ * The configuration's file. Knows from its size, time and inode whether it was written since it was
+ * read last: guards a gateway whose engine stays away against reading a large file again every few
+ * seconds. Used by one thread at a time.
  */
 public final class ConfigFile implements ConfigSource {
-    /** A file that was written less than this, in ms, before it was read may be written again within the same tick of its time. */
+    /**
+     * A file that was written less than this, in ms, before it was read may be written again within
+     * the same tick of its time.
+     */
     private static final long SETTLED = 2000;
 
     private final Path path;
+
     /** What the file was when it was read last, or null: not to be trusted. */
     private Object seen;
 
@@ -37,7 +42,9 @@
     private Object stamp(long writtenBefore) {
         try {
             BasicFileAttributes a = Files.readAttributes(path, BasicFileAttributes.class);
-            return a.lastModifiedTime().toMillis() < writtenBefore ? List.of(a.lastModifiedTime(), a.size(), String.valueOf(a.fileKey())) : null;
+            return a.lastModifiedTime().toMillis() < writtenBefore
+                    ? List.of(a.lastModifiedTime(), a.size(), String.valueOf(a.fileKey()))
+                    : null;
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/tinroad/config/Differences.java
+++ b/src/main/java/tinroad/config/Differences.java
@@ -6,7 +6,10 @@
 import java.util.function.Function;
 import tinroad.Controller.Settings;
 
-/** Which parts of a configuration that is read again differ, by the names that they have in the file; without classes and tenants. */
+/**
+ * Which parts of a configuration that is read again differ, by the names that they have in the
+ * file; without classes and tenants.
+ */
 public final class Differences {
     private static final Map<String, Function<GatewayConfig, Object>> PARTS = new LinkedHashMap<>();
 
@@ -19,11 +22,25 @@
         PARTS.put("limits", c -> List.of(c.sockets(), c.memoryMb()));
         site("goal", Settings::goal);
         site("rules", Settings::rules);
-        PARTS.put("settings.family_info", c -> {
-            Settings s = c.site().settings();
-            return List.of(s.below(), s.say(), s.halt(), s.cores(), s.callers(), s.cold(), s.passesDeadline(), s.idle(), s.memoryKb(),
-                    s.runFactor(), s.keyKb(), s.freshFor(), c.site().gaugeNames());
-        });
+        PARTS.put(
+                "settings.family_info",
+                c -> {
+                    Settings s = c.site().settings();
+                    return List.of(
+                            s.below(),
+                            s.say(),
+                            s.halt(),
+                            s.cores(),
+                            s.callers(),
+                            s.cold(),
+                            s.passesDeadline(),
+                            s.idle(),
+                            s.memoryKb(),
+                            s.runFactor(),
+                            s.keyKb(),
+                            s.freshFor(),
+                            c.site().gaugeNames());
+                });
         site("caps", s -> List.of(s.maxStayAway(), s.passesStayAway()));
         site("clients", Settings::marksRetry);
         site("servers", Settings::servers);
@@ -32,7 +49,7 @@
         site("worth_by", Settings::worthByWork);
     }
 
-    private Differences() { }
+    private Differences() {}
 
     private static void site(String name, Function<Settings, Object> part) {
         PARTS.put("settings." + name, c -> part.apply(c.site().settings()));
@@ -40,6 +57,9 @@
 
     /** The parts in which {@code b} differs from {@code a}. */
     public static List<String> between(GatewayConfig a, GatewayConfig b) {
-        return PARTS.entrySet().stream().filter(e -> !e.getValue().apply(a).equals(e.getValue().apply(b))).map(Map.Entry::getKey).toList();
+        return PARTS.entrySet().stream()
+                .filter(e -> !e.getValue().apply(a).equals(e.getValue().apply(b)))
+                .map(Map.Entry::getKey)
+                .toList();
     }
 }
--- a/src/main/java/tinroad/config/Faults.java
+++ b/src/main/java/tinroad/config/Faults.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lines for operators, a line a fault. Guards against a table that is wrong throughout: of many only the first are kept, the rest counted. */
+/**
+ * Lines for operators, a line a fault. Guards against a table that is wrong throughout: of many
+ * only the first are kept, the rest counted.
+ */
 public final class Faults {
     /** Lines that are told. */
     public static final int TOLD = 100;
--- a/src/main/java/tinroad/config/GatewayConfig.java
+++ b/src/main/java/tinroad/config/GatewayConfig.java
@@ -23,22 +23,35 @@
  *
  * @param control where operators call, or null where they have no door
  */
-public record GatewayConfig(String name, InetSocketAddress listen, InetSocketAddress control, InetSocketAddress engine,
-        InetSocketAddress roster, long seed, double stopMs, int sockets, double memoryMb, Site site) {
+public record GatewayConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress control,
+        InetSocketAddress engine,
+        InetSocketAddress roster,
+        long seed,
+        double stopMs,
+        int sockets,
+        double memoryMb,
+        Site site) {
 
-    private static final JsonFactory JSON = JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
+    private static final JsonFactory JSON =
+            JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
     private static final double DEFAULT_STOP_MS = 3000;
     private static final int DEFAULT_SOCKETS = 1024;
     private static final double DEFAULT_MEMORY_MB = 192;
 
-    /** Reads the file that {@code GW_CONFIG} names; what is wrong with it is told in one plain line. */
+    /**
+     * Reads the file that {@code GW_CONFIG} names; what is wrong with it is told in one plain line.
+     */
     public static GatewayConfig read(Path file) throws ConfigException {
         return read(file, null);
     }
 
     /**
-     * The same, and classes and tenants go to {@code visitor} as they come: the lists of {@link #site()} stay empty, and memory
-     * stays flat whatever the file's size. What the visitor took counts only if this returns.
+     * The same, and classes and tenants go to {@code visitor} as they come: the lists of {@link
+     * #site()} stay empty, and memory stays flat whatever the file's size. What the visitor took
+     * counts only if this returns.
      */
     public static GatewayConfig read(Path file, SiteVisitor visitor) throws ConfigException {
         // One open file for both passes: another that takes its name meanwhile is not mixed in.
@@ -49,8 +62,12 @@
         } catch (NoSuchFileException e) {
             throw new ConfigException(file + ": no such file");
         } catch (JsonProcessingException e) {
-            throw new ConfigException(file + ": not JSON: wrong at line " + e.getLocation().getLineNr() + ", column "
-                    + e.getLocation().getColumnNr());
+            throw new ConfigException(
+                    file
+                            + ": not JSON: wrong at line "
+                            + e.getLocation().getLineNr()
+                            + ", column "
+                            + e.getLocation().getColumnNr());
         } catch (IOException e) {
             throw new ConfigException(file + ": can't be read: " + e.getMessage());
         }
@@ -95,15 +112,18 @@
         void pass(FileChannel bytes) throws IOException, ConfigException {
             object(bytes, this::field);
             if (settings != null && settings.classesWait()) {
-                object(bytes.position(0), field -> {
-                    if (field.equals("settings")) {
-                        settings.secondPass(in);
-                    }
-                });
+                object(
+                        bytes.position(0),
+                        field -> {
+                            if (field.equals("settings")) {
+                                settings.secondPass(in);
+                            }
+                        });
             }
         }
 
-        private void object(FileChannel bytes, JsonFields.Visitor fields) throws IOException, ConfigException {
+        private void object(FileChannel bytes, JsonFields.Visitor fields)
+                throws IOException, ConfigException {
             try (JsonParser parser = JSON.createParser(Channels.newInputStream(bytes))) {
                 in = parser;
                 if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -115,17 +135,30 @@
 
         GatewayConfig config() throws ConfigException {
             if (name.isEmpty() || name.matches(".*\\s.*")) {
-                throw new ConfigException("config: name is missing or holds blanks: '" + name + "'");
+                throw new ConfigException(
+                        "config: name is missing or holds blanks: '" + name + "'");
             }
             if (settings == null || settings.classes() == 0) {
                 throw new ConfigException("config: settings are missing or name no classes");
             }
-            GatewayConfig config = new GatewayConfig(name, address("listen", listen), control.isEmpty() ? null : address("control", control),
-                    address("engine", engine), address("roster", roster), seedValue(), stopMs, (int) sockets, memoryMb, settings.site());
+            GatewayConfig config =
+                    new GatewayConfig(
+                            name,
+                            address("listen", listen),
+                            control.isEmpty() ? null : address("control", control),
+                            address("engine", engine),
+                            address("roster", roster),
+                            seedValue(),
+                            stopMs,
+                            (int) sockets,
+                            memoryMb,
+                            settings.site());
             Faults faults = settings.faults(config.site);
             if (!faults.isEmpty()) {
-                throw new ConfigException(faults.lines().stream().map(fault -> "config: settings: " + fault)
-                        .collect(Collectors.joining("\n")));
+                throw new ConfigException(
+                        faults.lines().stream()
+                                .map(fault -> "config: settings: " + fault)
+                                .collect(Collectors.joining("\n")));
             }
             return config;
         }
@@ -144,7 +177,7 @@
                     settings = new SiteReader(visitor);
                     settings.pass(in);
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -152,7 +185,7 @@
             switch (limit) {
                 case "sockets" -> sockets = number(in, DEFAULT_SOCKETS);
                 case "memory_mb" -> memoryMb = number(in, DEFAULT_MEMORY_MB);
-                default -> { }
+                default -> {}
             }
         }
 
--- a/src/main/java/tinroad/config/JsonFields.java
+++ b/src/main/java/tinroad/config/JsonFields.java
@@ -6,7 +6,7 @@
 
 /** Walks JSON with a streaming parser: each value is read where it stands, the rest is skipped. */
 public final class JsonFields {
-    private JsonFields() { }
+    private JsonFields() {}
 
     /** What to do with one value; the parser stands on its first token. */
     @FunctionalInterface
@@ -15,7 +15,9 @@
         void value(String name) throws IOException;
     }
 
-    /** Visits the fields of the object that the parser stands on; anything but an object is skipped. */
+    /**
+     * Visits the fields of the object that the parser stands on; anything but an object is skipped.
+     */
     public static void each(JsonParser p, Visitor visitor) throws IOException {
         if (p.currentToken() != JsonToken.START_OBJECT) {
             p.skipChildren();
--- a/src/main/java/tinroad/config/SettingsCheck.java
+++ b/src/main/java/tinroad/config/SettingsCheck.java
@@ -3,21 +3,28 @@
 import tinroad.Controller;
 
 /**
- * What in the settings can't be meant, a line each: of a file before the start, and of each entry that a change puts. Only what no
- * site can have is a fault; a value that is absent, or a name that is not known, is none. Guards memory, too: tables have bounds.
+ * What in the settings can't be meant, a line each: of a file before the start, and of each entry
+ * that a change puts. Only what no site can have is a fault; a value that is absent, or a name that
+ * is not known, is none. Guards memory, too: tables have bounds.
  */
 public final class SettingsCheck {
     /** Classes of requests in one table. */
     public static final int MOST_CLASSES = 65_536;
+
     /** Tenants in one table. */
     public static final int MOST_TENANTS = 131_072;
+
     /** Bytes of a name in UTF-8. */
     public static final int LONGEST_NAME = 4096;
+
     private static final int SHOWN = 80;
 
-    private SettingsCheck() { }
+    private SettingsCheck() {}
 
-    /** The name of an entry that stands at {@code index} of {@code list}; below 0: of an entry that a change puts. */
+    /**
+     * The name of an entry that stands at {@code index} of {@code list}; below 0: of an entry that
+     * a change puts.
+     */
     public static void name(String list, int index, String name, boolean taken, Faults faults) {
         if (!name.isEmpty() && name.length() <= LONGEST_NAME / 3 && !taken) {
             return;
@@ -27,7 +34,13 @@
         if (name.isEmpty()) {
             faults.add(where + " has no name");
         } else if (bytes > LONGEST_NAME) {
-            faults.add(where + ": the name " + shown(name) + " is longer than " + LONGEST_NAME + " bytes");
+            faults.add(
+                    where
+                            + ": the name "
+                            + shown(name)
+                            + " is longer than "
+                            + LONGEST_NAME
+                            + " bytes");
         } else if (taken) {
             faults.add(where + ": the name " + shown(name) + " is taken");
         }
@@ -39,7 +52,9 @@
 
     /** A name as lines for operators show it: a long one is cut. */
     public static String shown(String name) {
-        return name.length() <= SHOWN ? name : name.substring(0, SHOWN) + "... (" + name.length() + " characters)";
+        return name.length() <= SHOWN
+                ? name
+                : name.substring(0, SHOWN) + "... (" + name.length() + " characters)";
     }
 
     /** How many there are. */
@@ -55,7 +70,11 @@
     /** A class. */
     public static void requestClass(String name, Controller.RequestClass c, Faults faults) {
         if (!(c.deadline() > 0)) {
-            faults.add("class " + shown(name) + ": deadline has to be above 0, not " + plain(c.deadline()));
+            faults.add(
+                    "class "
+                            + shown(name)
+                            + ": deadline has to be above 0, not "
+                            + plain(c.deadline()));
         }
         least("class ", name, "objective", c.aim(), 0, faults);
         least("class ", name, "gain", c.worth(), 0, faults);
@@ -86,19 +105,37 @@
         least("", "caps", "max_retry_after", s.maxStayAway(), 0, faults);
     }
 
-    private static void least(String kind, String name, String field, double value, double bound, Faults faults) {
+    private static void least(
+            String kind, String name, String field, double value, double bound, Faults faults) {
         if (!(value >= bound)) {
-            faults.add(kind + shown(name) + ": " + field + " has to be " + plain(bound) + " at least, not " + plain(value));
+            faults.add(
+                    kind
+                            + shown(name)
+                            + ": "
+                            + field
+                            + " has to be "
+                            + plain(bound)
+                            + " at least, not "
+                            + plain(value));
         }
     }
 
-    private static void within(String kind, String name, String field, double value, Faults faults) {
+    private static void within(
+            String kind, String name, String field, double value, Faults faults) {
         if (!(value >= 0 && value <= 1)) {
-            faults.add(kind + shown(name) + ": " + field + " has to be from 0 to 1, not " + plain(value));
+            faults.add(
+                    kind
+                            + shown(name)
+                            + ": "
+                            + field
+                            + " has to be from 0 to 1, not "
+                            + plain(value));
         }
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value) : Double.toString(value);
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
+                : Double.toString(value);
     }
 }
--- a/src/main/java/tinroad/config/Shared.java
+++ b/src/main/java/tinroad/config/Shared.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * One object for values that are equal, as most quotas and effects of a large table are. Guards memory both ways: few different
- * values are shared by all, and of many no more are known than are worth it.
+ * One object for values that are equal, as most quotas and effects of a large table are. Guards
+ * memory both ways: few different values are shared by all, and of many no more are known than are
+ * worth it.
  */
 public final class Shared<T> {
     /** Values that are known at a time; beyond it the pool begins anew. */
--- a/src/main/java/tinroad/config/Site.java
+++ b/src/main/java/tinroad/config/Site.java
@@ -1,10 +1,16 @@
 package tinroad.config;
 
-import tinroad.Controller;
 import java.util.List;
+import tinroad.Controller;
 
-/** The settings as the module takes them, and the names behind its numbers: classes, tenants and gauges. */
-public record Site(Controller.Settings settings, List<String> classNames, List<String> tenantNames,
+/**
+ * The settings as the module takes them, and the names behind its numbers: classes, tenants and
+ * gauges.
+ */
+public record Site(
+        Controller.Settings settings,
+        List<String> classNames,
+        List<String> tenantNames,
         List<String> gaugeNames) {
     /** The same site with its first classes and tenants alone, so many of each at most. */
     public Site first(int most) {
@@ -12,10 +18,34 @@
             return this;
         }
         Controller.Settings s = settings;
-        return new Site(new Controller.Settings(first(s.classes(), most), first(s.tenants(), most), s.goal(), s.rules(), s.below(), s.say(),
-                s.halt(), s.cores(), s.servers(), s.callers(), s.cold(), s.passesDeadline(), s.idle(), s.memoryKb(), s.runFactor(),
-                s.keyKb(), s.freshFor(), s.maxStayAway(), s.passesStayAway(), s.marksRetry(), s.overShareWorth(), s.step(),
-                s.worthByWork()), first(classNames, most), first(tenantNames, most), gaugeNames);
+        return new Site(
+                new Controller.Settings(
+                        first(s.classes(), most),
+                        first(s.tenants(), most),
+                        s.goal(),
+                        s.rules(),
+                        s.below(),
+                        s.say(),
+                        s.halt(),
+                        s.cores(),
+                        s.servers(),
+                        s.callers(),
+                        s.cold(),
+                        s.passesDeadline(),
+                        s.idle(),
+                        s.memoryKb(),
+                        s.runFactor(),
+                        s.keyKb(),
+                        s.freshFor(),
+                        s.maxStayAway(),
+                        s.passesStayAway(),
+                        s.marksRetry(),
+                        s.overShareWorth(),
+                        s.step(),
+                        s.worthByWork()),
+                first(classNames, most),
+                first(tenantNames, most),
+                gaugeNames);
     }
 
     private static <T> List<T> first(List<T> all, int most) {
