--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -1,7 +1,6 @@
 package tinroad.lab;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -56,18 +55,25 @@
 import tinroad.lab.truth.Try;
 
 /**
- * Plays one plan. The stand-ins live on one event loop, the relays on others; what blocks (processes, files) is done by
- * threads beside them.
+ * Plays one plan. The stand-ins live on one event loop, the relays on others; what blocks
+ * (processes, files) is done by threads beside them.
  */
 public final class Lab implements AutoCloseable {
-    /** A load that ran later than this, in ms, in more than one of 100 requests does not count: a bin of arrivals. */
+    /**
+     * A load that ran later than this, in ms, in more than one of 100 requests does not count: a
+     * bin of arrivals.
+     */
     public static final double LATE = Measures.BIN;
+
     private static final int RELAY_THREADS = 3;
     private static final double TICK_MS = 1;
+
     /** A tick so late, in ms, is a stall of the lab, which counts against no gateway. */
     private static final double STALL = 50;
+
     /** From the start of a process to that of its engine, in ms. */
     private static final double START_PATIENCE = 60_000;
+
     private static final double END_PATIENCE = 10_000;
     private static final double LOOK_MS = 250;
     private static final long DOORS_MS = 10;
@@ -89,11 +95,14 @@
      *
      * @param jar the program of the gateways: a jar, or a class path
      * @param folder where the gateways' folders are made
-     * @param operator an operator file that each gateway gets a copy of, in its folder; null for none. {@code @HOST@}, {@code @ZONE@},
-     *     {@code @FIRST@}, {@code @SECOND@} and {@code @KEYS@} stand for its address and zone, the addresses of the first two, and a key file
+     * @param operator an operator file that each gateway gets a copy of, in its folder; null for
+     *     none. {@code @HOST@}, {@code @ZONE@}, {@code @FIRST@}, {@code @SECOND@} and
+     *     {@code @KEYS@} stand for its address and zone, the addresses of the first two, and a key
+     *     file
      * @param progress gets a line a second; null for none
      */
-    public record Options(String jar, Path folder, Path operator, PrintStream progress, Mutant mutant) { }
+    public record Options(
+            String jar, Path folder, Path operator, PrintStream progress, Mutant mutant) {}
 
     /**
      * What came of it.
@@ -120,9 +129,13 @@
         private volatile GatewayProcess process;
         private Life life;
         private int enginePort = ENGINE_RELAY_PORT;
+
         /** Its process ends, or has ended, and the next one is to come: it can't end twice. */
         private boolean away;
-        /** Nobody listens behind the door: it refuses, as an address does that nobody listens at. */
+
+        /**
+         * Nobody listens behind the door: it refuses, as an address does that nobody listens at.
+         */
         private volatile boolean shut;
 
         Member(int number) {
@@ -130,8 +143,12 @@
             folder = options.folder.resolve("g" + number);
             older = options.folder.resolve("g" + number + ".older");
             int zones = script.fleet().zones();
-            links.put(Link.CALLERS, IntStream.range(0, zones).mapToObj(z -> new LinkFaults()).toList());
-            links.put(Link.CHECKS, IntStream.range(0, zones).mapToObj(z -> new LinkFaults()).toList());
+            links.put(
+                    Link.CALLERS,
+                    IntStream.range(0, zones).mapToObj(z -> new LinkFaults()).toList());
+            links.put(
+                    Link.CHECKS,
+                    IntStream.range(0, zones).mapToObj(z -> new LinkFaults()).toList());
             links.put(Link.ENGINE, List.of(new LinkFaults()));
             links.put(Link.ROSTER, List.of(new LinkFaults()));
         }
@@ -140,19 +157,24 @@
     private final Options options;
     private final Plan plan;
     private final Script script;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoopGroup relays = new MultiThreadIoEventLoopGroup(RELAY_THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup relays =
+            new MultiThreadIoEventLoopGroup(RELAY_THREADS, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ExecutorService keepers = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "keeper");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService keepers =
+            Executors.newCachedThreadPool(
+                    task -> {
+                        Thread thread = new Thread(task, "keeper");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private final List<Member> members = new ArrayList<>();
     private final List<ProxyStand> proxies = new ArrayList<>();
     private final Agenda agenda = new Agenda();
     private final Ledger ledger;
-    private final org.HdrHistogram.Histogram lateness = new org.HdrHistogram.Histogram(60_000_000, 3);
+    private final org.HdrHistogram.Histogram lateness =
+            new org.HdrHistogram.Histogram(60_000_000, 3);
     private World world;
     private RosterStand roster;
     private LoopbackRange range;
@@ -165,9 +187,14 @@
         this.plan = plan;
         this.options = options;
         script = plan.script();
-        if (script.fleet().gateways() > MOST_GATEWAYS || script.callers().proxies() > MOST_PROXIES) {
-            throw new IllegalArgumentException("the lab has addresses for " + MOST_GATEWAYS + " gateways and " + MOST_PROXIES
-                    + " proxies; larger fleets are for 'lab model'");
+        if (script.fleet().gateways() > MOST_GATEWAYS
+                || script.callers().proxies() > MOST_PROXIES) {
+            throw new IllegalArgumentException(
+                    "the lab has addresses for "
+                            + MOST_GATEWAYS
+                            + " gateways and "
+                            + MOST_PROXIES
+                            + " proxies; larger fleets are for 'lab model'");
         }
         ledger = new Ledger(plan);
     }
@@ -183,7 +210,8 @@
         Files.createDirectories(options.folder);
         onLoop(this::build);
         for (Member m : members) {
-            // Guards against the logs of an earlier run in this folder: they tell of another's good health.
+            // Guards against the logs of an earlier run in this folder: they tell of another's good
+            // health.
             delete(m.folder);
             begin(m, false, options.jar);
         }
@@ -196,7 +224,8 @@
         double end = script.length() + mostPatience() + 500;
         while (now() < script.length() || now() < end && waiting() > 0) {
             Thread.sleep(100);
-            if (options.progress != null && Math.floor(now() / 1000) != Math.floor((now() - 100) / 1000)) {
+            if (options.progress != null
+                    && Math.floor(now() / 1000) != Math.floor((now() - 100) / 1000)) {
                 progress();
             }
         }
@@ -206,12 +235,15 @@
         over = true;
         onLoop(() -> members.forEach(m -> m.engine.end()));
         readLogs();
-        return new Outcome(ledger, lateness.getValueAtPercentile(99) / 1000.0,
+        return new Outcome(
+                ledger,
+                lateness.getValueAtPercentile(99) / 1000.0,
                 (double) (cpuAfter[0] - cpuBefore[0]) / Math.max(1, cpuAfter[1] - cpuBefore[1]));
     }
 
     private double mostPatience() {
-        return script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0) * Math.max(1, script.callers().inAll());
+        return script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0)
+                * Math.max(1, script.callers().inAll());
     }
 
     private int waiting() throws InterruptedException {
@@ -225,10 +257,13 @@
     }
 
     private void onLoop(Step step) throws InterruptedException {
-        var done = loop.submit(() -> {
-            step.run();
-            return null;
-        }).await();
+        var done =
+                loop.submit(
+                                () -> {
+                                    step.run();
+                                    return null;
+                                })
+                        .await();
         if (!done.isSuccess()) {
             throw new IllegalStateException(done.cause());
         }
@@ -251,11 +286,22 @@
         for (int g = 0; g < script.fleet().gateways(); g++) {
             Member m = new Member(g);
             members.add(m);
-            m.engine = new EngineStand(world, g, script.fleet().speeds().get(g % script.fleet().speeds().size()));
-        }
-        List<InetSocketAddress> doors = members.stream().map(m -> address(host(m.number), CALLERS_PORT)).toList();
+            m.engine =
+                    new EngineStand(
+                            world,
+                            g,
+                            script.fleet().speeds().get(g % script.fleet().speeds().size()));
+        }
+        List<InetSocketAddress> doors =
+                members.stream().map(m -> address(host(m.number), CALLERS_PORT)).toList();
         for (int p = 0; p < script.callers().proxies(); p++) {
-            proxies.add(new ProxyStand(world, p, address(FIRST_PROXY + p, 0), address(FIRST_CHECKS + p, 0), doors));
+            proxies.add(
+                    new ProxyStand(
+                            world,
+                            p,
+                            address(FIRST_PROXY + p, 0),
+                            address(FIRST_CHECKS + p, 0),
+                            doors));
         }
         roster = new RosterStand(world, proxies.stream().map(ProxyStand::proxy).toList());
     }
@@ -265,22 +311,47 @@
         for (Member m : members) {
             int host = host(m.number);
             m.engine.listen(address(host, ENGINE_PORT));
-            m.callersRelay = new StreamRelay(relays, address(host, CALLERS_PORT), address(host, GATEWAY_PORT), from -> {
-                int proxy = from.getAddress().getAddress()[3] & 0xff;
-                boolean checks = proxy >= FIRST_CHECKS;
-                return m.links.get(checks ? Link.CHECKS : Link.CALLERS)
-                        .get(plan.zone(proxy - (checks ? FIRST_CHECKS : FIRST_PROXY)));
-            }, options.mutant == Mutant.RELAY_CHANGES_A_BYTE && m.number == 0, () -> shut(m),
-                    from -> world.closed(from)).listen();
+            m.callersRelay =
+                    new StreamRelay(
+                                    relays,
+                                    address(host, CALLERS_PORT),
+                                    address(host, GATEWAY_PORT),
+                                    from -> {
+                                        int proxy = from.getAddress().getAddress()[3] & 0xff;
+                                        boolean checks = proxy >= FIRST_CHECKS;
+                                        return m.links
+                                                .get(checks ? Link.CHECKS : Link.CALLERS)
+                                                .get(
+                                                        plan.zone(
+                                                                proxy
+                                                                        - (checks
+                                                                                ? FIRST_CHECKS
+                                                                                : FIRST_PROXY)));
+                                    },
+                                    options.mutant == Mutant.RELAY_CHANGES_A_BYTE && m.number == 0,
+                                    () -> shut(m),
+                                    from -> world.closed(from))
+                            .listen();
             m.engineRelay = engineRelay(m, ENGINE_RELAY_PORT);
-            DatagramRelay.open(relays, address(host, ROSTER_PORT), address(ROSTER_HOST, ROSTER_PORT),
-                    m.links.get(Link.ROSTER).get(0), plan.seed() + m.number);
+            DatagramRelay.open(
+                    relays,
+                    address(host, ROSTER_PORT),
+                    address(ROSTER_HOST, ROSTER_PORT),
+                    m.links.get(Link.ROSTER).get(0),
+                    plan.seed() + m.number);
         }
     }
 
     private StreamRelay engineRelay(Member m, int port) throws InterruptedException {
-        return new StreamRelay(relays, address(host(m.number), port), address(host(m.number), ENGINE_PORT),
-                from -> m.links.get(Link.ENGINE).get(0), false, () -> { }, from -> { }).listen();
+        return new StreamRelay(
+                        relays,
+                        address(host(m.number), port),
+                        address(host(m.number), ENGINE_PORT),
+                        from -> m.links.get(Link.ENGINE).get(0),
+                        false,
+                        () -> {},
+                        from -> {})
+                .listen();
     }
 
     private void awaitListed() throws IOException, InterruptedException {
@@ -302,7 +373,8 @@
                 return;
             }
             if (now() > until) {
-                throw new IOException("only " + up + " of " + members.size() + " gateways came up in time");
+                throw new IOException(
+                        "only " + up + " of " + members.size() + " gateways came up in time");
             }
             Thread.sleep(50);
         }
@@ -330,13 +402,18 @@
         agenda.at(now(), roster::begin);
         proxies.forEach(p -> agenda.at(now(), p::begin));
         for (Asked asked : plan.requests()) {
-            agenda.at(asked.at(), () -> {
-                // What comes before the first moment that counts warms the lab up, too.
-                if (asked.at() >= script.settle()) {
-                    lateness.recordValue(Math.min(60_000_000, Math.max(0, (long) (1000 * (now() - asked.at())))));
-                }
-                proxies.get(asked.proxy()).proxy().ask(asked);
-            });
+            agenda.at(
+                    asked.at(),
+                    () -> {
+                        // What comes before the first moment that counts warms the lab up, too.
+                        if (asked.at() >= script.settle()) {
+                            lateness.recordValue(
+                                    Math.min(
+                                            60_000_000,
+                                            Math.max(0, (long) (1000 * (now() - asked.at())))));
+                        }
+                        proxies.get(asked.proxy()).proxy().ask(asked);
+                    });
         }
         for (Hit hit : plan.hits()) {
             agenda.at(hit.at(), () -> begin(hit));
@@ -360,32 +437,60 @@
     private void begin(Member m, boolean cold, String jar) throws IOException {
         write(m, cold);
         double begunAt = now();
-        GatewayProcess process = GatewayProcess.start(jar, m.folder, options.operator == null ? null : operator(m));
-        loop.execute(() -> {
-            Life life = ledger.begins(m.number);
-            life.begunAt = begunAt;
-            m.life = life;
-            m.process = process;
-            m.away = false;
-            world.lives(m.number, life.number);
-            m.engine.restartNotices();
-            note(m, "process " + process.pid() + " starts");
-            process.onExit().thenAccept(exit -> loop.execute(() -> {
-                life.endedAt = now();
-                life.exit = exit;
-                shut(m);
-                note(m, "process " + process.pid() + " ended, status " + exit);
-            }));
-        });
+        GatewayProcess process =
+                GatewayProcess.start(jar, m.folder, options.operator == null ? null : operator(m));
+        loop.execute(
+                () -> {
+                    Life life = ledger.begins(m.number);
+                    life.begunAt = begunAt;
+                    m.life = life;
+                    m.process = process;
+                    m.away = false;
+                    world.lives(m.number, life.number);
+                    m.engine.restartNotices();
+                    note(m, "process " + process.pid() + " starts");
+                    process.onExit()
+                            .thenAccept(
+                                    exit ->
+                                            loop.execute(
+                                                    () -> {
+                                                        life.endedAt = now();
+                                                        life.exit = exit;
+                                                        shut(m);
+                                                        note(
+                                                                m,
+                                                                "process "
+                                                                        + process.pid()
+                                                                        + " ended, status "
+                                                                        + exit);
+                                                    }));
+                });
     }
 
-    /** The gateway's own copy of the operator file, with its address, its zone, the first two gateways' and a key of this run's in it. */
+    /**
+     * The gateway's own copy of the operator file, with its address, its zone, the first two
+     * gateways' and a key of this run's in it.
+     */
     private Path operator(Member m) throws IOException {
-        Path keys = Files.writeString(options.folder.resolve("keys"), Base64.getEncoder().encodeToString(
-                Long.toHexString(Draw.stream(plan.seed(), "keys").nextLong() | Long.MIN_VALUE).getBytes(StandardCharsets.US_ASCII)) + "\n");
-        return Files.writeString(m.folder.resolve("operator.conf"), Files.readString(options.operator).replace("@HOST@", range.net() + host(m.number))
-                .replace("@KEYS@", keys.toAbsolutePath().toString())
-                .replace("@ZONE@", "z" + plan.zone(m.number)).replace("@FIRST@", range.net() + host(0)).replace("@SECOND@", range.net() + host(1)));
+        Path keys =
+                Files.writeString(
+                        options.folder.resolve("keys"),
+                        Base64.getEncoder()
+                                        .encodeToString(
+                                                Long.toHexString(
+                                                                Draw.stream(plan.seed(), "keys")
+                                                                                .nextLong()
+                                                                        | Long.MIN_VALUE)
+                                                        .getBytes(StandardCharsets.US_ASCII))
+                                + "\n");
+        return Files.writeString(
+                m.folder.resolve("operator.conf"),
+                Files.readString(options.operator)
+                        .replace("@HOST@", range.net() + host(m.number))
+                        .replace("@KEYS@", keys.toAbsolutePath().toString())
+                        .replace("@ZONE@", "z" + plan.zone(m.number))
+                        .replace("@FIRST@", range.net() + host(0))
+                        .replace("@SECOND@", range.net() + host(1)));
     }
 
     private void note(Member m, String what) {
@@ -394,13 +499,29 @@
 
     private void write(Member m, boolean cold) throws IOException {
         Files.createDirectories(m.folder);
-        ObjectNode c = JSON.createObjectNode().put("name", "g" + (script.fleet().sameName().contains(m.number) ? 0 : m.number))
-                .put("listen", range.net() + host(m.number) + ":" + GATEWAY_PORT)
-                .put("engine", range.net() + host(m.number) + ":" + m.enginePort)
-                .put("roster", range.net() + host(m.number) + ":" + ROSTER_PORT)
-                .put("seed", Long.toHexString(Draw.stream(plan.seed(), "gateway " + m.number + " " + System.nanoTime()).nextLong()))
-                .put("stop_ms", script.fleet().stop());
-        c.putObject("limits").put("cores", 1.0).put("memory_mb", script.fleet().memoryMb()).put("sockets", script.fleet().sockets());
+        ObjectNode c =
+                JSON.createObjectNode()
+                        .put(
+                                "name",
+                                "g" + (script.fleet().sameName().contains(m.number) ? 0 : m.number))
+                        .put("listen", range.net() + host(m.number) + ":" + GATEWAY_PORT)
+                        .put("engine", range.net() + host(m.number) + ":" + m.enginePort)
+                        .put("roster", range.net() + host(m.number) + ":" + ROSTER_PORT)
+                        .put(
+                                "seed",
+                                Long.toHexString(
+                                        Draw.stream(
+                                                        plan.seed(),
+                                                        "gateway "
+                                                                + m.number
+                                                                + " "
+                                                                + System.nanoTime())
+                                                .nextLong()))
+                        .put("stop_ms", script.fleet().stop());
+        c.putObject("limits")
+                .put("cores", 1.0)
+                .put("memory_mb", script.fleet().memoryMb())
+                .put("sockets", script.fleet().sockets());
         c.set("settings", Settings.of(script, cold));
         Files.writeString(m.folder.resolve("config.json"), c.toPrettyString());
     }
@@ -442,15 +563,24 @@
         }
     }
 
-    /** Opens the doors of those that listen again, as the system tells: no connection is made for it. */
+    /**
+     * Opens the doors of those that listen again, as the system tells: no connection is made for
+     * it.
+     */
     private void doors() {
         try {
             while (!over) {
                 if (members.stream().anyMatch(m -> m.shut)) {
-                    Set<String> listening = Files.readAllLines(Path.of("/proc/net/tcp"), StandardCharsets.US_ASCII).stream()
-                            .map(String::strip).filter(l -> l.contains(" 0A ")).map(l -> l.split("\\s+")[1]).collect(Collectors.toSet());
+                    Set<String> listening =
+                            Files.readAllLines(Path.of("/proc/net/tcp"), StandardCharsets.US_ASCII)
+                                    .stream()
+                                    .map(String::strip)
+                                    .filter(l -> l.contains(" 0A "))
+                                    .map(l -> l.split("\\s+")[1])
+                                    .collect(Collectors.toSet());
                     for (Member m : members) {
-                        if (m.shut && listening.contains(hex(address(host(m.number), GATEWAY_PORT)))) {
+                        if (m.shut
+                                && listening.contains(hex(address(host(m.number), GATEWAY_PORT)))) {
                             refuse(m.callersRelay, false);
                             m.shut = false;
                         }
@@ -476,10 +606,12 @@
     private void begin(Hit hit) {
         if (hit.gateway() < 0) {
             roster.down(true);
-            agenda.at(hit.until(), () -> {
-                roster.down(false);
-                ended(now());
-            });
+            agenda.at(
+                    hit.until(),
+                    () -> {
+                        roster.down(false);
+                        ended(now());
+                    });
             return;
         }
         Member m = members.get(hit.gateway());
@@ -551,17 +683,22 @@
         life.noticedAt = now();
         life.told = true;
         keepers.execute(process::notice);
-        agenda.at(now() + script.fleet().stop(), () -> {
-            if (life.exit < 0) {
-                note(m, "did not end on notice: killed");
-                ledger.excuses.add(new Excuse(m.number, now() - 1, now() + 1));
-                keepers.execute(process::kill);
-            }
-        });
-        whenEnded(m, life, () -> {
-            m.engine.crash();
-            restart(m, hit);
-        });
+        agenda.at(
+                now() + script.fleet().stop(),
+                () -> {
+                    if (life.exit < 0) {
+                        note(m, "did not end on notice: killed");
+                        ledger.excuses.add(new Excuse(m.number, now() - 1, now() + 1));
+                        keepers.execute(process::kill);
+                    }
+                });
+        whenEnded(
+                m,
+                life,
+                () -> {
+                    m.engine.crash();
+                    restart(m, hit);
+                });
     }
 
     private void whenEnded(Member m, Life life, Runnable task) {
@@ -575,31 +712,45 @@
     private void comeBack(Member m, Hit hit) {
         Life life = m.life;
         double from = now();
-        whenEnded(m, life, () -> {
-            ledger.excuses.add(new Excuse(m.number, from, life.endedAt + 50));
-            restart(m, hit);
-        });
+        whenEnded(
+                m,
+                life,
+                () -> {
+                    ledger.excuses.add(new Excuse(m.number, from, life.endedAt + 50));
+                    restart(m, hit);
+                });
     }
 
     private void restart(Member m, Hit hit) {
-        agenda.at(now() + hit.away(), () -> {
-            ended(now());
-            keepers.execute(() -> {
-                folder(m, hit.trouble().folder());
-                String jar = hit.trouble().jar();
-                try {
-                    begin(m, true, jar.isEmpty() ? options.jar : jar);
-                } catch (IOException e) {
-                    loop.execute(() -> ledger.strange.add("gateway " + m.number + " can't be started again: " + e.getMessage()));
-                }
-            });
-            if (!m.engine.up()) {
-                agenda.at(now() + Bound.ENGINE_AFTER, () -> {
-                    m.engine.start(true);
-                    roster.engineUp(m.number);
+        agenda.at(
+                now() + hit.away(),
+                () -> {
+                    ended(now());
+                    keepers.execute(
+                            () -> {
+                                folder(m, hit.trouble().folder());
+                                String jar = hit.trouble().jar();
+                                try {
+                                    begin(m, true, jar.isEmpty() ? options.jar : jar);
+                                } catch (IOException e) {
+                                    loop.execute(
+                                            () ->
+                                                    ledger.strange.add(
+                                                            "gateway "
+                                                                    + m.number
+                                                                    + " can't be started again: "
+                                                                    + e.getMessage()));
+                                }
+                            });
+                    if (!m.engine.up()) {
+                        agenda.at(
+                                now() + Bound.ENGINE_AFTER,
+                                () -> {
+                                    m.engine.start(true);
+                                    roster.engineUp(m.number);
+                                });
+                    }
                 });
-            }
-        });
     }
 
     private void folder(Member m, Folder folder) {
@@ -616,7 +767,10 @@
                 }
             }
         } catch (IOException e) {
-            loop.execute(() -> ledger.strange.add("folder of gateway " + m.number + ": " + e.getMessage()));
+            loop.execute(
+                    () ->
+                            ledger.strange.add(
+                                    "folder of gateway " + m.number + ": " + e.getMessage()));
         }
     }
 
@@ -624,7 +778,10 @@
         delete(to);
         try (Stream<Path> all = Files.walk(from)) {
             for (Path p : all.toList()) {
-                Files.copy(p, to.resolve(from.relativize(p).toString()), StandardCopyOption.COPY_ATTRIBUTES);
+                Files.copy(
+                        p,
+                        to.resolve(from.relativize(p).toString()),
+                        StandardCopyOption.COPY_ATTRIBUTES);
             }
         }
     }
@@ -644,54 +801,71 @@
     private void move(Member m, Hit hit) {
         m.enginePort = m.enginePort == ENGINE_RELAY_PORT ? MOVED_RELAY_PORT : ENGINE_RELAY_PORT;
         GatewayProcess process = m.process;
-        keepers.execute(() -> {
-            try {
-                StreamRelay before = m.engineRelay;
-                m.engineRelay = engineRelay(m, m.enginePort);
-                write(m, false);
-                before.refuse(true);
-                m.links.get(Link.ENGINE).get(0).resetAll();
-                if (hit.heard()) {
-                    process.signal("HUP");
-                }
-            } catch (IOException e) {
-                loop.execute(() -> ledger.strange.add("engine of gateway " + m.number + " can't move: " + e.getMessage()));
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        keepers.execute(
+                () -> {
+                    try {
+                        StreamRelay before = m.engineRelay;
+                        m.engineRelay = engineRelay(m, m.enginePort);
+                        write(m, false);
+                        before.refuse(true);
+                        m.links.get(Link.ENGINE).get(0).resetAll();
+                        if (hit.heard()) {
+                            process.signal("HUP");
+                        }
+                    } catch (IOException e) {
+                        loop.execute(
+                                () ->
+                                        ledger.strange.add(
+                                                "engine of gateway "
+                                                        + m.number
+                                                        + " can't move: "
+                                                        + e.getMessage()));
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
     }
 
     private void cutLinks(Member m, Hit hit) {
         List<LinkFaults> hitLinks = new ArrayList<>();
         for (Link link : hit.trouble().links()) {
             List<LinkFaults> all = m.links.get(link);
-            hitLinks.addAll(all.size() == 1 || hit.trouble().callersZone() < 0 ? all : List.of(all.get(hit.trouble().callersZone())));
+            hitLinks.addAll(
+                    all.size() == 1 || hit.trouble().callersZone() < 0
+                            ? all
+                            : List.of(all.get(hit.trouble().callersZone())));
         }
         hitLinks.forEach(l -> l.begin(hit.trouble()));
         if (hit.trouble().links().contains(Link.CALLERS)) {
             ledger.excuses.add(new Excuse(m.number, now(), hit.until()));
         }
         refuse(m, hit, true);
-        agenda.at(hit.until(), () -> {
-            refuse(m, hit, false);
-            hitLinks.forEach(l -> l.end(hit.trouble()));
-            note(m, "fault ends: " + hit.trouble().deed().name().toLowerCase(Locale.ROOT));
-            ended(now());
-        });
+        agenda.at(
+                hit.until(),
+                () -> {
+                    refuse(m, hit, false);
+                    hitLinks.forEach(l -> l.end(hit.trouble()));
+                    note(m, "fault ends: " + hit.trouble().deed().name().toLowerCase(Locale.ROOT));
+                    ended(now());
+                });
     }
 
-    /** Only a whole door can refuse; where but some of its links do, each connection is reset as it comes. */
+    /**
+     * Only a whole door can refuse; where but some of its links do, each connection is reset as it
+     * comes.
+     */
     private void refuse(Member m, Hit hit, boolean on) {
         if (hit.trouble().deed() == Deed.REFUSE) {
-            keepers.execute(() -> {
-                if (hit.trouble().links().contains(Link.ENGINE)) {
-                    refuse(m.engineRelay, on);
-                }
-                if (hit.trouble().links().containsAll(List.of(Link.CALLERS, Link.CHECKS)) && hit.trouble().callersZone() < 0) {
-                    refuse(m.callersRelay, on);
-                }
-            });
+            keepers.execute(
+                    () -> {
+                        if (hit.trouble().links().contains(Link.ENGINE)) {
+                            refuse(m.engineRelay, on);
+                        }
+                        if (hit.trouble().links().containsAll(List.of(Link.CALLERS, Link.CHECKS))
+                                && hit.trouble().callersZone() < 0) {
+                            refuse(m.callersRelay, on);
+                        }
+                    });
         }
     }
 
@@ -699,13 +873,21 @@
 
     /** All leave, on notice: what the day has not asked for yet. */
     private void leaveAll() throws InterruptedException {
-        onLoop(() -> members.forEach(m -> {
-            if (m.process != null && m.life.exit < 0) {
-                m.life.told = true;
-                m.life.noticedAt = Math.min(now(), Double.isNaN(m.life.noticedAt) ? now() : m.life.noticedAt);
-                m.process.notice();
-            }
-        }));
+        onLoop(
+                () ->
+                        members.forEach(
+                                m -> {
+                                    if (m.process != null && m.life.exit < 0) {
+                                        m.life.told = true;
+                                        m.life.noticedAt =
+                                                Math.min(
+                                                        now(),
+                                                        Double.isNaN(m.life.noticedAt)
+                                                                ? now()
+                                                                : m.life.noticedAt);
+                                        m.process.notice();
+                                    }
+                                }));
         // Generous: how long a process takes to end that has left in order hangs on the machine.
         double until = now() + script.fleet().stop() + END_PATIENCE;
         boolean[] all = new boolean[1];
@@ -713,11 +895,15 @@
             Thread.sleep(20);
             onLoop(() -> all[0] = members.stream().allMatch(m -> m.life.exit >= 0));
         }
-        onLoop(() -> members.forEach(m -> {
-            if (m.life.exit < 0) {
-                ledger.strange.add("gateway " + m.number + " did not end on notice");
-            }
-        }));
+        onLoop(
+                () ->
+                        members.forEach(
+                                m -> {
+                                    if (m.life.exit < 0) {
+                                        ledger.strange.add(
+                                                "gateway " + m.number + " did not end on notice");
+                                    }
+                                }));
     }
 
     /** What the gateways wrote, for the ways of requests; a trace is a fault of the program. */
@@ -725,8 +911,15 @@
         for (Member m : members) {
             for (String line : log(m).lines().toList()) {
                 if (line.matches("\\d{4}-.*T.*")) {
-                    double at = java.time.Instant.parse(line.substring(0, line.indexOf(' '))).toEpochMilli() - world.unixAtZero();
-                    ledger.events.add(new Try.Step(at, "gateway " + m.number, line.substring(line.indexOf(' ') + 1)));
+                    double at =
+                            java.time.Instant.parse(line.substring(0, line.indexOf(' ')))
+                                            .toEpochMilli()
+                                    - world.unixAtZero();
+                    ledger.events.add(
+                            new Try.Step(
+                                    at,
+                                    "gateway " + m.number,
+                                    line.substring(line.indexOf(' ') + 1)));
                 } else if (line.contains("Exception") || line.contains("Error")) {
                     ledger.strange.add("gateway " + m.number + " wrote: " + line.strip());
                 }
@@ -736,17 +929,29 @@
     }
 
     private void progress() throws InterruptedException {
-        onLoop(() -> {
-            long answered = ledger.fates.stream().filter(f -> f.end == Try.End.SERVED).count();
-            long ended = ledger.fates.stream().filter(f -> f.end != null).count();
-            options.progress.printf(Locale.ROOT, "%4.0f s  %d served of %d ended, %d tries, %d of %d gateways run%n", now() / 1000,
-                    answered, ended, ledger.tries.size(), members.stream().filter(m -> m.life.exit < 0).count(), members.size());
-        });
+        onLoop(
+                () -> {
+                    long answered =
+                            ledger.fates.stream().filter(f -> f.end == Try.End.SERVED).count();
+                    long ended = ledger.fates.stream().filter(f -> f.end != null).count();
+                    options.progress.printf(
+                            Locale.ROOT,
+                            "%4.0f s  %d served of %d ended, %d tries, %d of %d gateways run%n",
+                            now() / 1000,
+                            answered,
+                            ended,
+                            ledger.tries.size(),
+                            members.stream().filter(m -> m.life.exit < 0).count(),
+                            members.size());
+                });
     }
 
     /** Idle and all time of all cores so far, in ticks. */
     private static long[] cpu() throws IOException {
-        String[] words = Files.readAllLines(Path.of("/proc/stat"), StandardCharsets.US_ASCII).get(0).split("\\s+");
+        String[] words =
+                Files.readAllLines(Path.of("/proc/stat"), StandardCharsets.US_ASCII)
+                        .get(0)
+                        .split("\\s+");
         long all = 0;
         for (int i = 1; i < words.length; i++) {
             all += Long.parseLong(words[i]);
--- a/src/main/java/tinroad/lab/LoopbackRange.java
+++ b/src/main/java/tinroad/lab/LoopbackRange.java
@@ -8,7 +8,10 @@
 import java.net.ServerSocket;
 import java.net.UnknownHostException;
 
-/** A range of loopback addresses, {@code 127.X.Y.0} to {@code .253}, that no other lab uses: its ports are then free, whatever they are. */
+/**
+ * A range of loopback addresses, {@code 127.X.Y.0} to {@code .253}, that no other lab uses: its
+ * ports are then free, whatever they are.
+ */
 public final class LoopbackRange implements AutoCloseable {
     private static final int LOCK_HOST = 254;
     private static final int TRIES = 4000;
@@ -27,7 +30,8 @@
             long start = ProcessHandle.current().pid() + n + (System.nanoTime() >> 10 & 0xff);
             String net = "127." + (20 + start % 200) + "." + (1 + start / 200 % 250) + ".";
             try {
-                return new LoopbackRange(net, new ServerSocket(port, 1, InetAddress.getByName(net + LOCK_HOST)));
+                return new LoopbackRange(
+                        net, new ServerSocket(port, 1, InetAddress.getByName(net + LOCK_HOST)));
             } catch (BindException e) {
                 // Another lab's.
             }
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -23,10 +23,17 @@
 /** What is told of a run: figures by name, the broken rules, files and charts. */
 public final class Report {
     /** The figures that programs are compared by; of all but the first, less is better. */
-    static final List<String> COMPARED = List.of("service", "to_full_s", "tries_per_first", "wasted", "peak_over_mean");
+    static final List<String> COMPARED =
+            List.of("service", "to_full_s", "tries_per_first", "wasted", "peak_over_mean");
+
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** So long, in ms, a gateway takes from the start of its process until it listens (lab/start-cost.sh). */
+
+    /**
+     * So long, in ms, a gateway takes from the start of its process until it listens
+     * (lab/start-cost.sh).
+     */
     private static final double REACH_AFTER = 1100;
+
     private static final double[] QUANTILES = {50, 99};
 
     private final Lab.Outcome outcome;
@@ -52,7 +59,10 @@
         Script script = plan.script();
         Ledger ledger = outcome.ledger();
         double from = Double.isNaN(plan.firstFault()) ? script.settle() : plan.firstFault();
-        double to = Double.isNaN(ledger.faultEnd) ? script.length() : Math.min(script.length(), ledger.faultEnd);
+        double to =
+                Double.isNaN(ledger.faultEnd)
+                        ? script.length()
+                        : Math.min(script.length(), ledger.faultEnd);
         put("seed", plan.seed());
         put("plan", plan.digest());
         put("service", measures.service(script.settle(), script.length()));
@@ -61,8 +71,16 @@
         put("service_after", measures.service(to, script.length()));
         put("to_full_s", measures.toFullService() / 1000);
         put("bound_s", new Bound(plan, 0).toFullService(ledger.faultEnd, measures.before()) / 1000);
-        put("bound_reached_s", new Bound(plan, REACH_AFTER + (script.roster().lateLeast() + script.roster().lateMost()) / 2)
-                .toFullService(ledger.faultEnd, measures.before()) / 1000);
+        put(
+                "bound_reached_s",
+                new Bound(
+                                        plan,
+                                        REACH_AFTER
+                                                + (script.roster().lateLeast()
+                                                                + script.roster().lateMost())
+                                                        / 2)
+                                .toFullService(ledger.faultEnd, measures.before())
+                        / 1000);
         put("ready_p50_s", measures.ready(0.5) / 1000);
         put("ready_p90_s", measures.ready(0.9) / 1000);
         put("ready_most_s", measures.ready(1) / 1000);
@@ -72,12 +90,22 @@
         for (int k = 0; k < script.classes().size(); k++) {
             Histogram latency = measures.latency(k);
             for (double q : QUANTILES) {
-                put(script.classes().get(k).name() + "_p" + Math.round(q) + "_ms", latency.getValueAtPercentile(q) / 1000.0);
+                put(
+                        script.classes().get(k).name() + "_p" + Math.round(q) + "_ms",
+                        latency.getValueAtPercentile(q) / 1000.0);
             }
         }
-        put("checks_s_gateway", measures.mean(Ledger.Count.CHECKS, script.settle(), script.length()));
-        put("checks_s_fleet_most", (double) measures.most(Ledger.Count.CHECKS, script.settle(), script.length())[1]);
-        put("connections_s_gateway_most", (double) measures.most(Ledger.Count.CONNECTIONS, script.settle(), script.length())[0]);
+        put(
+                "checks_s_gateway",
+                measures.mean(Ledger.Count.CHECKS, script.settle(), script.length()));
+        put(
+                "checks_s_fleet_most",
+                (double) measures.most(Ledger.Count.CHECKS, script.settle(), script.length())[1]);
+        put(
+                "connections_s_gateway_most",
+                (double)
+                        measures.most(Ledger.Count.CONNECTIONS, script.settle(), script.length())[
+                                0]);
         put("runs_s_gateway_fault", measures.mean(Ledger.Count.RUNS, from, to));
         put("memory_mb", ledger.lives.stream().mapToDouble(l -> l.mostMemoryMb).max().orElse(0));
         put("late_p99_ms", outcome.late());
@@ -87,10 +115,17 @@
     }
 
     private void put(String name, Object value) {
-        figures.put(name, value instanceof Double d ? Double.isFinite(d) ? (Object) (Math.round(d * 1e4) / 1e4) : d : value);
+        figures.put(
+                name,
+                value instanceof Double d
+                        ? Double.isFinite(d) ? (Object) (Math.round(d * 1e4) / 1e4) : d
+                        : value);
     }
 
-    /** All figures by name: a number, a text or a truth value; NaN where there is none, infinite where it never came. */
+    /**
+     * All figures by name: a number, a text or a truth value; NaN where there is none, infinite
+     * where it never came.
+     */
     public Map<String, Object> figures() {
         return figures;
     }
@@ -114,35 +149,55 @@
     public String line() {
         ObjectNode line = JSON.createObjectNode();
         line.put("title", plan.script().title());
-        figures.forEach((name, value) -> {
-            if (value instanceof Double d && !Double.isFinite(d)) {
-                line.put(name, Double.isNaN(d) ? null : "never");
-            } else {
-                line.putPOJO(name, value);
-            }
-        });
-        ObjectNode f = line.putObject("fates").put("asked", fates.asked()).put("served", fates.served())
-                .put("refused", fates.refused()).put("failed", fates.failed());
+        figures.forEach(
+                (name, value) -> {
+                    if (value instanceof Double d && !Double.isFinite(d)) {
+                        line.put(name, Double.isNaN(d) ? null : "never");
+                    } else {
+                        line.putPOJO(name, value);
+                    }
+                });
+        ObjectNode f =
+                line.putObject("fates")
+                        .put("asked", fates.asked())
+                        .put("served", fates.served())
+                        .put("refused", fates.refused())
+                        .put("failed", fates.failed());
         f.put("lost", fates.lost()).put("twice", fates.twice()).put("wrong", fates.wrong());
         return line.toString();
     }
 
-    /** Every try on a line, in the order in which they were made: the way to the cause of what the figures show. */
+    /**
+     * Every try on a line, in the order in which they were made: the way to the cause of what the
+     * figures show.
+     */
     private void tries(Path folder) throws IOException {
-        try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(folder.resolve("tries.jsonl")))) {
+        try (PrintWriter out =
+                new PrintWriter(Files.newBufferedWriter(folder.resolve("tries.jsonl")))) {
             for (Try t : outcome.ledger().tries) {
-                out.println(JSON.createObjectNode().put("request", t.request).put("try", t.number).put("proxy", t.proxy)
-                        .put("gateway", t.gateway).put("asked_ms", plan.requests().get(t.request).at()).put("sent_ms", t.sentAt)
-                        .put("ran_ms", t.ranAt).put("answered_ms", t.answeredAt).put("end", String.valueOf(t.end)));
+                out.println(
+                        JSON.createObjectNode()
+                                .put("request", t.request)
+                                .put("try", t.number)
+                                .put("proxy", t.proxy)
+                                .put("gateway", t.gateway)
+                                .put("asked_ms", plan.requests().get(t.request).at())
+                                .put("sent_ms", t.sentAt)
+                                .put("ran_ms", t.ranAt)
+                                .put("answered_ms", t.answeredAt)
+                                .put("end", String.valueOf(t.end)));
             }
         }
     }
 
-    /** Writes result, windows, tries, faults, the ways of what is broken, and charts into a folder. */
+    /**
+     * Writes result, windows, tries, faults, the ways of what is broken, and charts into a folder.
+     */
     public void write(Path folder) throws IOException {
         Files.createDirectories(folder);
         Files.writeString(folder.resolve("result.jsonl"), line() + "\n");
-        try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(folder.resolve("windows.jsonl")))) {
+        try (PrintWriter out =
+                new PrintWriter(Files.newBufferedWriter(folder.resolve("windows.jsonl")))) {
             double[] asked = measures.asked();
             double[] served = measures.served();
             int[] tries = measures.arrivals(0, plan.script().length());
@@ -152,17 +207,28 @@
                 for (int b = w * bins; b < Math.min(tries.length, (w + 1) * bins); b++) {
                     sent += tries[b];
                 }
-                out.println(JSON.createObjectNode().put("at_ms", w * Measures.WINDOW).put("asked", asked[w]).put("served", served[w])
-                        .put("tries", sent));
+                out.println(
+                        JSON.createObjectNode()
+                                .put("at_ms", w * Measures.WINDOW)
+                                .put("asked", asked[w])
+                                .put("served", served[w])
+                                .put("tries", sent));
             }
         }
-        try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(folder.resolve("faults.jsonl")))) {
+        try (PrintWriter out =
+                new PrintWriter(Files.newBufferedWriter(folder.resolve("faults.jsonl")))) {
             for (Hit h : plan.hits()) {
-                out.println(JSON.createObjectNode().put("at_ms", h.at()).put("until_ms", h.until()).put("gateway", h.gateway())
-                        .put("do", h.trouble().deed().name().toLowerCase(Locale.ROOT)).put("heard", h.heard()));
+                out.println(
+                        JSON.createObjectNode()
+                                .put("at_ms", h.at())
+                                .put("until_ms", h.until())
+                                .put("gateway", h.gateway())
+                                .put("do", h.trouble().deed().name().toLowerCase(Locale.ROOT))
+                                .put("heard", h.heard()));
             }
         }
-        try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(folder.resolve("broken.txt")))) {
+        try (PrintWriter out =
+                new PrintWriter(Files.newBufferedWriter(folder.resolve("broken.txt")))) {
             for (Rules.Broken b : broken) {
                 out.println(b.rule() + ": " + b.what());
                 b.way().forEach(out::println);
--- a/src/main/java/tinroad/lab/Settings.java
+++ b/src/main/java/tinroad/lab/Settings.java
@@ -10,41 +10,80 @@
 
 /** What the platform would tell the gateways of a script's fleet. */
 public final class Settings {
-    /** What the gateways are told of the engines' warm-up, in ms: the platform's word, not the script's truth. */
+    /**
+     * What the gateways are told of the engines' warm-up, in ms: the platform's word, not the
+     * script's truth.
+     */
     private static final double RAMP_TIME = 16_000;
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Settings() { }
+    private Settings() {}
 
     /** The {@code settings} as text. */
     public static String text(Script script, boolean cold) {
         return of(script, cold).toString();
     }
 
-    /** The {@code settings} of a gateway's configuration; {@code cold} where its engine has just started. */
+    /**
+     * The {@code settings} of a gateway's configuration; {@code cold} where its engine has just
+     * started.
+     */
     public static ObjectNode of(Script script, boolean cold) {
         ObjectNode s = JSON.createObjectNode();
         ArrayNode classes = s.putArray("classes");
         for (Kind k : script.classes()) {
-            classes.addObject().put("name", k.name()).put("objective", k.objective()).put("deadline", k.deadline())
-                    .put("gain", k.gain()).put("late_share", 0.2).put("semantics", k.free() ? "free" : "single_shot");
+            classes.addObject()
+                    .put("name", k.name())
+                    .put("objective", k.objective())
+                    .put("deadline", k.deadline())
+                    .put("gain", k.gain())
+                    .put("late_share", 0.2)
+                    .put("semantics", k.free() ? "free" : "single_shot");
         }
         ArrayNode orgs = s.putArray("orgs");
         double all = script.fleet().power() / Plan.meanCost(script) * 1000;
-        double sum = IntStream.rangeClosed(1, script.members().count()).mapToDouble(i -> Math.pow(i, -script.members().skew())).sum();
+        double sum =
+                IntStream.rangeClosed(1, script.members().count())
+                        .mapToDouble(i -> Math.pow(i, -script.members().skew()))
+                        .sum();
         for (int i = 1; i <= script.members().count(); i++) {
             double share = Math.pow(i, -script.members().skew()) / sum;
-            orgs.addObject().put("name", "m" + (i - 1)).put("quota_per_s", all * share).put("share", share);
+            orgs.addObject()
+                    .put("name", "m" + (i - 1))
+                    .put("quota_per_s", all * share)
+                    .put("share", share);
         }
-        ObjectNode family = s.putObject("family_info").put("cores", script.fleet().cores()).put("callers", script.callers().proxies())
-                .put("memory_kb", 60_000.0).put("run_factor", 4.0).put("idle", script.callers().idle()).put("passes_deadline", false)
-                .put("just_started", cold).put("say", "none").put("halt", "none").put("below", "none");
+        ObjectNode family =
+                s.putObject("family_info")
+                        .put("cores", script.fleet().cores())
+                        .put("callers", script.callers().proxies())
+                        .put("memory_kb", 60_000.0)
+                        .put("run_factor", 4.0)
+                        .put("idle", script.callers().idle())
+                        .put("passes_deadline", false)
+                        .put("just_started", cold)
+                        .put("say", "none")
+                        .put("halt", "none")
+                        .put("below", "none");
         family.putArray("meters").add("core_use").add("on_cores").add("heap_share").add("links");
         s.putObject("caps").put("max_retry_after", 1000.0).put("retry_after", true);
-        s.putObject("goal").put("whole", 0.4).put("worst_window", 0.3).put("worst_class", 0.2).put("worst_tenant", 0.1);
-        s.putObject("rules").put("answer_slack", 100.0).put("cold_from", script.engine().cold()).put("ramp_time", RAMP_TIME)
-                .put("drain_grace", 2500.0).put("fall", 1500.0).put("fall_multiple", 8.0);
-        s.put("servers", script.fleet().gateways()).put("step", 5.0).put("over_share_worth", 0.1).put("worth_by", "request");
+        s.putObject("goal")
+                .put("whole", 0.4)
+                .put("worst_window", 0.3)
+                .put("worst_class", 0.2)
+                .put("worst_tenant", 0.1);
+        s.putObject("rules")
+                .put("answer_slack", 100.0)
+                .put("cold_from", script.engine().cold())
+                .put("ramp_time", RAMP_TIME)
+                .put("drain_grace", 2500.0)
+                .put("fall", 1500.0)
+                .put("fall_multiple", 8.0);
+        s.put("servers", script.fleet().gateways())
+                .put("step", 5.0)
+                .put("over_share_worth", 0.1)
+                .put("worth_by", "request");
         return s;
     }
 }
--- a/src/main/java/tinroad/lab/capacity/CapacityPage.java
+++ b/src/main/java/tinroad/lab/capacity/CapacityPage.java
@@ -13,16 +13,19 @@
 import tinroad.operator.OperatorException;
 
 /**
- * A page whose tables are written from result files: between {@code <!-- table NAME -->} and {@code <!-- end -->}, and, in
- * a sentence, {@code <!-- figure ID -->} and {@code <!-- end -->}. Guards against figures that nobody measured: outside of
- * these, of code and of links, no number may stand on it.
+ * A page whose tables are written from result files: between {@code <!-- table NAME -->} and {@code
+ * <!-- end -->}, and, in a sentence, {@code <!-- figure ID -->} and {@code <!-- end -->}. Guards
+ * against figures that nobody measured: outside of these, of code and of links, no number may stand
+ * on it.
  */
 public final class CapacityPage {
     private static final String END = "<!-- end -->";
     private static final Pattern TABLE = Pattern.compile("<!-- table ([a-z-]+) -->");
-    private static final Pattern FIGURE = Pattern.compile("<!-- figure ([a-z0-9_]+) -->(.*?)" + END);
+    private static final Pattern FIGURE =
+            Pattern.compile("<!-- figure ([a-z0-9_]+) -->(.*?)" + END);
     private static final Pattern MARKER = Pattern.compile("<!-- (table|figure|end)\\b");
     private static final Pattern NUMBER = Pattern.compile("(?<![A-Za-z0-9_])\\d[\\d.,]*");
+
     /** Code, and the addresses of links. */
     private static final Pattern NO_PROSE = Pattern.compile("`[^`]*`|\\]\\([^)]*\\)");
 
@@ -36,7 +39,10 @@
         this.tables = tables;
     }
 
-    /** Writes the tables of this page anew; throws with all that is wrong in it, in its figures' file or in the results. */
+    /**
+     * Writes the tables of this page anew; throws with all that is wrong in it, in its figures'
+     * file or in the results.
+     */
     public static void write(Path page) throws OperatorException, IOException {
         CapacityPage made = make(page);
         if (!made.faults.isEmpty()) {
@@ -45,7 +51,10 @@
         Files.writeString(page, String.join("\n", made.out) + "\n");
     }
 
-    /** What of the page is not as it would be written, a fault for each place; throws where the figures themselves are wrong. */
+    /**
+     * What of the page is not as it would be written, a fault for each place; throws where the
+     * figures themselves are wrong.
+     */
     public static List<Fault> check(Path page) throws OperatorException, IOException {
         CapacityPage made = make(page);
         List<String> found = Files.readAllLines(page);
@@ -53,7 +62,8 @@
             String is = i < found.size() ? found.get(i) : "the end of the page";
             String would = i < made.out.size() ? made.out.get(i) : "the end of the page";
             if (!is.equals(would)) {
-                made.fault(i + 1, "out of step with the results: found " + is + "; would be " + would);
+                made.fault(
+                        i + 1, "out of step with the results: found " + is + "; would be " + would);
                 break;
             }
         }
@@ -91,7 +101,9 @@
                 prose(line, i + 1);
             }
         }
-        tables.names().stream().filter(name -> !seen.contains(name)).forEach(name -> fault(Math.max(1, lines.size()), "has no table " + name));
+        tables.names().stream()
+                .filter(name -> !seen.contains(name))
+                .forEach(name -> fault(Math.max(1, lines.size()), "has no table " + name));
     }
 
     /** Writes a table in place of what stands between its markers; returns the line of its end. */
@@ -99,7 +111,9 @@
         if (tables.names().contains(name)) {
             out.addAll(tables.table(name));
         } else {
-            fault(start + 1, "no table " + name + "; there are " + String.join(", ", tables.names()));
+            fault(
+                    start + 1,
+                    "no table " + name + "; there are " + String.join(", ", tables.names()));
         }
         for (int i = start + 1; i < lines.size(); i++) {
             if (lines.get(i).equals(END)) {
@@ -115,20 +129,31 @@
     }
 
     private String figures(String line, int number) {
-        return FIGURE.matcher(line).replaceAll(m -> {
-            String text = tables.inline(m.group(1));
-            if (text == null) {
-                fault(number, "no figure " + m.group(1));
-            }
-            return Matcher.quoteReplacement("<!-- figure " + m.group(1) + " -->" + (text == null ? m.group(2) : text) + END);
-        });
+        return FIGURE.matcher(line)
+                .replaceAll(
+                        m -> {
+                            String text = tables.inline(m.group(1));
+                            if (text == null) {
+                                fault(number, "no figure " + m.group(1));
+                            }
+                            return Matcher.quoteReplacement(
+                                    "<!-- figure "
+                                            + m.group(1)
+                                            + " -->"
+                                            + (text == null ? m.group(2) : text)
+                                            + END);
+                        });
     }
 
     private void prose(String line, int number) {
         String rest = NO_PROSE.matcher(FIGURE.matcher(line).replaceAll("")).replaceAll("]");
         Matcher found = NUMBER.matcher(rest);
         if (found.find()) {
-            fault(number, "a number outside of the generator's output: " + found.group() + "; make it a row and name it by <!-- figure ID -->");
+            fault(
+                    number,
+                    "a number outside of the generator's output: "
+                            + found.group()
+                            + "; make it a row and name it by <!-- figure ID -->");
         }
         if (MARKER.matcher(rest).find()) {
             fault(number, "a marker that begins or ends nothing: " + line.strip());
--- a/src/main/java/tinroad/lab/capacity/Figures.java
+++ b/src/main/java/tinroad/lab/capacity/Figures.java
@@ -26,8 +26,9 @@
 import tinroad.operator.OperatorException;
 
 /**
- * All figures of the page, worked out from its file, the result files and the constants of the code. Guards against figures
- * with nothing behind them: what a row names has to be there, and a row is no surer than the least sure thing that it names.
+ * All figures of the page, worked out from its file, the result files and the constants of the
+ * code. Guards against figures with nothing behind them: what a row names has to be there, and a
+ * row is no surer than the least sure thing that it names.
  */
 final class Figures {
     /**
@@ -37,10 +38,17 @@
      * @param source who gave it, empty for the operators
      * @param assumed why it is taken to be so where nobody gave it, else empty
      */
-    record Size(String name, double value, String formula, String text, String source, String assumed) { }
+    record Size(
+            String name,
+            double value,
+            String formula,
+            String text,
+            String source,
+            String assumed) {}
 
     /** What a term came to. */
-    private record Term(double value, Kind kind, double error, String text, String missing, boolean noted) {
+    private record Term(
+            double value, Kind kind, double error, String text, String missing, boolean noted) {
         static Term of(double value, Kind kind, String text) {
             return new Term(value, kind, Double.NaN, text, "", false);
         }
@@ -50,7 +58,9 @@
         }
     }
 
-    private static final Set<String> READ_FROM = new TreeSet<>(Set.of("fit", "point", "assumed", "code", "tuning", "row", "beyond", "worth"));
+    private static final Set<String> READ_FROM =
+            new TreeSet<>(
+                    Set.of("fit", "point", "assumed", "code", "tuning", "row", "beyond", "worth"));
 
     private final Config all;
     private final Path folder;
@@ -58,8 +68,10 @@
     private final Map<String, Size> sizes = new LinkedHashMap<>();
     private final Map<String, Row.Worked> rows = new LinkedHashMap<>();
     private final Set<String> fits = new TreeSet<>();
+
     /** Runs that count for no row, and why. */
     private final Map<String, String> rejected = new LinkedHashMap<>();
+
     private final List<Fault> faults = new ArrayList<>();
 
     private Figures(Config all, Path folder) throws IOException {
@@ -103,12 +115,24 @@
         String size = c.getString("size");
         try {
             List<String> guessed = new ArrayList<>(List.of(c.getString("assumed")));
-            double value = Formula.value(size, other -> {
-                guessed.add(size(other).assumed());
-                return size(other).value();
-            });
+            double value =
+                    Formula.value(
+                            size,
+                            other -> {
+                                guessed.add(size(other).assumed());
+                                return size(other).value();
+                            });
             String formula = size.matches("[0-9._eE-]+") ? "" : size;
-            if (sizes.put(name, new Size(name, value, formula, c.getString("text"), c.getString("source"), joined(guessed))) != null) {
+            if (sizes.put(
+                            name,
+                            new Size(
+                                    name,
+                                    value,
+                                    formula,
+                                    c.getString("text"),
+                                    c.getString("source"),
+                                    joined(guessed)))
+                    != null) {
                 wrong(at, "name", "must differ from the names of the other sizes");
             }
         } catch (IllegalArgumentException e) {
@@ -118,7 +142,8 @@
 
     private Size size(String name) {
         if (!sizes.containsKey(name)) {
-            throw new IllegalArgumentException("names " + name + ", which is no size of the target and no term of this row");
+            throw new IllegalArgumentException(
+                    "names " + name + ", which is no size of the target and no term of this row");
         }
         return sizes.get(name);
     }
@@ -128,10 +153,23 @@
     private void row(ConfigObject at) {
         Config c = at.toConfig().withFallback(all.getConfig("each.rows"));
         Map<String, ConfigObject> named = new LinkedHashMap<>();
-        c.getObject("terms").entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(e -> named.put(e.getKey(), (ConfigObject) e.getValue()));
-        Row row = new Row(at, c.getString("id"), c.getString("table"), c.getString("what"), c.getString("unit"), c.getString("figure"), named,
-                Kind.valueOf(c.getString("kind").toUpperCase(Locale.ROOT)), c.getString("budget"), c.getString("mechanism"),
-                c.getString("wants"), c.getString("missing"));
+        c.getObject("terms").entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .forEach(e -> named.put(e.getKey(), (ConfigObject) e.getValue()));
+        Row row =
+                new Row(
+                        at,
+                        c.getString("id"),
+                        c.getString("table"),
+                        c.getString("what"),
+                        c.getString("unit"),
+                        c.getString("figure"),
+                        named,
+                        Kind.valueOf(c.getString("kind").toUpperCase(Locale.ROOT)),
+                        c.getString("budget"),
+                        c.getString("mechanism"),
+                        c.getString("wants"),
+                        c.getString("missing"));
         if (rows.containsKey(row.id()) || sizes.containsKey(row.id())) {
             wrong(at, "id", "must differ from the ids of the other rows and the names of sizes");
             return;
@@ -140,10 +178,16 @@
         named.forEach((name, term) -> terms.put(name, term(row, term)));
         Set<String> used = new TreeSet<>();
         // What a budget names has to be known; where a run is missing, it rests on none.
-        double budget = row.budget().isEmpty() ? Double.NaN : formula(row, "budget", row.budget(), terms, used);
+        double budget =
+                row.budget().isEmpty()
+                        ? Double.NaN
+                        : formula(row, "budget", row.budget(), terms, used);
         boolean guessed = used.stream().anyMatch(this::guessed);
         if (!row.budget().isEmpty() && row.mechanism().isEmpty() == row.wants().isEmpty()) {
-            wrong(at, "budget", "must have either a mechanism that carries it, or the one that it wants");
+            wrong(
+                    at,
+                    "budget",
+                    "must have either a mechanism that carries it, or the one that it wants");
         }
         String missing = joined(terms.values().stream().map(Term::missing).toList());
         if (missing.isEmpty() && !row.missing().isEmpty()) {
@@ -154,18 +198,43 @@
         if (missing.isEmpty()) {
             Set<String> figures = new TreeSet<>();
             value = formula(row, "figure", row.figure(), terms, figures);
-            error = terms.values().stream().mapToDouble(Term::error).filter(e -> !Double.isNaN(e)).max().orElse(Double.NaN);
+            error =
+                    terms.values().stream()
+                            .mapToDouble(Term::error)
+                            .filter(e -> !Double.isNaN(e))
+                            .max()
+                            .orElse(Double.NaN);
             Kind kind = terms.values().stream().map(Term::kind).reduce(Kind.COMPUTED, Kind::and);
             kind = figures.stream().anyMatch(this::guessed) ? Kind.ASSUMED : kind;
             if (kind != row.kind()) {
-                wrong(at, "kind", "must be " + kind.text() + ", by what it names; found " + row.kind().text());
+                wrong(
+                        at,
+                        "kind",
+                        "must be "
+                                + kind.text()
+                                + ", by what it names; found "
+                                + row.kind().text());
             }
             used.addAll(figures);
-            terms.keySet().stream().filter(name -> !used.contains(name)).forEach(name -> wrong(at, "figure", "does not use its term " + name));
+            terms.keySet().stream()
+                    .filter(name -> !used.contains(name))
+                    .forEach(name -> wrong(at, "figure", "does not use its term " + name));
         }
-        List<String> texts = terms.entrySet().stream().map(e -> e.getKey() + ": " + e.getValue().text()).toList();
-        rows.put(row.id(), new Row.Worked(row, value, error, row.missing().isEmpty() ? missing : row.missing(), texts, budget, guessed,
-                terms.values().stream().anyMatch(Term::noted)));
+        List<String> texts =
+                terms.entrySet().stream()
+                        .map(e -> e.getKey() + ": " + e.getValue().text())
+                        .toList();
+        rows.put(
+                row.id(),
+                new Row.Worked(
+                        row,
+                        value,
+                        error,
+                        row.missing().isEmpty() ? missing : row.missing(),
+                        texts,
+                        budget,
+                        guessed,
+                        terms.values().stream().anyMatch(Term::noted)));
     }
 
     private boolean guessed(String name) {
@@ -173,15 +242,25 @@
     }
 
     private static String joined(List<String> texts) {
-        return texts.stream().filter(t -> !t.isEmpty()).distinct().reduce((a, b) -> a + "; " + b).orElse("");
+        return texts.stream()
+                .filter(t -> !t.isEmpty())
+                .distinct()
+                .reduce((a, b) -> a + "; " + b)
+                .orElse("");
     }
 
-    private double formula(Row row, String key, String text, Map<String, Term> terms, Set<String> used) {
+    private double formula(
+            Row row, String key, String text, Map<String, Term> terms, Set<String> used) {
         try {
-            double value = Formula.value(text, name -> {
-                used.add(name);
-                return terms.containsKey(name) ? terms.get(name).value() : size(name).value();
-            });
+            double value =
+                    Formula.value(
+                            text,
+                            name -> {
+                                used.add(name);
+                                return terms.containsKey(name)
+                                        ? terms.get(name).value()
+                                        : size(name).value();
+                            });
             if (!Double.isFinite(value)) {
                 wrong(row.at(), key, "comes to no number");
             }
@@ -205,8 +284,12 @@
         try {
             return term(row, key, at.toConfig());
         } catch (ConfigException.Missing e) {
-            wrong(at, key, "must stand beside what belongs to it: " + e.getMessage().replaceAll(".*setting found for key '(\\w+)'.*", "$1")
-                    + " is missing");
+            wrong(
+                    at,
+                    key,
+                    "must stand beside what belongs to it: "
+                            + e.getMessage().replaceAll(".*setting found for key '(\\w+)'.*", "$1")
+                            + " is missing");
         } catch (IllegalArgumentException e) {
             wrong(at, key, e.getMessage());
         } catch (IOException e) {
@@ -219,8 +302,19 @@
         return switch (key) {
             case "fit" -> among(fit(row, c), c, "at");
             case "point" -> among(point(row, c), c, "at");
-            case "assumed" -> Term.of(c.getDouble(key), Kind.ASSUMED, "assumed " + Numbers.text(c.getDouble(key)) + " (" + c.getString("source") + ")");
-            case "code" -> ofCode(constant(c), c.getString(key).replaceAll(".*/", "") + "." + c.getString("name"));
+            case "assumed" ->
+                    Term.of(
+                            c.getDouble(key),
+                            Kind.ASSUMED,
+                            "assumed "
+                                    + Numbers.text(c.getDouble(key))
+                                    + " ("
+                                    + c.getString("source")
+                                    + ")");
+            case "code" ->
+                    ofCode(
+                            constant(c),
+                            c.getString(key).replaceAll(".*/", "") + "." + c.getString("name"));
             case "tuning" -> ofCode(tuning(c.getString(key)), "Tuning." + c.getString(key));
             case "row" -> other(c.getString(key));
             default -> among(sharing(c, key), c, key, "places");
@@ -239,13 +333,23 @@
     private Term among(Term term, Config c, String... keys) {
         Set<String> names = new TreeSet<>();
         for (String key : keys) {
-            Formula.value(c.getString(key), name -> {
-                names.add(name);
-                return size(name).value();
-            });
+            Formula.value(
+                    c.getString(key),
+                    name -> {
+                        names.add(name);
+                        return size(name).value();
+                    });
         }
         boolean assumed = names.stream().anyMatch(this::guessed);
-        return assumed ? new Term(term.value(), Kind.ASSUMED, term.error(), term.text(), term.missing(), term.noted()) : term;
+        return assumed
+                ? new Term(
+                        term.value(),
+                        Kind.ASSUMED,
+                        term.error(),
+                        term.text(),
+                        term.missing(),
+                        term.noted())
+                : term;
     }
 
     private Term fit(Row row, Config c) {
@@ -255,21 +359,39 @@
         Results.Fit fit = results.fit(id);
         fit = fit != null && fit.runs().stream().anyMatch(rejected::containsKey) ? null : fit;
         if (fit == null && row.missing().isEmpty()) {
-            throw new IllegalArgumentException("no fit " + id + " in the results; there are " + list(id, results.fits().keySet()));
+            throw new IllegalArgumentException(
+                    "no fit "
+                            + id
+                            + " in the results; there are "
+                            + list(id, results.fits().keySet()));
         } else if (fit == null) {
             return Term.missing(text, "wants " + id);
         }
         if (Double.isNaN(fit.error())) {
-            throw new IllegalArgumentException("fit " + id + " foretold no size that was run: it has no error, and is no slope");
+            throw new IllegalArgumentException(
+                    "fit "
+                            + id
+                            + " foretold no size that was run: it has no error, and is no slope");
         }
         // Guards against a form that the sizes beyond the largest run no longer follow.
         if (fit.at(at) < 0 && row.missing().isEmpty()) {
-            throw new IllegalArgumentException("fit " + id + " comes to less than nothing at " + Numbers.text(at) + ": it is no slope there");
+            throw new IllegalArgumentException(
+                    "fit "
+                            + id
+                            + " comes to less than nothing at "
+                            + Numbers.text(at)
+                            + ": it is no slope there");
         } else if (fit.at(at) < 0) {
             return Term.missing(text, "less than nothing by " + id);
         }
         fits.add(id);
-        return new Term(fit.at(at), Kind.EXTRAPOLATED, fit.error(), text + ", run up to " + Numbers.text(fit.largest()), "", false);
+        return new Term(
+                fit.at(at),
+                Kind.EXTRAPOLATED,
+                fit.error(),
+                text + ", run up to " + Numbers.text(fit.largest()),
+                "",
+                false);
     }
 
     /** The median of the runs at this size, each of them named, with what they noted. */
@@ -277,30 +399,58 @@
         String id = c.getString("point");
         double at = size(c, "at");
         String text = "point `" + id + "` at " + Numbers.text(at);
-        List<Results.Point> there = results.at(id, at).stream().filter(p -> !rejected.containsKey(p.run())).toList();
-        double[] values = there.stream().mapToDouble(Results.Point::value).filter(v -> !Double.isNaN(v)).sorted().toArray();
+        List<Results.Point> there =
+                results.at(id, at).stream().filter(p -> !rejected.containsKey(p.run())).toList();
+        double[] values =
+                there.stream()
+                        .mapToDouble(Results.Point::value)
+                        .filter(v -> !Double.isNaN(v))
+                        .sorted()
+                        .toArray();
         if (values.length == 0 && row.missing().isEmpty()) {
-            throw new IllegalArgumentException("no point " + id + " at " + Numbers.text(at) + " in the results" + there.stream()
-                    .map(p -> ": refused there, " + p.note()).findFirst().orElse("; there are " + list(id, results.measured())));
+            throw new IllegalArgumentException(
+                    "no point "
+                            + id
+                            + " at "
+                            + Numbers.text(at)
+                            + " in the results"
+                            + there.stream()
+                                    .map(p -> ": refused there, " + p.note())
+                                    .findFirst()
+                                    .orElse("; there are " + list(id, results.measured())));
         } else if (values.length == 0) {
             return Term.missing(text, "wants " + id + " at " + Numbers.text(at));
         }
         String sweep = id.replaceAll("/.*", "");
         String whole = all.hasPath("sweeps." + sweep) ? all.getString("sweeps." + sweep) : "";
         if (!c.getString("at").equals(whole)) {
-            throw new IllegalArgumentException("is measured at " + Numbers.text(at) + ", which is not "
-                    + (whole.isEmpty() ? "a size of the target that 'sweeps' names" : whole + ", the target's size of this sweep") + ": name a fit");
+            throw new IllegalArgumentException(
+                    "is measured at "
+                            + Numbers.text(at)
+                            + ", which is not "
+                            + (whole.isEmpty()
+                                    ? "a size of the target that 'sweeps' names"
+                                    : whole + ", the target's size of this sweep")
+                            + ": name a fit");
         }
         double median = (values[(values.length - 1) / 2] + values[values.length / 2]) / 2;
         String noted = joined(there.stream().map(Results.Point::note).toList());
-        String runs = there.stream().map(Results.Point::run).distinct().collect(Collectors.joining(", "));
-        return new Term(median, Kind.MEASURED, Double.NaN, text + ", run " + runs + (noted.isEmpty() ? "" : " (" + noted + ")"), "", !noted.isEmpty());
+        String runs =
+                there.stream().map(Results.Point::run).distinct().collect(Collectors.joining(", "));
+        return new Term(
+                median,
+                Kind.MEASURED,
+                Double.NaN,
+                text + ", run " + runs + (noted.isEmpty() ? "" : " (" + noted + ")"),
+                "",
+                !noted.isEmpty());
     }
 
     /** What there is of the same sweep. */
     private static String list(String id, Set<String> names) {
         String sweep = id.replaceAll("/.*", "/");
-        String same = names.stream().filter(n -> n.startsWith(sweep)).collect(Collectors.joining(", "));
+        String same =
+                names.stream().filter(n -> n.startsWith(sweep)).collect(Collectors.joining(", "));
         return same.isEmpty() ? "none of " + sweep.replace("/", "") : same;
     }
 
@@ -309,7 +459,14 @@
         if (other == null) {
             throw new IllegalArgumentException("no row " + id + " above this one");
         }
-        return other.known() ? new Term(other.value(), other.row().kind(), other.error(), "row `" + id + "`", "", other.noted())
+        return other.known()
+                ? new Term(
+                        other.value(),
+                        other.row().kind(),
+                        other.error(),
+                        "row `" + id + "`",
+                        "",
+                        other.noted())
                 : Term.missing("row `" + id + "`", "wants the row " + id);
     }
 
@@ -317,14 +474,28 @@
         double quota = size(c, key);
         double places = size(c, "places");
         double times = c.getDouble("times");
-        Sharing.Verdict verdict = new Sharing(constant(all.getConfig("window")), constant(all.getConfig("spread"))).judge(quota, times, places);
-        return Term.of(key.equals("beyond") ? verdict.over() : verdict.worth(), Kind.COMPUTED, "tenant with a quota of `" + c.getString(key)
-                + "` a second, asking " + Numbers.text(times) + " times as much, places that count: " + Numbers.text(places) + ", simulated");
+        Sharing.Verdict verdict =
+                new Sharing(constant(all.getConfig("window")), constant(all.getConfig("spread")))
+                        .judge(quota, times, places);
+        return Term.of(
+                key.equals("beyond") ? verdict.over() : verdict.worth(),
+                Kind.COMPUTED,
+                "tenant with a quota of `"
+                        + c.getString(key)
+                        + "` a second, asking "
+                        + Numbers.text(times)
+                        + " times as much, places that count: "
+                        + Numbers.text(places)
+                        + ", simulated");
     }
 
     private static double tuning(String name) {
-        RecordComponent component = Arrays.stream(Tuning.class.getRecordComponents()).filter(r -> r.getName().equals(name)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no " + name + " in Tuning"));
+        RecordComponent component =
+                Arrays.stream(Tuning.class.getRecordComponents())
+                        .filter(r -> r.getName().equals(name))
+                        .findFirst()
+                        .orElseThrow(
+                                () -> new IllegalArgumentException("no " + name + " in Tuning"));
         try {
             return ((Number) component.getAccessor().invoke(Tuning.DEFAULT)).doubleValue();
         } catch (ReflectiveOperationException e) {
@@ -333,12 +504,22 @@
         }
     }
 
-    /** A constant of the code, read from its source: the page is out of step as soon as it changes there. */
+    /**
+     * A constant of the code, read from its source: the page is out of step as soon as it changes
+     * there.
+     */
     private double constant(Config c) throws IOException {
-        Path source = folder.resolve(all.getString("sources")).resolve(c.getString("code") + ".java");
-        Matcher found = Pattern.compile("\\b" + Pattern.quote(c.getString("name")) + " = ([-0-9_.* ()/+]+);").matcher(Files.readString(source));
+        Path source =
+                folder.resolve(all.getString("sources")).resolve(c.getString("code") + ".java");
+        Matcher found =
+                Pattern.compile(
+                                "\\b"
+                                        + Pattern.quote(c.getString("name"))
+                                        + " = ([-0-9_.* ()/+]+);")
+                        .matcher(Files.readString(source));
         if (!found.find()) {
-            throw new IllegalArgumentException("no constant " + c.getString("name") + " in " + source.getFileName());
+            throw new IllegalArgumentException(
+                    "no constant " + c.getString("name") + " in " + source.getFileName());
         }
         return Formula.value(found.group(1), name -> size(name).value());
     }
--- a/src/main/java/tinroad/lab/capacity/Formula.java
+++ b/src/main/java/tinroad/lab/capacity/Formula.java
@@ -5,11 +5,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Arithmetic over names: {@code + - * /}, parentheses, and the functions {@code sqrt ln exp ceil harmonic}. Guards against
- * figures that nobody can work out again: what a row is computed from stands on the page as it is evaluated.
+ * Arithmetic over names: {@code + - * /}, parentheses, and the functions {@code sqrt ln exp ceil
+ * harmonic}. Guards against figures that nobody can work out again: what a row is computed from
+ * stands on the page as it is evaluated.
  */
 final class Formula {
-    private static final Pattern TOKEN = Pattern.compile("\\s*([0-9][0-9_]*(?:\\.[0-9]+)?(?:[eE]-?[0-9]+)?|[a-z][a-z0-9_]*|[-+*/()])");
+    private static final Pattern TOKEN =
+            Pattern.compile(
+                    "\\s*([0-9][0-9_]*(?:\\.[0-9]+)?(?:[eE]-?[0-9]+)?|[a-z][a-z0-9_]*|[-+*/()])");
 
     private final String text;
     private final ToDoubleFunction<String> names;
@@ -24,7 +27,10 @@
         advance();
     }
 
-    /** The value; throws {@link IllegalArgumentException} in words where the text is no formula, or as {@code names} does. */
+    /**
+     * The value; throws {@link IllegalArgumentException} in words where the text is no formula, or
+     * as {@code names} does.
+     */
     static double value(String text, ToDoubleFunction<String> names) {
         Formula f = new Formula(text, names);
         double value = f.sum();
@@ -52,8 +58,11 @@
     }
 
     private IllegalArgumentException wrong(String wanted) {
-        return new IllegalArgumentException("must be a formula such as 'gateways * 4': expected " + wanted + " at "
-                + (next == null ? "the end" : "'" + next + "'"));
+        return new IllegalArgumentException(
+                "must be a formula such as 'gateways * 4': expected "
+                        + wanted
+                        + " at "
+                        + (next == null ? "the end" : "'" + next + "'"));
     }
 
     private boolean takes(String token) {
@@ -113,7 +122,9 @@
             case "exp" -> StrictMath.exp(x);
             case "ceil" -> Math.ceil(x);
             case "harmonic" -> harmonic(x);
-            default -> throw new IllegalArgumentException("no function '" + name + "': known are sqrt, ln, exp, ceil, harmonic");
+            default ->
+                    throw new IllegalArgumentException(
+                            "no function '" + name + "': known are sqrt, ln, exp, ceil, harmonic");
         };
     }
 
--- a/src/main/java/tinroad/lab/capacity/Kind.java
+++ b/src/main/java/tinroad/lab/capacity/Kind.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** How a figure is known, the surest first. A figure is as sure as the least sure thing that it rests on. */
+/**
+ * How a figure is known, the surest first. A figure is as sure as the least sure thing that it
+ * rests on.
+ */
 enum Kind {
     /** Arithmetic over the target's sizes and what stands in the code. */
     COMPUTED,
--- a/src/main/java/tinroad/lab/capacity/Numbers.java
+++ b/src/main/java/tinroad/lab/capacity/Numbers.java
@@ -10,15 +10,19 @@
 final class Numbers {
     private static final double EXACT = 1e15;
 
-    private Numbers() { }
+    private Numbers() {}
 
     /** The number as text; a dash where there is none. */
     static String text(double x) {
         if (!Double.isFinite(x)) {
             return "-";
         }
-        BigDecimal shown = x == Math.rint(x) && Math.abs(x) < EXACT ? BigDecimal.valueOf(x) : new BigDecimal(x).round(new MathContext(3));
-        return new DecimalFormat("#,##0.##########", DecimalFormatSymbols.getInstance(Locale.ROOT)).format(shown);
+        BigDecimal shown =
+                x == Math.rint(x) && Math.abs(x) < EXACT
+                        ? BigDecimal.valueOf(x)
+                        : new BigDecimal(x).round(new MathContext(3));
+        return new DecimalFormat("#,##0.##########", DecimalFormatSymbols.getInstance(Locale.ROOT))
+                .format(shown);
     }
 
     static String percent(double part) {
--- a/src/main/java/tinroad/lab/capacity/Results.java
+++ b/src/main/java/tinroad/lab/capacity/Results.java
@@ -17,16 +17,35 @@
 import tinroad.operator.Fault;
 
 /**
- * What runs have measured, and the fits over it, as the result files hold them. A file that is not there has no lines. Guards
- * against a fit that names a run of which there is no point: such a fit is a fault of the file.
+ * What runs have measured, and the fits over it, as the result files hold them. A file that is not
+ * there has no lines. Guards against a fit that names a run of which there is no point: such a fit
+ * is a fault of the file.
  */
 final class Results {
-    /** A measured value; {@code value} is NaN where the machine could not carry the size, and {@code note} says why. */
-    record Point(String run, double x, double value, String unit, String note) { }
-
-    /** A slope: the form, what it foretold of the largest size that was run, and how far off that was. */
-    record Fit(String id, String unit, String form, double a, double b, double low, double high, double exponent,
-            double largest, double foretold, double measured, double error, List<String> runs) {
+    /**
+     * A measured value; {@code value} is NaN where the machine could not carry the size, and {@code
+     * note} says why.
+     */
+    record Point(String run, double x, double value, String unit, String note) {}
+
+    /**
+     * A slope: the form, what it foretold of the largest size that was run, and how far off that
+     * was.
+     */
+    record Fit(
+            String id,
+            String unit,
+            String form,
+            double a,
+            double b,
+            double low,
+            double high,
+            double exponent,
+            double largest,
+            double foretold,
+            double measured,
+            double error,
+            List<String> runs) {
 
         double at(double x) {
             return switch (form) {
@@ -38,8 +57,18 @@
         }
     }
 
-    /** How far a hollow gateway is off from a real one in the same fleet; {@code off} is relative, the sweep and its size may not be told. */
-    record Off(String run, String metric, double hollow, double real, double off, String sweep, double x) {
+    /**
+     * How far a hollow gateway is off from a real one in the same fleet; {@code off} is relative,
+     * the sweep and its size may not be told.
+     */
+    record Off(
+            String run,
+            String metric,
+            double hollow,
+            double real,
+            double off,
+            String sweep,
+            double x) {
         /** At which size, in words. */
         String where() {
             return Double.isNaN(x) ? "" : " (at " + Numbers.text(x) + ")";
@@ -69,7 +98,9 @@
     }
 
     private interface Line {
-        /** Takes a line; throws {@link IllegalArgumentException} in words where it is no such line. */
+        /**
+         * Takes a line; throws {@link IllegalArgumentException} in words where it is no such line.
+         */
         void take(JsonNode line, int number);
     }
 
@@ -84,7 +115,9 @@
                     take.take(JSON.readTree(lines.get(i)), i + 1);
                 }
             } catch (JsonProcessingException e) {
-                faults.add(new Fault(file.toString(), i + 1, "", "not JSON: " + e.getOriginalMessage()));
+                faults.add(
+                        new Fault(
+                                file.toString(), i + 1, "", "not JSON: " + e.getOriginalMessage()));
             } catch (IllegalArgumentException e) {
                 faults.add(new Fault(file.toString(), i + 1, "", e.getMessage()));
             }
@@ -103,23 +136,56 @@
         }
         String run = line.get("run").asText();
         runs.add(run);
-        points.computeIfAbsent(line.get("sweep").asText() + "/" + line.get("role").asText() + "/" + line.get("metric").asText(),
-                id -> new ArrayList<>()).add(new Point(run, line.get("x").asDouble(), number(line, "value"),
-                        line.get("unit").asText(), line.path("note").asText("")));
+        points.computeIfAbsent(
+                        line.get("sweep").asText()
+                                + "/"
+                                + line.get("role").asText()
+                                + "/"
+                                + line.get("metric").asText(),
+                        id -> new ArrayList<>())
+                .add(
+                        new Point(
+                                run,
+                                line.get("x").asDouble(),
+                                number(line, "value"),
+                                line.get("unit").asText(),
+                                line.path("note").asText("")));
     }
 
     private void fit(JsonNode line, int number) {
         List<String> of = new ArrayList<>();
         line.path("runs").forEach(r -> of.add(r.asText()));
-        Fit fit = new Fit(line.path("id").asText(), line.path("unit").asText(), line.path("form").asText(), number(line, "a"), number(line, "b"),
-                number(line, "low"), number(line, "high"), number(line, "exponent"), number(line, "largest"), number(line, "foretold"),
-                number(line, "measured"), number(line, "error"), of);
+        Fit fit =
+                new Fit(
+                        line.path("id").asText(),
+                        line.path("unit").asText(),
+                        line.path("form").asText(),
+                        number(line, "a"),
+                        number(line, "b"),
+                        number(line, "low"),
+                        number(line, "high"),
+                        number(line, "exponent"),
+                        number(line, "largest"),
+                        number(line, "foretold"),
+                        number(line, "measured"),
+                        number(line, "error"),
+                        of);
         if (fit.id().isEmpty() || !FORMS.contains(fit.form()) || Double.isNaN(fit.a())) {
-            throw new IllegalArgumentException("a fit must have id, a, and as form one of flat, log, linear, worse");
+            throw new IllegalArgumentException(
+                    "a fit must have id, a, and as form one of flat, log, linear, worse");
         }
-        of.stream().filter(run -> !runs.contains(run)).findFirst().ifPresent(run -> {
-            throw new IllegalArgumentException("fit " + fit.id() + " names the run " + run + ", of which there is no point");
-        });
+        of.stream()
+                .filter(run -> !runs.contains(run))
+                .findFirst()
+                .ifPresent(
+                        run -> {
+                            throw new IllegalArgumentException(
+                                    "fit "
+                                            + fit.id()
+                                            + " names the run "
+                                            + run
+                                            + ", of which there is no point");
+                        });
         if (of.isEmpty()) {
             throw new IllegalArgumentException("fit " + fit.id() + " names no run");
         }
@@ -131,10 +197,18 @@
     private void off(JsonNode line, int number) {
         String run = line.path("run").asText();
         if (!runs.contains(run)) {
-            throw new IllegalArgumentException("names the run " + run + ", of which there is no point");
+            throw new IllegalArgumentException(
+                    "names the run " + run + ", of which there is no point");
         }
-        offs.add(new Off(run, line.path("metric").asText(), number(line, "hollow"), number(line, "real"), number(line, "off"),
-                line.path("sweep").asText(), number(line, "x")));
+        offs.add(
+                new Off(
+                        run,
+                        line.path("metric").asText(),
+                        number(line, "hollow"),
+                        number(line, "real"),
+                        number(line, "off"),
+                        line.path("sweep").asText(),
+                        number(line, "x")));
     }
 
     /** What is wrong in the files. */
--- a/src/main/java/tinroad/lab/plan/Asked.java
+++ b/src/main/java/tinroad/lab/plan/Asked.java
@@ -10,5 +10,14 @@
  * @param proxy that it comes to
  * @param memoryKb booked for it
  */
-public record Asked(int number, double at, int kind, int member, int subject, double work, int proxy, double rank,
-        double memoryKb, int bodyBytes) { }
+public record Asked(
+        int number,
+        double at,
+        int kind,
+        int member,
+        int subject,
+        double work,
+        int proxy,
+        double rank,
+        double memoryKb,
+        int bodyBytes) {}
--- a/src/main/java/tinroad/lab/plan/Hit.java
+++ b/src/main/java/tinroad/lab/plan/Hit.java
@@ -12,4 +12,11 @@
  * @param heard whether the signal that goes with it is sent
  * @param fault number of the script's fault
  */
-public record Hit(double at, double until, int gateway, double away, boolean heard, int fault, Trouble trouble) { }
+public record Hit(
+        double at,
+        double until,
+        int gateway,
+        double away,
+        boolean heard,
+        int fault,
+        Trouble trouble) {}
--- a/src/main/java/tinroad/lab/plan/Plan.java
+++ b/src/main/java/tinroad/lab/plan/Plan.java
@@ -22,10 +22,12 @@
 import tinroad.lab.script.Script.Deed;
 import tinroad.lab.script.Script.Jump;
 import tinroad.lab.script.Script.Kind;
-import tinroad.lab.script.Script.Law;
 import tinroad.lab.script.Script.Trouble;
 
-/** A script drawn with a seed. The same two give the same plan, whatever program it is played against. */
+/**
+ * A script drawn with a seed. The same two give the same plan, whatever program it is played
+ * against.
+ */
 public final class Plan {
     private static final double MEMORY_KB = 24;
     private static final double MEMORY_SIGMA = 0.6;
@@ -76,14 +78,22 @@
 
     /** When the first fault or jump of the load begins; NaN without any. */
     public double firstFault() {
-        return DoubleStream.concat(hits.stream().mapToDouble(Hit::at), script.load().jumps().stream().mapToDouble(Jump::at))
-                .min().orElse(Double.NaN);
+        return DoubleStream.concat(
+                        hits.stream().mapToDouble(Hit::at),
+                        script.load().jumps().stream().mapToDouble(Jump::at))
+                .min()
+                .orElse(Double.NaN);
     }
 
-    /** What a request that is read and run once takes of the cores in the mean, in ms: at load 1 they have nothing left. */
+    /**
+     * What a request that is read and run once takes of the cores in the mean, in ms: at load 1
+     * they have nothing left.
+     */
     public static double meanCost(Script script) {
         double parts = script.classes().stream().mapToDouble(Kind::part).sum();
-        return script.classes().stream().mapToDouble(k -> k.part() * k.work()).sum() / parts * (1 + script.engine().read());
+        return script.classes().stream().mapToDouble(k -> k.part() * k.work()).sum()
+                / parts
+                * (1 + script.engine().read());
     }
 
     /** The same for the same plan, and another for another: of every request and every fault. */
@@ -105,7 +115,11 @@
         ZigguratSampler.Exponential gaps = ZigguratSampler.Exponential.of(random);
         IntSupplier member = crowd(script.members(), what);
         IntSupplier subject = crowd(script.subjects(), what);
-        ContinuousSampler memory = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(what), Math.log(MEMORY_KB), MEMORY_SIGMA);
+        ContinuousSampler memory =
+                LogNormalSampler.of(
+                        ZigguratSampler.NormalizedGaussian.of(what),
+                        Math.log(MEMORY_KB),
+                        MEMORY_SIGMA);
         DoubleSupplier law = law(what);
         double perMs = script.fleet().power() / meanCost(script);
         double most = script.load().most() * perMs;
@@ -114,10 +128,18 @@
             // By thinning: the rate differs from moment to moment.
             if (random.nextDouble() * most <= script.load().at(t) * perMs) {
                 int kind = kind(what.nextDouble());
-                drawn.add(new Asked(drawn.size(), t, kind, member.getAsInt(), subject.getAsInt(),
-                        script.classes().get(kind).work() * law.getAsDouble(), what.nextInt(script.callers().proxies()),
-                        what.nextDouble(), Math.min(1900, Math.max(0.1, memory.sample())),
-                        LEAST_BODY + what.nextInt(BODY_SPAN)));
+                drawn.add(
+                        new Asked(
+                                drawn.size(),
+                                t,
+                                kind,
+                                member.getAsInt(),
+                                subject.getAsInt(),
+                                script.classes().get(kind).work() * law.getAsDouble(),
+                                what.nextInt(script.callers().proxies()),
+                                what.nextDouble(),
+                                Math.min(1900, Math.max(0.1, memory.sample())),
+                                LEAST_BODY + what.nextInt(BODY_SPAN)));
             }
         }
         return drawn;
@@ -134,14 +156,17 @@
 
     /** Counted from 0, the most frequent one first. */
     private static IntSupplier crowd(Crowd crowd, UniformRandomProvider random) {
-        SharedStateDiscreteSampler zipf = RejectionInversionZipfSampler.of(random, crowd.count(), crowd.skew());
+        SharedStateDiscreteSampler zipf =
+                RejectionInversionZipfSampler.of(random, crowd.count(), crowd.skew());
         return () -> zipf.sample() - 1;
     }
 
     /** Draws of a law with the mean 1. */
     private DoubleSupplier law(UniformRandomProvider random) {
         double sigma = script.engine().sigma();
-        ContinuousSampler lognormal = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), -sigma * sigma / 2, sigma);
+        ContinuousSampler lognormal =
+                LogNormalSampler.of(
+                        ZigguratSampler.NormalizedGaussian.of(random), -sigma * sigma / 2, sigma);
         ZigguratSampler.Exponential exponential = ZigguratSampler.Exponential.of(random);
         return switch (script.engine().law()) {
             case CONSTANT -> () -> 1;
@@ -165,7 +190,15 @@
                 double at = t.at() + random.nextDouble() * t.within();
                 double away = t.backLeast() + random.nextDouble() * (t.backMost() - t.backLeast());
                 boolean back = t.deed().ends() || t.deed() == Deed.ENGINE_CRASH;
-                drawn.add(new Hit(at, at + (back ? away : t.length()), targets.get(n), away, n >= missed, i, t));
+                drawn.add(
+                        new Hit(
+                                at,
+                                at + (back ? away : t.length()),
+                                targets.get(n),
+                                away,
+                                n >= missed,
+                                i,
+                                t));
             }
         }
         drawn.sort(Comparator.comparingDouble(Hit::at).thenComparingInt(Hit::fault));
@@ -175,7 +208,8 @@
     private List<Integer> targets(Trouble t, UniformRandomProvider random) {
         List<Integer> targets = new ArrayList<>();
         for (int g = 0; g < script.fleet().gateways(); g++) {
-            if ((t.gateways().isEmpty() || t.gateways().contains(g)) && (t.zone() < 0 || zone(g) == t.zone())) {
+            if ((t.gateways().isEmpty() || t.gateways().contains(g))
+                    && (t.zone() < 0 || zone(g) == t.zone())) {
                 targets.add(g);
             }
         }
--- a/src/main/java/tinroad/lab/relay/DatagramRelay.java
+++ b/src/main/java/tinroad/lab/relay/DatagramRelay.java
@@ -14,7 +14,10 @@
 import tinroad.lab.script.Script.Deed;
 import tinroad.lab.script.Script.Way;
 
-/** Brings datagrams on from one address to another: loses, repeats, delays, swaps them, as its link has it. */
+/**
+ * Brings datagrams on from one address to another: loses, repeats, delays, swaps them, as its link
+ * has it.
+ */
 public final class DatagramRelay {
     private final LinkFaults faults;
     private final InetSocketAddress to;
@@ -28,19 +31,32 @@
     }
 
     /** A relay from {@code at} to {@code to}; blocks until it is open. */
-    public static void open(EventLoopGroup group, InetSocketAddress at, InetSocketAddress to, LinkFaults faults, long seed)
+    public static void open(
+            EventLoopGroup group,
+            InetSocketAddress at,
+            InetSocketAddress to,
+            LinkFaults faults,
+            long seed)
             throws InterruptedException {
         DatagramRelay relay = new DatagramRelay(faults, to, seed);
-        new Bootstrap().group(group).channel(NioDatagramChannel.class).handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                relay.bring(ctx.channel(), packet.content().retainedDuplicate());
-            }
+        new Bootstrap()
+                .group(group)
+                .channel(NioDatagramChannel.class)
+                .handler(
+                        new SimpleChannelInboundHandler<DatagramPacket>() {
+                            @Override
+                            protected void channelRead0(
+                                    ChannelHandlerContext ctx, DatagramPacket packet) {
+                                relay.bring(ctx.channel(), packet.content().retainedDuplicate());
+                            }
 
-            /** Whoever is not there: datagrams get lost. */
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
-        }).bind(at).sync();
+                            /** Whoever is not there: datagrams get lost. */
+                            @Override
+                            public void exceptionCaught(
+                                    ChannelHandlerContext ctx, Throwable cause) {}
+                        })
+                .bind(at)
+                .sync();
     }
 
     /** What comes here goes away from the gateway. */
@@ -69,7 +85,11 @@
         if (delay <= 0) {
             by.writeAndFlush(packet);
         } else {
-            by.eventLoop().schedule(() -> by.writeAndFlush(packet), (long) (delay * 1e6), TimeUnit.NANOSECONDS);
+            by.eventLoop()
+                    .schedule(
+                            () -> by.writeAndFlush(packet),
+                            (long) (delay * 1e6),
+                            TimeUnit.NANOSECONDS);
         }
     }
 }
--- a/src/main/java/tinroad/lab/relay/LinkFaults.java
+++ b/src/main/java/tinroad/lab/relay/LinkFaults.java
@@ -9,8 +9,8 @@
 import tinroad.lab.script.Script.Way;
 
 /**
- * What is wrong with one link at this moment. Faults may overlap: a stream is held while any of them cuts it, and their
- * delays add up. Set by one thread, read by those of the relays.
+ * What is wrong with one link at this moment. Faults may overlap: a stream is held while any of
+ * them cuts it, and their delays add up. Set by one thread, read by those of the relays.
  */
 public final class LinkFaults {
     private final List<Trouble> active = new CopyOnWriteArrayList<>();
@@ -78,7 +78,10 @@
     double rate(Way way) {
         double least = Double.POSITIVE_INFINITY;
         for (Trouble t : active) {
-            least = t.deed() == Deed.THROTTLE && goes(t, way) ? Math.min(least, t.rate() / 1000) : least;
+            least =
+                    t.deed() == Deed.THROTTLE && goes(t, way)
+                            ? Math.min(least, t.rate() / 1000)
+                            : least;
         }
         return least;
     }
--- a/src/main/java/tinroad/lab/relay/Pipe.java
+++ b/src/main/java/tinroad/lab/relay/Pipe.java
@@ -16,8 +16,9 @@
 import tinroad.lab.script.Script.Way;
 
 /**
- * One stream through a relay, both directions, on one event loop. What a cut holds, the end of a stream included, goes on
- * once it has healed, as in a network that delivers late; no other bytes are lost than those of a reset or a mute.
+ * One stream through a relay, both directions, on one event loop. What a cut holds, the end of a
+ * stream included, goes on once it has healed, as in a network that delivers late; no other bytes
+ * are lost than those of a reset or a mute.
  */
 final class Pipe {
     /** Bytes held for one direction before the source is read no more. */
@@ -33,8 +34,16 @@
     private final Runnable onFarClosed;
     private boolean connecting;
 
-    /** A stream that was accepted as {@code near}; {@code connect} opens the other end, and {@code onFarClosed} hears of its end. */
-    Pipe(LinkFaults faults, Channel near, boolean changesBytes, Runnable connect, Runnable onFarClosed) {
+    /**
+     * A stream that was accepted as {@code near}; {@code connect} opens the other end, and {@code
+     * onFarClosed} hears of its end.
+     */
+    Pipe(
+            LinkFaults faults,
+            Channel near,
+            boolean changesBytes,
+            Runnable connect,
+            Runnable onFarClosed) {
         this.onFarClosed = onFarClosed;
         this.faults = faults;
         this.near = near;
@@ -54,7 +63,10 @@
     }
 
     private void connectIfFree() {
-        if (!connecting && near.isActive() && !faults.hasEither(Deed.CUT) && !faults.hasEither(Deed.MUTE)) {
+        if (!connecting
+                && near.isActive()
+                && !faults.hasEither(Deed.CUT)
+                && !faults.hasEither(Deed.MUTE)) {
             connecting = true;
             connect.run();
         } else if (!connecting && faults.hasEither(Deed.MUTE)) {
@@ -82,23 +94,27 @@
 
     /** The faults have changed. */
     void changed() {
-        near.eventLoop().execute(() -> {
-            connectIfFree();
-            in.healed();
-            out.healed();
-        });
+        near.eventLoop()
+                .execute(
+                        () -> {
+                            connectIfFree();
+                            in.healed();
+                            out.healed();
+                        });
     }
 
     /** Both ends see a reset. */
     void reset() {
-        near.eventLoop().execute(() -> {
-            in.drop();
-            out.drop();
-            abort(near);
-            if (far != null) {
-                abort(far);
-            }
-        });
+        near.eventLoop()
+                .execute(
+                        () -> {
+                            in.drop();
+                            out.drop();
+                            abort(near);
+                            if (far != null) {
+                                abort(far);
+                            }
+                        });
     }
 
     private static void abort(Channel channel) {
@@ -229,7 +245,9 @@
             double delay = faults.delay(way, ThreadLocalRandom.current().nextDouble());
             double now = System.nanoTime() / 1e6;
             // Order is kept: nothing overtakes what was delayed before.
-            freeAt = Math.max(freeAt, now + delay) + (rate == Double.POSITIVE_INFINITY ? 0 : buf.readableBytes() / rate);
+            freeAt =
+                    Math.max(freeAt, now + delay)
+                            + (rate == Double.POSITIVE_INFINITY ? 0 : buf.readableBytes() / rate);
             later(() -> to.writeAndFlush(buf));
         }
 
@@ -238,9 +256,14 @@
             if (wait <= 0 && delayed.isEmpty()) {
                 task.run();
             } else {
-                // Whichever timer fires first, the first in the row goes: timers of one moment come in no order.
+                // Whichever timer fires first, the first in the row goes: timers of one moment come
+                // in no order.
                 delayed.add(task);
-                to.eventLoop().schedule(() -> delayed.remove().run(), (long) (Math.max(0, wait) * 1e6), TimeUnit.NANOSECONDS);
+                to.eventLoop()
+                        .schedule(
+                                () -> delayed.remove().run(),
+                                (long) (Math.max(0, wait) * 1e6),
+                                TimeUnit.NANOSECONDS);
             }
         }
 
@@ -249,7 +272,9 @@
                 abort(to);
             } else if (closed) {
                 to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-            } else if (to instanceof DuplexChannel duplex && to.isActive() && !duplex.isOutputShutdown()) {
+            } else if (to instanceof DuplexChannel duplex
+                    && to.isActive()
+                    && !duplex.isOutputShutdown()) {
                 duplex.shutdownOutput();
             }
         }
--- a/src/main/java/tinroad/lab/scale/EchoEngine.java
+++ b/src/main/java/tinroad/lab/scale/EchoEngine.java
@@ -22,8 +22,9 @@
 import java.util.List;
 
 /**
- * An engine that ends each run as soon as it hears of it: what a request takes is then the gateway's own. The lab's other engine
- * ends runs on a tick of a millisecond, which is as coarse as what is measured here.
+ * An engine that ends each run as soon as it hears of it: what a request takes is then the
+ * gateway's own. The lab's other engine ends runs on a tick of a millisecond, which is as coarse as
+ * what is measured here.
  */
 final class EchoEngine {
     static final List<String> METERS = List.of("core_use", "on_cores", "heap_share", "links");
@@ -32,17 +33,27 @@
     private static final double UP_BEFORE = 3_600_000;
     private static final double TOOK = 0.1;
 
-    private EchoEngine() { }
+    private EchoEngine() {}
 
     /** Listens; blocks until it does. */
     static void listen(EventLoopGroup group, InetSocketAddress at) throws InterruptedException {
-        new ServerBootstrap().group(group).channel(NioServerSocketChannel.class).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE), new Commands());
-                    }
-                }).bind(at).sync();
+        new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new LineBasedFrameDecoder(LONGEST_LINE),
+                                                new Commands());
+                            }
+                        })
+                .bind(at)
+                .sync();
     }
 
     private static final class Commands extends SimpleChannelInboundHandler<ByteBuf> {
@@ -60,8 +71,13 @@
                     notices = command.path("n").asLong();
                     answer.put("type", "HELLO").put("state", "seasoned").put("took", UP_BEFORE);
                 }
-                case "RUN" -> answer.put("type", "DONE").put("n", ++notices).put("job", command.path("job").asText()).put("state", "done")
-                        .put("took", TOOK).put("data", command.path("data").asText());
+                case "RUN" ->
+                        answer.put("type", "DONE")
+                                .put("n", ++notices)
+                                .put("job", command.path("job").asText())
+                                .put("state", "done")
+                                .put("took", TOOK)
+                                .put("data", command.path("data").asText());
                 default -> {
                     answer.put("type", "STATS").put("ref", command.path("ref").asText());
                     answer.putArray("gauges").add(0.1).add(0.0).add(0.1).add(10.0);
--- a/src/main/java/tinroad/lab/scale/Fit.java
+++ b/src/main/java/tinroad/lab/scale/Fit.java
@@ -20,18 +20,41 @@
  * @param exponent of the law that grows faster than its size, else NaN
  * @param error of the forecast, as a share of what was measured
  */
-record Fit(String sweep, String role, String metric, String unit, Form form, double a, double b, double low, double high, double exponent,
-        double largest, double foretold, double measured, double error, Set<String> runs) {
+record Fit(
+        String sweep,
+        String role,
+        String metric,
+        String unit,
+        Form form,
+        double a,
+        double b,
+        double low,
+        double high,
+        double exponent,
+        double largest,
+        double foretold,
+        double measured,
+        double error,
+        Set<String> runs) {
     /** How it grows with its size. */
-    enum Form { FLAT, LOG, LINEAR, WORSE }
+    enum Form {
+        FLAT,
+        LOG,
+        LINEAR,
+        WORSE
+    }
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int LEAST_SIZES = 4;
     private static final double CONFIDENCE = 0.05;
+
     /** Figures that differ by no more than this share of their mean do not grow. */
     private static final double SAME = 0.05;
 
-    /** The fit of these lines of one figure, or null where there are too few sizes; lines without a value are left out. */
+    /**
+     * The fit of these lines of one figure, or null where there are too few sizes; lines without a
+     * value are left out.
+     */
     static Fit of(List<Line> lines) {
         TreeMap<Double, List<Double>> byX = new TreeMap<>();
         Set<String> runs = new TreeSet<>();
@@ -51,16 +74,40 @@
         double[] ys = byX.values().stream().mapToDouble(Fit::mean).toArray();
         Chosen c = choose(xs, ys);
         double foretold = c.at.applyAsDouble(largest);
-        double error = measured == 0 ? foretold == 0 ? 0 : Double.NaN : Math.abs(foretold - measured) / Math.abs(measured);
-        return new Fit(one.sweep(), one.role(), one.metric(), one.unit(), c.form, c.a, c.b, c.low, c.high, c.exponent, largest, foretold, measured,
-                error, runs);
+        double error =
+                measured == 0
+                        ? foretold == 0 ? 0 : Double.NaN
+                        : Math.abs(foretold - measured) / Math.abs(measured);
+        return new Fit(
+                one.sweep(),
+                one.role(),
+                one.metric(),
+                one.unit(),
+                c.form,
+                c.a,
+                c.b,
+                c.low,
+                c.high,
+                c.exponent,
+                largest,
+                foretold,
+                measured,
+                error,
+                runs);
     }
 
     private static double mean(List<Double> values) {
         return values.stream().mapToDouble(v -> v).average().orElse(Double.NaN);
     }
 
-    private record Chosen(Form form, double a, double b, double low, double high, double exponent, DoubleUnaryOperator at) { }
+    private record Chosen(
+            Form form,
+            double a,
+            double b,
+            double low,
+            double high,
+            double exponent,
+            DoubleUnaryOperator at) {}
 
     private static Chosen choose(double[] xs, double[] ys) {
         SimpleRegression linear = regression(xs, ys, x -> x, y -> y);
@@ -69,9 +116,17 @@
         double least = Arrays.stream(ys).min().orElse(0);
         boolean logs = xs[0] > 0;
         SimpleRegression log = logs ? regression(xs, ys, Math::log, y -> y) : null;
-        if (most - least <= SAME * Math.abs(mean) || !grows(linear) && (log == null || !grows(log))) {
+        if (most - least <= SAME * Math.abs(mean)
+                || !grows(linear) && (log == null || !grows(log))) {
             double wide = width(linear);
-            return new Chosen(Form.FLAT, mean, 0, linear.getSlope() - wide, linear.getSlope() + wide, Double.NaN, x -> mean);
+            return new Chosen(
+                    Form.FLAT,
+                    mean,
+                    0,
+                    linear.getSlope() - wide,
+                    linear.getSlope() + wide,
+                    Double.NaN,
+                    x -> mean);
         }
         double straight = squares(xs, ys, linear::predict);
         if (logs && least > 0) {
@@ -79,18 +134,31 @@
             double wide = width(power);
             DoubleUnaryOperator at = x -> Math.exp(power.predict(Math.log(x)));
             if (power.getSlope() - wide > 1 && squares(xs, ys, at) < straight) {
-                return new Chosen(Form.WORSE, power.getIntercept(), power.getSlope(), power.getSlope() - wide, power.getSlope() + wide,
-                        power.getSlope(), at);
+                return new Chosen(
+                        Form.WORSE,
+                        power.getIntercept(),
+                        power.getSlope(),
+                        power.getSlope() - wide,
+                        power.getSlope() + wide,
+                        power.getSlope(),
+                        at);
             }
         }
         boolean bent = log != null && squares(xs, ys, x -> log.predict(Math.log(x))) < straight;
         SimpleRegression r = bent ? log : linear;
         double wide = width(r);
-        return new Chosen(bent ? Form.LOG : Form.LINEAR, r.getIntercept(), r.getSlope(), r.getSlope() - wide, r.getSlope() + wide, Double.NaN,
+        return new Chosen(
+                bent ? Form.LOG : Form.LINEAR,
+                r.getIntercept(),
+                r.getSlope(),
+                r.getSlope() - wide,
+                r.getSlope() + wide,
+                Double.NaN,
                 x -> r.predict(bent ? Math.log(x) : x));
     }
 
-    private static SimpleRegression regression(double[] xs, double[] ys, DoubleUnaryOperator ofX, DoubleUnaryOperator ofY) {
+    private static SimpleRegression regression(
+            double[] xs, double[] ys, DoubleUnaryOperator ofX, DoubleUnaryOperator ofY) {
         SimpleRegression r = new SimpleRegression();
         for (int i = 0; i < xs.length; i++) {
             r.addData(ofX.applyAsDouble(xs[i]), ofY.applyAsDouble(ys[i]));
@@ -130,8 +198,14 @@
     }
 
     String json() {
-        ObjectNode o = JSON.createObjectNode().put("id", id()).put("sweep", sweep).put("role", role).put("metric", metric).put("unit", unit)
-                .put("form", form.name().toLowerCase(Locale.ROOT));
+        ObjectNode o =
+                JSON.createObjectNode()
+                        .put("id", id())
+                        .put("sweep", sweep)
+                        .put("role", role)
+                        .put("metric", metric)
+                        .put("unit", unit)
+                        .put("form", form.name().toLowerCase(Locale.ROOT));
         Line.number(o, "a", a);
         Line.number(o, "b", b);
         Line.number(o, "low", low);
--- a/src/main/java/tinroad/lab/scale/Hollow.java
+++ b/src/main/java/tinroad/lab/scale/Hollow.java
@@ -18,8 +18,9 @@
 import tinroad.roster.RosterReporter;
 
 /**
- * A gateway's control side, made of the classes that {@code serve} has: membership and its carrier, reports to the roster, the
- * settings read and applied, and, where its engine is gone, reconnects and readings again. It has no module, front or engine.
+ * A gateway's control side, made of the classes that {@code serve} has: membership and its carrier,
+ * reports to the roster, the settings read and applied, and, where its engine is gone, reconnects
+ * and readings again. It has no module, front or engine.
  */
 final class Hollow {
     private final HollowSpec spec;
@@ -31,8 +32,10 @@
     private final Rereads rereads;
     private final RosterReporter roster;
     private final EngineLink engine;
+
     /** What the gateway was told, held as a real one holds it. */
     private volatile GatewayConfig config;
+
     private volatile double startMs = Double.NaN;
 
     /** Reads its settings; blocks for it. */
@@ -42,11 +45,31 @@
         this.loop = loop;
         this.clock = clock;
         config = GatewayConfig.read(Path.of(spec.config()));
-        wire = new ZoneWire(spec.zones(), number, spec.loss(), spec.delay(), spec.regionDelay(), spec.seed());
-        carrier = new Carrier(loop, new InetSocketAddress(spec.zones().host(number), 0), List.of(spec.key()), clock::now);
+        wire =
+                new ZoneWire(
+                        spec.zones(),
+                        number,
+                        spec.loss(),
+                        spec.delay(),
+                        spec.regionDelay(),
+                        spec.seed());
+        carrier =
+                new Carrier(
+                        loop,
+                        new InetSocketAddress(spec.zones().host(number), 0),
+                        List.of(spec.key()),
+                        clock::now);
         roster = new RosterReporter(loop, config.roster(), name(), spec.seed());
         rereads = new Rereads(name(), spec.seed());
-        engine = spec.engineAway(number) ? new EngineLink(loop, config.engine(), config.site().gaugeNames(), name(), spec.seed()) : null;
+        engine =
+                spec.engineAway(number)
+                        ? new EngineLink(
+                                loop,
+                                config.engine(),
+                                config.site().gaugeNames(),
+                                name(),
+                                spec.seed())
+                        : null;
     }
 
     static String name(int number) {
@@ -61,34 +84,53 @@
         return number;
     }
 
-    /** Opens its sockets and begins, as a gateway does once it listens; {@code begunAt} is when it was told to. */
+    /**
+     * Opens its sockets and begins, as a gateway does once it listens; {@code begunAt} is when it
+     * was told to.
+     */
     void start(double begunAt) {
-        loop.execute(() -> {
-            roster.start();
-            roster.report(true);
-            if (engine != null) {
-                engine.start(new Nobody());
-            }
-            carrier.start(name(), spec.zones().name(number), (long) clock.now(), spec.seeds(), spec.seed() + number, wire)
-                    .addListener(bound -> startMs = bound.isSuccess() ? clock.now() - begunAt : Double.NaN);
-        });
+        loop.execute(
+                () -> {
+                    roster.start();
+                    roster.report(true);
+                    if (engine != null) {
+                        engine.start(new Nobody());
+                    }
+                    carrier.start(
+                                    name(),
+                                    spec.zones().name(number),
+                                    (long) clock.now(),
+                                    spec.seeds(),
+                                    spec.seed() + number,
+                                    wire)
+                            .addListener(
+                                    bound ->
+                                            startMs =
+                                                    bound.isSuccess()
+                                                            ? clock.now() - begunAt
+                                                            : Double.NaN);
+                });
     }
 
     /** Looks whether to read its settings again, as it does four times a second; off the loop. */
     void watch() {
         if (rereads.due(clock.now(), engine == null || engine.reached())) {
-            reread(took -> { });
+            reread(took -> {});
         }
     }
 
-    /** Reads its settings again, as on SIGHUP, off the loop, and applies them on it; {@code inForce} hears when, on the loop. */
+    /**
+     * Reads its settings again, as on SIGHUP, off the loop, and applies them on it; {@code inForce}
+     * hears when, on the loop.
+     */
     void reread(DoubleConsumer inForce) {
         try {
             GatewayConfig next = GatewayConfig.read(Path.of(spec.config()));
-            loop.execute(() -> {
-                apply(next);
-                inForce.accept(clock.now());
-            });
+            loop.execute(
+                    () -> {
+                        apply(next);
+                        inForce.accept(clock.now());
+                    });
         } catch (ConfigException e) {
             throw new IllegalStateException(e);
         }
@@ -147,14 +189,19 @@
 
     /** Listens to an engine that never comes. */
     private static final class Nobody implements Engine.Listener {
-        @Override public void attached(boolean fresh, double startedAgo) { }
+        @Override
+        public void attached(boolean fresh, double startedAgo) {}
 
-        @Override public void caughtUp() { }
+        @Override
+        public void caughtUp() {}
 
-        @Override public void detached() { }
+        @Override
+        public void detached() {}
 
-        @Override public void ended(String id, Engine.End end, double took, ByteBuf result) { }
+        @Override
+        public void ended(String id, Engine.End end, double took, ByteBuf result) {}
 
-        @Override public void gauges(String tag, Controller.Gauges gauges) { }
+        @Override
+        public void gauges(String tag, Controller.Gauges gauges) {}
     }
 }
--- a/src/main/java/tinroad/lab/scale/HollowHost.java
+++ b/src/main/java/tinroad/lab/scale/HollowHost.java
@@ -8,7 +8,6 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.concurrent.EventExecutor;
 import java.io.BufferedReader;
-import java.io.IOException;
 import java.io.InputStreamReader;
 import java.lang.management.ManagementFactory;
 import java.nio.charset.StandardCharsets;
@@ -26,13 +25,16 @@
 import tinroad.core.Clock;
 
 /**
- * The process of some hollow gateways: started by the lab, asked by a line on its standard input, answering each with a line of JSON.
- * It ends with that input, so it never outlives the lab. No command of the program: the lab starts it by its class.
+ * The process of some hollow gateways: started by the lab, asked by a line on its standard input,
+ * answering each with a line of JSON. It ends with that input, so it never outlives the lab. No
+ * command of the program: the lab starts it by its class.
  */
 public final class HollowHost {
     private static final ObjectMapper JSON = new ObjectMapper();
+
     /** The name of the event loops, by which the lab finds their processor time. */
     static final String LOOP = "hollow-loop";
+
     private static final long BEAT_MS = 10;
     private static final long WATCH_MS = 250;
     private static final long LOOK_MS = 20;
@@ -41,9 +43,12 @@
     private final MultiThreadIoEventLoopGroup group;
     private final Clock clock = Clock.anchored();
     private final List<Hollow> all = new ArrayList<>();
-    private final ExecutorService reader = Executors.newSingleThreadExecutor(task -> daemon(task, "hollow-reader"));
+    private final ExecutorService reader =
+            Executors.newSingleThreadExecutor(task -> daemon(task, "hollow-reader"));
+
     /** When settings came in force after a change was told, in ms. */
     private final ConcurrentLinkedQueue<Double> inForce = new ConcurrentLinkedQueue<>();
+
     private final Map<Integer, Double> heardOfDeath = new ConcurrentHashMap<>();
     private volatile double stall;
 
@@ -57,7 +62,8 @@
     public static void main(String[] args) throws Exception {
         HollowHost host = new HollowHost(HollowSpec.read(Path.of(args[0])));
         host.start();
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             System.out.println(host.answer(line.split(" ")));
         }
@@ -73,11 +79,15 @@
     private void start() throws ConfigException {
         for (EventExecutor loop : group) {
             double[] last = {clock.now()};
-            loop.scheduleAtFixedRate(() -> {
-                double now = clock.now();
-                stall = Math.max(stall, now - last[0] - BEAT_MS);
-                last[0] = now;
-            }, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleAtFixedRate(
+                    () -> {
+                        double now = clock.now();
+                        stall = Math.max(stall, now - last[0] - BEAT_MS);
+                        last[0] = now;
+                    },
+                    BEAT_MS,
+                    BEAT_MS,
+                    TimeUnit.MILLISECONDS);
         }
         for (int i = 0; i < spec.count(); i++) {
             double begunAt = clock.now();
@@ -85,28 +95,40 @@
             all.add(hollow);
             hollow.start(begunAt);
         }
-        Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "hollow-watch")).scheduleAtFixedRate(() -> all.forEach(Hollow::watch), WATCH_MS,
-                WATCH_MS, TimeUnit.MILLISECONDS);
+        Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "hollow-watch"))
+                .scheduleAtFixedRate(
+                        () -> all.forEach(Hollow::watch),
+                        WATCH_MS,
+                        WATCH_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     private ObjectNode answer(String[] words) throws Exception {
         switch (words[0]) {
             case "change" -> {
                 double told = clock.now();
-                // One after the other, as the files of a machine's gateways would be read by each for itself.
+                // One after the other, as the files of a machine's gateways would be read by each
+                // for itself.
                 reader.execute(() -> all.forEach(h -> h.reread(at -> inForce.add(at - told))));
             }
-            case "die" -> all.stream().filter(h -> h.number() == Integer.parseInt(words[1])).forEach(h -> h.loop().execute(h::die));
+            case "die" ->
+                    all.stream()
+                            .filter(h -> h.number() == Integer.parseInt(words[1]))
+                            .forEach(h -> h.loop().execute(h::die));
             case "death" -> {
                 heardOfDeath.clear();
                 String name = words[1];
-                all.stream().filter(h -> !Hollow.name(h.number()).equals(name)).forEach(h -> look(h, name));
+                all.stream()
+                        .filter(h -> !Hollow.name(h.number()).equals(name))
+                        .forEach(h -> look(h, name));
             }
-            case "cut" -> all.forEach(h -> h.loop().execute(() -> h.wire().cut(Integer.parseInt(words[1]))));
+            case "cut" ->
+                    all.forEach(
+                            h -> h.loop().execute(() -> h.wire().cut(Integer.parseInt(words[1]))));
             case "memory" -> {
                 return JSON.createObjectNode().put("heapMb", heapAfterCollection());
             }
-            default -> { }
+            default -> {}
         }
         return figures();
     }
@@ -134,21 +156,36 @@
         double[] start = new double[1];
         for (EventExecutor executor : group) {
             EventLoop loop = (EventLoop) executor;
-            loop.submit(() -> {
-                for (Hollow h : all) {
-                    if (h.loop() == loop) {
-                        add(h, sums, reals, known, start);
-                    }
-                }
-            }).await();
+            loop.submit(
+                            () -> {
+                                for (Hollow h : all) {
+                                    if (h.loop() == loop) {
+                                        add(h, sums, reals, known, start);
+                                    }
+                                }
+                            })
+                    .await();
         }
-        to.put("count", all.size()).put("in", sums[0]).put("inBytes", sums[1]).put("out", sums[2]).put("outBytes", sums[3])
-                .put("walked", sums[4]).put("entries", sums[5]).put("riding", sums[6]).put("knownLeast", known[0]).put("knownSum", known[1])
-                .put("startMs", start[0] / all.size()).put("stallMs", stall);
+        to.put("count", all.size())
+                .put("in", sums[0])
+                .put("inBytes", sums[1])
+                .put("out", sums[2])
+                .put("outBytes", sums[3])
+                .put("walked", sums[4])
+                .put("entries", sums[5])
+                .put("riding", sums[6])
+                .put("knownLeast", known[0])
+                .put("knownSum", known[1])
+                .put("startMs", start[0] / all.size())
+                .put("stallMs", stall);
         stall = 0;
         ArrayNode of = to.putArray("real");
         for (long[] r : reals) {
-            of.addObject().put("from", r[0]).put("fromBytes", r[1]).put("to", r[2]).put("toBytes", r[3]);
+            of.addObject()
+                    .put("from", r[0])
+                    .put("fromBytes", r[1])
+                    .put("to", r[2])
+                    .put("toBytes", r[3]);
         }
         ArrayNode took = to.putArray("inForceMs");
         inForce.forEach(took::add);
--- a/src/main/java/tinroad/lab/scale/HollowProcess.java
+++ b/src/main/java/tinroad/lab/scale/HollowProcess.java
@@ -30,15 +30,34 @@
     }
 
     /** Starts one; {@code eachMb} is the heap that each of its gateways may take. */
-    static HollowProcess start(String program, HollowSpec spec, Path folder, double eachMb) throws IOException {
+    static HollowProcess start(String program, HollowSpec spec, Path folder, double eachMb)
+            throws IOException {
         Path file = folder.resolve("hollow-" + spec.first() + ".json");
         spec.write(file);
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xms32m",
-                "-Xmx" + heapMb(spec.count(), eachMb) + "m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xshare:auto",
-                "-XX:+ExitOnOutOfMemoryError", "-Djava.net.preferIPv4Stack=true", "-Dio.netty.allocator.numDirectArenas=1",
-                "-Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider", "-Dslf4j.internal.verbosity=WARN",
-                "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn", "-cp", program, HollowHost.class.getName(), file.toString()));
-        Process process = new ProcessBuilder(command).redirectError(folder.resolve("hollow-" + spec.first() + ".log").toFile()).start();
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-Xms32m",
+                                "-Xmx" + heapMb(spec.count(), eachMb) + "m",
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:-UsePerfData",
+                                "-Xshare:auto",
+                                "-XX:+ExitOnOutOfMemoryError",
+                                "-Djava.net.preferIPv4Stack=true",
+                                "-Dio.netty.allocator.numDirectArenas=1",
+                                "-Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider",
+                                "-Dslf4j.internal.verbosity=WARN",
+                                "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn",
+                                "-cp",
+                                program,
+                                HollowHost.class.getName(),
+                                file.toString()));
+        Process process =
+                new ProcessBuilder(command)
+                        .redirectError(folder.resolve("hollow-" + spec.first() + ".log").toFile())
+                        .start();
         return new HollowProcess(process, spec.count());
     }
 
--- a/src/main/java/tinroad/lab/scale/HollowSpec.java
+++ b/src/main/java/tinroad/lab/scale/HollowSpec.java
@@ -15,8 +15,19 @@
  * @param config the configuration that all of them read
  * @param enginesAway share of them whose engine is gone
  */
-record HollowSpec(int first, int count, int threads, Zones zones, List<String> seeds, byte[] key, String config, double loss, double delay,
-        double regionDelay, double enginesAway, long seed) {
+record HollowSpec(
+        int first,
+        int count,
+        int threads,
+        Zones zones,
+        List<String> seeds,
+        byte[] key,
+        String config,
+        double loss,
+        double delay,
+        double regionDelay,
+        double enginesAway,
+        long seed) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     static HollowSpec read(Path file) throws IOException {
--- a/src/main/java/tinroad/lab/scale/Line.java
+++ b/src/main/java/tinroad/lab/scale/Line.java
@@ -16,7 +16,16 @@
  * @param n gateways or samples that it comes from
  * @param note "" for none
  */
-record Line(String run, String sweep, double x, String role, String metric, String unit, double value, long n, String note) {
+record Line(
+        String run,
+        String sweep,
+        double x,
+        String role,
+        String metric,
+        String unit,
+        double value,
+        long n,
+        String note) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     String json() {
@@ -33,9 +42,16 @@
 
     static Line read(String json) throws IOException {
         JsonNode o = JSON.readTree(json);
-        return new Line(o.path("run").asText(), o.path("sweep").asText(), o.path("x").asDouble(), o.path("role").asText(),
-                o.path("metric").asText(), o.path("unit").asText(), o.path("value").isNull() ? Double.NaN : o.path("value").asDouble(),
-                o.path("n").asLong(), o.path("note").asText(""));
+        return new Line(
+                o.path("run").asText(),
+                o.path("sweep").asText(),
+                o.path("x").asDouble(),
+                o.path("role").asText(),
+                o.path("metric").asText(),
+                o.path("unit").asText(),
+                o.path("value").isNull() ? Double.NaN : o.path("value").asDouble(),
+                o.path("n").asLong(),
+                o.path("note").asText(""));
     }
 
     /** A number without digits that nobody measured; null where there is none. */
--- a/src/main/java/tinroad/lab/scale/Load.java
+++ b/src/main/java/tinroad/lab/scale/Load.java
@@ -27,8 +27,8 @@
 import tinroad.lab.stand.Wire;
 
 /**
- * Requests to one address in open loop: each goes out when it was planned, whatever became of those before, and its time counts from
- * the plan. Owned by one event loop.
+ * Requests to one address in open loop: each goes out when it was planned, whatever became of those
+ * before, and its time counts from the plan. Owned by one event loop.
  */
 final class Load {
     private static final int LARGEST = 70_000;
@@ -38,7 +38,7 @@
     private static final int OK = 200;
     private static final int CONNECT_S = 10;
 
-    private record Open(long plannedNanos, IntConsumer heard) { }
+    private record Open(long plannedNanos, IntConsumer heard) {}
 
     private final class Line extends SimpleChannelInboundHandler<ByteBuf> {
         private final Map<Integer, Open> open = new HashMap<>();
@@ -52,7 +52,11 @@
             int number = record.getUnsignedShort(2);
             if (type == Wire.STDOUT) {
                 partial.computeIfAbsent(number, n -> new StringBuilder())
-                        .append(record.toString(Wire.HEADER, record.getUnsignedShort(4), StandardCharsets.ISO_8859_1));
+                        .append(
+                                record.toString(
+                                        Wire.HEADER,
+                                        record.getUnsignedShort(4),
+                                        StandardCharsets.ISO_8859_1));
             } else if (type == Wire.END_REQUEST) {
                 StringBuilder text = partial.remove(number);
                 Open o = open.remove(number);
@@ -98,8 +102,10 @@
     void connect(int connections) throws IOException, InterruptedException {
         for (int i = 0; i < connections; i++) {
             Line line = open();
-            if (!line.connecting.await(CONNECT_S, TimeUnit.SECONDS) || !line.connecting.isSuccess()) {
-                throw new IOException("connection " + i + " to " + to + ": " + line.connecting.cause());
+            if (!line.connecting.await(CONNECT_S, TimeUnit.SECONDS)
+                    || !line.connecting.isSuccess()) {
+                throw new IOException(
+                        "connection " + i + " to " + to + ": " + line.connecting.cause());
             }
             lines.add(line);
         }
@@ -107,13 +113,23 @@
 
     private Line open() {
         Line line = new Line();
-        line.connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(LARGEST, 4, 2, 2, 0), line);
-                    }
-                }).connect(to);
+        line.connecting =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel ch) {
+                                        ch.pipeline()
+                                                .addLast(
+                                                        new LengthFieldBasedFrameDecoder(
+                                                                LARGEST, 4, 2, 2, 0),
+                                                        line);
+                                    }
+                                })
+                        .connect(to);
         return line;
     }
 
@@ -123,15 +139,20 @@
         send(SettingsFile.route(random.nextInt(sizes.routes())), plannedNanos, null);
     }
 
-    /** Asks for a route beside the load; {@code heard} gets the status, or 0 where the connection ended. */
+    /**
+     * Asks for a route beside the load; {@code heard} gets the status, or 0 where the connection
+     * ended.
+     */
     void probe(String route, IntConsumer heard) {
         loop.execute(() -> send(route, System.nanoTime(), heard));
     }
 
     private void send(String route, long plannedNanos, IntConsumer heard) {
         turn = (turn + 1) % lines.size();
-        // A gateway closes connections that rest, so that callers spread anew: whoever has a request opens another.
-        if (lines.get(turn).connecting.isDone() && !lines.get(turn).connecting.channel().isActive()) {
+        // A gateway closes connections that rest, so that callers spread anew: whoever has a
+        // request opens another.
+        if (lines.get(turn).connecting.isDone()
+                && !lines.get(turn).connecting.channel().isActive()) {
             lines.set(turn, open());
         }
         Line line = lines.get(turn);
@@ -144,18 +165,21 @@
         fields.put("HTTP_REQ_ID", String.format("%016x", random.nextLong()));
         fields.put("HTTP_REQ_TIME", Long.toString(System.currentTimeMillis()));
         fields.put("HTTP_REQ_FROM", Integer.toString(random.nextInt(sizes.callers())));
-        fields.put("HTTP_REQ_OWNER", sizes.tenants() == 0 ? "" : SettingsFile.tenant(random.nextInt(sizes.tenants())));
+        fields.put(
+                "HTTP_REQ_OWNER",
+                sizes.tenants() == 0 ? "" : SettingsFile.tenant(random.nextInt(sizes.tenants())));
         fields.put("HTTP_REQ_KB", "24.0");
         fields.put("HTTP_REQ_RANK", "0.5");
         Channel channel = line.connecting.channel();
         int number = line.numbers;
-        line.connecting.addListener(connected -> {
-            if (connected.isSuccess()) {
-                channel.writeAndFlush(Wire.request(channel.alloc(), number, fields, BODY));
-            } else if (line.open.remove(number) != null) {
-                ended(open, 0);
-            }
-        });
+        line.connecting.addListener(
+                connected -> {
+                    if (connected.isSuccess()) {
+                        channel.writeAndFlush(Wire.request(channel.alloc(), number, fields, BODY));
+                    } else if (line.open.remove(number) != null) {
+                        ended(open, 0);
+                    }
+                });
     }
 
     private void ended(Open open, int status) {
@@ -169,7 +193,8 @@
     }
 
     private static long micros(Open open) {
-        return Math.max(0, Math.min(LONGEST_MICROS, (System.nanoTime() - open.plannedNanos) / 1000));
+        return Math.max(
+                0, Math.min(LONGEST_MICROS, (System.nanoTime() - open.plannedNanos) / 1000));
     }
 
     /** What was asked and measured from now on counts. */
@@ -179,10 +204,17 @@
         others = 0;
     }
 
-    /** What came of it, what is not answered yet with the time that it has waited so far; on the loop. */
+    /**
+     * What came of it, what is not answered yet with the time that it has waited so far; on the
+     * loop.
+     */
     Result result() {
         Histogram all = took.copy();
-        lines.forEach(line -> line.open.values().stream().filter(o -> o.heard == null).forEach(o -> all.recordValue(micros(o))));
+        lines.forEach(
+                line ->
+                        line.open.values().stream()
+                                .filter(o -> o.heard == null)
+                                .forEach(o -> all.recordValue(micros(o))));
         return new Result(all, asked, others);
     }
 
--- a/src/main/java/tinroad/lab/scale/ProcessFigures.java
+++ b/src/main/java/tinroad/lab/scale/ProcessFigures.java
@@ -16,8 +16,12 @@
  */
 record ProcessFigures(double cpuMs, double loopMs, double residentMb, int descriptors) {
     private static final long PATIENCE_S = 10;
-    /** Where user and system time stand after the name in {@code stat}, and what a tick of them is. */
+
+    /**
+     * Where user and system time stand after the name in {@code stat}, and what a tick of them is.
+     */
     private static final int USER = 11;
+
     private static final double TICK_MS = 10;
 
     /** The figures of this process; zeros once it has ended. */
@@ -27,8 +31,12 @@
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(at.resolve("task"))) {
             for (Path thread : threads) {
                 String name = name(thread);
-                // Netty's own name of a loop's thread, cut to what the system keeps of it, and the hollow ones'.
-                loops += name.startsWith("multiThreadIoEv") || name.equals(HollowHost.LOOP) ? ms(thread) : 0;
+                // Netty's own name of a loop's thread, cut to what the system keeps of it, and the
+                // hollow ones'.
+                loops +=
+                        name.startsWith("multiThreadIoEv") || name.equals(HollowHost.LOOP)
+                                ? ms(thread)
+                                : 0;
             }
         }
         int open = 0;
@@ -37,12 +45,19 @@
                 open++;
             }
         }
-        double resident = Files.readAllLines(at.resolve("status"), StandardCharsets.US_ASCII).stream().filter(l -> l.startsWith("VmRSS:"))
-                .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D+", "")) / 1024).findFirst().orElse(0);
+        double resident =
+                Files.readAllLines(at.resolve("status"), StandardCharsets.US_ASCII).stream()
+                        .filter(l -> l.startsWith("VmRSS:"))
+                        .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D+", "")) / 1024)
+                        .findFirst()
+                        .orElse(0);
         return new ProcessFigures(ofAllThreadsMs(at), loops, resident, open);
     }
 
-    /** Not the sum of its threads: what those had that have ended, the compiler's come and go, would be lost. */
+    /**
+     * Not the sum of its threads: what those had that have ended, the compiler's come and go, would
+     * be lost.
+     */
     private static double ofAllThreadsMs(Path at) throws IOException {
         String stat = Files.readString(at.resolve("stat"), StandardCharsets.ISO_8859_1);
         String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -51,7 +66,8 @@
 
     private static double ms(Path thread) {
         try {
-            return Double.parseDouble(Files.readString(thread.resolve("schedstat")).split(" ")[0]) / 1e6;
+            return Double.parseDouble(Files.readString(thread.resolve("schedstat")).split(" ")[0])
+                    / 1e6;
         } catch (IOException e) {
             // A thread that has ended meanwhile.
             return 0;
@@ -66,18 +82,32 @@
         }
     }
 
-    /** Heap that is in use after a full collection, in MB, as the machine's own tool has it of the process; NaN where that fails. */
+    /**
+     * Heap that is in use after a full collection, in MB, as the machine's own tool has it of the
+     * process; NaN where that fails.
+     */
     static double heapAfterCollectionMb(long pid) throws IOException, InterruptedException {
         jcmd(pid, "GC.run");
-        double kb = jcmd(pid, "GC.heap_info").lines().filter(l -> l.contains("generation"))
-                .mapToDouble(l -> Double.parseDouble(l.replaceAll(".* used (\\d+)K.*", "$1"))).sum();
+        double kb =
+                jcmd(pid, "GC.heap_info")
+                        .lines()
+                        .filter(l -> l.contains("generation"))
+                        .mapToDouble(
+                                l -> Double.parseDouble(l.replaceAll(".* used (\\d+)K.*", "$1")))
+                        .sum();
         return kb == 0 ? Double.NaN : kb / 1024;
     }
 
     private static String jcmd(long pid, String command) throws IOException, InterruptedException {
-        Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(), Long.toString(pid), command)
-                .redirectErrorStream(true).start();
-        String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        Process process =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
+                                Long.toString(pid),
+                                command)
+                        .redirectErrorStream(true)
+                        .start();
+        String text =
+                new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         process.waitFor(PATIENCE_S, TimeUnit.SECONDS);
         return text;
     }
--- a/src/main/java/tinroad/lab/scale/RealGateway.java
+++ b/src/main/java/tinroad/lab/scale/RealGateway.java
@@ -9,16 +9,22 @@
 import java.util.regex.Pattern;
 import tinroad.lab.GatewayProcess;
 
-/** One whole gateway of the scale run: its process, its files, its log, and the load that it gets, or none. */
+/**
+ * One whole gateway of the scale run: its process, its files, its log, and the load that it gets,
+ * or none.
+ */
 final class RealGateway {
     /** What its log says once it takes work, and once it has read its configuration again. */
     static final Pattern READY = Pattern.compile("health good");
+
     static final Pattern REREAD = Pattern.compile("configuration read again");
     private static final int TIME = 29;
 
     final int number;
+
     /** Of the first of two programs all metrics' names end so. */
     final String suffix;
+
     final SettingsFile settings;
     final GatewayProcess process;
     final double begunAt;
@@ -28,7 +34,8 @@
     private String partial = "";
 
     /** Starts it; the configuration and the operator file are there. */
-    RealGateway(int number, String suffix, String jar, Path folder, SettingsFile settings) throws IOException {
+    RealGateway(int number, String suffix, String jar, Path folder, SettingsFile settings)
+            throws IOException {
         this.number = number;
         this.suffix = suffix;
         this.settings = settings;
@@ -42,7 +49,10 @@
         return "g" + number;
     }
 
-    /** Unix ms of the next line of its log in which the pattern is found, or NaN while there is none; each line is read once. */
+    /**
+     * Unix ms of the next line of its log in which the pattern is found, or NaN while there is
+     * none; each line is read once.
+     */
     double next(Pattern pattern) throws IOException {
         while (true) {
             int end = partial.indexOf('\n');
@@ -83,11 +93,15 @@
 
     private static double at(String line) {
         int end = line.indexOf(' ');
-        return end < 0 || end > TIME ? System.currentTimeMillis() : OffsetDateTime.parse(line.substring(0, end)).toInstant().toEpochMilli();
+        return end < 0 || end > TIME
+                ? System.currentTimeMillis()
+                : OffsetDateTime.parse(line.substring(0, end)).toInstant().toEpochMilli();
     }
 
     /** The last line of its log, for those who ask why it did not start. */
     String lastLine() throws IOException {
-        return Files.exists(log) ? Files.readString(log, StandardCharsets.ISO_8859_1).lines().reduce("", (a, b) -> b) : "";
+        return Files.exists(log)
+                ? Files.readString(log, StandardCharsets.ISO_8859_1).lines().reduce("", (a, b) -> b)
+                : "";
     }
 }
--- a/src/main/java/tinroad/lab/scale/RosterCounter.java
+++ b/src/main/java/tinroad/lab/scale/RosterCounter.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import tinroad.lab.stand.RosterList;
 
-/** A roster that hears the reports of all, keeps its list, and counts. Owned by its event loop; read once that stands still. */
+/**
+ * A roster that hears the reports of all, keeps its list, and counts. Owned by its event loop; read
+ * once that stands still.
+ */
 final class RosterCounter {
     private static final double LAPSE = 3000;
 
@@ -28,18 +31,33 @@
 
     /** Hears reports; blocks until it does. */
     void listen(EventLoop loop, InetSocketAddress at) throws InterruptedException {
-        new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                String[] words = packet.content().toString(StandardCharsets.US_ASCII).split(" ");
-                all.add(packet);
-                byName.computeIfAbsent(words[1], n -> new ZoneWire.Count()).add(packet);
-                list.heard(numbers.computeIfAbsent(words[1], n -> numbers.size()), words[2].equals("on"), System.nanoTime() / 1e6);
-            }
+        new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .handler(
+                        new SimpleChannelInboundHandler<DatagramPacket>() {
+                            @Override
+                            protected void channelRead0(
+                                    ChannelHandlerContext ctx, DatagramPacket packet) {
+                                String[] words =
+                                        packet.content()
+                                                .toString(StandardCharsets.US_ASCII)
+                                                .split(" ");
+                                all.add(packet);
+                                byName.computeIfAbsent(words[1], n -> new ZoneWire.Count())
+                                        .add(packet);
+                                list.heard(
+                                        numbers.computeIfAbsent(words[1], n -> numbers.size()),
+                                        words[2].equals("on"),
+                                        System.nanoTime() / 1e6);
+                            }
 
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
-        }).bind(at).sync();
+                            @Override
+                            public void exceptionCaught(
+                                    ChannelHandlerContext ctx, Throwable cause) {}
+                        })
+                .bind(at)
+                .sync();
     }
 
     /** Datagrams and bytes so far, of one gateway or, null, of all. */
--- a/src/main/java/tinroad/lab/scale/Scale.java
+++ b/src/main/java/tinroad/lab/scale/Scale.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * One sweep, as its script has it: one thing grows, the others are held. Times in ms, shares from 0 to 1.
+ * One sweep, as its script has it: one thing grows, the others are held. Times in ms, shares from 0
+ * to 1.
  *
  * @param title what it shows, one line
  * @param sizes of what grows, in rising order
@@ -13,10 +14,26 @@
  * @param seed decides all that is random
  * @param held what does not grow
  */
-public record Scale(String title, Sweep sweep, List<Double> sizes, double seconds, double settle, double death, long seed, Held held,
+public record Scale(
+        String title,
+        Sweep sweep,
+        List<Double> sizes,
+        double seconds,
+        double settle,
+        double death,
+        long seed,
+        Held held,
         Fleet fleet) {
     /** What may grow. */
-    public enum Sweep { GATEWAYS, CALLERS, TENANTS, ROUTES, RATE, CHANGES, LOSS }
+    public enum Sweep {
+        GATEWAYS,
+        CALLERS,
+        TENANTS,
+        ROUTES,
+        RATE,
+        CHANGES,
+        LOSS
+    }
 
     /**
      * The size of each thing.
@@ -24,12 +41,20 @@
      * @param gateways hollow and real ones together
      * @param tenants of the settings
      * @param routes classes of the settings
-     * @param callers that requests come from: connections as descriptors allow, the rest as identities
+     * @param callers that requests come from: connections as descriptors allow, the rest as
+     *     identities
      * @param rate requests a second at each loaded gateway
      * @param changes of the settings in an hour
      * @param loss share of the datagrams from or to a hollow gateway that are lost
      */
-    public record Held(int gateways, int tenants, int routes, int callers, double rate, double changes, double loss) { }
+    public record Held(
+            int gateways,
+            int tenants,
+            int routes,
+            int callers,
+            double rate,
+            double changes,
+            double loss) {}
 
     /**
      * How the fleet is made.
@@ -38,13 +63,24 @@
      * @param perProcess hollow ones that share a process, at most
      * @param delay of datagrams between zones, one way
      * @param regionDelay the same between regions
-     * @param cut so long, from the beginning of what is measured, the first zone is cut off from the others; 0 is never
-     * @param enginesAway share of the hollow gateways whose engine is gone: they try to reach it, and read their settings again
+     * @param cut so long, from the beginning of what is measured, the first zone is cut off from
+     *     the others; 0 is never
+     * @param enginesAway share of the hollow gateways whose engine is gone: they try to reach it,
+     *     and read their settings again
      * @param pace the changes of an hour come so many times as fast
      * @param sockets a real gateway's limit of descriptors
      */
-    public record Fleet(int real, int perProcess, int zones, int regions, double delay, double regionDelay, double cut, double enginesAway,
-            double pace, int sockets) { }
+    public record Fleet(
+            int real,
+            int perProcess,
+            int zones,
+            int regions,
+            double delay,
+            double regionDelay,
+            double cut,
+            double enginesAway,
+            double pace,
+            int sockets) {}
 
     /** All sizes where what grows has reached {@code x}. */
     public Held at(double x) {
@@ -64,6 +100,7 @@
     /** The most processes that a size takes with so many programs. */
     public int processes(double x, int programs) {
         int hollow = at(x).gateways() - programs * fleet.real;
-        return programs * fleet.real + Math.max(0, hollow + fleet.perProcess - 1) / fleet.perProcess;
+        return programs * fleet.real
+                + Math.max(0, hollow + fleet.perProcess - 1) / fleet.perProcess;
     }
 }
--- a/src/main/java/tinroad/lab/scale/ScaleCharts.java
+++ b/src/main/java/tinroad/lab/scale/ScaleCharts.java
@@ -10,25 +10,57 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** The charts of a sweep, one for each figure that operators ask for: points as measured, the fit as a line. */
+/**
+ * The charts of a sweep, one for each figure that operators ask for: points as measured, the fit as
+ * a line.
+ */
 final class ScaleCharts {
-    private static final List<String> DRAWN = List.of("cpu_part", "resident_mb", "bytes_in_s", "start_ms", "added_p99_ms", "death_known_ms");
+    private static final List<String> DRAWN =
+            List.of(
+                    "cpu_part",
+                    "resident_mb",
+                    "bytes_in_s",
+                    "start_ms",
+                    "added_p99_ms",
+                    "death_known_ms");
     private static final int STEPS = 60;
 
-    private ScaleCharts() { }
+    private ScaleCharts() {}
 
-    static void draw(String sweep, List<Line> lines, List<Fit> fits, Path folder) throws IOException {
+    static void draw(String sweep, List<Line> lines, List<Fit> fits, Path folder)
+            throws IOException {
         // No display: the pictures go into files.
         System.setProperty("java.awt.headless", "true");
         for (String metric : DRAWN) {
-            XYChart chart = new XYChartBuilder().width(720).height(360).title(sweep + ": " + metric).xAxisTitle(sweep).yAxisTitle(metric).build();
+            XYChart chart =
+                    new XYChartBuilder()
+                            .width(720)
+                            .height(360)
+                            .title(sweep + ": " + metric)
+                            .xAxisTitle(sweep)
+                            .yAxisTitle(metric)
+                            .build();
             for (String role : List.of("hollow", "real")) {
-                points(chart, role, lines.stream().filter(l -> l.role().equals(role) && l.metric().equals(metric) && Double.isFinite(l.value())).toList());
-                fits.stream().filter(f -> f.role().equals(role) && f.metric().equals(metric)).forEach(f -> fit(chart, f, lines));
+                points(
+                        chart,
+                        role,
+                        lines.stream()
+                                .filter(
+                                        l ->
+                                                l.role().equals(role)
+                                                        && l.metric().equals(metric)
+                                                        && Double.isFinite(l.value()))
+                                .toList());
+                fits.stream()
+                        .filter(f -> f.role().equals(role) && f.metric().equals(metric))
+                        .forEach(f -> fit(chart, f, lines));
             }
             if (!chart.getSeriesMap().isEmpty()) {
                 chart.getStyler().setYAxisMin(0.0);
-                BitmapEncoder.saveBitmap(chart, folder.resolve("scale-" + sweep + "-" + metric.replace('_', '-')).toString(),
+                BitmapEncoder.saveBitmap(
+                        chart,
+                        folder.resolve("scale-" + sweep + "-" + metric.replace('_', '-'))
+                                .toString(),
                         BitmapEncoder.BitmapFormat.PNG);
             }
         }
@@ -36,8 +68,12 @@
 
     private static void points(XYChart chart, String role, List<Line> lines) {
         if (!lines.isEmpty()) {
-            chart.addSeries(role, lines.stream().mapToDouble(Line::x).toArray(), lines.stream().mapToDouble(Line::value).toArray())
-                    .setMarker(SeriesMarkers.CIRCLE).setLineWidth(0);
+            chart.addSeries(
+                            role,
+                            lines.stream().mapToDouble(Line::x).toArray(),
+                            lines.stream().mapToDouble(Line::value).toArray())
+                    .setMarker(SeriesMarkers.CIRCLE)
+                    .setLineWidth(0);
         }
     }
 
@@ -50,7 +86,14 @@
             xs.add(x);
             ys.add(f.at(x));
         }
-        chart.addSeries(f.role() + ", " + f.form().name().toLowerCase(Locale.ROOT) + " of all but the largest", xs, ys)
-                .setMarker(SeriesMarkers.NONE).setLineWidth(1);
+        chart.addSeries(
+                        f.role()
+                                + ", "
+                                + f.form().name().toLowerCase(Locale.ROOT)
+                                + " of all but the largest",
+                        xs,
+                        ys)
+                .setMarker(SeriesMarkers.NONE)
+                .setLineWidth(1);
     }
 }
--- a/src/main/java/tinroad/lab/scale/SettingsFile.java
+++ b/src/main/java/tinroad/lab/scale/SettingsFile.java
@@ -9,8 +9,9 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * The configuration of the scale run's gateways, with tables of any size. Published anew with another number, the last route has
- * another name, and the tables the same size: one entry has changed.
+ * The configuration of the scale run's gateways, with tables of any size. Published anew with
+ * another number, the last route has another name, and the tables the same size: one entry has
+ * changed.
  */
 final class SettingsFile {
     private static final JsonFactory JSON = new JsonFactory();
@@ -26,7 +27,14 @@
     private final Scale.Held sizes;
     private final int sockets;
 
-    SettingsFile(Path file, String name, String listen, String engine, String roster, Scale.Held sizes, int sockets) {
+    SettingsFile(
+            Path file,
+            String name,
+            String listen,
+            String engine,
+            String roster,
+            Scale.Held sizes,
+            int sockets) {
         this.file = file;
         this.name = name;
         this.listen = listen;
@@ -56,7 +64,8 @@
     /** Writes it, so that a reader finds the old one or the new one whole; returns its bytes. */
     long publish(int change) throws IOException {
         Path next = file.resolveSibling(file.getFileName() + ".next");
-        try (Writer out = Files.newBufferedWriter(next); JsonGenerator to = JSON.createGenerator(out)) {
+        try (Writer out = Files.newBufferedWriter(next);
+                JsonGenerator to = JSON.createGenerator(out)) {
             to.writeStartObject();
             to.writeStringField("name", name);
             to.writeStringField("listen", listen);
@@ -83,7 +92,9 @@
         to.writeArrayFieldStart("classes");
         for (int i = 0; i < sizes.routes(); i++) {
             to.writeStartObject();
-            to.writeStringField("name", i == sizes.routes() - 1 && change > 0 ? changedRoute(change) : route(i));
+            to.writeStringField(
+                    "name",
+                    i == sizes.routes() - 1 && change > 0 ? changedRoute(change) : route(i));
             to.writeNumberField("objective", 1500.0);
             to.writeNumberField("deadline", 3700.0);
             to.writeNumberField("gain", 1.0);
--- a/src/main/java/tinroad/lab/scale/Sweep.java
+++ b/src/main/java/tinroad/lab/scale/Sweep.java
@@ -17,11 +17,25 @@
 public final class Sweep {
     /** Names of its files in the folder of results. */
     static final String POINTS = "scale.jsonl";
+
     static final String FITS = "scale-fits.jsonl";
     static final String CHECKS = "scale-hollow-real.jsonl";
+
     /** What a hollow gateway and a real one without load are both measured by. */
-    static final List<String> CHECKED = List.of("cpu_part", "loop_part", "heap_mb", "resident_mb", "datagrams_in_s", "datagrams_out_s",
-            "bytes_in_s", "bytes_out_s", "start_ms", "stall_ms", "descriptors");
+    static final List<String> CHECKED =
+            List.of(
+                    "cpu_part",
+                    "loop_part",
+                    "heap_mb",
+                    "resident_mb",
+                    "datagrams_in_s",
+                    "datagrams_out_s",
+                    "bytes_in_s",
+                    "bytes_out_s",
+                    "start_ms",
+                    "stall_ms",
+                    "descriptors");
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final String run;
@@ -40,8 +54,13 @@
 
     /** Fits of all figures that have enough sizes, by role and name. */
     List<Fit> fits() {
-        Map<String, List<Line>> byFigure = lines.stream().collect(Collectors.groupingBy(l -> l.role() + "/" + l.metric(), LinkedHashMap::new,
-                Collectors.toList()));
+        Map<String, List<Line>> byFigure =
+                lines.stream()
+                        .collect(
+                                Collectors.groupingBy(
+                                        l -> l.role() + "/" + l.metric(),
+                                        LinkedHashMap::new,
+                                        Collectors.toList()));
         return byFigure.values().stream().map(Fit::of).filter(f -> f != null).toList();
     }
 
@@ -50,16 +69,27 @@
         List<String> all = new ArrayList<>();
         for (Line h : lines) {
             if (h.role().equals("hollow") && CHECKED.contains(h.metric())) {
-                lines.stream().filter(r -> r.role().equals("real") && r.metric().equals(h.metric()) && r.x() == h.x()).findFirst().ifPresent(r -> {
-                    ObjectNode o = JSON.createObjectNode().put("run", run).put("sweep", name);
-                    Line.number(o, "x", h.x());
-                    o.put("metric", h.metric());
-                    Line.number(o, "hollow", h.value());
-                    Line.number(o, "real", r.value());
-                    Line.number(o, "off", h.value() / r.value() - 1);
-                    o.put("n", h.n());
-                    all.add(o.toString());
-                });
+                lines.stream()
+                        .filter(
+                                r ->
+                                        r.role().equals("real")
+                                                && r.metric().equals(h.metric())
+                                                && r.x() == h.x())
+                        .findFirst()
+                        .ifPresent(
+                                r -> {
+                                    ObjectNode o =
+                                            JSON.createObjectNode()
+                                                    .put("run", run)
+                                                    .put("sweep", name);
+                                    Line.number(o, "x", h.x());
+                                    o.put("metric", h.metric());
+                                    Line.number(o, "hollow", h.value());
+                                    Line.number(o, "real", r.value());
+                                    Line.number(o, "off", h.value() / r.value() - 1);
+                                    o.put("n", h.n());
+                                    all.add(o.toString());
+                                });
             }
         }
         return all;
@@ -69,8 +99,17 @@
     public List<List<Object>> rows() {
         List<List<Object>> rows = new ArrayList<>();
         for (Line l : lines) {
-            rows.add(List.of(ScaleReader.plain(l.x()), l.role(), l.metric(), Double.isFinite(l.value()) ? String.format(Locale.ROOT, "%.4g",
-                    l.value()) : "-", l.unit(), l.n(), l.note()));
+            rows.add(
+                    List.of(
+                            ScaleReader.plain(l.x()),
+                            l.role(),
+                            l.metric(),
+                            Double.isFinite(l.value())
+                                    ? String.format(Locale.ROOT, "%.4g", l.value())
+                                    : "-",
+                            l.unit(),
+                            l.n(),
+                            l.note()));
         }
         return rows;
     }
@@ -86,12 +125,21 @@
     }
 
     /**
-     * Adds its points to the folder's, and puts its fits in the place of those of an earlier run of the same sweep; charts beside them.
+     * Adds its points to the folder's, and puts its fits in the place of those of an earlier run of
+     * the same sweep; charts beside them.
      */
     public void write(Path folder) throws IOException {
         Files.createDirectories(folder);
-        Files.write(folder.resolve(POINTS), json(), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        Files.write(folder.resolve(CHECKS), checks(), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        Files.write(
+                folder.resolve(POINTS),
+                json(),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.APPEND);
+        Files.write(
+                folder.resolve(CHECKS),
+                checks(),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.APPEND);
         Path file = folder.resolve(FITS);
         List<String> kept = new ArrayList<>();
         if (Files.exists(file)) {
--- a/src/main/java/tinroad/lab/scale/ZoneWire.java
+++ b/src/main/java/tinroad/lab/scale/ZoneWire.java
@@ -9,8 +9,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between a hollow gateway's socket and its carrier: counts what goes through, and loses, delays or cuts it by the zones of
- * both ends. What comes is lost here, and what goes to a real gateway, so that each datagram is drawn for once. Owned by the event loop.
+ * Stands between a hollow gateway's socket and its carrier: counts what goes through, and loses,
+ * delays or cuts it by the zones of both ends. What comes is lost here, and what goes to a real
+ * gateway, so that each datagram is drawn for once. Owned by the event loop.
  */
 final class ZoneWire extends ChannelDuplexHandler {
     /** Bytes of the headers of IPv4 and UDP: on a network they are paid for, too. */
@@ -35,8 +36,10 @@
     private final SplittableRandom random;
     final Count in = new Count();
     final Count out = new Count();
+
     /** By real gateway: what came from it, and what went to it. */
     final Count[] fromReal;
+
     final Count[] toReal;
     private boolean muted;
     private int cutZone = -1;
@@ -71,8 +74,11 @@
     }
 
     private boolean lost(int peer) {
-        boolean cut = cutZone >= 0 && peer >= 0 && zones.zone(peer) != zones.zone(self)
-                && (zones.zone(peer) == cutZone || zones.zone(self) == cutZone);
+        boolean cut =
+                cutZone >= 0
+                        && peer >= 0
+                        && zones.zone(peer) != zones.zone(self)
+                        && (zones.zone(peer) == cutZone || zones.zone(self) == cutZone);
         return muted || cut || loss > 0 && random.nextDouble() < loss;
     }
 
@@ -88,9 +94,16 @@
             return;
         }
         in.add(packet);
-        double late = peer < 0 || zones.zone(peer) == zones.zone(self) ? 0 : zones.region(peer) == zones.region(self) ? delay : regionDelay;
+        double late =
+                peer < 0 || zones.zone(peer) == zones.zone(self)
+                        ? 0
+                        : zones.region(peer) == zones.region(self) ? delay : regionDelay;
         if (late > 0) {
-            ctx.executor().schedule(() -> ctx.fireChannelRead(msg), (long) (late * 1e6), TimeUnit.NANOSECONDS);
+            ctx.executor()
+                    .schedule(
+                            () -> ctx.fireChannelRead(msg),
+                            (long) (late * 1e6),
+                            TimeUnit.NANOSECONDS);
         } else {
             ctx.fireChannelRead(msg);
         }
--- a/src/main/java/tinroad/lab/scale/Zones.java
+++ b/src/main/java/tinroad/lab/scale/Zones.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Which address, zone and region a gateway of the scale run has by its number: the real ones first, then the hollow ones, which
- * have addresses 127.N.0.1 and on. Zones and regions are names; what lies between them is delay, loss and cuts.
+ * Which address, zone and region a gateway of the scale run has by its number: the real ones first,
+ * then the hollow ones, which have addresses 127.N.0.1 and on. Zones and regions are names; what
+ * lies between them is delay, loss and cuts.
  */
 record Zones(List<String> real, int net, int zones, int regions) {
     private static final int IN_A_ROW = 250;
@@ -14,7 +15,9 @@
     /** The address of a gateway, as text. */
     String host(int number) {
         int n = number - real.size();
-        return n < 0 ? real.get(number) : "127." + net + "." + n / IN_A_ROW + "." + (1 + n % IN_A_ROW);
+        return n < 0
+                ? real.get(number)
+                : "127." + net + "." + n / IN_A_ROW + "." + (1 + n % IN_A_ROW);
     }
 
     /** Whose address this is; -1 for anybody else's. */
--- a/src/main/java/tinroad/lab/script/Script.java
+++ b/src/main/java/tinroad/lab/script/Script.java
@@ -3,15 +3,26 @@
 import java.util.List;
 
 /**
- * One day of the lab, as its script has it. All times in ms from the beginning of the load, all durations in ms, work in
- * ms of a core at speed 1; shares from 0 to 1.
+ * One day of the lab, as its script has it. All times in ms from the beginning of the load, all
+ * durations in ms, work in ms of a core at speed 1; shares from 0 to 1.
  *
  * @param title what it shows, one line
  * @param length how long requests come
  * @param settle load before the first moment that counts
  */
-public record Script(String title, double length, double settle, Fleet fleet, Work engine, List<Kind> classes, Crowd members,
-        Crowd subjects, Callers callers, Load load, Roster roster, List<Trouble> faults) {
+public record Script(
+        String title,
+        double length,
+        double settle,
+        Fleet fleet,
+        Work engine,
+        List<Kind> classes,
+        Crowd members,
+        Crowd subjects,
+        Callers callers,
+        Load load,
+        Roster roster,
+        List<Trouble> faults) {
 
     /**
      * The gateways and their engines.
@@ -23,7 +34,14 @@
      * @param stop time from the notice to the kill
      * @param sameName gateways that bear the name of gateway 0, by mistake
      */
-    public record Fleet(int gateways, int zones, int cores, List<Double> speeds, int memoryMb, int sockets, double stop,
+    public record Fleet(
+            int gateways,
+            int zones,
+            int cores,
+            List<Double> speeds,
+            int memoryMb,
+            int sockets,
+            double stop,
             List<Integer> sameName) {
         /** What all cores can do, in ms of work a ms. */
         public double power() {
@@ -48,11 +66,23 @@
      * @param check work of a health check
      * @param handshake work of a new connection
      */
-    public record Work(Law law, double sigma, double knee, double crowding, double cold, double warmup, double read,
-            double check, double handshake) { }
+    public record Work(
+            Law law,
+            double sigma,
+            double knee,
+            double crowding,
+            double cold,
+            double warmup,
+            double read,
+            double check,
+            double handshake) {}
 
     /** Laws of service time. */
-    public enum Law { CONSTANT, EXPONENTIAL, LOGNORMAL }
+    public enum Law {
+        CONSTANT,
+        EXPONENTIAL,
+        LOGNORMAL
+    }
 
     /**
      * A class of requests.
@@ -61,10 +91,17 @@
      * @param work mean
      * @param free whether it may run twice
      */
-    public record Kind(String name, double part, double work, double objective, double deadline, double gain, boolean free) { }
+    public record Kind(
+            String name,
+            double part,
+            double work,
+            double objective,
+            double deadline,
+            double gain,
+            boolean free) {}
 
     /** Members or subjects: how many, and the exponent of their Zipf law; 0 is even. */
-    public record Crowd(int count, double skew) { }
+    public record Crowd(int count, double skew) {}
 
     /**
      * The client proxies.
@@ -76,15 +113,31 @@
      * @param tries at most; 0 is without limit
      * @param pause before another try where nothing tells when
      * @param heed share of the proxies that heed advice
-     * @param walk whether they go down the list after a refusal, without a pause, until all were asked
+     * @param walk whether they go down the list after a refusal, without a pause, until all were
+     *     asked
      * @param checks period of health checks by each proxy at each gateway; 0 is none
      * @param idle connections are closed after so long
      */
-    public record Callers(int proxies, Choice choice, int connections, int streams, double patience, double inAll, int tries,
-            double pause, double heed, boolean walk, double checks, double idle) { }
+    public record Callers(
+            int proxies,
+            Choice choice,
+            int connections,
+            int streams,
+            double patience,
+            double inAll,
+            int tries,
+            double pause,
+            double heed,
+            boolean walk,
+            double checks,
+            double idle) {}
 
     /** How a proxy chooses a gateway. */
-    public enum Choice { TURN, LEAST, SUBJECT }
+    public enum Choice {
+        TURN,
+        LEAST,
+        SUBJECT
+    }
 
     /**
      * Load in open loop, as shares of what the cores can do.
@@ -104,15 +157,16 @@
 
         /** The most that is asked for at any time. */
         public double most() {
-            return Math.max(level * (1 + height), jumps.stream().mapToDouble(Jump::level).max().orElse(0));
+            return Math.max(
+                    level * (1 + height), jumps.stream().mapToDouble(Jump::level).max().orElse(0));
         }
     }
 
     /** Another level for a while. */
-    public record Jump(double at, double length, double level) { }
+    public record Jump(double at, double length, double level) {}
 
     /** The roster: news reach each proxy so late; an entry lapses so long after the last report. */
-    public record Roster(double lateLeast, double lateMost, double lapse) { }
+    public record Roster(double lateLeast, double lateMost, double lapse) {}
 
     /** What a fault does. */
     public enum Deed {
@@ -169,13 +223,26 @@
     }
 
     /** Links of a gateway. */
-    public enum Link { CALLERS, CHECKS, ENGINE, ROSTER }
+    public enum Link {
+        CALLERS,
+        CHECKS,
+        ENGINE,
+        ROSTER
+    }
 
     /** Directions of a link: towards the gateway, away from it, or both. */
-    public enum Way { IN, OUT, BOTH }
+    public enum Way {
+        IN,
+        OUT,
+        BOTH
+    }
 
     /** What becomes of a gateway's folder when it is started again. */
-    public enum Folder { KEEP, LOSE, OLD }
+    public enum Folder {
+        KEEP,
+        LOSE,
+        OLD
+    }
 
     /**
      * A fault.
@@ -192,7 +259,25 @@
      * @param backLeast gone for so long, at least; counted from the end of the process
      * @param jar the program that comes back; "" is the same
      */
-    public record Trouble(Deed deed, double at, double length, double within, List<Integer> gateways, int zone, double share,
-            List<Link> links, Way way, int callersZone, double backLeast, double backMost, Folder folder, String jar,
-            double factor, double missed, double delay, double jitter, double rate, double chance) { }
+    public record Trouble(
+            Deed deed,
+            double at,
+            double length,
+            double within,
+            List<Integer> gateways,
+            int zone,
+            double share,
+            List<Link> links,
+            Way way,
+            int callersZone,
+            double backLeast,
+            double backMost,
+            Folder folder,
+            String jar,
+            double factor,
+            double missed,
+            double delay,
+            double jitter,
+            double rate,
+            double chance) {}
 }
