--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -30,7 +30,10 @@
 import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
 
-/** Reads a lab script: what a schema can say is checked against it, and then how the parts fit together. */
+/**
+ * Reads a lab script: what a schema can say is checked against it, and then how the parts fit
+ * together.
+ */
 public final class ScriptReader {
     private final Config all;
     private final List<Fault> faults = new ArrayList<>();
@@ -45,9 +48,20 @@
     }
 
     private Script read() throws OperatorException {
-        Script script = new Script(all.getString("title"), ms(all, "length"), ms(all, "settle"), fleet(all.getConfig("fleet")),
-                work(all.getConfig("engine")), classes(), crowd("members"), crowd("subjects"), callers(all.getConfig("callers")),
-                load(all.getConfig("load")), roster(all.getConfig("roster")), troubles());
+        Script script =
+                new Script(
+                        all.getString("title"),
+                        ms(all, "length"),
+                        ms(all, "settle"),
+                        fleet(all.getConfig("fleet")),
+                        work(all.getConfig("engine")),
+                        classes(),
+                        crowd("members"),
+                        crowd("subjects"),
+                        callers(all.getConfig("callers")),
+                        load(all.getConfig("load")),
+                        roster(all.getConfig("roster")),
+                        troubles());
         check(script);
         if (!faults.isEmpty()) {
             throw new OperatorException(faults.stream().distinct().sorted().toList());
@@ -64,23 +78,50 @@
     }
 
     private static Fleet fleet(Config c) {
-        return new Fleet(c.getInt("gateways"), c.getInt("zones"), c.getInt("cores"), c.getDoubleList("speeds"),
-                c.getInt("memory-mb"), c.getInt("sockets"), ms(c, "stop"), c.getIntList("same-name"));
+        return new Fleet(
+                c.getInt("gateways"),
+                c.getInt("zones"),
+                c.getInt("cores"),
+                c.getDoubleList("speeds"),
+                c.getInt("memory-mb"),
+                c.getInt("sockets"),
+                ms(c, "stop"),
+                c.getIntList("same-name"));
     }
 
     private static Work work(Config c) {
-        return new Work(word(Law.class, c, "law"), c.getDouble("sigma"), c.getDouble("knee"), c.getDouble("crowding"),
-                c.getDouble("cold"), ms(c, "warmup"), c.getDouble("read"), ms(c, "check"), ms(c, "handshake"));
+        return new Work(
+                word(Law.class, c, "law"),
+                c.getDouble("sigma"),
+                c.getDouble("knee"),
+                c.getDouble("crowding"),
+                c.getDouble("cold"),
+                ms(c, "warmup"),
+                c.getDouble("read"),
+                ms(c, "check"),
+                ms(c, "handshake"));
     }
 
     private List<Kind> classes() {
-        return items("classes").stream().map(c -> new Kind(c.getString("name"), c.getDouble("part"), ms(c, "work"),
-                ms(c, "objective"), ms(c, "deadline"), c.getDouble("gain"), c.getBoolean("free"))).toList();
+        return items("classes").stream()
+                .map(
+                        c ->
+                                new Kind(
+                                        c.getString("name"),
+                                        c.getDouble("part"),
+                                        ms(c, "work"),
+                                        ms(c, "objective"),
+                                        ms(c, "deadline"),
+                                        c.getDouble("gain"),
+                                        c.getBoolean("free")))
+                .toList();
     }
 
     /** The objects of a list, each with what stands in {@code each} of the defaults beneath. */
     private List<Config> items(String key) {
-        return all.getConfigList(key).stream().map(c -> c.withFallback(all.getConfig("each." + key))).toList();
+        return all.getConfigList(key).stream()
+                .map(c -> c.withFallback(all.getConfig("each." + key)))
+                .toList();
     }
 
     private Crowd crowd(String key) {
@@ -88,14 +129,29 @@
     }
 
     private static Callers callers(Config c) {
-        return new Callers(c.getInt("proxies"), word(Choice.class, c, "choice"), c.getInt("connections"), c.getInt("streams"),
-                c.getDouble("patience"), c.getDouble("in-all"), c.getInt("tries"), ms(c, "pause"), c.getDouble("heed"),
-                c.getBoolean("walk"), ms(c, "checks"), ms(c, "idle"));
+        return new Callers(
+                c.getInt("proxies"),
+                word(Choice.class, c, "choice"),
+                c.getInt("connections"),
+                c.getInt("streams"),
+                c.getDouble("patience"),
+                c.getDouble("in-all"),
+                c.getInt("tries"),
+                ms(c, "pause"),
+                c.getDouble("heed"),
+                c.getBoolean("walk"),
+                ms(c, "checks"),
+                ms(c, "idle"));
     }
 
     private static Load load(Config c) {
-        return new Load(c.getDouble("level"), c.getDouble("wave"), ms(c, "period"), c.getConfigList("jumps").stream()
-                .map(j -> new Jump(ms(j, "at"), ms(j, "for"), j.getDouble("level"))).toList());
+        return new Load(
+                c.getDouble("level"),
+                c.getDouble("wave"),
+                ms(c, "period"),
+                c.getConfigList("jumps").stream()
+                        .map(j -> new Jump(ms(j, "at"), ms(j, "for"), j.getDouble("level")))
+                        .toList());
     }
 
     private static Roster roster(Config c) {
@@ -103,12 +159,33 @@
     }
 
     private List<Trouble> troubles() {
-        return items("faults").stream().map(c -> new Trouble(word(Deed.class, c, "do"), ms(c, "at"), ms(c, "for"),
-                ms(c, "within"), c.getIntList("gateways"), c.getInt("zone"), c.getDouble("share"),
-                c.getStringList("links").stream().map(l -> Link.valueOf(l.toUpperCase(Locale.ROOT))).toList(),
-                word(Way.class, c, "way"), c.getInt("callers-zone"), ms(c, "back-least"), ms(c, "back-most"),
-                word(Folder.class, c, "folder"), c.getString("jar"), c.getDouble("factor"), c.getDouble("missed"),
-                ms(c, "delay"), ms(c, "jitter"), c.getDouble("rate"), c.getDouble("chance"))).toList();
+        return items("faults").stream()
+                .map(
+                        c ->
+                                new Trouble(
+                                        word(Deed.class, c, "do"),
+                                        ms(c, "at"),
+                                        ms(c, "for"),
+                                        ms(c, "within"),
+                                        c.getIntList("gateways"),
+                                        c.getInt("zone"),
+                                        c.getDouble("share"),
+                                        c.getStringList("links").stream()
+                                                .map(l -> Link.valueOf(l.toUpperCase(Locale.ROOT)))
+                                                .toList(),
+                                        word(Way.class, c, "way"),
+                                        c.getInt("callers-zone"),
+                                        ms(c, "back-least"),
+                                        ms(c, "back-most"),
+                                        word(Folder.class, c, "folder"),
+                                        c.getString("jar"),
+                                        c.getDouble("factor"),
+                                        c.getDouble("missed"),
+                                        ms(c, "delay"),
+                                        ms(c, "jitter"),
+                                        c.getDouble("rate"),
+                                        c.getDouble("chance")))
+                .toList();
     }
 
     // --- what no schema says ---
@@ -149,21 +226,41 @@
             wrong("faults", i, "gateways", "must be from 0 to " + (s.fleet().gateways() - 1));
         }
         if (Math.max(t.zone(), t.callersZone()) >= s.fleet().zones()) {
-            wrong("faults", i, t.zone() >= s.fleet().zones() ? "zone" : "callers-zone", "must be from 0 to " + (s.fleet().zones() - 1));
+            wrong(
+                    "faults",
+                    i,
+                    t.zone() >= s.fleet().zones() ? "zone" : "callers-zone",
+                    "must be from 0 to " + (s.fleet().zones() - 1));
         }
         if (t.backLeast() > t.backMost()) {
             wrong("faults", i, "back-least", "must be no more than back-most");
         }
         if (t.deed().toLinks() == t.links().isEmpty()) {
-            wrong("faults", i, t.links().isEmpty() ? "do" : "links",
-                    t.links().isEmpty() ? "must have links: which links are meant?" : "must go with a fault of links");
+            wrong(
+                    "faults",
+                    i,
+                    t.links().isEmpty() ? "do" : "links",
+                    t.links().isEmpty()
+                            ? "must have links: which links are meant?"
+                            : "must go with a fault of links");
         }
-        boolean datagrams = t.deed() == Deed.LOSE || t.deed() == Deed.REPEAT || t.deed() == Deed.REORDER;
-        boolean streams = t.deed() == Deed.RESET || t.deed() == Deed.HALF || t.deed() == Deed.REFUSE
-                || t.deed() == Deed.THROTTLE || t.deed() == Deed.MUTE;
-        if (datagrams && t.links().stream().anyMatch(l -> l != Link.ROSTER) || streams && t.links().contains(Link.ROSTER)) {
-            wrong("faults", i, "links", datagrams ? "must be roster: only there are datagrams"
-                    : "must not have roster: there are no connections");
+        boolean datagrams =
+                t.deed() == Deed.LOSE || t.deed() == Deed.REPEAT || t.deed() == Deed.REORDER;
+        boolean streams =
+                t.deed() == Deed.RESET
+                        || t.deed() == Deed.HALF
+                        || t.deed() == Deed.REFUSE
+                        || t.deed() == Deed.THROTTLE
+                        || t.deed() == Deed.MUTE;
+        if (datagrams && t.links().stream().anyMatch(l -> l != Link.ROSTER)
+                || streams && t.links().contains(Link.ROSTER)) {
+            wrong(
+                    "faults",
+                    i,
+                    "links",
+                    datagrams
+                            ? "must be roster: only there are datagrams"
+                            : "must not have roster: there are no connections");
         }
     }
 
@@ -174,6 +271,8 @@
 
     private void wrong(String list, int item, String key, String text) {
         ConfigObject object = (ConfigObject) ((ConfigList) all.getValue(list)).get(item);
-        faults.add(CheckedFile.fault(object.getOrDefault(key, object), list + "." + item + "." + key, text));
+        faults.add(
+                CheckedFile.fault(
+                        object.getOrDefault(key, object), list + "." + item + "." + key, text));
     }
 }
--- a/src/main/java/tinroad/lab/stand/Agenda.java
+++ b/src/main/java/tinroad/lab/stand/Agenda.java
@@ -5,10 +5,11 @@
 
 /** What is to be done when, in ms; of two things for one moment the first one noted comes first. */
 public final class Agenda {
-    private record Item(double at, long number, Runnable task) { }
+    private record Item(double at, long number, Runnable task) {}
 
     private final PriorityQueue<Item> items =
-            new PriorityQueue<>(Comparator.comparingDouble(Item::at).thenComparingLong(Item::number));
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Item::at).thenComparingLong(Item::number));
     private long numbers;
 
     /** Notes a task. */
--- a/src/main/java/tinroad/lab/stand/Bodies.java
+++ b/src/main/java/tinroad/lab/stand/Bodies.java
@@ -6,7 +6,7 @@
 
 /** What requests carry: the same for all tries of one, and another for another. */
 final class Bodies {
-    private Bodies() { }
+    private Bodies() {}
 
     static byte[] of(Asked asked) {
         byte[] body = new byte[asked.bodyBytes()];
--- a/src/main/java/tinroad/lab/stand/Choosing.java
+++ b/src/main/java/tinroad/lab/stand/Choosing.java
@@ -6,7 +6,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import tinroad.lab.script.Script.Choice;
 
-/** How one client proxy chooses a gateway, from what the roster, its checks and the answers told it. Times in ms. */
+/**
+ * How one client proxy chooses a gateway, from what the roster, its checks and the answers told it.
+ * Times in ms.
+ */
 public final class Choosing {
     private final Choice choice;
     private final UniformRandomProvider random;
@@ -48,19 +51,24 @@
         open[gateway] += change;
     }
 
-    /** The gateway for the next try of a request about {@code subject}, or -1 where none of those not {@code asked} is left. */
+    /**
+     * The gateway for the next try of a request about {@code subject}, or -1 where none of those
+     * not {@code asked} is left.
+     */
     public int next(double now, BitSet asked, int subject) {
         int best = -1;
         double least = Double.POSITIVE_INFINITY;
         turn = choice == Choice.TURN ? (turn + 1) % open.length : turn;
         for (int g = 0; g < open.length; g++) {
             if (takes(g, now, asked)) {
-                double weight = switch (choice) {
-                    case TURN -> Math.floorMod(g - turn, open.length);
-                    case LEAST -> open[g] + random.nextDouble();
-                    // Rendezvous hashing: each subject has an order of its own over the gateways.
-                    case SUBJECT -> mix(31L * subject + g);
-                };
+                double weight =
+                        switch (choice) {
+                            case TURN -> Math.floorMod(g - turn, open.length);
+                            case LEAST -> open[g] + random.nextDouble();
+                            // Rendezvous hashing: each subject has an order of its own over the
+                            // gateways.
+                            case SUBJECT -> mix(31L * subject + g);
+                        };
                 if (weight < least) {
                     least = weight;
                     best = g;
@@ -79,7 +87,10 @@
         return IntStream.range(0, open.length).anyMatch(g -> takes(g, now, asked));
     }
 
-    /** When the first gateway that is listed takes requests again, by the advice heeded; infinite where none is listed. */
+    /**
+     * When the first gateway that is listed takes requests again, by the advice heeded; infinite
+     * where none is listed.
+     */
     public double freeAt() {
         double first = Double.POSITIVE_INFINITY;
         for (int g = 0; g < open.length; g++) {
--- a/src/main/java/tinroad/lab/stand/Connection.java
+++ b/src/main/java/tinroad/lab/stand/Connection.java
@@ -33,7 +33,10 @@
         /** A whole answer. */
         void answered(Wire.Response response);
 
-        /** The connection is gone, with or without the request having been written; the other side closed it at this time. */
+        /**
+         * The connection is gone, with or without the request having been written; the other side
+         * closed it at this time.
+         */
         void lost(boolean wasSent, double at);
     }
 
@@ -50,26 +53,38 @@
     private double lastUsed;
 
     /** Begins to connect; {@code onEnd} hears once that it is gone. */
-    Connection(World world, InetSocketAddress from, InetSocketAddress to, Consumer<Connection> onEnd) {
+    Connection(
+            World world, InetSocketAddress from, InetSocketAddress to, Consumer<Connection> onEnd) {
         this.world = world;
         this.onEnd = onEnd;
-        new Bootstrap().group(world.loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+        new Bootstrap()
+                .group(world.loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(LARGEST, 4, 2, 2, 0), new Records());
-                    }
-                }).connect(to, from).addListener((ChannelFuture done) -> {
-                    channel = done.channel();
-                    connected = done.isSuccess();
-                    local = (InetSocketAddress) channel.localAddress();
-                    if (connected && !ended) {
-                        untilConnected.forEach(Runnable::run);
-                    } else {
-                        end();
-                    }
-                });
+                .handler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel ch) {
+                                ch.pipeline()
+                                        .addLast(
+                                                new LengthFieldBasedFrameDecoder(
+                                                        LARGEST, 4, 2, 2, 0),
+                                                new Records());
+                            }
+                        })
+                .connect(to, from)
+                .addListener(
+                        (ChannelFuture done) -> {
+                            channel = done.channel();
+                            connected = done.isSuccess();
+                            local = (InetSocketAddress) channel.localAddress();
+                            if (connected && !ended) {
+                                untilConnected.forEach(Runnable::run);
+                            } else {
+                                end();
+                            }
+                        });
     }
 
     int open() {
--- a/src/main/java/tinroad/lab/stand/Cores.java
+++ b/src/main/java/tinroad/lab/stand/Cores.java
@@ -8,28 +8,34 @@
 import tinroad.lab.script.Script;
 
 /**
- * The cores of one engine: all that runs shares them evenly, and nothing gets more than one core. Too much at once costs
- * work, and a cold start is slow. Each core reads one request at a time beside the runs; the rest wait unread. Times in ms, work in ms of a core at speed 1. Between two calls the speed is held.
+ * The cores of one engine: all that runs shares them evenly, and nothing gets more than one core.
+ * Too much at once costs work, and a cold start is slow. Each core reads one request at a time
+ * beside the runs; the rest wait unread. Times in ms, work in ms of a core at speed 1. Between two
+ * calls the speed is held.
  */
 public final class Cores {
     /** Time constant of the busy share, in ms. */
     private static final double USE_OVER = 500;
+
     private static final String READ = "read ";
 
-    private record Job(String id, double endsAt) { }
+    private record Job(String id, double endsAt) {}
 
     private final Script.Work law;
     private final int cores;
     private final double speed;
-    private final PriorityQueue<Job> jobs = new PriorityQueue<>(Comparator.comparingDouble(Job::endsAt).thenComparing(Job::id));
+    private final PriorityQueue<Job> jobs =
+            new PriorityQueue<>(Comparator.comparingDouble(Job::endsAt).thenComparing(Job::id));
     private final ArrayDeque<Job> unread = new ArrayDeque<>();
     private int reading;
     private double now;
     private double startedAt;
     private double factor = 1;
     private boolean paused;
+
     /** Work that each job present since the beginning has got. */
     private double attained;
+
     private double use;
     private double done;
     private long reads;
@@ -64,13 +70,17 @@
         List<String> ended = new ArrayList<>();
         while (now < to) {
             double rate = rate();
-            double next = rate == 0 ? to : Math.min(to, now + Math.max(0, jobs.peek().endsAt - attained) / rate);
+            double next =
+                    rate == 0
+                            ? to
+                            : Math.min(to, now + Math.max(0, jobs.peek().endsAt - attained) / rate);
             double part = Math.exp(-(next - now) / USE_OVER);
             use = use * part + (1 - part) * Math.min(1, (double) jobs.size() / cores);
             attained += rate * (next - now);
             done += rate * (next - now) * jobs.size();
             now = next;
-            // A hair's breadth: else rounding may leave the first job with a rest that takes no time.
+            // A hair's breadth: else rounding may leave the first job with a rest that takes no
+            // time.
             while (rate > 0 && !jobs.isEmpty() && jobs.peek().endsAt <= attained + 1e-9) {
                 Job job = jobs.poll();
                 if (job.id.startsWith(READ)) {
@@ -89,7 +99,10 @@
         jobs.add(new Job(id, attained + work));
     }
 
-    /** A request, a check or a new connection comes, which costs this work to take in; the caller has advanced to now. */
+    /**
+     * A request, a check or a new connection comes, which costs this work to take in; the caller
+     * has advanced to now.
+     */
     public void read(double work) {
         unread.add(new Job(READ + ++reads, work));
         readNext();
--- a/src/main/java/tinroad/lab/stand/EngineStand.java
+++ b/src/main/java/tinroad/lab/stand/EngineStand.java
@@ -27,19 +27,25 @@
 import tinroad.lab.truth.Ledger;
 import tinroad.lab.truth.Try;
 
-/** An engine: the protocol of its link over the model of its cores. What it ran, and what it made, it notes in the ledger. */
+/**
+ * An engine: the protocol of its link over the model of its cores. What it ran, and what it made,
+ * it notes in the ledger.
+ */
 public final class EngineStand {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int STORED = 4000;
     private static final int LONGEST_LINE = 64 * 1024;
+
     /** Share of its work that a run does before what lies behind the engine fails it. */
     public static final double SICK_PART = 0.2;
+
     /** So long, in ms, an engine that is not cold has been up. */
     public static final double UP_BEFORE = 3_600_000;
+
     private static final double MEMORY_KB = 60_000;
     private static final double RUN_KB = 96;
 
-    private record Running(Try t, double since, String result, boolean sick, int life) { }
+    private record Running(Try t, double since, String result, boolean sick, int life) {}
 
     private final World world;
     private final int gateway;
@@ -54,8 +60,10 @@
     private boolean sick;
     private long notices;
     private ChannelHandlerContext link;
+
     /** Attached while the engine is not up, with the number of its last notice. */
     private ChannelHandlerContext waiting;
+
     private long waitingAfter;
 
     /** The engine of this gateway; it listens once {@link #listen} was called. */
@@ -69,13 +77,23 @@
 
     /** Listens; blocks until it does. */
     public void listen(InetSocketAddress at) throws InterruptedException {
-        new ServerBootstrap().group(world.loop).channel(NioServerSocketChannel.class).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_LINE), new Commands());
-                    }
-                }).bind(at).sync();
+        new ServerBootstrap()
+                .group(world.loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new LineBasedFrameDecoder(LONGEST_LINE),
+                                                new Commands());
+                            }
+                        })
+                .bind(at)
+                .sync();
     }
 
     /** The engine comes up, cold or as one that was up all the time. */
@@ -92,7 +110,10 @@
         }
     }
 
-    /** What happened before the load is forgotten, but for the start of the engine; time has moved by {@code shift} ms. */
+    /**
+     * What happened before the load is forgotten, but for the start of the engine; time has moved
+     * by {@code shift} ms.
+     */
     public void rebased(double shift) {
         double since = upSince - shift;
         start(false);
@@ -179,15 +200,24 @@
             Running run = running.remove(id);
             // What an earlier process ordered ends, too: nobody is told.
             if (run != null && run.life == world.life(gateway)) {
-                done(run.t, run.sick ? "crashed" : "done", world.now() - run.since, run.sick ? null : run.result);
+                done(
+                        run.t,
+                        run.sick ? "crashed" : "done",
+                        world.now() - run.since,
+                        run.sick ? null : run.result);
             }
         }
     }
 
     private void done(Try t, String state, double took, String result) {
         t.step(world.now(), "engine " + gateway, state + " after " + Math.round(took) + " ms");
-        ObjectNode line = JSON.createObjectNode().put("type", "DONE").put("n", ++notices).put("job", t.id)
-                .put("state", state).put("took", took);
+        ObjectNode line =
+                JSON.createObjectNode()
+                        .put("type", "DONE")
+                        .put("n", ++notices)
+                        .put("job", t.id)
+                        .put("state", state)
+                        .put("took", took);
         if (result != null) {
             t.result = result;
             line.put("data", result.getBytes(StandardCharsets.ISO_8859_1));
@@ -210,8 +240,13 @@
             link.close();
         }
         link = ctx;
-        tell(ctx, JSON.createObjectNode().put("type", "HELLO").put("state", fresh ? "fresh" : "seasoned")
-                .put("took", world.now() - upSince).toString());
+        tell(
+                ctx,
+                JSON.createObjectNode()
+                        .put("type", "HELLO")
+                        .put("state", fresh ? "fresh" : "seasoned")
+                        .put("took", world.now() - upSince)
+                        .toString());
         long first = notices - stored.size() + 1;
         int skip = (int) Math.max(0, Math.min(stored.size(), after - first + 1));
         stored.stream().skip(skip).forEach(line -> tell(ctx, line));
@@ -226,9 +261,15 @@
             return;
         }
         Asked asked = world.plan.requests().get(t.request);
-        if (!world.plan.script().classes().get(asked.kind()).name().equals(command.path("kind").asText())
+        if (!world.plan
+                        .script()
+                        .classes()
+                        .get(asked.kind())
+                        .name()
+                        .equals(command.path("kind").asText())
                 || !Arrays.equals(body, Bodies.of(asked))) {
-            world.ledger.strange.add("engine " + gateway + " was told to run " + id + " with another class or body");
+            world.ledger.strange.add(
+                    "engine " + gateway + " was told to run " + id + " with another class or body");
             no(ctx, id);
             return;
         }
@@ -250,7 +291,8 @@
         t.ranAt = world.now();
         t.step(world.now(), "engine " + gateway, "run " + t.runs + " begins");
         world.ledger.count(Ledger.Count.RUNS, gateway, world.now());
-        String result = "result " + t.runs + " of " + t.id + " at " + gateway + " for " + asked.number();
+        String result =
+                "result " + t.runs + " of " + t.id + " at " + gateway + " for " + asked.number();
         running.put(t.id, new Running(t, world.now(), result, sick, world.life(gateway)));
         cores.start(t.id, asked.work() * (sick ? SICK_PART : 1));
     }
@@ -261,13 +303,22 @@
     }
 
     private static void no(ChannelHandlerContext ctx, String id) {
-        tell(ctx, JSON.createObjectNode().put("type", "NO").put("state", "RUN").put("job", id).toString());
+        tell(
+                ctx,
+                JSON.createObjectNode()
+                        .put("type", "NO")
+                        .put("state", "RUN")
+                        .put("job", id)
+                        .toString());
     }
 
     private void stats(ChannelHandlerContext ctx, String ref) {
         ObjectNode line = JSON.createObjectNode().put("type", "STATS").put("ref", ref);
-        line.putArray("gauges").add(cores.use()).add((double) cores.present())
-                .add(memoryShare(running.size())).add((double) world.connections(gateway));
+        line.putArray("gauges")
+                .add(cores.use())
+                .add((double) cores.present())
+                .add(memoryShare(running.size()))
+                .add((double) world.connections(gateway));
         tell(ctx, line.toString());
     }
 
--- a/src/main/java/tinroad/lab/stand/Proxy.java
+++ b/src/main/java/tinroad/lab/stand/Proxy.java
@@ -11,17 +11,25 @@
 import tinroad.lab.truth.Rules;
 import tinroad.lab.truth.Try;
 
-/** The requests of one client proxy: where each try goes, what came of it, whether there is another. Knows no socket. */
+/**
+ * The requests of one client proxy: where each try goes, what came of it, whether there is another.
+ * Knows no socket.
+ */
 public final class Proxy {
     /** What becomes of a try on its way. */
     public interface Told {
         /** It was written whole. */
         void sent();
 
-        /** A whole answer; {@code served} is the engine's result, or null; {@code stayAway} in ms. */
+        /**
+         * A whole answer; {@code served} is the engine's result, or null; {@code stayAway} in ms.
+         */
         void answered(Try.End end, String status, String served, double stayAway, boolean last);
 
-        /** The connection is gone, with or without it having been written; the other side closed it at this time. */
+        /**
+         * The connection is gone, with or without it having been written; the other side closed it
+         * at this time.
+         */
         void lost(boolean wasSent, double at);
     }
 
@@ -90,7 +98,12 @@
     public void ask(Asked asked) {
         Kind kind = script.classes().get(asked.kind());
         waiting++;
-        attempt(new Open(asked, world.ledger.fates.get(asked.number()), asked.at() + script.callers().inAll() * kind.deadline()), 1);
+        attempt(
+                new Open(
+                        asked,
+                        world.ledger.fates.get(asked.number()),
+                        asked.at() + script.callers().inAll() * kind.deadline()),
+                1);
     }
 
     private void attempt(Open o, int tryNumber) {
@@ -117,15 +130,25 @@
     private void send(Open o, int tryNumber, int gateway) {
         Kind kind = script.classes().get(o.asked.kind());
         double now = world.now();
-        Try t = new Try(String.format(Locale.ROOT, "%016x", ids.nextLong()), o.asked.number(), tryNumber, number, gateway, kind.free(),
-                kind.free() ? kind.name() + " " + o.asked.subject() : null, now + kind.deadline());
+        Try t =
+                new Try(
+                        String.format(Locale.ROOT, "%016x", ids.nextLong()),
+                        o.asked.number(),
+                        tryNumber,
+                        number,
+                        gateway,
+                        kind.free(),
+                        kind.free() ? kind.name() + " " + o.asked.subject() : null,
+                        now + kind.deadline());
         o.now = t;
         o.fate.tries = tryNumber;
         t.life = world.life(gateway);
         world.byId.put(t.id, t);
         world.ledger.tries.add(t);
         choosing.open(gateway, 1);
-        world.agenda.at(Math.min(o.until, now + script.callers().patience() * kind.deadline()), () -> ended(o, t, Try.End.GIVEN_UP, 0, false));
+        world.agenda.at(
+                Math.min(o.until, now + script.callers().patience() * kind.deadline()),
+                () -> ended(o, t, Try.End.GIVEN_UP, 0, false));
         if (!carrier.send(o.asked, t, kind, told(o, t))) {
             ended(o, t, Try.End.UNSENT, 0, false);
         }
@@ -140,7 +163,8 @@
             }
 
             @Override
-            public void answered(Try.End end, String status, String served, double stayAway, boolean last) {
+            public void answered(
+                    Try.End end, String status, String served, double stayAway, boolean last) {
                 t.answers++;
                 if (t.answers == 1) {
                     t.answeredAt = world.now();
@@ -154,9 +178,17 @@
             @Override
             public void lost(boolean wasSent, double at) {
                 t.brokenAt = at;
-                t.step(t.brokenAt, "proxy " + number, wasSent ? "connection lost" : "no connection");
+                t.step(
+                        t.brokenAt,
+                        "proxy " + number,
+                        wasSent ? "connection lost" : "no connection");
                 boolean crossed = wasSent && t.brokenAt - t.sentAt <= Rules.CROSSING;
-                ended(o, t, !wasSent ? Try.End.UNSENT : crossed ? Try.End.CROSSED : Try.End.BROKEN, 0, false);
+                ended(
+                        o,
+                        t,
+                        !wasSent ? Try.End.UNSENT : crossed ? Try.End.CROSSED : Try.End.BROKEN,
+                        0,
+                        false);
             }
         };
     }
@@ -173,7 +205,15 @@
             choosing.stayAway(t.gateway, now + stayAway);
         }
         boolean unproven = world.mutant == World.Mutant.CALLER_REPEATS_UNPROVEN;
-        double next = repeating.after(end, t.free || unproven, t.number, now, o.until, choosing.left(now, o.gateways), last);
+        double next =
+                repeating.after(
+                        end,
+                        t.free || unproven,
+                        t.number,
+                        now,
+                        o.until,
+                        choosing.left(now, o.gateways),
+                        last);
         if (next == Repeating.NEVER) {
             finish(o, end);
         } else {
--- a/src/main/java/tinroad/lab/stand/ProxyStand.java
+++ b/src/main/java/tinroad/lab/stand/ProxyStand.java
@@ -33,7 +33,11 @@
     private final Connection[] checks;
 
     /** Proxy {@code number}, which connects from these addresses to those of the gateways. */
-    public ProxyStand(World world, int number, InetSocketAddress from, InetSocketAddress checksFrom,
+    public ProxyStand(
+            World world,
+            int number,
+            InetSocketAddress from,
+            InetSocketAddress checksFrom,
             List<InetSocketAddress> gateways) {
         this.world = world;
         this.number = number;
@@ -51,7 +55,9 @@
         UniformRandomProvider random = Draw.stream(world.plan.seed(), "checks " + number);
         for (int g = 0; g < checks.length && script.callers().checks() > 0; g++) {
             int gateway = g;
-            world.agenda.at(world.now() + random.nextDouble() * script.callers().checks(), () -> check(gateway));
+            world.agenda.at(
+                    world.now() + random.nextDouble() * script.callers().checks(),
+                    () -> check(gateway));
         }
         sweep();
     }
@@ -68,29 +74,38 @@
         if (connection == null) {
             return false;
         }
-        connection.send(fields(asked, t, kind), Bodies.of(asked), new Connection.Waiter() {
-            @Override
-            public void sent() {
-                told.sent();
-                world.engine(t.gateway).read(asked);
-            }
-
-            @Override
-            public void answered(Wire.Response response) {
-                Try.End end = switch (response.status()) {
-                    case OK -> Try.End.SERVED;
-                    case REFUSED, TOO_MANY -> Try.End.REFUSED;
-                    default -> Try.End.FAILED;
-                };
-                told.answered(end, Integer.toString(response.status()), end == Try.End.SERVED ? response.body() : null,
-                        response.stayAway(), response.last());
-            }
-
-            @Override
-            public void lost(boolean wasSent, double at) {
-                told.lost(wasSent, at);
-            }
-        }, world.now());
+        connection.send(
+                fields(asked, t, kind),
+                Bodies.of(asked),
+                new Connection.Waiter() {
+                    @Override
+                    public void sent() {
+                        told.sent();
+                        world.engine(t.gateway).read(asked);
+                    }
+
+                    @Override
+                    public void answered(Wire.Response response) {
+                        Try.End end =
+                                switch (response.status()) {
+                                    case OK -> Try.End.SERVED;
+                                    case REFUSED, TOO_MANY -> Try.End.REFUSED;
+                                    default -> Try.End.FAILED;
+                                };
+                        told.answered(
+                                end,
+                                Integer.toString(response.status()),
+                                end == Try.End.SERVED ? response.body() : null,
+                                response.stayAway(),
+                                response.last());
+                    }
+
+                    @Override
+                    public void lost(boolean wasSent, double at) {
+                        told.lost(wasSent, at);
+                    }
+                },
+                world.now());
         return true;
     }
 
@@ -103,7 +118,9 @@
         fields.put("HTTP_REQ_FROM", Integer.toString(number));
         fields.put("HTTP_REQ_OWNER", "m" + asked.member());
         fields.put("HTTP_REQ_KB", String.format(Locale.ROOT, "%.1f", asked.memoryKb()));
-        fields.put("HTTP_REQ_RANK", String.format(Locale.ROOT, "%.4f", Math.min(0.9999, asked.rank())));
+        fields.put(
+                "HTTP_REQ_RANK",
+                String.format(Locale.ROOT, "%.4f", Math.min(0.9999, asked.rank())));
         if (kind.free()) {
             fields.put("HTTP_REQ_KEY", String.format(Locale.ROOT, "%016x", asked.subject()));
         }
@@ -126,19 +143,28 @@
         return least == null || least.open() >= 32 ? null : least;
     }
 
-    private Connection open(int gateway, InetSocketAddress source, java.util.function.Consumer<Connection> onEnd) {
+    private Connection open(
+            int gateway, InetSocketAddress source, java.util.function.Consumer<Connection> onEnd) {
         world.connections(gateway, 1);
         world.engine(gateway).takeIn(script.engine().handshake());
-        return new Connection(world, source, gateways.get(gateway), c -> {
-            world.connections(gateway, -1);
-            onEnd.accept(c);
-        });
+        return new Connection(
+                world,
+                source,
+                gateways.get(gateway),
+                c -> {
+                    world.connections(gateway, -1);
+                    onEnd.accept(c);
+                });
     }
 
     private void sweep() {
         world.agenda.at(world.now() + SWEEP_MS, this::sweep);
         double then = world.now() - script.callers().idle();
-        pools.forEach(pool -> List.copyOf(pool).stream().filter(c -> c.idleSince(then)).forEach(Connection::close));
+        pools.forEach(
+                pool ->
+                        List.copyOf(pool).stream()
+                                .filter(c -> c.idleSince(then))
+                                .forEach(Connection::close));
     }
 
     // --- health checks ---
@@ -150,36 +176,42 @@
         }
         Connection connection = checks[gateway];
         boolean[] over = new boolean[1];
-        world.agenda.at(world.now() + CHECK_PATIENCE, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                proxy.checked(gateway, false);
-                connection.close();
-            }
-        });
-        connection.send(Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/healthz"), new byte[0], new Connection.Waiter() {
-            @Override
-            public void sent() {
-                world.ledger.count(Ledger.Count.CHECKS, gateway, world.now());
-                world.engine(gateway).takeIn(script.engine().check());
-            }
-
-            @Override
-            public void answered(Wire.Response response) {
-                conclude(response.status() == OK);
-            }
-
-            @Override
-            public void lost(boolean wasSent, double at) {
-                conclude(false);
-            }
-
-            private void conclude(boolean good) {
-                if (!over[0]) {
-                    over[0] = true;
-                    proxy.checked(gateway, good);
-                }
-            }
-        }, world.now());
+        world.agenda.at(
+                world.now() + CHECK_PATIENCE,
+                () -> {
+                    if (!over[0]) {
+                        over[0] = true;
+                        proxy.checked(gateway, false);
+                        connection.close();
+                    }
+                });
+        connection.send(
+                Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/healthz"),
+                new byte[0],
+                new Connection.Waiter() {
+                    @Override
+                    public void sent() {
+                        world.ledger.count(Ledger.Count.CHECKS, gateway, world.now());
+                        world.engine(gateway).takeIn(script.engine().check());
+                    }
+
+                    @Override
+                    public void answered(Wire.Response response) {
+                        conclude(response.status() == OK);
+                    }
+
+                    @Override
+                    public void lost(boolean wasSent, double at) {
+                        conclude(false);
+                    }
+
+                    private void conclude(boolean good) {
+                        if (!over[0]) {
+                            over[0] = true;
+                            proxy.checked(gateway, good);
+                        }
+                    }
+                },
+                world.now());
     }
 }
--- a/src/main/java/tinroad/lab/stand/Repeating.java
+++ b/src/main/java/tinroad/lab/stand/Repeating.java
@@ -5,12 +5,13 @@
 import tinroad.lab.truth.Try;
 
 /**
- * Whether and when a client proxy tries a request again. What may run only once is repeated only where it is proven that
- * the last try never ran. Times in ms.
+ * Whether and when a client proxy tries a request again. What may run only once is repeated only
+ * where it is proven that the last try never ran. Times in ms.
  */
 public final class Repeating {
     /** No other try. */
     public static final double NEVER = Double.POSITIVE_INFINITY;
+
     /** The shortest wait for a gateway that is free, where every one is avoided. */
     private static final double LEAST_WAIT = 10;
 
@@ -38,9 +39,19 @@
      * @param othersLeft whether a gateway is left that was not asked yet
      * @param last the refusal asked that no other gateway be tried
      */
-    public double after(Try.End end, boolean free, int tries, double now, double until, boolean othersLeft, boolean last) {
-        boolean again = end != Try.End.SERVED && (free || end.provenUnrun()) && (callers.tries() == 0 || tries < callers.tries())
-                && !(last && heeds);
+    public double after(
+            Try.End end,
+            boolean free,
+            int tries,
+            double now,
+            double until,
+            boolean othersLeft,
+            boolean last) {
+        boolean again =
+                end != Try.End.SERVED
+                        && (free || end.provenUnrun())
+                        && (callers.tries() == 0 || tries < callers.tries())
+                        && !(last && heeds);
         if (!again) {
             return NEVER;
         }
@@ -49,9 +60,15 @@
         return at < until ? at : NEVER;
     }
 
-    /** When to look again for a gateway, as none can be chosen now; {@code freeAt} is when advice next allows one. */
+    /**
+     * When to look again for a gateway, as none can be chosen now; {@code freeAt} is when advice
+     * next allows one.
+     */
     public double wait(double now, double until, double freeAt) {
-        double at = Math.min(Math.max(freeAt, now + LEAST_WAIT), now + callers.pause() * (0.5 + random.nextDouble()));
+        double at =
+                Math.min(
+                        Math.max(freeAt, now + LEAST_WAIT),
+                        now + callers.pause() * (0.5 + random.nextDouble()));
         return at < until ? at : NEVER;
     }
 }
--- a/src/main/java/tinroad/lab/stand/RosterList.java
+++ b/src/main/java/tinroad/lab/stand/RosterList.java
@@ -1,9 +1,9 @@
 package tinroad.lab.stand;
 
 /**
- * What the roster knows: which gateways are listed, and which of them take work. A gateway is listed when its engine comes
- * up, and by a report; it lapses so long after the last of either. While the roster is down nothing is heard and nothing
- * lapses. Times in ms.
+ * What the roster knows: which gateways are listed, and which of them take work. A gateway is
+ * listed when its engine comes up, and by a report; it lapses so long after the last of either.
+ * While the roster is down nothing is heard and nothing lapses. Times in ms.
  */
 public final class RosterList {
     private final double lapse;
--- a/src/main/java/tinroad/lab/stand/RosterStand.java
+++ b/src/main/java/tinroad/lab/stand/RosterStand.java
@@ -37,7 +37,10 @@
         allUp();
     }
 
-    /** The day begins: all gateways are up, every proxy knows it, and older news that are on their way count no more. */
+    /**
+     * The day begins: all gateways are up, every proxy knows it, and older news that are on their
+     * way count no more.
+     */
     public void allUp() {
         for (int g = 0; g < told.length; g++) {
             int gateway = g;
@@ -49,22 +52,38 @@
 
     /** Hears reports; blocks until it does. */
     public void listen(InetSocketAddress at) throws InterruptedException {
-        new Bootstrap().group(world.loop).channel(NioDatagramChannel.class).handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                String[] words = packet.content().toString(StandardCharsets.US_ASCII).split(" ");
-                int gateway = words.length == 3 && words[0].equals(WORD) && words[1].matches("g\\d{1,2}")
-                        ? Integer.parseInt(words[1].substring(1)) : told.length;
-                if (gateway < told.length) {
-                    heard(gateway, words[2].equals("on"));
-                } else {
-                    world.ledger.strange.add("the roster was told: " + String.join(" ", words));
-                }
-            }
+        new Bootstrap()
+                .group(world.loop)
+                .channel(NioDatagramChannel.class)
+                .handler(
+                        new SimpleChannelInboundHandler<DatagramPacket>() {
+                            @Override
+                            protected void channelRead0(
+                                    ChannelHandlerContext ctx, DatagramPacket packet) {
+                                String[] words =
+                                        packet.content()
+                                                .toString(StandardCharsets.US_ASCII)
+                                                .split(" ");
+                                int gateway =
+                                        words.length == 3
+                                                        && words[0].equals(WORD)
+                                                        && words[1].matches("g\\d{1,2}")
+                                                ? Integer.parseInt(words[1].substring(1))
+                                                : told.length;
+                                if (gateway < told.length) {
+                                    heard(gateway, words[2].equals("on"));
+                                } else {
+                                    world.ledger.strange.add(
+                                            "the roster was told: " + String.join(" ", words));
+                                }
+                            }
 
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
-        }).bind(at).sync();
+                            @Override
+                            public void exceptionCaught(
+                                    ChannelHandlerContext ctx, Throwable cause) {}
+                        })
+                .bind(at)
+                .sync();
     }
 
     /** A report came. */
@@ -87,14 +106,18 @@
                 long number = ++news;
                 for (int p = 0; p < proxies.size(); p++) {
                     int proxy = p;
-                    double after = late.lateLeast() + random.nextDouble() * (late.lateMost() - late.lateLeast());
-                    world.agenda.at(world.now() + after, () -> {
-                        // News that a later one overtook is no news.
-                        if (number > newest[proxy][gateway]) {
-                            newest[proxy][gateway] = number;
-                            proxies.get(proxy).listed(gateway, takes);
-                        }
-                    });
+                    double after =
+                            late.lateLeast()
+                                    + random.nextDouble() * (late.lateMost() - late.lateLeast());
+                    world.agenda.at(
+                            world.now() + after,
+                            () -> {
+                                // News that a later one overtook is no news.
+                                if (number > newest[proxy][gateway]) {
+                                    newest[proxy][gateway] = number;
+                                    proxies.get(proxy).listed(gateway, takes);
+                                }
+                            });
                 }
             }
         }
--- a/src/main/java/tinroad/lab/stand/Wire.java
+++ b/src/main/java/tinroad/lab/stand/Wire.java
@@ -9,6 +9,7 @@
 public final class Wire {
     /** Types of records, and the length of a record's header. */
     public static final int END_REQUEST = 3;
+
     public static final int STDIN = 5;
     public static final int STDOUT = 6;
     public static final int HEADER = 8;
@@ -16,19 +17,21 @@
     private static final int PARAMS = 4;
     private static final int SHORT = 0x80;
 
-    private Wire() { }
+    private Wire() {}
 
     /** A whole request under this number of its connection. */
-    public static ByteBuf request(ByteBufAllocator alloc, int id, Map<String, String> fields, byte[] body) {
+    public static ByteBuf request(
+            ByteBufAllocator alloc, int id, Map<String, String> fields, byte[] body) {
         ByteBuf out = alloc.buffer();
         header(out, BEGIN_REQUEST, id, 8).writeShort(1).writeByte(1).writeZero(5);
         ByteBuf pairs = alloc.buffer();
-        fields.forEach((name, value) -> {
-            length(pairs, name.length());
-            length(pairs, value.length());
-            pairs.writeCharSequence(name, StandardCharsets.US_ASCII);
-            pairs.writeCharSequence(value, StandardCharsets.US_ASCII);
-        });
+        fields.forEach(
+                (name, value) -> {
+                    length(pairs, name.length());
+                    length(pairs, value.length());
+                    pairs.writeCharSequence(name, StandardCharsets.US_ASCII);
+                    pairs.writeCharSequence(value, StandardCharsets.US_ASCII);
+                });
         header(out, PARAMS, id, pairs.readableBytes()).writeBytes(pairs);
         pairs.release();
         header(out, PARAMS, id, 0);
@@ -52,7 +55,10 @@
         }
     }
 
-    /** A CGI response: status, or 0 where there is none to be read, the two fields that matter, and the body. */
+    /**
+     * A CGI response: status, or 0 where there is none to be read, the two fields that matter, and
+     * the body.
+     */
     public record Response(int status, double stayAway, boolean last, String body) {
         /** What this text says. */
         public static Response read(String text) {
--- a/src/main/java/tinroad/lab/stand/World.java
+++ b/src/main/java/tinroad/lab/stand/World.java
@@ -13,7 +13,12 @@
 /** What the stand-ins of a run share: one event loop owns it and all of them. */
 public final class World {
     /** A stand-in that does wrong, for tests of the checker. */
-    public enum Mutant { NONE, ENGINE_RUNS_TWICE, CALLER_REPEATS_UNPROVEN, RELAY_CHANGES_A_BYTE }
+    public enum Mutant {
+        NONE,
+        ENGINE_RUNS_TWICE,
+        CALLER_REPEATS_UNPROVEN,
+        RELAY_CHANGES_A_BYTE
+    }
 
     final EventLoop loop;
     final Plan plan;
@@ -22,15 +27,18 @@
     final Mutant mutant;
     final Map<String, Try> byId = new HashMap<>();
     private final DoubleSupplier clock;
+
     /** When a relay saw a gateway close the connection of this source; taken once. */
     private final Map<InetSocketAddress, Double> closed = new ConcurrentHashMap<>();
+
     private double unixAtZero;
     private final EngineStand[] engines;
     private final int[] life;
     private final int[] connections;
 
     /** A world whose time {@code clock} is in ms from the beginning of the load. */
-    public World(EventLoop loop, Ledger ledger, Agenda agenda, Mutant mutant, DoubleSupplier clock) {
+    public World(
+            EventLoop loop, Ledger ledger, Agenda agenda, Mutant mutant, DoubleSupplier clock) {
         this.loop = loop;
         this.ledger = ledger;
         this.plan = ledger.plan;
--- a/src/main/java/tinroad/lab/truth/Bound.java
+++ b/src/main/java/tinroad/lab/truth/Bound.java
@@ -8,15 +8,15 @@
 import tinroad.lab.script.Script.Deed;
 
 /**
- * What no program could better on a day: the service that the engines' own warm-up allows, where everything asked for is read
- * once, nothing is tried twice and each core has its even part of the load. Of what ends engines and processes; other
- * faults do not lower it. Times in ms.
+ * What no program could better on a day: the service that the engines' own warm-up allows, where
+ * everything asked for is read once, nothing is tried twice and each core has its even part of the
+ * load. Of what ends engines and processes; other faults do not lower it. Times in ms.
  */
 public final class Bound {
     /** An engine is up this long after its gateway's process was started. */
     public static final double ENGINE_AFTER = 1000;
 
-    private record Away(int gateway, double from, double engineAt, double listedAt) { }
+    private record Away(int gateway, double from, double engineAt, double listedAt) {}
 
     private final Plan plan;
     private final List<Away> away = new ArrayList<>();
@@ -24,7 +24,8 @@
     /**
      * The bound of a plan.
      *
-     * @param reachAfter how long after the start of its process a gateway is reached by callers: 0 for the engines' warm-up alone
+     * @param reachAfter how long after the start of its process a gateway is reached by callers: 0
+     *     for the engines' warm-up alone
      */
     public Bound(Plan plan, double reachAfter) {
         this.plan = plan;
@@ -34,11 +35,16 @@
                 away.add(new Away(hit.gateway(), hit.at(), hit.until(), hit.until()));
             } else if (deed.ends()) {
                 boolean engineToo = deed != Deed.KILL_GATEWAY;
-                // On a notice the gateway takes all of its time to leave, as it is told to answer all that it read.
+                // On a notice the gateway takes all of its time to leave, as it is told to answer
+                // all that it read.
                 double leave = deed == Deed.NOTICE ? plan.script().fleet().stop() : 0;
                 double back = hit.until() + leave;
-                away.add(new Away(hit.gateway(), hit.at() + leave, engineToo ? back + ENGINE_AFTER : Double.NEGATIVE_INFINITY,
-                        back + reachAfter));
+                away.add(
+                        new Away(
+                                hit.gateway(),
+                                hit.at() + leave,
+                                engineToo ? back + ENGINE_AFTER : Double.NEGATIVE_INFINITY,
+                                back + reachAfter));
             }
         }
     }
@@ -50,8 +56,15 @@
         for (Away a : away) {
             if (a.gateway == gateway && at >= a.from) {
                 double up = at - a.engineAt;
-                warmth = at < a.listedAt || up < 0 ? 0
-                        : Math.min(1, script.engine().cold() + (1 - script.engine().cold()) * up / script.engine().warmup());
+                warmth =
+                        at < a.listedAt || up < 0
+                                ? 0
+                                : Math.min(
+                                        1,
+                                        script.engine().cold()
+                                                + (1 - script.engine().cold())
+                                                        * up
+                                                        / script.engine().warmup());
             }
         }
         List<Double> speeds = script.fleet().speeds();
@@ -71,8 +84,8 @@
     }
 
     /**
-     * Time from {@code faultEnd} to the first moment from which service can stay at {@link Measures#FULL} of {@code before};
-     * NaN where no process or engine ended.
+     * Time from {@code faultEnd} to the first moment from which service can stay at {@link
+     * Measures#FULL} of {@code before}; NaN where no process or engine ended.
      */
     public double toFullService(double faultEnd, double before) {
         if (away.isEmpty() || Double.isNaN(faultEnd)) {
--- a/src/main/java/tinroad/lab/truth/Ledger.java
+++ b/src/main/java/tinroad/lab/truth/Ledger.java
@@ -5,7 +5,10 @@
 import tinroad.lab.plan.Asked;
 import tinroad.lab.plan.Plan;
 
-/** Everything that was seen at the ends, as it came. Filled by one thread; times in ms from the beginning of the load. */
+/**
+ * Everything that was seen at the ends, as it came. Filled by one thread; times in ms from the
+ * beginning of the load.
+ */
 public final class Ledger {
     /** What became of a request, over all its tries. */
     public static final class Fate {
@@ -19,21 +22,31 @@
         }
     }
 
-    /** A time in which the script keeps a gateway from answering: its connections may break, its answers be late. */
-    public record Excuse(int gateway, double from, double to) { }
+    /**
+     * A time in which the script keeps a gateway from answering: its connections may break, its
+     * answers be late.
+     */
+    public record Excuse(int gateway, double from, double to) {}
 
     /** One life of a gateway's process; {@code exit} is -1 while it lives. */
     public static final class Life {
         public final int gateway;
         public final int number;
-        /** When its process was started, and when the roster first heard that it takes work; NaN where nobody looked, or never. */
+
+        /**
+         * When its process was started, and when the roster first heard that it takes work; NaN
+         * where nobody looked, or never.
+         */
         public double begunAt = Double.NaN;
+
         public double listedAt = Double.NaN;
         public double noticedAt = Double.NaN;
         public double endedAt = Double.NaN;
         public int exit = -1;
+
         /** The script ended it, or told it to end. */
         public boolean told;
+
         public double mostMemoryMb;
         public int mostDescriptors;
         private double[] sums = new double[2];
@@ -44,7 +57,10 @@
             this.number = number;
         }
 
-        /** A look at the process, {@code part} of the day gone: its second and last fifths tell whether memory grows. */
+        /**
+         * A look at the process, {@code part} of the day gone: its second and last fifths tell
+         * whether memory grows.
+         */
         public void seen(double memoryMb, int descriptors, double part) {
             mostMemoryMb = Math.max(mostMemoryMb, memoryMb);
             mostDescriptors = Math.max(mostDescriptors, descriptors);
@@ -55,48 +71,67 @@
             }
         }
 
-        /** Mean memory of the last fifth of the day less that of the second one, in MB; 0 where it lived through only one. */
+        /**
+         * Mean memory of the last fifth of the day less that of the second one, in MB; 0 where it
+         * lived through only one.
+         */
         public double grownMb() {
             return counts[0] == 0 || counts[1] == 0 ? 0 : sums[1] / counts[1] - sums[0] / counts[0];
         }
     }
 
     /** Something counted by gateway and second. */
-    public enum Count { CHECKS, CONNECTIONS, RUNS }
+    public enum Count {
+        CHECKS,
+        CONNECTIONS,
+        RUNS
+    }
 
     public final Plan plan;
     public final List<Fate> fates;
     public final List<Try> tries = new ArrayList<>();
     public final List<Excuse> excuses = new ArrayList<>();
     public final List<Life> lives = new ArrayList<>();
+
     /** Remarks on the gateways from their logs and ends, for the way of a request. */
     public final List<Try.Step> events = new ArrayList<>();
+
     /** The lab's own late moments: from, to. */
     public final List<double[]> stalls = new ArrayList<>();
+
     /** What did not fit any request: bytes that no try owns, broken lines, unknown ids. */
     public final List<String> strange = new ArrayList<>();
+
     public double engineWork;
+
     /** When the last fault ended; NaN without any. */
     public double faultEnd = Double.NaN;
+
     private final int[][][] counts;
 
     /** An empty ledger of this plan. */
     public Ledger(Plan plan) {
         this.plan = plan;
         fates = plan.requests().stream().map(Fate::new).toList();
-        counts = new int[Count.values().length][plan.script().fleet().gateways()][(int) (plan.script().length() / 1000) + 61];
+        counts =
+                new int[Count.values().length][plan.script().fleet().gateways()]
+                        [(int) (plan.script().length() / 1000) + 61];
     }
 
     /** Another life of a gateway. */
     public Life begins(int gateway) {
-        Life life = new Life(gateway, (int) lives.stream().filter(l -> l.gateway == gateway).count());
+        Life life =
+                new Life(gateway, (int) lives.stream().filter(l -> l.gateway == gateway).count());
         lives.add(life);
         return life;
     }
 
     /** The roster heard that this gateway takes work. */
     public void listed(int gateway, double at) {
-        lives.stream().filter(l -> l.gateway == gateway).reduce((earlier, later) -> later).filter(l -> Double.isNaN(l.listedAt))
+        lives.stream()
+                .filter(l -> l.gateway == gateway)
+                .reduce((earlier, later) -> later)
+                .filter(l -> Double.isNaN(l.listedAt))
                 .ifPresent(l -> l.listedAt = at);
     }
 
--- a/src/main/java/tinroad/lab/truth/Measures.java
+++ b/src/main/java/tinroad/lab/truth/Measures.java
@@ -10,14 +10,19 @@
 public final class Measures {
     /** Width of a window of service. */
     public static final double WINDOW = 100;
+
     /** Width of a bin of arrivals. */
     public static final double BIN = 50;
+
     /** So long after the faults arrivals are looked at for waves. */
     public static final double AFTERMATH = 5000;
+
     /** Service is level over this time: single windows hold too few requests. */
     static final double LEVEL_OVER = 500;
+
     /** So long service stays at the share that counts as full. */
     static final double STAYS = 3000;
+
     static final double FULL = 0.95;
     private static final long LONGEST_MICROS = 120_000_000;
 
@@ -41,7 +46,8 @@
     }
 
     private boolean inTime(Ledger.Fate f) {
-        return f.end == Try.End.SERVED && f.endedAt <= f.asked.at() + script.classes().get(f.asked.kind()).objective();
+        return f.end == Try.End.SERVED
+                && f.endedAt <= f.asked.at() + script.classes().get(f.asked.kind()).objective();
     }
 
     /** Worth asked for in each window. */
@@ -54,33 +60,45 @@
         return served.clone();
     }
 
-    /** Share of the worth served in time, of what came from {@code from} to {@code to}; NaN where nothing came. */
+    /**
+     * Share of the worth served in time, of what came from {@code from} to {@code to}; NaN where
+     * nothing came.
+     */
     public double service(double from, double to) {
         double a = 0;
         double s = 0;
-        for (int w = Math.max(0, (int) (from / WINDOW)); w < Math.min(asked.length, (int) Math.round(to / WINDOW)); w++) {
+        for (int w = Math.max(0, (int) (from / WINDOW));
+                w < Math.min(asked.length, (int) Math.round(to / WINDOW));
+                w++) {
             a += asked[w];
             s += served[w];
         }
         return a == 0 ? Double.NaN : s / a;
     }
 
-    /** The service before the first fault, or of the whole day from the first moment that counts where there is none. */
+    /**
+     * The service before the first fault, or of the whole day from the first moment that counts
+     * where there is none.
+     */
     public double before() {
         double first = ledger.plan.firstFault();
-        return service(script.settle(), Double.isNaN(first) || first <= script.settle() ? script.length() : first);
+        return service(
+                script.settle(),
+                Double.isNaN(first) || first <= script.settle() ? script.length() : first);
     }
 
     /**
-     * Time from the faults' end to the first moment after which, for 3 s, every half second has 95% of the service before;
-     * NaN without faults, infinite where the day ends first.
+     * Time from the faults' end to the first moment after which, for 3 s, every half second has 95%
+     * of the service before; NaN without faults, infinite where the day ends first.
      */
     public double toFullService() {
         if (Double.isNaN(ledger.faultEnd)) {
             return Double.NaN;
         }
         double enough = FULL * before();
-        for (double t = Math.floor(ledger.faultEnd / WINDOW) * WINDOW; t + STAYS <= script.length(); t += WINDOW) {
+        for (double t = Math.floor(ledger.faultEnd / WINDOW) * WINDOW;
+                t + STAYS <= script.length();
+                t += WINDOW) {
             boolean full = true;
             for (double at = t; full && at + LEVEL_OVER <= t + STAYS; at += WINDOW) {
                 double service = service(at, at + LEVEL_OVER);
@@ -106,7 +124,8 @@
 
     /** Largest bin over the mean one, in the time after the faults; NaN without faults. */
     public double peakOverMean() {
-        int[] bins = arrivals(ledger.faultEnd, Math.min(script.length(), ledger.faultEnd + AFTERMATH));
+        int[] bins =
+                arrivals(ledger.faultEnd, Math.min(script.length(), ledger.faultEnd + AFTERMATH));
         int sum = 0;
         int most = 0;
         for (int bin : bins) {
@@ -117,40 +136,64 @@
     }
 
     /**
-     * Time from the start of a process to its first report that it takes work, of this part of all that were started again;
-     * infinite where that never came, NaN where none was, or nobody looked.
+     * Time from the start of a process to its first report that it takes work, of this part of all
+     * that were started again; infinite where that never came, NaN where none was, or nobody
+     * looked.
      */
     public double ready(double part) {
-        double[] all = ledger.lives.stream().filter(l -> l.number > 0 && !Double.isNaN(l.begunAt))
-                .mapToDouble(l -> Double.isNaN(l.listedAt) ? Double.POSITIVE_INFINITY : l.listedAt - l.begunAt).sorted().toArray();
+        double[] all =
+                ledger.lives.stream()
+                        .filter(l -> l.number > 0 && !Double.isNaN(l.begunAt))
+                        .mapToDouble(
+                                l ->
+                                        Double.isNaN(l.listedAt)
+                                                ? Double.POSITIVE_INFINITY
+                                                : l.listedAt - l.begunAt)
+                        .sorted()
+                        .toArray();
         return all.length == 0 ? Double.NaN : all[(int) Math.ceil(part * all.length) - 1];
     }
 
     /** Tries for each request, from the first moment that counts. */
     public double triesPerFirst() {
         long requests = ledger.fates.stream().filter(f -> f.asked.at() >= script.settle()).count();
-        long tries = ledger.fates.stream().filter(f -> f.asked.at() >= script.settle()).mapToLong(f -> f.tries).sum();
+        long tries =
+                ledger.fates.stream()
+                        .filter(f -> f.asked.at() >= script.settle())
+                        .mapToLong(f -> f.tries)
+                        .sum();
         return (double) tries / requests;
     }
 
     /** Share of the engines' work that served nobody in time. */
     public double wasted() {
-        double useful = ledger.fates.stream().filter(this::inTime).mapToDouble(f -> f.asked.work()).sum();
+        double useful =
+                ledger.fates.stream().filter(this::inTime).mapToDouble(f -> f.asked.work()).sum();
         return ledger.engineWork == 0 ? 0 : Math.max(0, 1 - useful / ledger.engineWork);
     }
 
-    /** Time from a request's arrival at its proxy to its answer, in microseconds, of those of this class that were served. */
+    /**
+     * Time from a request's arrival at its proxy to its answer, in microseconds, of those of this
+     * class that were served.
+     */
     public Histogram latency(int kind) {
         Histogram histogram = new Histogram(LONGEST_MICROS, 3);
         for (Ledger.Fate f : ledger.fates) {
-            if (f.asked.kind() == kind && f.end == Try.End.SERVED && f.asked.at() >= script.settle()) {
-                histogram.recordValue(Math.min(LONGEST_MICROS, Math.max(0, Math.round(1000 * (f.endedAt - f.asked.at())))));
+            if (f.asked.kind() == kind
+                    && f.end == Try.End.SERVED
+                    && f.asked.at() >= script.settle()) {
+                histogram.recordValue(
+                        Math.min(
+                                LONGEST_MICROS,
+                                Math.max(0, Math.round(1000 * (f.endedAt - f.asked.at())))));
             }
         }
         return histogram;
     }
 
-    /** Most in a second at one gateway, and most over all of them, from {@code from} to {@code to}. */
+    /**
+     * Most in a second at one gateway, and most over all of them, from {@code from} to {@code to}.
+     */
     public int[] most(Ledger.Count what, double from, double to) {
         int[] most = new int[2];
         for (int second = (int) (from / 1000); second < to / 1000; second++) {
--- a/src/main/java/tinroad/lab/truth/Paired.java
+++ b/src/main/java/tinroad/lab/truth/Paired.java
@@ -4,8 +4,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Two programs over the same seeds: medians, and a bootstrap interval of the median of the differences. Infinite figures
- * (a day that never came back) count as the largest finite number, so that they have a place in the order.
+ * Two programs over the same seeds: medians, and a bootstrap interval of the median of the
+ * differences. Infinite figures (a day that never came back) count as the largest finite number, so
+ * that they have a place in the order.
  */
 public record Paired(double first, double second, double low, double high, int pairs) {
     private static final int RESAMPLES = 4000;
@@ -26,8 +27,12 @@
             medians[r] = median(drawn);
         }
         Arrays.sort(medians);
-        return new Paired(median(first), median(second), medians[(int) (TAIL * RESAMPLES)],
-                medians[(int) ((1 - TAIL) * RESAMPLES) - 1], first.length);
+        return new Paired(
+                median(first),
+                median(second),
+                medians[(int) (TAIL * RESAMPLES)],
+                medians[(int) ((1 - TAIL) * RESAMPLES) - 1],
+                first.length);
     }
 
     private static double finite(double x) {
@@ -39,7 +44,9 @@
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         int n = sorted.length;
-        return n % 2 == 1 || sorted[n / 2 - 1] == sorted[n / 2] ? sorted[n / 2] : (sorted[n / 2 - 1] + sorted[n / 2]) / 2;
+        return n % 2 == 1 || sorted[n / 2 - 1] == sorted[n / 2]
+                ? sorted[n / 2]
+                : (sorted[n / 2 - 1] + sorted[n / 2]) / 2;
     }
 
     /** Whether zero lies outside the interval. */
--- a/src/main/java/tinroad/lab/truth/Rules.java
+++ b/src/main/java/tinroad/lab/truth/Rules.java
@@ -10,34 +10,67 @@
 import java.util.TreeSet;
 
 /**
- * The rules, judged from a ledger once the day is over. A broken one names the request and tells its way through every
- * process that it came to.
+ * The rules, judged from a ledger once the day is over. A broken one names the request and tells
+ * its way through every process that it came to.
  */
 public final class Rules {
-    /** An answer may come so long after its due time, in ms: the slack of the settings and that of the sockets. */
+    /**
+     * An answer may come so long after its due time, in ms: the slack of the settings and that of
+     * the sockets.
+     */
     public static final double SLACK = 150;
+
     /** What came later than this after the notice does not run, in ms. */
     public static final double GRACE = 2500 + 50;
+
     /** A request that crosses the close of its connection within this, in ms, goes again. */
     public static final double CROSSING = 50;
-    /** On a day this long, in ms, memory must be level: it grows by so many MB at most from its second to its last fifth. */
+
+    /**
+     * On a day this long, in ms, memory must be level: it grows by so many MB at most from its
+     * second to its last fifth.
+     */
     public static final double LONG_DAY = 60_000;
+
     public static final double GROWN_MB = 12;
+
     /** Events of a gateway this near a try, in ms, are told with it. */
     private static final double NEAR = 500;
 
     /** What is broken. */
-    public enum Rule { LOST, TWICE, WRONG, REFUSED_BUT_RAN, RAN_AFTER_NOTICE, CRASHED, LIMIT, STRANGE }
+    public enum Rule {
+        LOST,
+        TWICE,
+        WRONG,
+        REFUSED_BUT_RAN,
+        RAN_AFTER_NOTICE,
+        CRASHED,
+        LIMIT,
+        STRANGE
+    }
 
     /** One broken rule; {@code way} is one line for each thing that happened. */
-    public record Broken(Rule rule, String what, List<String> way) { }
+    public record Broken(Rule rule, String what, List<String> way) {}
 
     /** What became of all requests, in one line. */
-    public record Fates(int asked, int served, int refused, int failed, long lost, long twice, long wrong) {
+    public record Fates(
+            int asked, int served, int refused, int failed, long lost, long twice, long wrong) {
         @Override
         public String toString() {
-            return "fates: asked " + asked + ", served " + served + ", refused " + refused + ", failed " + failed + ", lost "
-                    + lost + ", twice " + twice + ", wrong " + wrong;
+            return "fates: asked "
+                    + asked
+                    + ", served "
+                    + served
+                    + ", refused "
+                    + refused
+                    + ", failed "
+                    + failed
+                    + ", lost "
+                    + lost
+                    + ", twice "
+                    + twice
+                    + ", wrong "
+                    + wrong;
         }
     }
 
@@ -50,9 +83,10 @@
      * The verdict of a day.
      *
      * @param broken all that is broken
-     * @param excused tries that had no answer in time, and are no broken rule as the script took them, or a close crossed them
+     * @param excused tries that had no answer in time, and are no broken rule as the script took
+     *     them, or a close crossed them
      */
-    public record Verdict(List<Broken> broken, int excused) { }
+    public record Verdict(List<Broken> broken, int excused) {}
 
     private Rules(Ledger ledger) {
         this.ledger = ledger;
@@ -67,8 +101,15 @@
     /** The count of the fates. */
     public static Fates fates(Ledger ledger, List<Broken> broken) {
         int[] ends = new int[3];
-        ledger.fates.forEach(f -> ends[f.end == Try.End.SERVED ? 0 : f.end == Try.End.REFUSED ? 1 : 2]++);
-        return new Fates(ledger.fates.size(), ends[0], ends[1], ends[2], count(broken, Rule.LOST), count(broken, Rule.TWICE),
+        ledger.fates.forEach(
+                f -> ends[f.end == Try.End.SERVED ? 0 : f.end == Try.End.REFUSED ? 1 : 2]++);
+        return new Fates(
+                ledger.fates.size(),
+                ends[0],
+                ends[1],
+                ends[2],
+                count(broken, Rule.LOST),
+                count(broken, Rule.TWICE),
                 count(broken, Rule.WRONG));
     }
 
@@ -80,18 +121,23 @@
         Map<Integer, List<Try>> once = new HashMap<>();
         for (Try t : ledger.tries) {
             if (t.result != null && t.key != null) {
-                results.computeIfAbsent(t.gateway + " " + t.key, k -> new HashSet<>()).add(t.result);
+                results.computeIfAbsent(t.gateway + " " + t.key, k -> new HashSet<>())
+                        .add(t.result);
             }
             if (!t.free && t.runs > 0) {
                 once.computeIfAbsent(t.request, k -> new ArrayList<>()).add(t);
             }
         }
         ledger.tries.forEach(this::judge);
-        once.forEach((request, ran) -> {
-            if (ran.size() > 1) {
-                breaks(Rule.TWICE, ran.get(1), "ran in " + ran.size() + " tries, and may run once only");
-            }
-        });
+        once.forEach(
+                (request, ran) -> {
+                    if (ran.size() > 1) {
+                        breaks(
+                                Rule.TWICE,
+                                ran.get(1),
+                                "ran in " + ran.size() + " tries, and may run once only");
+                    }
+                });
         ledger.lives.forEach(this::judge);
         ledger.strange.forEach(s -> broken.add(new Broken(Rule.STRANGE, s, List.of())));
         return broken;
@@ -112,53 +158,103 @@
         }
         Ledger.Life life = life(t);
         if (t.runs > 0 && life != null && t.sentAt > life.noticedAt + GRACE) {
-            breaks(Rule.RAN_AFTER_NOTICE, t, "ran, though it was sent " + Math.round(t.sentAt - life.noticedAt) + " ms after the notice");
+            breaks(
+                    Rule.RAN_AFTER_NOTICE,
+                    t,
+                    "ran, though it was sent "
+                            + Math.round(t.sentAt - life.noticedAt)
+                            + " ms after the notice");
         }
         double last = Double.isNaN(t.answeredAt) ? t.brokenAt : t.answeredAt;
         boolean crossed = Double.isNaN(t.answeredAt) && t.brokenAt - t.sentAt <= CROSSING;
-        boolean intime = !Double.isNaN(t.answeredAt) && t.answeredAt <= t.due + SLACK + stalled(t.sentAt, t.answeredAt);
+        boolean intime =
+                !Double.isNaN(t.answeredAt)
+                        && t.answeredAt <= t.due + SLACK + stalled(t.sentAt, t.answeredAt);
         if (Double.isNaN(t.sentAt) || intime) {
             return;
         }
         if (crossed || excused(t, Double.isNaN(last) ? t.due + SLACK : last)) {
             excused++;
         } else {
-            breaks(Rule.LOST, t, Double.isNaN(last) ? "got no answer" : Double.isNaN(t.answeredAt)
-                    ? "lost its connection, and the script did not cut it"
-                    : "was answered " + Math.round(t.answeredAt - t.due) + " ms after its due time");
+            breaks(
+                    Rule.LOST,
+                    t,
+                    Double.isNaN(last)
+                            ? "got no answer"
+                            : Double.isNaN(t.answeredAt)
+                                    ? "lost its connection, and the script did not cut it"
+                                    : "was answered "
+                                            + Math.round(t.answeredAt - t.due)
+                                            + " ms after its due time");
         }
     }
 
     private boolean owns(Try t) {
-        return t.served != null && (t.served.equals(t.result)
-                || t.free && t.key != null && results.getOrDefault(t.gateway + " " + t.key, Set.of()).contains(t.served));
+        return t.served != null
+                && (t.served.equals(t.result)
+                        || t.free
+                                && t.key != null
+                                && results.getOrDefault(t.gateway + " " + t.key, Set.of())
+                                        .contains(t.served));
     }
 
     private Ledger.Life life(Try t) {
-        return ledger.lives.stream().filter(l -> l.gateway == t.gateway && l.number == t.life).findFirst().orElse(null);
+        return ledger.lives.stream()
+                .filter(l -> l.gateway == t.gateway && l.number == t.life)
+                .findFirst()
+                .orElse(null);
     }
 
     private boolean excused(Try t, double until) {
-        return ledger.excuses.stream().anyMatch(e -> e.gateway() == t.gateway && e.from() <= until && e.to() >= t.sentAt);
+        return ledger.excuses.stream()
+                .anyMatch(e -> e.gateway() == t.gateway && e.from() <= until && e.to() >= t.sentAt);
     }
 
     /** For how long the lab itself stood still meanwhile. */
     private double stalled(double from, double to) {
-        return ledger.stalls.stream().filter(s -> s[1] > from && s[0] < to).mapToDouble(s -> s[1] - s[0]).sum();
+        return ledger.stalls.stream()
+                .filter(s -> s[1] > from && s[0] < to)
+                .mapToDouble(s -> s[1] - s[0])
+                .sum();
     }
 
     private void judge(Ledger.Life life) {
         if (!Double.isNaN(life.endedAt) && !life.told) {
-            broken.add(new Broken(Rule.CRASHED, "gateway " + life.gateway + " ended by itself at " + at(life.endedAt)
-                    + ", exit " + life.exit, near(life.gateway, life.endedAt - NEAR, life.endedAt + NEAR)));
+            broken.add(
+                    new Broken(
+                            Rule.CRASHED,
+                            "gateway "
+                                    + life.gateway
+                                    + " ended by itself at "
+                                    + at(life.endedAt)
+                                    + ", exit "
+                                    + life.exit,
+                            near(life.gateway, life.endedAt - NEAR, life.endedAt + NEAR)));
         }
-        if (life.mostMemoryMb > ledger.plan.script().fleet().memoryMb() || life.mostDescriptors > ledger.plan.script().fleet().sockets()) {
-            broken.add(new Broken(Rule.LIMIT, "gateway " + life.gateway + " held " + Math.round(life.mostMemoryMb) + " MB and "
-                    + life.mostDescriptors + " descriptors", List.of()));
+        if (life.mostMemoryMb > ledger.plan.script().fleet().memoryMb()
+                || life.mostDescriptors > ledger.plan.script().fleet().sockets()) {
+            broken.add(
+                    new Broken(
+                            Rule.LIMIT,
+                            "gateway "
+                                    + life.gateway
+                                    + " held "
+                                    + Math.round(life.mostMemoryMb)
+                                    + " MB and "
+                                    + life.mostDescriptors
+                                    + " descriptors",
+                            List.of()));
         }
         if (ledger.plan.script().length() >= LONG_DAY && life.grownMb() > GROWN_MB) {
-            broken.add(new Broken(Rule.LIMIT, "gateway " + life.gateway + " grew by " + Math.round(life.grownMb()) + " MB over the day",
-                    List.of()));
+            broken.add(
+                    new Broken(
+                            Rule.LIMIT,
+                            "gateway "
+                                    + life.gateway
+                                    + " grew by "
+                                    + Math.round(life.grownMb())
+                                    + " MB over the day",
+                            List.of()));
         }
     }
 
@@ -166,13 +262,26 @@
         List<String> way = new ArrayList<>();
         for (Try other : ledger.tries) {
             if (other.request == t.request) {
-                way.add("try " + other.number + ", " + other.id + ", of proxy " + other.proxy + " at gateway " + other.gateway
-                        + ", due " + at(other.due));
+                way.add(
+                        "try "
+                                + other.number
+                                + ", "
+                                + other.id
+                                + ", of proxy "
+                                + other.proxy
+                                + " at gateway "
+                                + other.gateway
+                                + ", due "
+                                + at(other.due));
                 other.steps.forEach(s -> way.add("  " + line(s)));
                 way.addAll(near(other.gateway, other.sentAt - NEAR, other.due + NEAR));
             }
         }
-        broken.add(new Broken(rule, "request " + t.request + ", try " + t.number + ", " + t.id + ": " + what, way));
+        broken.add(
+                new Broken(
+                        rule,
+                        "request " + t.request + ", try " + t.number + ", " + t.id + ": " + what,
+                        way));
     }
 
     private List<String> near(int gateway, double from, double to) {
--- a/src/main/java/tinroad/log/Backend.java
+++ b/src/main/java/tinroad/log/Backend.java
@@ -3,20 +3,28 @@
 import java.util.Arrays;
 
 /**
- * Which of the two back ends writes: the plain one of the platform's {@code run}, which costs neither memory nor time
- * to start, or the one whose format and levels the operator file sets. Chosen once, before the first logger is made.
+ * Which of the two back ends writes: the plain one of the platform's {@code run}, which costs
+ * neither memory nor time to start, or the one whose format and levels the operator file sets.
+ * Chosen once, before the first logger is made.
  */
 public final class Backend {
     private static final String PROVIDER = "slf4j.provider";
     private static final String PLAIN = "org.slf4j.simple.SimpleServiceProvider";
     private static final String SET = "ch.qos.logback.classic.spi.LogbackServiceProvider";
 
-    private Backend() { }
+    private Backend() {}
 
-    /** Chooses by the arguments of the process: to serve with an operator file wants the one that can be set. */
+    /**
+     * Chooses by the arguments of the process: to serve with an operator file wants the one that
+     * can be set.
+     */
     public static void choose(String[] args) {
-        boolean operator = args.length > 0 && args[0].equals("serve") && Arrays.stream(args).anyMatch(
-                a -> a.equals("--operator") || a.startsWith("--operator="));
+        boolean operator =
+                args.length > 0
+                        && args[0].equals("serve")
+                        && Arrays.stream(args)
+                                .anyMatch(
+                                        a -> a.equals("--operator") || a.startsWith("--operator="));
         System.setProperty(PROVIDER, operator ? SET : PLAIN);
         // What the facade says of its own choice is no line of ours.
         System.setProperty("slf4j.internal.verbosity", "WARN");
--- a/src/main/java/tinroad/log/LineQueue.java
+++ b/src/main/java/tinroad/log/LineQueue.java
@@ -7,7 +7,10 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.classic.spi.LoggingEvent;
 
-/** Lines that wait for the stream, bounded; what found no room is counted, and told once there is room again. */
+/**
+ * Lines that wait for the stream, bounded; what found no room is counted, and told once there is
+ * room again.
+ */
 final class LineQueue extends AsyncAppender {
     private long lost;
 
@@ -20,8 +23,14 @@
         }
         if (lost > 0) {
             Logger logger = ((LoggerContext) getContext()).getLogger("log");
-            super.append(new LoggingEvent(LineQueue.class.getName(), logger, Level.WARN,
-                    "{} lines lost: nobody read them in time", null, new Object[] {lost}));
+            super.append(
+                    new LoggingEvent(
+                            LineQueue.class.getName(),
+                            logger,
+                            Level.WARN,
+                            "{} lines lost: nobody read them in time",
+                            null,
+                            new Object[] {lost}));
             lost = 0;
         }
         super.append(line);
--- a/src/main/java/tinroad/log/LogFormat.java
+++ b/src/main/java/tinroad/log/LogFormat.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 
 /**
- * The log as the operator file sets it: format, levels, and the queue between those who write lines and the stream.
- * Guards the event loop against a reader of standard error that stalls: no line waits for it. Levels and format change
- * in service; no line is lost or told twice by a change.
+ * The log as the operator file sets it: format, levels, and the queue between those who write lines
+ * and the stream. Guards the event loop against a reader of standard error that stalls: no line
+ * waits for it. Levels and format change in service; no line is lost or told twice by a change.
  */
 public final class LogFormat implements AutoCloseable {
     /** The text lines of the on-call page, as the plain back end writes them. */
@@ -40,29 +40,35 @@
     /**
      * Writes like this from the next line on.
      *
-     * @param levels the least level written by single loggers, by name; the others write from {@code level} on
+     * @param levels the least level written by single loggers, by name; the others write from
+     *     {@code level} on
      * @param queue lines that may wait
      * @param flushMs ms that the waiting lines are given when this format ends
      */
-    public void set(boolean json, String level, Map<String, String> levels, int queue, int flushMs) {
+    public void set(
+            boolean json, String level, Map<String, String> levels, int queue, int flushMs) {
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.toLevel(level));
-        context.getLoggerList().stream().filter(logger -> logger != root).forEach(logger -> logger.setLevel(null));
+        context.getLoggerList().stream()
+                .filter(logger -> logger != root)
+                .forEach(logger -> logger.setLevel(null));
         levels.forEach((name, least) -> context.getLogger(name).setLevel(Level.toLevel(least)));
         OutputStreamAppender<ILoggingEvent> stream = new OutputStreamAppender<>();
         stream.setContext(context);
         stream.setEncoder(started(json ? new JsonEncoder() : new PatternLayoutEncoder()));
-        stream.setOutputStream(new FilterOutputStream(out) {
-            @Override
-            public void write(byte[] bytes, int from, int length) throws java.io.IOException {
-                out.write(bytes, from, length);
-            }
+        stream.setOutputStream(
+                new FilterOutputStream(out) {
+                    @Override
+                    public void write(byte[] bytes, int from, int length)
+                            throws java.io.IOException {
+                        out.write(bytes, from, length);
+                    }
 
-            @Override
-            public void close() {
-                // Guards the stream: the next format writes to it too.
-            }
-        });
+                    @Override
+                    public void close() {
+                        // Guards the stream: the next format writes to it too.
+                    }
+                });
         stream.start();
         LineQueue next = new LineQueue();
         next.setContext(context);
--- a/src/main/java/tinroad/model/FleetModel.java
+++ b/src/main/java/tinroad/model/FleetModel.java
@@ -34,19 +34,28 @@
 import tinroad.lab.truth.Try;
 
 /**
- * A fleet of whole gateways on virtual time, in one thread: the program's own request table, module and recovery, between
- * the lab's models of engines, callers and roster. No process, socket or link: those faults are the lab's. The same plan
- * gives the same day to the byte. Times in ms from the beginning of the load.
+ * A fleet of whole gateways on virtual time, in one thread: the program's own request table, module
+ * and recovery, between the lab's models of engines, callers and roster. No process, socket or
+ * link: those faults are the lab's. The same plan gives the same day to the byte. Times in ms from
+ * the beginning of the load.
  */
 public final class FleetModel {
     /** Unix time of the beginning of every day, in ms. */
     static final double ZERO = 1.8e12;
+
     private static final double STEP = 1;
+
     /** A way between two machines, one way. */
     static final double WAY = 0.2;
-    /** From the start of a process until it listens, at least and at most: what lab/start-cost.sh measures. */
+
+    /**
+     * From the start of a process until it listens, at least and at most: what lab/start-cost.sh
+     * measures.
+     */
     private static final double START_LEAST = 1000;
+
     private static final double START_MOST = 1200;
+
     /** Before the load begins the gateways stand up. */
     private static final double BEFORE = 1000;
 
@@ -63,7 +72,10 @@
     private final UniformRandomProvider starts;
     private double now = -BEFORE;
 
-    /** A fleet that will live through this plan; refuses what needs links. {@code remembers}: state lasts over restarts. */
+    /**
+     * A fleet that will live through this plan; refuses what needs links. {@code remembers}: state
+     * lasts over restarts.
+     */
     public FleetModel(Plan plan, boolean remembers) throws IOException {
         this.plan = plan;
         this.remembers = remembers;
@@ -71,8 +83,9 @@
         for (Hit hit : plan.hits()) {
             Deed deed = hit.trouble().deed();
             if (deed.toLinks() || deed == Deed.STOP || deed == Deed.ENGINE_MOVE) {
-                throw new IllegalArgumentException("the model has no links and no processes: it can't play "
-                        + deed.name().toLowerCase(Locale.ROOT).replace('_', '-'));
+                throw new IllegalArgumentException(
+                        "the model has no links and no processes: it can't play "
+                                + deed.name().toLowerCase(Locale.ROOT).replace('_', '-'));
             }
         }
         ledger = new Ledger(plan);
@@ -130,22 +143,32 @@
     /** Plays the day. */
     public Lab.Outcome play() {
         gateways.forEach(g -> g.begin(false));
-        agenda.at(0, () -> {
-            roster.allUp();
-            roster.begin();
-        });
+        agenda.at(
+                0,
+                () -> {
+                    roster.allUp();
+                    roster.begin();
+                });
         checks();
         script.load().jumps().forEach(j -> agenda.at(j.at() + j.length(), this::ended));
-        plan.requests().forEach(asked -> agenda.at(asked.at(), () -> proxies.get(asked.proxy()).ask(asked)));
+        plan.requests()
+                .forEach(
+                        asked ->
+                                agenda.at(asked.at(), () -> proxies.get(asked.proxy()).ask(asked)));
         plan.hits().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
-        double patience = script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0) * Math.max(1, script.callers().inAll());
+        double patience =
+                script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0)
+                        * Math.max(1, script.callers().inAll());
         double end = script.length() + patience + 500;
-        while (now < script.length() || now < end && proxies.stream().anyMatch(p -> p.waiting() > 0)) {
+        while (now < script.length()
+                || now < end && proxies.stream().anyMatch(p -> p.waiting() > 0)) {
             step();
         }
-        // Callers may have gone; what they sent, and what is on its way, is owed an answer all the same.
+        // Callers may have gone; what they sent, and what is on its way, is owed an answer all the
+        // same.
         step();
-        for (double last = now + patience + Rules.SLACK; now < last && gateways.stream().anyMatch(ModelGateway::owes);) {
+        for (double last = now + patience + Rules.SLACK;
+                now < last && gateways.stream().anyMatch(ModelGateway::owes); ) {
             step();
         }
         step();
@@ -169,22 +192,40 @@
         }
         told.sent();
         engines.get(t.gateway).takeIn(script.engine().read() * kind.work());
-        Inbound in = new Inbound(t.id, ZERO + now, kind.name(), "m" + asked.member(), t.proxy, asked.memoryKb(),
-                Math.min(0.9999, asked.rank()), kind.free() ? String.format(Locale.ROOT, "%016x", asked.subject()) : null,
-                Unpooled.EMPTY_BUFFER);
+        Inbound in =
+                new Inbound(
+                        t.id,
+                        ZERO + now,
+                        kind.name(),
+                        "m" + asked.member(),
+                        t.proxy,
+                        asked.memoryKb(),
+                        Math.min(0.9999, asked.rank()),
+                        kind.free() ? String.format(Locale.ROOT, "%016x", asked.subject()) : null,
+                        Unpooled.EMPTY_BUFFER);
         agenda.at(now + WAY, () -> g.request(in, told));
         return true;
     }
 
     /** What an answer says to a caller, on its way back. */
     void answer(Answer a, Proxy.Told told) {
-        Try.End end = switch (a.kind()) {
-            case SERVED -> Try.End.SERVED;
-            case REFUSED -> Try.End.REFUSED;
-            case FAILED, INVALID -> Try.End.FAILED;
-        };
-        String served = end == Try.End.SERVED ? a.result().toString(StandardCharsets.ISO_8859_1) : null;
-        agenda.at(now + WAY, () -> told.answered(end, a.kind().name().toLowerCase(Locale.ROOT), served, a.stayAway(), a.last()));
+        Try.End end =
+                switch (a.kind()) {
+                    case SERVED -> Try.End.SERVED;
+                    case REFUSED -> Try.End.REFUSED;
+                    case FAILED, INVALID -> Try.End.FAILED;
+                };
+        String served =
+                end == Try.End.SERVED ? a.result().toString(StandardCharsets.ISO_8859_1) : null;
+        agenda.at(
+                now + WAY,
+                () ->
+                        told.answered(
+                                end,
+                                a.kind().name().toLowerCase(Locale.ROOT),
+                                served,
+                                a.stayAway(),
+                                a.last()));
     }
 
     private void checks() {
@@ -215,10 +256,12 @@
     private void begin(Hit hit) {
         if (hit.gateway() < 0) {
             roster.down(true);
-            agenda.at(hit.until(), () -> {
-                roster.down(false);
-                ended();
-            });
+            agenda.at(
+                    hit.until(),
+                    () -> {
+                        roster.down(false);
+                        ended();
+                    });
             return;
         }
         ModelGateway g = gateways.get(hit.gateway());
@@ -239,11 +282,13 @@
             case NOTICE -> {
                 g.life().told = true;
                 g.notice(script.fleet().stop());
-                agenda.at(now + script.fleet().stop(), () -> {
-                    g.end();
-                    engine.crash();
-                    restart(g, engine, hit);
-                });
+                agenda.at(
+                        now + script.fleet().stop(),
+                        () -> {
+                            g.end();
+                            engine.crash();
+                            restart(g, engine, hit);
+                        });
             }
             case ENGINE_CRASH -> {
                 engine.crash();
@@ -265,17 +310,23 @@
     }
 
     private void restart(ModelGateway g, ModelEngine engine, Hit hit) {
-        agenda.at(now + hit.away(), () -> {
-            ended();
-            g.folder(hit.trouble().folder());
-            agenda.at(now + START_LEAST + (START_MOST - START_LEAST) * starts.nextDouble(), () -> g.begin(true));
-            if (!engine.up()) {
-                agenda.at(now + Bound.ENGINE_AFTER, () -> {
-                    engine.start(true);
-                    roster.engineUp(hit.gateway());
+        agenda.at(
+                now + hit.away(),
+                () -> {
+                    ended();
+                    g.folder(hit.trouble().folder());
+                    agenda.at(
+                            now + START_LEAST + (START_MOST - START_LEAST) * starts.nextDouble(),
+                            () -> g.begin(true));
+                    if (!engine.up()) {
+                        agenda.at(
+                                now + Bound.ENGINE_AFTER,
+                                () -> {
+                                    engine.start(true);
+                                    roster.engineUp(hit.gateway());
+                                });
+                    }
                 });
-            }
-        });
     }
 
     private void ended() {
--- a/src/main/java/tinroad/model/MembersModel.java
+++ b/src/main/java/tinroad/model/MembersModel.java
@@ -16,16 +16,20 @@
 import tinroad.lab.stand.Agenda;
 
 /**
- * Members of a fleet on virtual time: the program's own {@code fleet.Membership} over a network that delays, loses and is cut.
- * Checks at every change that versions only rise and that no stay that is over comes back. Times in ms; the same seed is the
- * same run.
+ * Members of a fleet on virtual time: the program's own {@code fleet.Membership} over a network
+ * that delays, loses and is cut. Checks at every change that versions only rise and that no stay
+ * that is over comes back. Times in ms; the same seed is the same run.
  */
 public final class MembersModel {
     private static final double STEP = 10;
     private static final double WAY_LEAST = 0.2;
     private static final double WAY_MOST = 2;
-    /** What a datagram costs beside its claims, and what a claim costs, in bytes: as on the wire. */
+
+    /**
+     * What a datagram costs beside its claims, and what a claim costs, in bytes: as on the wire.
+     */
     private static final int DATAGRAM = 60;
+
     private static final int CLAIM = 56;
 
     /** One process of a member. */
@@ -40,8 +44,19 @@
         Node(int number, long life) {
             this.number = number;
             String address = address(number);
-            membership = new Membership(new Claim("m" + number, address, "z" + number % zones, new Version(life, 0, 0), Status.ALIVE,
-                    "m" + number), seeds, tuning, random.nextLong(), this);
+            membership =
+                    new Membership(
+                            new Claim(
+                                    "m" + number,
+                                    address,
+                                    "z" + number % zones,
+                                    new Version(life, 0, 0),
+                                    Status.ALIVE,
+                                    "m" + number),
+                            seeds,
+                            tuning,
+                            random.nextLong(),
+                            this);
         }
 
         @Override
@@ -52,32 +67,60 @@
             if (gone || random.nextDouble() < loss || cut.test(number, to)) {
                 return;
             }
-            agenda.at(now + random.nextDouble(WAY_LEAST, WAY_MOST), () -> {
-                Node node = nodes.get(to);
-                if (node.stopped) {
-                    node.missed.add(() -> node.membership.receive(now, Integer.toString(number), message));
-                } else if (!node.gone) {
-                    node.membership.receive(now, Integer.toString(number), message);
-                }
-            });
+            agenda.at(
+                    now + random.nextDouble(WAY_LEAST, WAY_MOST),
+                    () -> {
+                        Node node = nodes.get(to);
+                        if (node.stopped) {
+                            node.missed.add(
+                                    () ->
+                                            node.membership.receive(
+                                                    now, Integer.toString(number), message));
+                        } else if (!node.gone) {
+                            node.membership.receive(now, Integer.toString(number), message);
+                        }
+                    });
         }
 
         @Override
         public void changed(double at, Claim before, Claim after) {
-            Version known = highest.merge(after.name(), after.version(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
+            Version known =
+                    highest.merge(
+                            after.name(), after.version(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
             boolean mixed = known.sameStay(after.version()) && after.status().over();
             if (!known.equals(after.version()) && !mixed) {
-                broken.add(now + ": m" + number + " went back on " + after.name() + ": " + known + " to " + after.version());
+                broken.add(
+                        now
+                                + ": m"
+                                + number
+                                + " went back on "
+                                + after.name()
+                                + ": "
+                                + known
+                                + " to "
+                                + after.version());
             }
-            if (before != null && before.status().over() && !after.status().over() && before.version().sameStay(after.version())) {
-                broken.add(now + ": m" + number + " has " + after.name() + " back from the dead: " + after.version());
+            if (before != null
+                    && before.status().over()
+                    && !after.status().over()
+                    && before.version().sameStay(after.version())) {
+                broken.add(
+                        now
+                                + ": m"
+                                + number
+                                + " has "
+                                + after.name()
+                                + " back from the dead: "
+                                + after.version());
             }
             int about = Integer.parseInt(after.name().substring(1));
             boolean lives = !nodes.get(about).gone;
             if (after.status() == Status.SUSPECT && lives) {
                 falseSuspicions++;
             }
-            if (after.status() == Status.DEAD && lives && nodes.get(about).membership.self().version().sameStay(after.version())) {
+            if (after.status() == Status.DEAD
+                    && lives
+                    && nodes.get(about).membership.self().version().sameStay(after.version())) {
                 falseDeaths.merge(after.name() + after.version().era(), 1, Integer::sum);
             }
         }
@@ -117,7 +160,7 @@
 
     /** Lets time pass. */
     public void pass(double ms) {
-        for (double end = now + ms; now < end;) {
+        for (double end = now + ms; now < end; ) {
             now += STEP;
             agenda.run(now);
             for (Node n : nodes) {
@@ -128,7 +171,10 @@
         }
     }
 
-    /** Lets time pass until all that live hold this of the member, at most so long; tells how long it took. */
+    /**
+     * Lets time pass until all that live hold this of the member, at most so long; tells how long
+     * it took.
+     */
     public double until(int member, Status status, double most) {
         double from = now;
         while (now - from < most && !all(member, status)) {
@@ -138,17 +184,25 @@
     }
 
     private boolean all(int member, Status status) {
-        return nodes.stream().filter(n -> !n.gone && !n.stopped && n.number != member).allMatch(n -> {
-            Claim c = n.membership.of("m" + member);
-            return c != null && c.status() == status;
-        });
+        return nodes.stream()
+                .filter(n -> !n.gone && !n.stopped && n.number != member)
+                .allMatch(
+                        n -> {
+                            Claim c = n.membership.of("m" + member);
+                            return c != null && c.status() == status;
+                        });
     }
 
     /** Whether every one that lives holds every other that lives to be there, and nobody else. */
     public boolean whole() {
         long living = nodes.stream().filter(n -> !n.gone).count();
-        return nodes.stream().filter(n -> !n.gone).allMatch(n -> n.membership.there().size() == living - 1
-                && n.membership.others().stream().noneMatch(c -> c.status() == Status.SUSPECT));
+        return nodes.stream()
+                .filter(n -> !n.gone)
+                .allMatch(
+                        n ->
+                                n.membership.there().size() == living - 1
+                                        && n.membership.others().stream()
+                                                .noneMatch(c -> c.status() == Status.SUSPECT));
     }
 
     /** Lets time pass until the view is whole, at most so long; tells how long it took. */
@@ -180,7 +234,10 @@
         nodes.get(member).gone = true;
     }
 
-    /** The member stands still, or goes on: then what it was sent comes first, and all its timers at once. */
+    /**
+     * The member stands still, or goes on: then what it was sent comes first, and all its timers at
+     * once.
+     */
     public void stop(int member, boolean on) {
         Node n = nodes.get(member);
         n.stopped = on;
--- a/src/main/java/tinroad/model/MembersSweep.java
+++ b/src/main/java/tinroad/model/MembersSweep.java
@@ -7,11 +7,27 @@
 import tinroad.fleet.Tuning;
 import tinroad.lab.truth.Paired;
 
-/** The figures of a membership against the fleet's size and the network's loss, over several seeds. */
+/**
+ * The figures of a membership against the fleet's size and the network's loss, over several seeds.
+ */
 public final class MembersSweep {
     /** What the columns of {@link #row} are. */
-    public static final List<String> NAMES = List.of("rules", "members", "loss", "death_known_ms", "worst_ms", "false_suspicions_h",
-            "false_deaths_h", "deaths_of_stopped", "healed_ms", "healed_worst_ms", "packets_s", "bytes_s", "broken");
+    public static final List<String> NAMES =
+            List.of(
+                    "rules",
+                    "members",
+                    "loss",
+                    "death_known_ms",
+                    "worst_ms",
+                    "false_suspicions_h",
+                    "false_deaths_h",
+                    "deaths_of_stopped",
+                    "healed_ms",
+                    "healed_worst_ms",
+                    "packets_s",
+                    "bytes_s",
+                    "broken");
+
     private static final double JOIN = 60_000;
     private static final double QUIET = 20_000;
     private static final double CUT = 6000;
@@ -19,10 +35,14 @@
     private static final double MOST = 30_000;
     private static final double HOUR = 3_600_000;
 
-    private MembersSweep() { }
+    private MembersSweep() {}
 
-    /** One line: a fleet of this size joins, is quiet, loses a member, has a tenth stopped for 1.9 s, is cut in halves for 6 s. */
-    public static List<Object> row(String rules, Tuning tuning, int members, double loss, long[] seeds) {
+    /**
+     * One line: a fleet of this size joins, is quiet, loses a member, has a tenth stopped for 1.9
+     * s, is cut in halves for 6 s.
+     */
+    public static List<Object> row(
+            String rules, Tuning tuning, int members, double loss, long[] seeds) {
         List<Double> deaths = new ArrayList<>();
         List<Double> healed = new ArrayList<>();
         double suspicions = 0;
@@ -58,9 +78,20 @@
             healed.add(m.untilWhole(MOST));
             broken += m.broken().size();
         }
-        return List.of(rules, members, loss, median(deaths), worst(deaths), Math.round(suspicions / seeds.length),
-                Math.round(falseDeaths / seeds.length), stoppedDeaths, median(healed), worst(healed),
-                Math.round(10 * packets / seeds.length) / 10.0, Math.round(bytes / seeds.length), broken);
+        return List.of(
+                rules,
+                members,
+                loss,
+                median(deaths),
+                worst(deaths),
+                Math.round(suspicions / seeds.length),
+                Math.round(falseDeaths / seeds.length),
+                stoppedDeaths,
+                median(healed),
+                worst(healed),
+                Math.round(10 * packets / seeds.length) / 10.0,
+                Math.round(bytes / seeds.length),
+                broken);
     }
 
     private static long median(List<Double> values) {
--- a/src/main/java/tinroad/model/ModelEngine.java
+++ b/src/main/java/tinroad/model/ModelEngine.java
@@ -17,7 +17,7 @@
 
 /** An engine of the model: the lab's cores behind a link that is there while both ends are. */
 final class ModelEngine implements Engine {
-    private record Running(Try t, double since, boolean sick, Listener listener) { }
+    private record Running(Try t, double since, boolean sick, Listener listener) {}
 
     private final FleetModel model;
     private final int gateway;
@@ -58,12 +58,14 @@
 
     private void hello() {
         Listener to = listener;
-        model.at(model.now() + 2 * FleetModel.WAY, () -> {
-            if (up && listener == to) {
-                to.attached(fresh, model.now() - upSince);
-                to.caughtUp();
-            }
-        });
+        model.at(
+                model.now() + 2 * FleetModel.WAY,
+                () -> {
+                    if (up && listener == to) {
+                        to.attached(fresh, model.now() - upSince);
+                        to.caughtUp();
+                    }
+                });
     }
 
     void crash() {
@@ -125,12 +127,20 @@
     private void tell(String id, Running run) {
         double took = model.now() - run.since;
         run.t.result = run.sick ? null : "result of " + id + " at " + gateway;
-        model.at(model.now() + FleetModel.WAY, () -> {
-            if (listener == run.listener) {
-                listener.ended(id, run.sick ? End.CRASHED : End.DONE, took, run.sick ? Unpooled.EMPTY_BUFFER
-                        : Unpooled.copiedBuffer(run.t.result, StandardCharsets.ISO_8859_1));
-            }
-        });
+        model.at(
+                model.now() + FleetModel.WAY,
+                () -> {
+                    if (listener == run.listener) {
+                        listener.ended(
+                                id,
+                                run.sick ? End.CRASHED : End.DONE,
+                                took,
+                                run.sick
+                                        ? Unpooled.EMPTY_BUFFER
+                                        : Unpooled.copiedBuffer(
+                                                run.t.result, StandardCharsets.ISO_8859_1));
+                    }
+                });
     }
 
     @Override
@@ -144,7 +154,9 @@
         }
         if (t.runs > 0) {
             Listener to = listener;
-            model.at(model.now() + 2 * FleetModel.WAY, () -> to.ended(id, End.STALE, 0, Unpooled.EMPTY_BUFFER));
+            model.at(
+                    model.now() + 2 * FleetModel.WAY,
+                    () -> to.ended(id, End.STALE, 0, Unpooled.EMPTY_BUFFER));
             return Progress.SENT;
         }
         Asked asked = model.plan().requests().get(t.request);
@@ -162,8 +174,16 @@
             return up;
         }
         Listener to = listener;
-        model.at(model.now() + 2 * FleetModel.WAY, () -> to.gauges(tag, new Gauges(cores.use(), cores.present(),
-                EngineStand.memoryShare(running.size()), model.plan().script().callers().proxies())));
+        model.at(
+                model.now() + 2 * FleetModel.WAY,
+                () ->
+                        to.gauges(
+                                tag,
+                                new Gauges(
+                                        cores.use(),
+                                        cores.present(),
+                                        EngineStand.memoryShare(running.size()),
+                                        model.plan().script().callers().proxies())));
         return true;
     }
 }
--- a/src/main/java/tinroad/model/ModelGateway.java
+++ b/src/main/java/tinroad/model/ModelGateway.java
@@ -25,8 +25,10 @@
 final class ModelGateway {
     /** Of what lasts, in ms: as in lab/operator/state.conf. */
     private static final double SAVES = 500;
+
     private static final double OLDEST = 600_000;
     private static final double HALF_LIFE = 300_000;
+
     /** What the process keeps of its time to leave for its end, in ms. */
     private static final double EXIT_MARGIN = 200;
 
@@ -38,8 +40,10 @@
     private final Set<Proxy.Told> open = new LinkedHashSet<>();
     private Gateway gateway;
     private Remembrance remembrance;
+
     /** What is in the folder of state, and what was kept of it the time before. */
     private Snapshot folder;
+
     private Snapshot older;
     private Ledger.Life life;
     private boolean good;
@@ -66,30 +70,52 @@
     void begin(boolean justStarted) {
         life = model.ledger().begins(number);
         model.world().lives(number, life.number);
-        long seed = Draw.stream(model.plan().seed(), "gateway " + number + " " + life.number).nextLong();
+        long seed =
+                Draw.stream(model.plan().seed(), "gateway " + number + " " + life.number)
+                        .nextLong();
         Ledger.Life mine = life;
         good = false;
         leaving = false;
-        gateway = new Gateway(justStarted ? cold : warm, seed, () -> FleetModel.ZERO + model.now(),
-                (ms, task) -> model.at(model.now() + ms, () -> {
-                    // The timers of a process end with it.
-                    if (life == mine && gateway != null) {
-                        task.run();
-                    }
-                }), engine, OverloadController::new, NOPLogger.NOP_LOGGER);
+        gateway =
+                new Gateway(
+                        justStarted ? cold : warm,
+                        seed,
+                        () -> FleetModel.ZERO + model.now(),
+                        (ms, task) ->
+                                model.at(
+                                        model.now() + ms,
+                                        () -> {
+                                            // The timers of a process end with it.
+                                            if (life == mine && gateway != null) {
+                                                task.run();
+                                            }
+                                        }),
+                        engine,
+                        OverloadController::new,
+                        NOPLogger.NOP_LOGGER);
         if (model.remembers()) {
             double unix = FleetModel.ZERO + model.now();
-            // The number of a life is told from elsewhere, as by a fence: an older folder is then known for what it is.
-            Recall.Decision d = Recall.decide(folder == null ? List.of() : List.of(new Recall.Candidate("state", Reading.of(folder))),
-                    "g" + number, unix, OLDEST, life.number, life.number);
+            // The number of a life is told from elsewhere, as by a fence: an older folder is then
+            // known for what it is.
+            Recall.Decision d =
+                    Recall.decide(
+                            folder == null
+                                    ? List.of()
+                                    : List.of(new Recall.Candidate("state", Reading.of(folder))),
+                            "g" + number,
+                            unix,
+                            OLDEST,
+                            life.number,
+                            life.number);
             remembrance = new Remembrance("g" + number, d, life.number + 1, OLDEST, HALF_LIFE);
             gateway.remembers(remembrance);
             save(mine);
         }
-        gateway.onHealth(healthy -> {
-            good = healthy;
-            model.reports(number, healthy);
-        });
+        gateway.onHealth(
+                healthy -> {
+                    good = healthy;
+                    model.reports(number, healthy);
+                });
         gateway.opened();
         engine.attach(gateway);
         report(mine, RosterReporter.pace("g" + number, seed));
@@ -99,8 +125,14 @@
         if (life == mine && gateway != null) {
             Map<String, Known> values = gateway.learned();
             if (!values.isEmpty()) {
-                folder = remembrance.leaves(gateway.now(), values, gateway.ranIds(), gateway.evacuated(), gateway.catalog().epoch(),
-                        gateway.catalog().number());
+                folder =
+                        remembrance.leaves(
+                                gateway.now(),
+                                values,
+                                gateway.ranIds(),
+                                gateway.evacuated(),
+                                gateway.catalog().epoch(),
+                                gateway.catalog().number());
             }
             model.at(model.now() + SAVES, () -> save(mine));
         }
@@ -117,7 +149,9 @@
         return life;
     }
 
-    /** It is told to leave, or killed, and another life is to come; false where that is so already. */
+    /**
+     * It is told to leave, or killed, and another life is to come; false where that is so already.
+     */
     boolean leaves() {
         boolean first = gateway != null && !leaving;
         leaving |= first;
@@ -144,11 +178,13 @@
         }
         open.add(told);
         Ledger.Life mine = life;
-        gateway.request(in, answer -> {
-            if (life == mine && open.remove(told)) {
-                model.answer(answer, told);
-            }
-        });
+        gateway.request(
+                in,
+                answer -> {
+                    if (life == mine && open.remove(told)) {
+                        model.answer(answer, told);
+                    }
+                });
     }
 
     void notice(double stop) {
--- a/src/main/java/tinroad/node/CatalogUpdates.java
+++ b/src/main/java/tinroad/node/CatalogUpdates.java
@@ -24,9 +24,10 @@
 import tinroad.core.Gateway;
 
 /**
- * Brings later classes and tenants to a gateway that serves. All that reads, checks and compares is done by one thread of its
- * own, whichever source it is from; the event loop only hears what differs. One version is told at a time: the next one waits
- * until it is in force, so that what waits has a bound.
+ * Brings later classes and tenants to a gateway that serves. All that reads, checks and compares is
+ * done by one thread of its own, whichever source it is from; the event loop only hears what
+ * differs. One version is told at a time: the next one waits until it is in force, so that what
+ * waits has a bound.
  */
 final class CatalogUpdates implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("catalog");
@@ -34,8 +35,10 @@
     private final Gateway gateway;
     private final Executor loop;
     private final Editor editor;
+
     /** What is followed, or null. */
     private final LogFollower follower;
+
     private final ScheduledThreadPoolExecutor thread;
 
     /**
@@ -44,25 +47,36 @@
      * @param later classes and tenants that differ and count at the next start only
      * @param taken whether classes and tenants of it are to come in force
      */
-    record Reread(GatewayConfig config, int later, boolean taken) { }
+    record Reread(GatewayConfig config, int later, boolean taken) {}
 
-    /** Updates of {@code gateway}, which still has its {@code first} catalog; those of a change log come by {@code follower}, or null. */
+    /**
+     * Updates of {@code gateway}, which still has its {@code first} catalog; those of a change log
+     * come by {@code follower}, or null.
+     */
     CatalogUpdates(Gateway gateway, Catalog first, Executor loop, LogFollower follower) {
         this.gateway = gateway;
         this.loop = loop;
         this.follower = follower;
         editor = new Editor(first);
-        thread = new ScheduledThreadPoolExecutor(1, task -> {
-            Thread t = new Thread(task, "catalog");
-            t.setDaemon(true);
-            return t;
-        });
-        loop.execute(() -> gateway.onFree(places -> free(places, editor::routeFree), places -> free(places, editor::tenantFree)));
+        thread =
+                new ScheduledThreadPoolExecutor(
+                        1,
+                        task -> {
+                            Thread t = new Thread(task, "catalog");
+                            t.setDaemon(true);
+                            return t;
+                        });
+        loop.execute(
+                () ->
+                        gateway.onFree(
+                                places -> free(places, editor::routeFree),
+                                places -> free(places, editor::tenantFree)));
     }
 
     /** Begins to look into the log, and does again {@code poll} ms after each look. */
     void follow(double poll) {
-        thread.scheduleWithFixedDelay(this::look, 0, Math.max(1, (long) poll), TimeUnit.MILLISECONDS);
+        thread.scheduleWithFixedDelay(
+                this::look, 0, Math.max(1, (long) poll), TimeUnit.MILLISECONDS);
     }
 
     private void look() {
@@ -92,11 +106,12 @@
 
     private void free(int[] places, IntConsumer told) {
         try {
-            thread.execute(() -> {
-                for (int place : places) {
-                    told.accept(place);
-                }
-            });
+            thread.execute(
+                    () -> {
+                        for (int place : places) {
+                            told.accept(place);
+                        }
+                    });
         } catch (RejectedExecutionException e) {
             // The end of the process: nothing is given out any more.
         }
@@ -104,36 +119,38 @@
 
     /** Reads the configuration and compares it with the last version that was made; blocks. */
     Reread read(ConfigSource source) throws ConfigException {
-        return onThread(() -> {
-            Whole whole = new Whole(editor.current());
-            GatewayConfig config = source.read(whole);
-            return new Reread(config, change(whole).size(), false);
-        });
+        return onThread(
+                () -> {
+                    Whole whole = new Whole(editor.current());
+                    GatewayConfig config = source.read(whole);
+                    return new Reread(config, change(whole).size(), false);
+                });
     }
 
     /**
-     * Reads the configuration and has the gateway go on with its classes and tenants; blocks until they are checked, and not until
-     * they are in force.
+     * Reads the configuration and has the gateway go on with its classes and tenants; blocks until
+     * they are checked, and not until they are in force.
      *
      * @param asked whether somebody waits to be told why they don't count
      */
     Reread apply(ConfigSource source, boolean asked) throws ConfigException {
-        return onThread(() -> {
-            Whole whole = new Whole(editor.current());
-            GatewayConfig config = source.read(whole);
-            Editor.Outcome.Taken taken;
-            if (follower != null) {
-                LogFollower.Step step = follower.whole(editor, whole);
-                tell(asked ? step.line() : null);
-                taken = step.taken();
-            } else {
-                taken = offer(change(whole));
-            }
-            if (taken != null) {
-                thread.execute(() -> bring(taken));
-            }
-            return new Reread(config, 0, taken != null);
-        });
+        return onThread(
+                () -> {
+                    Whole whole = new Whole(editor.current());
+                    GatewayConfig config = source.read(whole);
+                    Editor.Outcome.Taken taken;
+                    if (follower != null) {
+                        LogFollower.Step step = follower.whole(editor, whole);
+                        tell(asked ? step.line() : null);
+                        taken = step.taken();
+                    } else {
+                        taken = offer(change(whole));
+                    }
+                    if (taken != null) {
+                        thread.execute(() -> bring(taken));
+                    }
+                    return new Reread(config, 0, taken != null);
+                });
     }
 
     /** Null where nothing differs. */
@@ -145,8 +162,10 @@
         if (outcome instanceof Editor.Outcome.Taken taken) {
             return taken;
         }
-        throw new ConfigException(outcome instanceof Editor.Outcome.Refused refused ? String.join("\n", refused.faults())
-                : LogFollower.line(change, outcome));
+        throw new ConfigException(
+                outcome instanceof Editor.Outcome.Refused refused
+                        ? String.join("\n", refused.faults())
+                        : LogFollower.line(change, outcome));
     }
 
     private Change change(Whole whole) {
@@ -178,14 +197,21 @@
         CompletableFuture<Boolean> end = new CompletableFuture<>();
         try {
             int untold = untold(next);
-            loop.execute(() -> {
-                gateway.changesUntold(untold);
-                gateway.change(next, delta, end::complete);
-            });
+            loop.execute(
+                    () -> {
+                        gateway.changesUntold(untold);
+                        gateway.change(next, delta, end::complete);
+                    });
             boolean inForce = end.get();
             if (inForce) {
-                LOG.atLevel(follower == null ? Level.INFO : Level.DEBUG).log("settings in force: epoch {}, number {}, {} classes and {} tenants changed",
-                        next.epoch(), next.number(), delta.classes().size(), delta.tenants().size());
+                LOG.atLevel(follower == null ? Level.INFO : Level.DEBUG)
+                        .log(
+                                "settings in force: epoch {}, number {}, {} classes and {} tenants"
+                                        + " changed",
+                                next.epoch(),
+                                next.number(),
+                                delta.classes().size(),
+                                delta.tenants().size());
             }
             return inForce;
         } catch (RejectedExecutionException | ExecutionException e) {
@@ -200,7 +226,9 @@
     private int untold(Catalog next) {
         Position newest = follower == null ? null : follower.newest();
         boolean later = newest != null && newest.epoch() == next.epoch();
-        return later ? (int) Math.max(0, Math.min(Integer.MAX_VALUE, newest.number() - next.number())) : 0;
+        return later
+                ? (int) Math.max(0, Math.min(Integer.MAX_VALUE, newest.number() - next.number()))
+                : 0;
     }
 
     private void refused(String text) {
--- a/src/main/java/tinroad/node/Rehearsal.java
+++ b/src/main/java/tinroad/node/Rehearsal.java
@@ -20,24 +20,38 @@
 import tinroad.fastcgi.FastCgiFront;
 
 /**
- * Made-up requests, run through a gateway of their own that is thrown away, before the real one listens. Guards the
- * first seconds of service: the virtual machine compiles what it has seen often, and on a part of a core that work
- * would keep callers waiting. Touches no socket, and writes no log line.
+ * Made-up requests, run through a gateway of their own that is thrown away, before the real one
+ * listens. Guards the first seconds of service: the virtual machine compiles what it has seen
+ * often, and on a part of a core that work would keep callers waiting. Touches no socket, and
+ * writes no log line.
  */
 final class Rehearsal {
-    /** Steps of so many ms; in each as many requests come as the made-up engine ends, but for its rests. */
+    /**
+     * Steps of so many ms; in each as many requests come as the made-up engine ends, but for its
+     * rests.
+     */
     private static final int STEPS = 300;
+
     private static final double STEP_MS = 5;
     private static final int REQUESTS = 2;
+
     /** So many steps of every hundred the engine ends nothing: a line forms in the hold. */
     private static final int REST = 8;
+
     private static final int CONNECTIONS = 8;
-    /** Of a large site it plays with so many classes and tenants: what the virtual machine sees does not grow with the rest. */
+
+    /**
+     * Of a large site it plays with so many classes and tenants: what the virtual machine sees does
+     * not grow with the rest.
+     */
     static final int SAMPLE = 64;
+
     private static final int CALL_EVERY = 10;
     private static final String CALL = "GET /api/telemetry HTTP/1.1\r\nHost: x\r\n\r\n";
-    private static final String DONE = "{\"type\":\"DONE\",\"n\":%d,\"job\":\"%s\",\"state\":\"done\",\"took\":9.5,\"data\":\"%s\"}\n";
-    private static final String STATS = "{\"type\":\"STATS\",\"ref\":\"%s\",\"gauges\":[0.9,3,0.4,9]}\n";
+    private static final String DONE =
+            "{\"type\":\"DONE\",\"n\":%d,\"job\":\"%s\",\"state\":\"done\",\"took\":9.5,\"data\":\"%s\"}\n";
+    private static final String STATS =
+            "{\"type\":\"STATS\",\"ref\":\"%s\",\"gauges\":[0.9,3,0.4,9]}\n";
     private static final String DATA = "cmVzdWx0".repeat(60);
 
     private final Site site;
@@ -55,8 +69,15 @@
     Rehearsal(Site whole) {
         site = whole.first(SAMPLE);
         EngineLink link = new EngineLink(null, null, site.gaugeNames(), "", 0);
-        Gateway gateway = new Gateway(site, 1, () -> now, (ms, task) -> timers.add(task), link,
-                OverloadController::new, NOPLogger.NOP_LOGGER);
+        Gateway gateway =
+                new Gateway(
+                        site,
+                        1,
+                        () -> now,
+                        (ms, task) -> timers.add(task),
+                        link,
+                        OverloadController::new,
+                        NOPLogger.NOP_LOGGER);
         front = new FastCgiFront(() -> now, gateway, Integer.MAX_VALUE, Double.MAX_VALUE);
         gateway.add(front);
         control = new ControlServer(gateway);
@@ -118,7 +139,9 @@
     }
 
     private void takeAnswers(EmbeddedChannel caller) {
-        for (ByteBuf answer = caller.readOutbound(); answer != null; answer = caller.readOutbound()) {
+        for (ByteBuf answer = caller.readOutbound();
+                answer != null;
+                answer = caller.readOutbound()) {
             answered++;
             answer.release();
         }
@@ -142,10 +165,11 @@
             fields.put("HTTP_REQ_TOKEN", String.format("%032x", asked));
         }
         ByteBuf pairs = Unpooled.buffer();
-        fields.forEach((name, value) -> {
-            pairs.writeByte(name.length()).writeByte(value.length());
-            ByteBufUtil.writeAscii(pairs, name + value);
-        });
+        fields.forEach(
+                (name, value) -> {
+                    pairs.writeByte(name.length()).writeByte(value.length());
+                    ByteBufUtil.writeAscii(pairs, name + value);
+                });
         ByteBuf out = Unpooled.buffer();
         record(out, 1, number, Unpooled.wrappedBuffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
         record(out, 4, number, pairs);
@@ -156,7 +180,11 @@
     }
 
     private static void record(ByteBuf out, int type, int number, ByteBuf content) {
-        out.writeByte(1).writeByte(type).writeShort(number).writeShort(content.readableBytes()).writeShort(0);
+        out.writeByte(1)
+                .writeByte(type)
+                .writeShort(number)
+                .writeShort(content.readableBytes())
+                .writeShort(0);
         out.writeBytes(content);
     }
 }
--- a/src/main/java/tinroad/node/Server.java
+++ b/src/main/java/tinroad/node/Server.java
@@ -1,5 +1,19 @@
 package tinroad.node;
 
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.util.concurrent.Future;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicReference;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import tinroad.OverloadController;
 import tinroad.catalog.Catalog;
 import tinroad.changelog.ChangeFolder;
@@ -14,51 +28,58 @@
 import tinroad.core.Gateway;
 import tinroad.engine.EngineLink;
 import tinroad.fastcgi.FastCgiFront;
-import tinroad.log.Keys;
 import tinroad.gossip.Carrier;
+import tinroad.log.Keys;
 import tinroad.operator.CatalogSettings;
 import tinroad.operator.FleetSettings;
 import tinroad.operator.StateSettings;
 import tinroad.recovery.Memory;
 import tinroad.recovery.Rereads;
 import tinroad.roster.RosterReporter;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-import io.netty.util.concurrent.Future;
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicReference;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /** The parts of one gateway put together on one event loop, from its start to its leave. */
 public final class Server implements AutoCloseable {
-    /** The last part of the time to leave, in ms at least: for the last answers to be taken and the process to end. */
+    /**
+     * The last part of the time to leave, in ms at least: for the last answers to be taken and the
+     * process to end.
+     */
     private static final double EXIT_MARGIN = 200;
+
     /** The same as a part of that time. */
     private static final double EXIT_PART = 0.1;
-    /** Part of the grace for which a notice may have been on its way from the system to the thread that hears it. */
+
+    /**
+     * Part of the grace for which a notice may have been on its way from the system to the thread
+     * that hears it.
+     */
     private static final double UNHEARD_PART = 0.1;
-    /** Neither is more than this, in ms: what a process may be late does not grow with what it is given. */
+
+    /**
+     * Neither is more than this, in ms: what a process may be late does not grow with what it is
+     * given.
+     */
     private static final double MOST_LATE = 500;
+
     /** So long before that no new connection is taken, and empty ones are closed. */
     private static final double CLOSING = 250;
+
     private static final long POLL_MS = 10;
+
     /** Period of the look for another process, in ms. */
     private static final long SHARE_MS = 250;
+
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
-    private enum Begun { NEITHER, LISTENING, LEAVING }
+    private enum Begun {
+        NEITHER,
+        LISTENING,
+        LEAVING
+    }
 
     private final GatewayConfig config;
     private final Clock clock = Clock.anchored();
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final EngineLink engine;
     private final Gateway gateway;
@@ -66,37 +87,58 @@
     private final RosterReporter roster;
     private final Succession succession;
     private final Rereads rereads;
+
     /** What lasts, or null where nothing does. */
     private final Remembering remembering;
+
     private final double saveEvery;
     private final CatalogSettings catalogSettings;
     private final Catalog first;
+
     /** Who follows the change log, or null where there is none. */
     private final LogFollower follower;
-    /** Made with the first settings that come later: a gateway that never hears of any has no thread for them. */
+
+    /**
+     * Made with the first settings that come later: a gateway that never hears of any has no thread
+     * for them.
+     */
     private CatalogUpdates updates;
+
     private final FleetSettings fleetSettings;
+
     /** What speaks with the other gateways, or null where nothing does. */
     private final Carrier fleet;
+
     private boolean shared;
+
     /** What came first: the listener, or the notice to leave. */
     private final AtomicReference<Begun> begun = new AtomicReference<>(Begun.NEITHER);
+
     /** Where engine and roster are, by the configuration that was read last. */
     private volatile InetSocketAddress engineAt;
+
     private volatile InetSocketAddress rosterAt;
     private final CountDownLatch serving = new CountDownLatch(1);
     private final CountDownLatch ended = new CountDownLatch(1);
 
     /**
-     * A gateway that shares {@code directory}, or null, with other processes under the same name. Reads what lasted, and
-     * blocks for it.
+     * A gateway that shares {@code directory}, or null, with other processes under the same name.
+     * Reads what lasted, and blocks for it.
      */
-    public Server(GatewayConfig config, String directory, StateSettings state, FleetSettings fleetSettings) {
+    public Server(
+            GatewayConfig config,
+            String directory,
+            StateSettings state,
+            FleetSettings fleetSettings) {
         this(config, directory, state, fleetSettings, CatalogSettings.DEFAULT);
     }
 
     /** The same, with classes and tenants that change as {@code catalogSettings} say. */
-    public Server(GatewayConfig config, String directory, StateSettings state, FleetSettings fleetSettings,
+    public Server(
+            GatewayConfig config,
+            String directory,
+            StateSettings state,
+            FleetSettings fleetSettings,
             CatalogSettings catalogSettings) {
         this.config = config;
         remembering = state.lasts() ? Remembering.open(state, config.name(), clock.now()) : null;
@@ -104,20 +146,44 @@
         engineAt = config.engine();
         rosterAt = config.roster();
         succession = new Succession(directory, config.name());
-        engine = new EngineLink(loop, config.engine(), config.site().gaugeNames(), config.name(), config.seed());
+        engine =
+                new EngineLink(
+                        loop,
+                        config.engine(),
+                        config.site().gaugeNames(),
+                        config.name(),
+                        config.seed());
         this.catalogSettings = catalogSettings;
         follower = follower(catalogSettings);
-        Catalog read = Catalog.of(0, 0, config.site().classNames(), config.site().settings().classes(), config.site().tenantNames(),
-                config.site().settings().tenants());
+        Catalog read =
+                Catalog.of(
+                        0,
+                        0,
+                        config.site().classNames(),
+                        config.site().settings().classes(),
+                        config.site().tenantNames(),
+                        config.site().settings().tenants());
         first = follower == null ? read : follower.locate(read);
-        gateway = new Gateway(config.site(), first, config.seed(), clock, this::after, engine, OverloadController::new,
-                LoggerFactory.getLogger("gateway"));
+        gateway =
+                new Gateway(
+                        config.site(),
+                        first,
+                        config.seed(),
+                        clock,
+                        this::after,
+                        engine,
+                        OverloadController::new,
+                        LoggerFactory.getLogger("gateway"));
         front = new FastCgiFront(clock, gateway, config.sockets(), config.memoryMb());
         rereads = new Rereads(config.name(), config.seed());
         roster = new RosterReporter(loop, config.roster(), config.name(), config.seed());
         gateway.add(front);
         this.fleetSettings = fleetSettings;
-        fleet = fleetSettings.speaks() ? new Carrier(loop, fleetSettings.listen(), fleetSettings.keys(), clock::now) : null;
+        fleet =
+                fleetSettings.speaks()
+                        ? new Carrier(
+                                loop, fleetSettings.listen(), fleetSettings.keys(), clock::now)
+                        : null;
         gateway.onHealth(this::health);
         if (remembering != null) {
             gateway.remembers(remembering.memory());
@@ -125,13 +191,18 @@
         }
     }
 
-    /** Who follows the change log, from no earlier on than what lasted tells; null where there is none. */
+    /**
+     * Who follows the change log, from no earlier on than what lasted tells; null where there is
+     * none.
+     */
     private LogFollower follower(CatalogSettings set) {
         if (set.log() == null) {
             return null;
         }
         Memory memory = remembering == null ? Memory.NONE : remembering.memory();
-        return new LogFollower(new ChangeFolder(set.log(), ChangeFolder.KEEP), "change log " + set.log(),
+        return new LogFollower(
+                new ChangeFolder(set.log(), ChangeFolder.KEEP),
+                "change log " + set.log(),
                 memory.epoch() > 0 ? new Position(memory.epoch(), memory.number()) : null);
     }
 
@@ -159,35 +230,51 @@
     }
 
     /**
-     * Listens, and begins to connect to the engine; returns the address that it listens on, or null where the notice
-     * to leave came first: then nothing ever listens.
+     * Listens, and begins to connect to the engine; returns the address that it listens on, or null
+     * where the notice to leave came first: then nothing ever listens.
      */
     public InetSocketAddress start() throws IOException, InterruptedException {
         if (config.control() != null) {
-            listening(new ControlServer(gateway, () -> fleet == null ? null : fleet.membership()).listen(loop, config.control()), config.control());
+            listening(
+                    new ControlServer(gateway, () -> fleet == null ? null : fleet.membership())
+                            .listen(loop, config.control()),
+                    config.control());
         }
         if (follower != null) {
             updates().follow(catalogSettings.poll());
         }
-        // Guards the requests that come while a new version starts: until it takes work, all go to the old one.
-        boolean beside = FastCgiFront.taken(config.listen(), false) && !FastCgiFront.taken(config.listen(), true);
+        // Guards the requests that come while a new version starts: until it takes work, all go to
+        // the old one.
+        boolean beside =
+                FastCgiFront.taken(config.listen(), false)
+                        && !FastCgiFront.taken(config.listen(), true);
         if (beside) {
             Keys.with(LOG.atInfo(), "listen", config.listen())
-                    .log("another process listens on {}: beside it once the engine is there", config.listen());
+                    .log(
+                            "another process listens on {}: beside it once the engine is there",
+                            config.listen());
             share(true);
             connect();
             serving.await();
         }
         // On the loop, as the drain is: whichever comes first, the other sees it whole.
-        Future<ChannelFuture> listen = loop.submit(() -> begun.compareAndSet(Begun.NEITHER, Begun.LISTENING)
-                ? front.listen(loop, config.listen()) : null).await();
+        Future<ChannelFuture> listen =
+                loop.submit(
+                                () ->
+                                        begun.compareAndSet(Begun.NEITHER, Begun.LISTENING)
+                                                ? front.listen(loop, config.listen())
+                                                : null)
+                        .await();
         if (listen.getNow() == null) {
             return null;
         }
         ChannelFuture bound = listening(listen.getNow(), config.listen());
         succession.take();
         loop.execute(gateway::opened);
-        Keys.with(Keys.with(LOG.atInfo(), "listen", bound.channel().localAddress()), "member", config.name())
+        Keys.with(
+                        Keys.with(LOG.atInfo(), "listen", bound.channel().localAddress()),
+                        "member",
+                        config.name())
                 .log("listening on {} as {}", bound.channel().localAddress(), config.name());
         if (!beside) {
             connect();
@@ -196,23 +283,35 @@
     }
 
     private void connect() {
-        loop.execute(() -> {
-            roster.start();
-            engine.start(gateway);
-            if (fleet != null) {
-                join();
-            }
-        });
+        loop.execute(
+                () -> {
+                    roster.start();
+                    engine.start(gateway);
+                    if (fleet != null) {
+                        join();
+                    }
+                });
     }
 
-    /** Its life in the fleet is the one that its state counts, or, without state, the time of its start. */
+    /**
+     * Its life in the fleet is the one that its state counts, or, without state, the time of its
+     * start.
+     */
     private void join() {
-        long life = remembering != null && remembering.memory().life() > 0 ? remembering.memory().life() : (long) clock.now();
-        fleet.start(config.name(), fleetSettings.zone(), life, fleetSettings.seeds(), config.seed()).addListener(bound -> {
-            if (!bound.isSuccess()) {
-                LOG.warn("can't hear the fleet on {}, goes on alone: {}", fleetSettings.listen(), bound.cause().getMessage());
-            }
-        });
+        long life =
+                remembering != null && remembering.memory().life() > 0
+                        ? remembering.memory().life()
+                        : (long) clock.now();
+        fleet.start(config.name(), fleetSettings.zone(), life, fleetSettings.seeds(), config.seed())
+                .addListener(
+                        bound -> {
+                            if (!bound.isSuccess()) {
+                                LOG.warn(
+                                        "can't hear the fleet on {}, goes on alone: {}",
+                                        fleetSettings.listen(),
+                                        bound.cause().getMessage());
+                            }
+                        });
     }
 
     private static ChannelFuture listening(ChannelFuture bound, InetSocketAddress address)
@@ -224,14 +323,16 @@
     }
 
     /**
-     * Reads the configuration again and goes on with its addresses of engine and roster, and with its classes and tenants where
-     * these are to count at once; all else in it counts at the next start. Blocks while it reads.
+     * Reads the configuration again and goes on with its addresses of engine and roster, and with
+     * its classes and tenants where these are to count at once; all else in it counts at the next
+     * start. Blocks while it reads.
      */
     public void reload(ConfigSource source) throws ConfigException {
         goOnWith(reread(source, true));
     }
 
-    private CatalogUpdates.Reread reread(ConfigSource source, boolean asked) throws ConfigException {
+    private CatalogUpdates.Reread reread(ConfigSource source, boolean asked)
+            throws ConfigException {
         return catalogSettings.inPlace() ? updates().apply(source, asked) : updates().read(source);
     }
 
@@ -253,37 +354,46 @@
         }
         engineAt = next.engine();
         rosterAt = next.roster();
-        loop.execute(() -> {
-            Keys.with(Keys.with(LOG.atInfo(), "engine", next.engine()), "roster", next.roster())
-                    .log("configuration read again: engine {}, roster {}", next.engine(), next.roster());
-            engine.move(next.engine());
-            roster.move(next.roster());
-        });
+        loop.execute(
+                () -> {
+                    Keys.with(
+                                    Keys.with(LOG.atInfo(), "engine", next.engine()),
+                                    "roster",
+                                    next.roster())
+                            .log(
+                                    "configuration read again: engine {}, roster {}",
+                                    next.engine(),
+                                    next.roster());
+                    engine.move(next.engine());
+                    roster.move(next.roster());
+                });
     }
 
     /**
-     * Leaves: answers all that was read, then ends. Blocks its caller, the thread that the notice comes on. A process
-     * that was replaced leaves at once, and quietly: the gateway itself stays.
+     * Leaves: answers all that was read, then ends. Blocks its caller, the thread that the notice
+     * comes on. A process that was replaced leaves at once, and quietly: the gateway itself stays.
      */
     public void leave() {
         double noticedAt = Math.min(clock.now(), gateway.aliveAt());
         if (begun.compareAndSet(Begun.NEITHER, Begun.LEAVING)) {
-            // Guards against a wait for the rehearsal, or for the engine: nobody has asked for anything yet.
+            // Guards against a wait for the rehearsal, or for the engine: nobody has asked for
+            // anything yet.
             LOG.info("told to leave before it listened");
             ended.countDown();
             return;
         }
         boolean replaced = succession.passedOn();
-        loop.execute(() -> {
-            if (replaced) {
-                LOG.info("replaced by another process");
-                gateway.replaced();
-                roster.silence();
-                front.leave();
-                endOnceEmpty();
-            }
-            drain(noticedAt);
-        });
+        loop.execute(
+                () -> {
+                    if (replaced) {
+                        LOG.info("replaced by another process");
+                        gateway.replaced();
+                        roster.silence();
+                        front.leave();
+                        endOnceEmpty();
+                    }
+                    drain(noticedAt);
+                });
         try {
             ended.await((long) config.stopMs(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -293,8 +403,16 @@
     }
 
     private void drain(double noticedAt) {
-        double leaveAt = noticedAt + Math.max(0, config.stopMs() - Math.max(EXIT_MARGIN, Math.min(MOST_LATE, EXIT_PART * config.stopMs())));
-        // Guards the grace against a notice that was heard late, as where the process gets little of a core.
+        double leaveAt =
+                noticedAt
+                        + Math.max(
+                                0,
+                                config.stopMs()
+                                        - Math.max(
+                                                EXIT_MARGIN,
+                                                Math.min(MOST_LATE, EXIT_PART * config.stopMs())));
+        // Guards the grace against a notice that was heard late, as where the process gets little
+        // of a core.
         double grace = config.site().settings().rules().drainGrace();
         gateway.drain(noticedAt - Math.min(MOST_LATE, UNHEARD_PART * grace), leaveAt);
         if (fleet != null) {
@@ -318,8 +436,8 @@
     }
 
     /**
-     * Blocks until the end. Meanwhile it looks whether another process shares what this gateway may hold, and, while the
-     * engine is gone, what the configuration says by now.
+     * Blocks until the end. Meanwhile it looks whether another process shares what this gateway may
+     * hold, and, while the engine is gone, what the configuration says by now.
      */
     public void awaitEnd(ConfigSource source) throws InterruptedException {
         do {
@@ -337,13 +455,16 @@
         if (rereads.due(clock.now(), engine.reached()) && source.changed()) {
             try {
                 CatalogUpdates.Reread next = reread(source, false);
-                boolean moved = !(next.config().engine().equals(engineAt) && next.config().roster().equals(rosterAt));
+                boolean moved =
+                        !(next.config().engine().equals(engineAt)
+                                && next.config().roster().equals(rosterAt));
                 if (moved || next.taken()) {
                     LOG.info("engine gone: the configuration has changed unheard");
                     goOnWith(next);
                 }
             } catch (ConfigException e) {
-                // Told by whoever is told to read it; unasked, the gateway goes on with what it has.
+                // Told by whoever is told to read it; unasked, the gateway goes on with what it
+                // has.
             }
         }
     }
@@ -351,7 +472,10 @@
     private void share(boolean withAnother) {
         if (withAnother != shared) {
             shared = withAnother;
-            LOG.info(withAnother ? "half of the connections: another process shares the limits" : "all connections: alone again");
+            LOG.info(
+                    withAnother
+                            ? "half of the connections: another process shares the limits"
+                            : "all connections: alone again");
             loop.execute(() -> front.share(withAnother));
         }
     }
--- a/src/main/java/tinroad/node/Succession.java
+++ b/src/main/java/tinroad/node/Succession.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which process of a gateway was the last to listen, and whether there is another: told by files in the directory that
- * they share. A process that finds another named there was replaced while it served; the one that came first holds a
- * lock, which the system lets go however that process ends.
+ * Which process of a gateway was the last to listen, and whether there is another: told by files in
+ * the directory that they share. A process that finds another named there was replaced while it
+ * served; the one that came first holds a lock, which the system lets go however that process ends.
  */
 final class Succession implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("server");
@@ -24,7 +24,10 @@
     private FileChannel held;
     private volatile boolean taken;
 
-    /** The processes named {@code name} that share {@code directory}; null where there is none to share. */
+    /**
+     * The processes named {@code name} that share {@code directory}; null where there is none to
+     * share.
+     */
     Succession(String directory, String name) {
         boolean shared = directory != null && !directory.isEmpty();
         file = shared ? Path.of(directory, "tinroad-" + name + ".latest") : null;
@@ -46,7 +49,8 @@
     /** Whether another process listened later. */
     boolean passedOn() {
         try {
-            // Guards a process whose notice comes between its listening and its word: the one named was there before.
+            // Guards a process whose notice comes between its listening and its word: the one named
+            // was there before.
             return taken && file != null && !Files.readString(file).equals(self);
         } catch (IOException e) {
             // Nobody can have told so: it leaves as a process that has no successor.
@@ -59,13 +63,16 @@
         return passedOn() || !first();
     }
 
-    /** Whether no process that came before this one is left; from then on later ones see this one. */
+    /**
+     * Whether no process that came before this one is left; from then on later ones see this one.
+     */
     private boolean first() {
         if (lock == null || held != null) {
             return true;
         }
         try {
-            FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            FileChannel channel =
+                    FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             held = locked(channel) ? channel : null;
             if (held == null) {
                 channel.close();
--- a/src/main/java/tinroad/operator/CheckedFile.java
+++ b/src/main/java/tinroad/operator/CheckedFile.java
@@ -24,8 +24,8 @@
 import java.util.stream.StreamSupport;
 
 /**
- * Reads one HOCON file of the operators': text to values, values against a JSON Schema, what is left out from defaults.
- * All faults are told at once, each with its file and line.
+ * Reads one HOCON file of the operators': text to values, values against a JSON Schema, what is
+ * left out from defaults. All faults are told at once, each with its file and line.
  */
 public final class CheckedFile {
     private static final String DIALECT = "https://json-schema.org/draft/2020-12/schema";
@@ -39,16 +39,21 @@
     }
 
     /**
-     * The settings in {@code file}. {@code schema.json} and {@code defaults.conf} stand beside the class {@code at}; the
-     * defaults may hold more than the schema lets a file hold.
+     * The settings in {@code file}. {@code schema.json} and {@code defaults.conf} stand beside the
+     * class {@code at}; the defaults may hold more than the schema lets a file hold.
      */
     public static Config read(Path file, Class<?> at) throws OperatorException {
-        return new CheckedFile(file, schema(at)).read(ConfigFactory.parseResources(at, "defaults.conf"));
+        return new CheckedFile(file, schema(at))
+                .read(ConfigFactory.parseResources(at, "defaults.conf"));
     }
 
     /** A fault of a value that the schema lets pass, where it stands. */
     public static Fault fault(ConfigValue value, String key, String text) {
-        return new Fault(Sources.file(value.origin().description()), Math.max(1, value.origin().lineNumber()), key, text);
+        return new Fault(
+                Sources.file(value.origin().description()),
+                Math.max(1, value.origin().lineNumber()),
+                key,
+                text);
     }
 
     private Config read(Config defaults) throws OperatorException {
@@ -70,7 +75,8 @@
     }
 
     private static Schema schema(Class<?> at) {
-        Dialect dialect = Dialect.builder(DIALECT, Dialects.getDraft202012()).keyword(new Quantity()).build();
+        Dialect dialect =
+                Dialect.builder(DIALECT, Dialects.getDraft202012()).keyword(new Quantity()).build();
         InputStream in = at.getResourceAsStream("schema.json");
         return SchemaRegistry.withDialect(dialect).getSchema(in, InputFormat.JSON);
     }
@@ -102,8 +108,12 @@
     private static ConfigValue value(ConfigObject root, List<String> path) {
         ConfigValue at = root;
         for (String name : path) {
-            at = at instanceof ConfigObject object ? object.get(name)
-                    : at instanceof List<?> list ? (ConfigValue) list.get(Integer.parseInt(name)) : null;
+            at =
+                    at instanceof ConfigObject object
+                            ? object.get(name)
+                            : at instanceof List<?> list
+                                    ? (ConfigValue) list.get(Integer.parseInt(name))
+                                    : null;
             if (at == null) {
                 return null;
             }
@@ -114,18 +124,29 @@
     /** What is wrong, and what is allowed. */
     private String text(Error error, ConfigValue found) {
         JsonNode word = error.getSchemaNode();
-        String allowed = switch (error.getKeyword()) {
-            case "additionalProperties" -> null;
-            case "enum" -> "must be one of " + String.join(", ",
-                    StreamSupport.stream(word.spliterator(), false).map(JsonNode::asText).toList());
-            case "minimum" -> "must be " + word.asText() + " or more";
-            case "maximum" -> "must be " + word.asText() + " or less";
-            case "required" -> "must have " + error.getProperty();
-            case "minItems" -> "must have " + word.asText() + " or more";
-            case "type" -> "must be " + (word.asText().matches("[aeiou].*") ? "an " : "a ") + word.asText();
-            default -> error.getMessage();
-        };
-        return allowed == null ? unknown(error) : allowed + "; found " + found.render(ConfigRenderOptions.concise());
+        String allowed =
+                switch (error.getKeyword()) {
+                    case "additionalProperties" -> null;
+                    case "enum" ->
+                            "must be one of "
+                                    + String.join(
+                                            ", ",
+                                            StreamSupport.stream(word.spliterator(), false)
+                                                    .map(JsonNode::asText)
+                                                    .toList());
+                    case "minimum" -> "must be " + word.asText() + " or more";
+                    case "maximum" -> "must be " + word.asText() + " or less";
+                    case "required" -> "must have " + error.getProperty();
+                    case "minItems" -> "must have " + word.asText() + " or more";
+                    case "type" ->
+                            "must be "
+                                    + (word.asText().matches("[aeiou].*") ? "an " : "a ")
+                                    + word.asText();
+                    default -> error.getMessage();
+                };
+        return allowed == null
+                ? unknown(error)
+                : allowed + "; found " + found.render(ConfigRenderOptions.concise());
     }
 
     private String unknown(Error error) {
@@ -134,7 +155,10 @@
         JsonNode parent = schema.getSchemaNode().at(parentPointer(error));
         parent.path("properties").fieldNames().forEachRemaining(known::add);
         String near = Nearest.to(error.getProperty(), known);
-        return "unknown" + (near == null ? "" : ": is " + near + " meant?") + "; known here: " + String.join(", ", known);
+        return "unknown"
+                + (near == null ? "" : ": is " + near + " meant?")
+                + "; known here: "
+                + String.join(", ", known);
     }
 
     private static String parentPointer(Error error) {
--- a/src/main/java/tinroad/operator/Fault.java
+++ b/src/main/java/tinroad/operator/Fault.java
@@ -11,8 +11,11 @@
  * @param text what is wrong, and what is allowed
  */
 public record Fault(String file, int line, String key, String text) implements Comparable<Fault> {
-    private static final Comparator<Fault> ORDER = Comparator.comparing(Fault::file).thenComparingInt(Fault::line)
-            .thenComparing(Fault::key).thenComparing(Fault::text);
+    private static final Comparator<Fault> ORDER =
+            Comparator.comparing(Fault::file)
+                    .thenComparingInt(Fault::line)
+                    .thenComparing(Fault::key)
+                    .thenComparing(Fault::text);
 
     @Override
     public int compareTo(Fault other) {
@@ -22,6 +25,11 @@
     /** {@code FILE:LINE: KEY: TEXT}, on one line. */
     @Override
     public String toString() {
-        return file + ":" + line + ": " + (key.isEmpty() ? "" : key + ": ") + text.replaceAll("\\s+", " ");
+        return file
+                + ":"
+                + line
+                + ": "
+                + (key.isEmpty() ? "" : key + ": ")
+                + text.replaceAll("\\s+", " ");
     }
 }
--- a/src/main/java/tinroad/operator/FleetSettings.java
+++ b/src/main/java/tinroad/operator/FleetSettings.java
@@ -17,9 +17,11 @@
  * @param zone that it is in
  * @param keys of the MAC, the first one signs; at least one
  */
-public record FleetSettings(InetSocketAddress listen, List<String> seeds, String zone, List<byte[]> keys) {
+public record FleetSettings(
+        InetSocketAddress listen, List<String> seeds, String zone, List<byte[]> keys) {
     /** It speaks with nobody. */
     public static final FleetSettings NONE = new FleetSettings(null, List.of(), "", List.of());
+
     private static final int SHORTEST = 16;
     private static final int MOST = 2;
 
@@ -39,15 +41,29 @@
                 if (!text.isBlank() && !text.startsWith("#")) {
                     byte[] key = decoded(text.strip());
                     if (key == null || key.length < SHORTEST || keys.size() == MOST) {
-                        faults.add(new Fault(file.toString(), line, "", keys.size() == MOST ? "more than " + MOST + " keys"
-                                : "must be Base64 of " + SHORTEST + " bytes or more"));
+                        faults.add(
+                                new Fault(
+                                        file.toString(),
+                                        line,
+                                        "",
+                                        keys.size() == MOST
+                                                ? "more than " + MOST + " keys"
+                                                : "must be Base64 of "
+                                                        + SHORTEST
+                                                        + " bytes or more"));
                     } else {
                         keys.add(key);
                     }
                 }
             }
         } catch (IOException e) {
-            faults.add(new Fault(file.toString(), 1, "", "can't be read: " + (Files.exists(file) ? e.toString() : "no such file")));
+            faults.add(
+                    new Fault(
+                            file.toString(),
+                            1,
+                            "",
+                            "can't be read: "
+                                    + (Files.exists(file) ? e.toString() : "no such file")));
         }
         if (keys.isEmpty() && faults.isEmpty()) {
             faults.add(new Fault(file.toString(), 1, "", "holds no key: a line of Base64"));
--- a/src/main/java/tinroad/operator/Nearest.java
+++ b/src/main/java/tinroad/operator/Nearest.java
@@ -8,7 +8,7 @@
     /** A name further from a known one than this, in edits, is no misspelling of it. */
     private static final int FAR = 3;
 
-    private Nearest() { }
+    private Nearest() {}
 
     /** The known name nearest to {@code name}, or null where none is near. */
     public static String to(String name, Collection<String> known) {
--- a/src/main/java/tinroad/operator/OperatorException.java
+++ b/src/main/java/tinroad/operator/OperatorException.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** An operator file that can't be used; holds everything that is wrong with it, in the order of its lines. */
+/**
+ * An operator file that can't be used; holds everything that is wrong with it, in the order of its
+ * lines.
+ */
 public final class OperatorException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/tinroad/operator/Quantity.java
+++ b/src/main/java/tinroad/operator/Quantity.java
@@ -16,8 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The schema's word for a duration or a size: {@code "quantity": {"unit": "duration", "least": "1ms", "most": "1h"}}.
- * Its text has a number and a unit, as HOCON writes them. A number alone is refused: nobody can tell what it counts.
+ * The schema's word for a duration or a size: {@code "quantity": {"unit": "duration", "least":
+ * "1ms", "most": "1h"}}. Its text has a number and a unit, as HOCON writes them. A number alone is
+ * refused: nobody can tell what it counts.
  */
 final class Quantity extends AbstractKeyword {
     static final String NAME = "quantity";
@@ -28,15 +29,20 @@
     }
 
     @Override
-    public KeywordValidator newValidator(SchemaLocation location, JsonNode schema, Schema parent, SchemaContext context) {
+    public KeywordValidator newValidator(
+            SchemaLocation location, JsonNode schema, Schema parent, SchemaContext context) {
         return new Check(this, schema, location, parent, context);
     }
 
     /** What is allowed, in words. */
     static String allowed(JsonNode schema) {
         boolean size = schema.path("unit").asText().equals("size");
-        return "must be a " + (size ? "size, such as 64KiB" : "duration, such as 250ms or 5s") + ", from "
-                + schema.path("least").asText() + " to " + schema.path("most").asText();
+        return "must be a "
+                + (size ? "size, such as 64KiB" : "duration, such as 250ms or 5s")
+                + ", from "
+                + schema.path("least").asText()
+                + " to "
+                + schema.path("most").asText();
     }
 
     /** The amount in ns or bytes; NaN where the text is no such quantity. */
@@ -46,7 +52,8 @@
         }
         try {
             Config one = ConfigFactory.parseMap(Map.of(AT, text));
-            return unit.equals("size") ? one.getMemorySize(AT).toBytesBigInteger().doubleValue()
+            return unit.equals("size")
+                    ? one.getMemorySize(AT).toBytesBigInteger().doubleValue()
                     : one.getDuration(AT, TimeUnit.NANOSECONDS);
         } catch (ConfigException | NumberFormatException e) {
             return Double.NaN;
@@ -54,19 +61,29 @@
     }
 
     private static final class Check extends BaseKeywordValidator {
-        Check(Quantity keyword, JsonNode schema, SchemaLocation location, Schema parent, SchemaContext context) {
+        Check(
+                Quantity keyword,
+                JsonNode schema,
+                SchemaLocation location,
+                Schema parent,
+                SchemaContext context) {
             super(keyword, schema, location, parent, context);
         }
 
         @Override
-        public void validate(ExecutionContext context, JsonNode node, JsonNode root, NodePath path) {
+        public void validate(
+                ExecutionContext context, JsonNode node, JsonNode root, NodePath path) {
             JsonNode schema = getSchemaNode();
             String unit = schema.path("unit").asText();
             double amount = node.isTextual() ? amount(unit, node.textValue()) : Double.NaN;
             if (!(amount >= amount(unit, schema.path("least").asText())
                     && amount <= amount(unit, schema.path("most").asText()))) {
-                context.addError(error().message(allowed(schema)).instanceLocation(path).instanceNode(node)
-                        .evaluationPath(context.getEvaluationPath()).build());
+                context.addError(
+                        error().message(allowed(schema))
+                                .instanceLocation(path)
+                                .instanceNode(node)
+                                .evaluationPath(context.getEvaluationPath())
+                                .build());
             }
         }
     }
--- a/src/main/java/tinroad/operator/Sources.java
+++ b/src/main/java/tinroad/operator/Sources.java
@@ -32,17 +32,24 @@
 import java.util.Map;
 
 /**
- * The text of an operator file and of what it includes, read and parsed. Guards against what HOCON lets pass: a file
- * that an include does not find, bytes that are no UTF-8, a setting given twice in one file, includes of addresses.
+ * The text of an operator file and of what it includes, read and parsed. Guards against what HOCON
+ * lets pass: a file that an include does not find, bytes that are no UTF-8, a setting given twice
+ * in one file, includes of addresses.
  */
 final class Sources {
     /** A longer file, in bytes, is not read. */
     static final int LONGEST = 256 * 1024;
+
     /** So many files at most, the first counted. */
     static final int MOST_FILES = 16;
+
     /** So deep may objects and lists be nested: the parser takes a frame of the stack for each. */
     static final int DEEPEST = 64;
-    /** Stands for a value while its place in the text is looked for; what a text holds itself is made longer. */
+
+    /**
+     * Stands for a value while its place in the text is looked for; what a text holds itself is
+     * made longer.
+     */
     private static final String MARK = "mark";
 
     private final List<Fault> faults = new ArrayList<>();
@@ -60,7 +67,10 @@
         return parse(file, null, 0);
     }
 
-    /** The file read as {@code file}, on behalf of an include on {@code line} of {@code from}, or of nobody. */
+    /**
+     * The file read as {@code file}, on behalf of an include on {@code line} of {@code from}, or of
+     * nobody.
+     */
     private ConfigObject parse(Path file, Path from, int line) {
         String name = file.toString();
         String text = read(file, from, line);
@@ -70,13 +80,25 @@
         open.push(file);
         try {
             // Named here: what the parser makes of a bare name is no file of the operator's.
-            ConfigObject root = ConfigFactory.parseString(text, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.CONF)
-                    .setOriginDescription(name).setIncluder(new Includer())).root();
+            ConfigObject root =
+                    ConfigFactory.parseString(
+                                    text,
+                                    ConfigParseOptions.defaults()
+                                            .setSyntax(ConfigSyntax.CONF)
+                                            .setOriginDescription(name)
+                                            .setIncluder(new Includer()))
+                            .root();
             String mark = MARK;
             while (text.contains(mark)) {
                 mark += MARK;
             }
-            twice(name, text, ConfigDocumentFactory.parseString(text), mark, root, new ArrayList<>());
+            twice(
+                    name,
+                    text,
+                    ConfigDocumentFactory.parseString(text),
+                    mark,
+                    root,
+                    new ArrayList<>());
             return root;
         } catch (ConfigException e) {
             faults.add(fault(name, e));
@@ -91,33 +113,60 @@
         int line = e.origin() == null ? 1 : Math.max(1, e.origin().lineNumber());
         String text = e.getMessage();
         String place = e.origin() == null ? "" : e.origin().description();
-        text = text.startsWith(place) ? text.substring(place.length()).replaceFirst("^:\\s*", "") : text;
+        text =
+                text.startsWith(place)
+                        ? text.substring(place.length()).replaceFirst("^:\\s*", "")
+                        : text;
         // The rest is advice for other kinds of files.
-        return new Fault(place.isEmpty() ? name : file(place), line, "", text.replaceFirst(" \\(if you intended.*", ""));
+        return new Fault(
+                place.isEmpty() ? name : file(place),
+                line,
+                "",
+                text.replaceFirst(" \\(if you intended.*", ""));
     }
 
-    /** The file in a description of an origin, which ends in a line number; of merged ones the first. */
+    /**
+     * The file in a description of an origin, which ends in a line number; of merged ones the
+     * first.
+     */
     static String file(String description) {
-        return description.replaceFirst("^merge of ", "").replaceFirst(",.*", "").replaceFirst(": \\d+(-\\d+)?$", "");
+        return description
+                .replaceFirst("^merge of ", "")
+                .replaceFirst(",.*", "")
+                .replaceFirst(": \\d+(-\\d+)?$", "");
     }
 
     private String read(Path file, Path from, int line) {
         String asked = from == null ? file.toString() : from.toString();
         int at = Math.max(1, line);
         if (++files > MOST_FILES) {
-            faults.add(new Fault(asked, at, "", "more than " + MOST_FILES + " files: do they include each other?"));
+            faults.add(
+                    new Fault(
+                            asked,
+                            at,
+                            "",
+                            "more than " + MOST_FILES + " files: do they include each other?"));
             return null;
         }
         try (InputStream in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(LONGEST + 1);
             if (bytes.length > LONGEST) {
-                faults.add(new Fault(file.toString(), 1, "", "longer than " + LONGEST / 1024 + " KiB"));
+                faults.add(
+                        new Fault(
+                                file.toString(), 1, "", "longer than " + LONGEST / 1024 + " KiB"));
                 return null;
             }
             return decoded(file.toString(), bytes);
         } catch (IOException e) {
-            faults.add(new Fault(asked, at, "", (from == null ? "can't be read: " : "include of " + file + " can't be read: ")
-                    + (Files.exists(file) ? e.getMessage() : "no such file")));
+            faults.add(
+                    new Fault(
+                            asked,
+                            at,
+                            "",
+                            (from == null
+                                            ? "can't be read: "
+                                            : "include of " + file + " can't be read: ")
+                                    + (Files.exists(file) ? e.getMessage() : "no such file")));
             return null;
         }
     }
@@ -129,8 +178,15 @@
         try {
             text = decoder.decode(in).toString();
         } catch (CharacterCodingException e) {
-            faults.add(new Fault(name, lineAt(new String(bytes, 0, in.position(), StandardCharsets.ISO_8859_1)), "",
-                    "not UTF-8: the byte 0x" + Integer.toHexString(bytes[in.position()] & 0xff)));
+            faults.add(
+                    new Fault(
+                            name,
+                            lineAt(
+                                    new String(
+                                            bytes, 0, in.position(), StandardCharsets.ISO_8859_1)),
+                            "",
+                            "not UTF-8: the byte 0x"
+                                    + Integer.toHexString(bytes[in.position()] & 0xff)));
             return null;
         }
         // A mark of the byte order is no part of the text.
@@ -141,12 +197,20 @@
             depth += c == '{' || c == '[' ? 1 : c == '}' || c == ']' ? -1 : 0;
             boolean control = c < ' ' && c != '\n' && c != '\r' && c != '\t';
             if (control || depth > DEEPEST) {
-                faults.add(new Fault(name, lineAt(text.substring(0, i)), "", control
-                        ? "a control character, U+" + String.format("%04X", (int) c) : "nested deeper than " + DEEPEST));
+                faults.add(
+                        new Fault(
+                                name,
+                                lineAt(text.substring(0, i)),
+                                "",
+                                control
+                                        ? "a control character, U+" + String.format("%04X", (int) c)
+                                        : "nested deeper than " + DEEPEST));
                 return null;
             }
         }
-        if (text.lines().map(String::strip).allMatch(l -> l.isEmpty() || l.startsWith("#") || l.startsWith("//"))) {
+        if (text.lines()
+                .map(String::strip)
+                .allMatch(l -> l.isEmpty() || l.startsWith("#") || l.startsWith("//"))) {
             faults.add(new Fault(name, 1, "", "empty: a setting was expected"));
             return null;
         }
@@ -158,11 +222,17 @@
     }
 
     /**
-     * Finds settings that a file gives twice. The parser keeps the last and says nothing; but its document, told to set
-     * a value, sets the last and drops those before it: where the text up to the new value has changed, there was one.
-     * Not found: {@code a.b = 1} beside {@code a { b = 1 }}, which are two paths to the document; the last one counts.
+     * Finds settings that a file gives twice. The parser keeps the last and says nothing; but its
+     * document, told to set a value, sets the last and drops those before it: where the text up to
+     * the new value has changed, there was one. Not found: {@code a.b = 1} beside {@code a { b = 1
+     * }}, which are two paths to the document; the last one counts.
      */
-    private void twice(String name, String text, ConfigDocument document, String mark, ConfigObject object,
+    private void twice(
+            String name,
+            String text,
+            ConfigDocument document,
+            String mark,
+            ConfigObject object,
             List<String> path) {
         for (Map.Entry<String, ConfigValue> entry : object.entrySet()) {
             path.add(entry.getKey());
@@ -177,8 +247,14 @@
                     while (before.charAt(same) == text.charAt(same)) {
                         same++;
                     }
-                    faults.add(new Fault(name, entry.getValue().origin().lineNumber(), key,
-                            "given twice, first on line " + lineAt(text.substring(0, same)) + ": must be given once"));
+                    faults.add(
+                            new Fault(
+                                    name,
+                                    entry.getValue().origin().lineNumber(),
+                                    key,
+                                    "given twice, first on line "
+                                            + lineAt(text.substring(0, same))
+                                            + ": must be given once"));
                 }
             }
             path.remove(path.size() - 1);
@@ -186,7 +262,11 @@
     }
 
     /** Finds what an include names, beside the file that it stands in. */
-    private final class Includer implements ConfigIncluder, ConfigIncluderFile, ConfigIncluderURL, ConfigIncluderClasspath {
+    private final class Includer
+            implements ConfigIncluder,
+                    ConfigIncluderFile,
+                    ConfigIncluderURL,
+                    ConfigIncluderClasspath {
         @Override
         public ConfigIncluder withFallback(ConfigIncluder fallback) {
             return this;
@@ -216,13 +296,22 @@
 
         private ConfigObject refused(String what) {
             Path from = open.peek();
-            faults.add(new Fault(from.toString(), line(from, what), "", "include of " + what + ": must be a file"));
+            faults.add(
+                    new Fault(
+                            from.toString(),
+                            line(from, what),
+                            "",
+                            "include of " + what + ": must be a file"));
             return ConfigFactory.empty().root();
         }
 
-        /** The line of the include: the parser does not say it. Of several of one name, each time the next. */
+        /**
+         * The line of the include: the parser does not say it. Of several of one name, each time
+         * the next.
+         */
         private int line(Path from, String what) {
-            List<Integer> lines = lastLines.computeIfAbsent(from + "\n" + what, k -> includes(from, what));
+            List<Integer> lines =
+                    lastLines.computeIfAbsent(from + "\n" + what, k -> includes(from, what));
             return lines.size() > 1 ? lines.remove(0) : lines.isEmpty() ? 1 : lines.get(0);
         }
 
--- a/src/main/java/tinroad/operator/StateSettings.java
+++ b/src/main/java/tinroad/operator/StateSettings.java
@@ -6,13 +6,15 @@
  * What of a gateway lasts over a restart, and where.
  *
  * @param folder of this gateway alone; null: nothing lasts
- * @param fence a folder elsewhere that remembers the last life, so that an older copy of {@code folder} is told; or null
+ * @param fence a folder elsewhere that remembers the last life, so that an older copy of {@code
+ *     folder} is told; or null
  * @param every ms between two snapshots
  * @param keep snapshots that are kept
  * @param oldest ms, the age beyond which nothing is used
  * @param halfLife ms in which half of what was learned fades
  */
-public record StateSettings(Path folder, Path fence, double every, int keep, double oldest, double halfLife) {
+public record StateSettings(
+        Path folder, Path fence, double every, int keep, double oldest, double halfLife) {
     /** Nothing lasts: what holds without an operator file. */
     public static final StateSettings NONE = new StateSettings(null, null, 0, 0, 0, 0);
 
--- a/src/main/java/tinroad/recovery/Comeback.java
+++ b/src/main/java/tinroad/recovery/Comeback.java
@@ -2,8 +2,8 @@
 
 /**
  * The phases of one life of a gateway. An engine that was started, at the gateway's own start or
- * later, is watched until it has shown what it can do; one that was up all the time is taken at its word, unless what this
- * gateway remembers can't be trusted. Times in ms. Owned by one thread.
+ * later, is watched until it has shown what it can do; one that was up all the time is taken at its
+ * word, unless what this gateway remembers can't be trusted. Times in ms. Owned by one thread.
  */
 public final class Comeback {
     /** Where a gateway stands. */
@@ -34,7 +34,8 @@
      * A life that begins at {@code now}.
      *
      * @param usualRun ms that a run is expected to take, by what is known before any has ended
-     * @param distrusts what was remembered is not believed: an engine that was up all the time is watched, too
+     * @param distrusts what was remembered is not believed: an engine that was up all the time is
+     *     watched, too
      */
     public Comeback(double now, int cores, double usualRun, boolean distrusts) {
         this.cores = cores;
@@ -43,12 +44,18 @@
         since = now;
     }
 
-    /** What a run is expected to take by what is told now: an engine that is watched from now on is judged by it. */
+    /**
+     * What a run is expected to take by what is told now: an engine that is watched from now on is
+     * judged by it.
+     */
     public void usualRun(double ms) {
         usualRun = ms;
     }
 
-    /** The engine is there; {@code started} is whether that is a start of it which this gateway has not seen yet. */
+    /**
+     * The engine is there; {@code started} is whether that is a start of it which this gateway has
+     * not seen yet.
+     */
     public void engine(double now, boolean started) {
         if (phase == Phase.DRAINING || phase != Phase.STARTING && !started) {
             return;
@@ -56,7 +63,10 @@
         engineAt = now;
         if (started || distrusts) {
             ramp = new Ramp(now, cores, usualRun);
-            become(Phase.COLD, now, started ? "the engine has started" : "what was remembered is not believed");
+            become(
+                    Phase.COLD,
+                    now,
+                    started ? "the engine has started" : "what was remembered is not believed");
         } else {
             ramp = null;
             fullAfter = 0;
@@ -126,12 +136,18 @@
         return since;
     }
 
-    /** What the watched engine has shown itself good for, in requests a second; NaN while none is watched. */
+    /**
+     * What the watched engine has shown itself good for, in requests a second; NaN while none is
+     * watched.
+     */
     public double shown() {
         return ramp == null ? Double.NaN : ramp.bound();
     }
 
-    /** Time from the engine's last start to the end of the watch; 0 where there was none, NaN while it is not over. */
+    /**
+     * Time from the engine's last start to the end of the watch; 0 where there was none, NaN while
+     * it is not over.
+     */
     public double fullAfter() {
         return phase == Phase.COLD || phase == Phase.RAMPING ? Double.NaN : fullAfter;
     }
--- a/src/main/java/tinroad/recovery/Memory.java
+++ b/src/main/java/tinroad/recovery/Memory.java
@@ -1,7 +1,7 @@
 package tinroad.recovery;
 
-import tinroad.Controller.Known;
 import java.util.Map;
+import tinroad.Controller.Known;
 
 /** What an earlier life of this gateway left, for the one that begins. */
 public interface Memory {
@@ -12,9 +12,12 @@
      * @param age ms since it was last true, at the moment of its use
      * @param life that learned it
      */
-    record Recalled(Known known, double age, long life) { }
+    record Recalled(Known known, double age, long life) {}
 
-    /** What may be used at {@code now}, Unix ms, of what this life would begin with otherwise, {@code priors}. */
+    /**
+     * What may be used at {@code now}, Unix ms, of what this life would begin with otherwise,
+     * {@code priors}.
+     */
     Map<String, Recalled> recall(Map<String, Known> priors, double now);
 
     /** The life has begun, with these values: some recalled, the others assumed. */
@@ -42,33 +45,43 @@
     /** How the life began, for operators. */
     String begins();
 
-    /** Whether something was remembered and is not believed: then an engine that was up all the time is watched as one that was started. */
+    /**
+     * Whether something was remembered and is not believed: then an engine that was up all the time
+     * is watched as one that was started.
+     */
     default boolean distrusts() {
         return false;
     }
 
     /** A gateway of which nothing lasts. */
-    Memory NONE = new Memory() {
-        @Override public Map<String, Recalled> recall(Map<String, Known> priors, double now) {
-            return Map.of();
-        }
-
-        @Override public void begun(Map<String, Known> values) { }
-
-        @Override public Map<String, Double> ran() {
-            return Map.of();
-        }
-
-        @Override public boolean evacuated() {
-            return false;
-        }
-
-        @Override public long life() {
-            return 0;
-        }
-
-        @Override public String begins() {
-            return "nothing lasts here";
-        }
-    };
+    Memory NONE =
+            new Memory() {
+                @Override
+                public Map<String, Recalled> recall(Map<String, Known> priors, double now) {
+                    return Map.of();
+                }
+
+                @Override
+                public void begun(Map<String, Known> values) {}
+
+                @Override
+                public Map<String, Double> ran() {
+                    return Map.of();
+                }
+
+                @Override
+                public boolean evacuated() {
+                    return false;
+                }
+
+                @Override
+                public long life() {
+                    return 0;
+                }
+
+                @Override
+                public String begins() {
+                    return "nothing lasts here";
+                }
+            };
 }
