--- a/src/main/java/tinroad/recovery/Pace.java
+++ b/src/main/java/tinroad/recovery/Pace.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A period that keeps no two gateways in step: each gap is drawn anew, so that a fleet that started in one moment has
- * spread over the whole period after a few gaps, and stays so. Times in ms.
+ * A period that keeps no two gateways in step: each gap is drawn anew, so that a fleet that started
+ * in one moment has spread over the whole period after a few gaps, and stays so. Times in ms.
  */
 public final class Pace {
     private final SplittableRandom random;
--- a/src/main/java/tinroad/recovery/Ramp.java
+++ b/src/main/java/tinroad/recovery/Ramp.java
@@ -1,11 +1,13 @@
 package tinroad.recovery;
 
 /**
- * How much a gateway takes in after its engine has started: bounded by what the engine has shown so far, never by the clock.
- * It measures in windows: runs that ended a second, and how long they took against their class. While the bound is what
- * limits, a window without harm raises it by a step, one with harm cuts it back to a part of what ended. It is over once the
- * demand has stayed under the bound, or once more room brings no more ends: then the engine has shown all that it has, at
- * whatever speed, and the module's own admission is enough. Times in ms, rates a second. Owned by one thread.
+ * How much a gateway takes in after its engine has started: bounded by what the engine has shown so
+ * far, never by the clock. It measures in windows: runs that ended a second, and how long they took
+ * against their class. While the bound is what limits, a window without harm raises it by a step,
+ * one with harm cuts it back to a part of what ended. It is over once the demand has stayed under
+ * the bound, or once more room brings no more ends: then the engine has shown all that it has, at
+ * whatever speed, and the module's own admission is enough. Times in ms, rates a second. Owned by
+ * one thread.
  */
 public final class Ramp {
     /** What a gateway may do. */
@@ -18,25 +20,42 @@
         FULL
     }
 
-    /** A window is at least this long, and has at least so many ends a core, or this long without them. */
+    /**
+     * A window is at least this long, and has at least so many ends a core, or this long without
+     * them.
+     */
     private static final double WINDOW = 200;
+
     private static final int ENDS_PER_CORE = 3;
     private static final double LONGEST_WINDOW = 1000;
+
     /** Steps of the bound: up without harm, and what of the ends is left after harm. */
     private static final double STEP = 1.5;
+
     private static final double CUT = 0.85;
+
     /** Runs this much slower than the quickest lately, with no more of them ending, are harm. */
     private static final double HARM = 1.8;
+
     private static final double NO_MORE = 1.05;
-    /** Runs this much slower are harm whatever ends: a crowd has formed, and the ends come of what was taken before. */
+
+    /**
+     * Runs this much slower are harm whatever ends: a crowd has formed, and the ends come of what
+     * was taken before.
+     */
     private static final double CROWD = 3;
+
     /** The bound limits when this part of it was taken. */
     private static final double LIMITS = 0.85;
+
     /** Windows in a row under the bound that end the ramp. */
     private static final int QUIET = 5;
+
     /** Time in which more room brings no more ends by this factor: the engine has no more. */
     private static final double PLATEAU = 4000;
+
     private static final double MORE = 1.08;
+
     /** How fast the memory of the quickest runs fades, a window. */
     private static final double FADE = 1.02;
 
@@ -88,11 +107,16 @@
     /** Time passes: ends a window that has seen enough. */
     public void tick(double now) {
         double length = now - windowAt;
-        if (phase == Phase.FULL || length < WINDOW || ends < ENDS_PER_CORE * cores && length < LONGEST_WINDOW) {
+        if (phase == Phase.FULL
+                || length < WINDOW
+                || ends < ENDS_PER_CORE * cores && length < LONGEST_WINDOW) {
             return;
         }
         double perSecond = ends * 1000 / length;
-        boolean limits = turnedAway > 0 && taken * 1000 / length >= LIMITS * Math.min(rate, taken * 1000 / length + rate / 10);
+        boolean limits =
+                turnedAway > 0
+                        && taken * 1000 / length
+                                >= LIMITS * Math.min(rate, taken * 1000 / length + rate / 10);
         if (ends == 0) {
             // Nothing ends: as little as at the start, until something does.
             rate = least;
@@ -110,7 +134,9 @@
 
     private void measured(double now, double perSecond, double slow, boolean limits) {
         quickest = Math.min(quickest * FADE, slow);
-        boolean harm = slow > CROWD * quickest || slow > HARM * quickest && perSecond < NO_MORE * endsBefore;
+        boolean harm =
+                slow > CROWD * quickest
+                        || slow > HARM * quickest && perSecond < NO_MORE * endsBefore;
         if (perSecond > MORE * best) {
             best = perSecond;
             bestAt = now;
@@ -118,7 +144,10 @@
         endsBefore = perSecond;
         if (harm) {
             rate = Math.max(least, CUT * perSecond);
-            why = "runs take " + Math.round(10 * slow / quickest) / 10.0 + " times as long as the quickest";
+            why =
+                    "runs take "
+                            + Math.round(10 * slow / quickest) / 10.0
+                            + " times as long as the quickest";
             quiet = 0;
         } else if (limits) {
             rate = Math.max(rate, perSecond) * STEP;
--- a/src/main/java/tinroad/recovery/Reconnects.java
+++ b/src/main/java/tinroad/recovery/Reconnects.java
@@ -3,10 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * When to try a lost link again: decorrelated jitter, where the next gap is drawn from the first one to three times the
- * last one, up to a cap. Only proof of life begins it anew, not a connection that came about: a peer that accepts and
- * says nothing is tried ever more rarely. Name and seed keep the gateways of a fleet out of step that lost their links in
- * the same moment. Owned by the thread that connects; times in ms.
+ * When to try a lost link again: decorrelated jitter, where the next gap is drawn from the first
+ * one to three times the last one, up to a cap. Only proof of life begins it anew, not a connection
+ * that came about: a peer that accepts and says nothing is tried ever more rarely. Name and seed
+ * keep the gateways of a fleet out of step that lost their links in the same moment. Owned by the
+ * thread that connects; times in ms.
  */
 public final class Reconnects {
     private static final double GROWTH = 3;
--- a/src/main/java/tinroad/recovery/Remembrance.java
+++ b/src/main/java/tinroad/recovery/Remembrance.java
@@ -13,8 +13,9 @@
 import tinroad.state.Snapshot;
 
 /**
- * What one life uses of the lives before, and what it leaves to the next. Every value that is used carries when it was
- * learned and by whom; nothing is used beyond its age, and nothing gets younger by being saved. Times in Unix ms.
+ * What one life uses of the lives before, and what it leaves to the next. Every value that is used
+ * carries when it was learned and by whom; nothing is used beyond its age, and nothing gets younger
+ * by being saved. Times in Unix ms.
  */
 public final class Remembrance implements Memory {
     private final String name;
@@ -33,7 +34,8 @@
      * @param oldest ms, the age beyond which nothing is used
      * @param halfLife ms in which half of what was learned fades
      */
-    public Remembrance(String name, Recall.Decision decision, long life, double oldest, double halfLife) {
+    public Remembrance(
+            String name, Recall.Decision decision, long life, double oldest, double halfLife) {
         this.name = name;
         this.life = life;
         this.oldest = oldest;
@@ -52,14 +54,21 @@
     public Map<String, Recalled> recall(Map<String, Known> priors, double now) {
         Map<String, Recalled> all = new LinkedHashMap<>();
         if (before != null) {
-            priors.forEach((what, prior) -> {
-                Remembered r = before.values().get(what);
-                Aged aged = r == null ? null : Aged.of(r, now, prior.value(), halfLife, oldest);
-                if (aged != null) {
-                    used.put(what, r);
-                    all.put(what, new Recalled(new Known(aged.value(), aged.weight()), aged.age(), aged.life()));
-                }
-            });
+            priors.forEach(
+                    (what, prior) -> {
+                        Remembered r = before.values().get(what);
+                        Aged aged =
+                                r == null ? null : Aged.of(r, now, prior.value(), halfLife, oldest);
+                        if (aged != null) {
+                            used.put(what, r);
+                            all.put(
+                                    what,
+                                    new Recalled(
+                                            new Known(aged.value(), aged.weight()),
+                                            aged.age(),
+                                            aged.life()));
+                        }
+                    });
         }
         return all;
     }
@@ -99,9 +108,27 @@
         return begin.name().toLowerCase(Locale.ROOT);
     }
 
-    /** What this life leaves, as it stands now: learned values, ids that ran with their due times, operators' word, its catalog. */
-    public Snapshot leaves(double now, Map<String, Known> values, Map<String, Double> ran, boolean evacuated, long epoch, long number) {
-        return new Snapshot(name, life, ++generation, now, evacuated, provenance.at(now, values), bounded(ran), epoch, number);
+    /**
+     * What this life leaves, as it stands now: learned values, ids that ran with their due times,
+     * operators' word, its catalog.
+     */
+    public Snapshot leaves(
+            double now,
+            Map<String, Known> values,
+            Map<String, Double> ran,
+            boolean evacuated,
+            long epoch,
+            long number) {
+        return new Snapshot(
+                name,
+                life,
+                ++generation,
+                now,
+                evacuated,
+                provenance.at(now, values),
+                bounded(ran),
+                epoch,
+                number);
     }
 
     /** Guards the size of what is saved: of too many ids, those due last stay dangerous longest. */
@@ -110,8 +137,10 @@
             return ran;
         }
         Map<String, Double> kept = new LinkedHashMap<>();
-        ran.entrySet().stream().sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder()))
-                .limit(Snapshot.MOST_RAN).forEach(e -> kept.put(e.getKey(), e.getValue()));
+        ran.entrySet().stream()
+                .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder()))
+                .limit(Snapshot.MOST_RAN)
+                .forEach(e -> kept.put(e.getKey(), e.getValue()));
         return kept;
     }
 }
--- a/src/main/java/tinroad/recovery/Rereads.java
+++ b/src/main/java/tinroad/recovery/Rereads.java
@@ -3,15 +3,22 @@
 import java.util.SplittableRandom;
 
 /**
- * When to read the configuration again without being told to, as the engine is gone and may have moved. Guards against
- * a signal that never came: it then costs seconds and not the day. While the engine stays away the readings grow rarer, at
- * the gaps of {@link Reconnects}, which keep the gateways of a fleet that all lost their engines at once out of step. Owned by the thread that asks.
+ * When to read the configuration again without being told to, as the engine is gone and may have
+ * moved. Guards against a signal that never came: it then costs seconds and not the day. While the
+ * engine stays away the readings grow rarer, at the gaps of {@link Reconnects}, which keep the
+ * gateways of a fleet that all lost their engines at once out of step. Owned by the thread that
+ * asks.
  */
 public final class Rereads {
-    /** So long, in ms, the engine is away before the first reading: links break and come back all the time. */
+    /**
+     * So long, in ms, the engine is away before the first reading: links break and come back all
+     * the time.
+     */
     public static final double FIRST = 1000;
+
     /** The first reading is spread over this time, in ms. */
     public static final double SPREAD = 500;
+
     /** The longest time between two readings, in ms. */
     public static final double CAP = 8000;
 
@@ -26,7 +33,10 @@
         gaps = new Reconnects(name, seed, FIRST, CAP);
     }
 
-    /** Whether to read at {@code now}, in ms; asked again and again, {@code reached} telling whether the engine is there. */
+    /**
+     * Whether to read at {@code now}, in ms; asked again and again, {@code reached} telling whether
+     * the engine is there.
+     */
     public boolean due(double now, boolean reached) {
         if (reached) {
             gone = false;
--- a/src/main/java/tinroad/roster/RosterReporter.java
+++ b/src/main/java/tinroad/roster/RosterReporter.java
@@ -10,17 +10,22 @@
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
-import tinroad.recovery.Pace;
 import java.util.concurrent.TimeUnit;
+import tinroad.recovery.Pace;
 
 /** Reports to the roster that this gateway is there, and whether it takes work. */
 public final class RosterReporter {
     /**
-     * The roster forgets a gateway 3 s after its last report, and a quarter of the datagrams may be lost: at this
-     * period a lapse takes a dozen losses in a row, and a change that is lost is told again soon.
+     * The roster forgets a gateway 3 s after its last report, and a quarter of the datagrams may be
+     * lost: at this period a lapse takes a dozen losses in a row, and a change that is lost is told
+     * again soon.
      */
     private static final double PERIOD_MS = 250;
-    /** So much more or less of it each time: gateways that started together must not report together. */
+
+    /**
+     * So much more or less of it each time: gateways that started together must not report
+     * together.
+     */
     private static final double SPREAD = 0.2;
 
     private final EventLoop loop;
@@ -52,29 +57,44 @@
     }
 
     private void open() {
-        channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .handler(new ChannelInboundHandlerAdapter() {
-                    @Override
-                    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-                        ReferenceCountUtil.release(msg);
-                    }
+        channel =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioDatagramChannel.class)
+                        .handler(
+                                new ChannelInboundHandlerAdapter() {
+                                    @Override
+                                    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+                                        ReferenceCountUtil.release(msg);
+                                    }
 
-                    /** A roster that is down answers with an ICMP error: the next report is sent all the same. */
-                    @Override
-                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
-                }).bind(0).addListener(bound -> send()).channel();
+                                    /**
+                                     * A roster that is down answers with an ICMP error: the next
+                                     * report is sent all the same.
+                                     */
+                                    @Override
+                                    public void exceptionCaught(
+                                            ChannelHandlerContext ctx, Throwable cause) {}
+                                })
+                        .bind(0)
+                        .addListener(bound -> send())
+                        .channel();
     }
 
     private void again() {
-        loop.schedule(() -> {
-            // First: guards the reports to come against one that fails.
-            again();
-            // Guards a gateway that serves against leaving the list for good with its socket: a failed read closes it.
-            if (!channel.isOpen()) {
-                open();
-            }
-            send();
-        }, (long) (pace.next() * 1e6), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    // First: guards the reports to come against one that fails.
+                    again();
+                    // Guards a gateway that serves against leaving the list for good with its
+                    // socket: a failed read closes it.
+                    if (!channel.isOpen()) {
+                        open();
+                    }
+                    send();
+                },
+                (long) (pace.next() * 1e6),
+                TimeUnit.NANOSECONDS);
     }
 
     /** Reports to another address from now on. */
@@ -98,10 +118,12 @@
     }
 
     private void send() {
-        // Guards against a report before the socket is open: it would be lost until the next period.
+        // Guards against a report before the socket is open: it would be lost until the next
+        // period.
         if (reporting && !silent && channel != null && channel.isActive()) {
             String report = "HERE " + name + (on ? " on" : " off");
-            channel.writeAndFlush(new DatagramPacket(ByteBufUtil.writeUtf8(channel.alloc(), report), roster));
+            channel.writeAndFlush(
+                    new DatagramPacket(ByteBufUtil.writeUtf8(channel.alloc(), report), roster));
         }
     }
 }
--- a/src/main/java/tinroad/state/Aged.java
+++ b/src/main/java/tinroad/state/Aged.java
@@ -1,8 +1,9 @@
 package tinroad.state;
 
 /**
- * A remembered value at the moment of its use. It fades toward the prior, what is assumed where nothing is known: after its
- * half-life half of what was learned is left. Beyond the oldest age there is nothing to use.
+ * A remembered value at the moment of its use. It fades toward the prior, what is assumed where
+ * nothing is known: after its half-life half of what was learned is left. Beyond the oldest age
+ * there is nothing to use.
  *
  * @param value faded
  * @param weight samples behind it, faded alike
@@ -12,7 +13,8 @@
 public record Aged(double value, double weight, double age, long life) {
 
     /**
-     * The value at {@code now}, or null where it is too old, comes from later than now, or is no number.
+     * The value at {@code now}, or null where it is too old, comes from later than now, or is no
+     * number.
      *
      * @param prior what is assumed without it, in its unit
      * @param halfLife ms
@@ -20,8 +22,12 @@
      */
     public static Aged of(Remembered r, double now, double prior, double halfLife, double oldest) {
         double age = Math.max(0, now - r.learnedAt());
-        boolean usable = r.learnedAt() <= now + Recall.CLOCKS && age <= oldest && Double.isFinite(r.value())
-                && Double.isFinite(r.weight()) && r.weight() >= 0;
+        boolean usable =
+                r.learnedAt() <= now + Recall.CLOCKS
+                        && age <= oldest
+                        && Double.isFinite(r.value())
+                        && Double.isFinite(r.weight())
+                        && r.weight() >= 0;
         if (!usable) {
             return null;
         }
--- a/src/main/java/tinroad/state/Encoding.java
+++ b/src/main/java/tinroad/state/Encoding.java
@@ -16,19 +16,22 @@
 import tinroad.state.Reading.Why;
 
 /**
- * Snapshots as bytes: a line that names format and version, the length, CBOR (RFC 8949), and CRC-32C over all of it. Fields
- * that a later version adds are skipped; a later version of the format is not read at all.
+ * Snapshots as bytes: a line that names format and version, the length, CBOR (RFC 8949), and
+ * CRC-32C over all of it. Fields that a later version adds are skipped; a later version of the
+ * format is not read at all.
  */
 public final class Encoding {
     /** The version that is written, and the latest that is read. */
     public static final int VERSION = 1;
+
     /** A longer file is no state: it is not read. */
     public static final int LONGEST = 16 * 1024 * 1024;
+
     private static final String MAGIC = "tinroad-state ";
     private static final int CHECK = 4;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private Encoding() { }
+    private Encoding() {}
 
     /** The bytes of a snapshot. */
     public static byte[] write(Snapshot s) {
@@ -91,17 +94,22 @@
         }
         int end = bytes.length - CHECK;
         if (ByteBuffer.wrap(bytes).getInt(end) != check(bytes, end)) {
-            return Reading.not(Why.DAMAGED, "its checksum does not fit its " + bytes.length + " bytes");
+            return Reading.not(
+                    Why.DAMAGED, "its checksum does not fit its " + bytes.length + " bytes");
         }
         int version = Integer.parseInt(head.substring(MAGIC.length()));
         if (version > VERSION) {
-            return Reading.not(Why.FOREIGN_VERSION, "version " + version + ", and this program reads " + VERSION);
+            return Reading.not(
+                    Why.FOREIGN_VERSION,
+                    "version " + version + ", and this program reads " + VERSION);
         }
         int length = ByteBuffer.wrap(bytes).getInt(line + 1);
         if (length != end - line - 1 - Integer.BYTES) {
-            return Reading.not(Why.DAMAGED, "its length does not fit its " + bytes.length + " bytes");
+            return Reading.not(
+                    Why.DAMAGED, "its length does not fit its " + bytes.length + " bytes");
         }
-        try (JsonParser in = CBOR.createParser(Arrays.copyOfRange(bytes, line + 1 + Integer.BYTES, end))) {
+        try (JsonParser in =
+                CBOR.createParser(Arrays.copyOfRange(bytes, line + 1 + Integer.BYTES, end))) {
             return new Fields(in).read();
         } catch (IOException | IllegalArgumentException e) {
             return Reading.not(Why.DAMAGED, "can't be read: " + e.getMessage());
@@ -148,7 +156,17 @@
             if (name.isEmpty() || life < 1 || !Double.isFinite(savedAt)) {
                 throw new IllegalArgumentException("name, life or time is missing");
             }
-            return Reading.of(new Snapshot(name, life, generation, savedAt, evacuated, values, ran, epoch, number));
+            return Reading.of(
+                    new Snapshot(
+                            name,
+                            life,
+                            generation,
+                            savedAt,
+                            evacuated,
+                            values,
+                            ran,
+                            epoch,
+                            number));
         }
 
         private void values() throws IOException {
@@ -161,7 +179,8 @@
                     numbers[i] = in.getDoubleValue();
                 }
                 in.nextToken();
-                values.put(key, new Remembered(numbers[0], numbers[1], numbers[2], in.getLongValue()));
+                values.put(
+                        key, new Remembered(numbers[0], numbers[1], numbers[2], in.getLongValue()));
                 // A later version may say more of a value.
                 while (in.nextToken() != JsonToken.END_ARRAY) {
                     in.skipChildren();
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -6,14 +6,17 @@
 import tinroad.Controller.Known;
 
 /**
- * When, and by which life, each value was learned that a life would leave to the next. Guards against old knowledge that
- * looks fresh because it was saved again: a value that has not changed keeps its time and its life, and one that was mixed
- * with what this life saw moves toward now only by the share of its samples that are this life's. Times in Unix ms.
+ * When, and by which life, each value was learned that a life would leave to the next. Guards
+ * against old knowledge that looks fresh because it was saved again: a value that has not changed
+ * keeps its time and its life, and one that was mixed with what this life saw moves toward now only
+ * by the share of its samples that are this life's. Times in Unix ms.
  */
 public final class Provenance {
     private final long life;
+
     /** What this life began with, and what of that was remembered. */
     private final Map<String, Known> began = new HashMap<>();
+
     private final Map<String, Remembered> remembered = new HashMap<>();
     private final Map<String, Remembered> left = new HashMap<>();
 
@@ -22,22 +25,29 @@
         this.life = life;
     }
 
-    /** The life begins with {@code values}; those named in {@code from} were remembered, the others assumed. */
+    /**
+     * The life begins with {@code values}; those named in {@code from} were remembered, the others
+     * assumed.
+     */
     public void begin(Map<String, Known> values, Map<String, Remembered> from) {
         began.putAll(values);
         remembered.putAll(from);
     }
 
-    /** What to leave at {@code now}, as {@code values} stand; what was only ever assumed is left out. */
+    /**
+     * What to leave at {@code now}, as {@code values} stand; what was only ever assumed is left
+     * out.
+     */
     public Map<String, Remembered> at(double now, Map<String, Known> values) {
         Map<String, Remembered> all = new LinkedHashMap<>();
-        values.forEach((name, known) -> {
-            Remembered r = at(now, name, known);
-            if (r != null) {
-                all.put(name, r);
-                left.put(name, r);
-            }
-        });
+        values.forEach(
+                (name, known) -> {
+                    Remembered r = at(now, name, known);
+                    if (r != null) {
+                        all.put(name, r);
+                        left.put(name, r);
+                    }
+                });
         return all;
     }
 
@@ -49,13 +59,17 @@
             return before;
         }
         Remembered last = left.get(name);
-        if (last != null && last.life() == life && last.value() == known.value() && last.weight() == known.weight()) {
+        if (last != null
+                && last.life() == life
+                && last.value() == known.value()
+                && last.weight() == known.weight()) {
             return last;
         }
         double own = first == null ? known.weight() : known.weight() - first.weight();
         // Of a value without counted samples it is only known that it moved.
         double share = before == null || own <= 0 ? 1 : own / (own + first.weight());
-        double learnedAt = before == null ? now : before.learnedAt() + (now - before.learnedAt()) * share;
+        double learnedAt =
+                before == null ? now : before.learnedAt() + (now - before.learnedAt()) * share;
         return new Remembered(known.value(), known.weight(), learnedAt, life);
     }
 }
--- a/src/main/java/tinroad/state/Recall.java
+++ b/src/main/java/tinroad/state/Recall.java
@@ -7,15 +7,16 @@
 import tinroad.state.Reading.Why;
 
 /**
- * Which of the snapshots that were found is believed, and which life begins. The latest life's latest snapshot counts, so
- * that a process that was replaced, and wakes and writes, can't make itself heard over the one that came after it.
+ * Which of the snapshots that were found is believed, and which life begins. The latest life's
+ * latest snapshot counts, so that a process that was replaced, and wakes and writes, can't make
+ * itself heard over the one that came after it.
  */
 public final class Recall {
     /** A clock may differ by this, in ms, from the one that a snapshot was saved by. */
     public static final double CLOCKS = 1000;
 
     /** A file and what it turned out to be. */
-    public record Candidate(String file, Reading reading) { }
+    public record Candidate(String file, Reading reading) {}
 
     /** What the new life begins with. */
     public enum Begin {
@@ -31,12 +32,14 @@
      * What was decided.
      *
      * @param snapshot what is believed, or null
-     * @param lastLife the highest number of a life that is known to have been; the next one is higher
-     * @param setAside files that are not believed, each with the reason in words; older snapshots are just history
+     * @param lastLife the highest number of a life that is known to have been; the next one is
+     *     higher
+     * @param setAside files that are not believed, each with the reason in words; older snapshots
+     *     are just history
      */
-    public record Decision(Begin begin, Snapshot snapshot, long lastLife, List<String> setAside) { }
+    public record Decision(Begin begin, Snapshot snapshot, long lastLife, List<String> setAside) {}
 
-    private Recall() { }
+    private Recall() {}
 
     /**
      * Decides.
@@ -44,10 +47,17 @@
      * @param name of this gateway
      * @param now Unix ms
      * @param oldest ms, the age beyond which nothing is believed
-     * @param knownLife a life that is known from elsewhere to have been: from the markers, or from beside the folder; 0 if none
+     * @param knownLife a life that is known from elsewhere to have been: from the markers, or from
+     *     beside the folder; 0 if none
      * @param fenceLife the same from beside the folder only: what lies below it was rolled back
      */
-    public static Decision decide(List<Candidate> found, String name, double now, double oldest, long knownLife, long fenceLife) {
+    public static Decision decide(
+            List<Candidate> found,
+            String name,
+            double now,
+            double oldest,
+            long knownLife,
+            long fenceLife) {
         List<String> setAside = new ArrayList<>();
         List<Snapshot> good = new ArrayList<>();
         long last = Math.max(knownLife, fenceLife);
@@ -56,17 +66,29 @@
             if (r.why() == null) {
                 good.add(r.snapshot());
             } else {
-                setAside.add(c.file + ": " + r.why().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + r.text());
+                setAside.add(
+                        c.file
+                                + ": "
+                                + r.why().name().toLowerCase(Locale.ROOT).replace('_', ' ')
+                                + ": "
+                                + r.text());
             }
             Snapshot any = c.reading.snapshot();
             last = any != null && any.name().equals(name) ? Math.max(last, any.life()) : last;
         }
-        Snapshot best = good.stream().max(Comparator.comparingLong(Snapshot::life).thenComparingLong(Snapshot::generation)).orElse(null);
-        Begin begin = best != null ? Begin.WARM : found.isEmpty() && last == 0 ? Begin.FIRST : Begin.COLD;
+        Snapshot best =
+                good.stream()
+                        .max(
+                                Comparator.comparingLong(Snapshot::life)
+                                        .thenComparingLong(Snapshot::generation))
+                        .orElse(null);
+        Begin begin =
+                best != null ? Begin.WARM : found.isEmpty() && last == 0 ? Begin.FIRST : Begin.COLD;
         return new Decision(begin, best, last, List.copyOf(setAside));
     }
 
-    private static Reading doubt(Reading r, String name, double now, double oldest, long fenceLife) {
+    private static Reading doubt(
+            Reading r, String name, double now, double oldest, long fenceLife) {
         Snapshot s = r.snapshot();
         if (s == null) {
             return r;
@@ -75,13 +97,19 @@
             return Reading.not(Why.ANOTHERS, "it is of " + s.name());
         }
         if (s.savedAt() > now + CLOCKS) {
-            return Reading.not(Why.FUTURE, "saved " + Math.round((s.savedAt() - now) / 1000) + " s from now: did the clock go back?");
+            return Reading.not(
+                    Why.FUTURE,
+                    "saved "
+                            + Math.round((s.savedAt() - now) / 1000)
+                            + " s from now: did the clock go back?");
         }
         if (now - s.savedAt() > oldest) {
-            return Reading.not(Why.TOO_OLD, "saved " + Math.round((now - s.savedAt()) / 1000) + " s ago");
+            return Reading.not(
+                    Why.TOO_OLD, "saved " + Math.round((now - s.savedAt()) / 1000) + " s ago");
         }
         if (s.life() < fenceLife) {
-            return Reading.not(Why.ROLLED_BACK, "of life " + s.life() + ", and there was life " + fenceLife);
+            return Reading.not(
+                    Why.ROLLED_BACK, "of life " + s.life() + ", and there was life " + fenceLife);
         }
         return r;
     }
--- a/src/main/java/tinroad/state/Saver.java
+++ b/src/main/java/tinroad/state/Saver.java
@@ -9,8 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Saves snapshots on a thread of its own: whoever offers one never waits. Of several that a slow disk leaves waiting only
- * the latest is written. What goes wrong is told once, and once that it is over.
+ * Saves snapshots on a thread of its own: whoever offers one never waits. Of several that a slow
+ * disk leaves waiting only the latest is written. What goes wrong is told once, and once that it is
+ * over.
  */
 public final class Saver implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("state");
@@ -18,11 +19,13 @@
 
     private final StateFolder folder;
     private final AtomicReference<Snapshot> waiting = new AtomicReference<>();
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
-        Thread t = new Thread(task, "state");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ExecutorService thread =
+            Executors.newSingleThreadExecutor(
+                    task -> {
+                        Thread t = new Thread(task, "state");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private volatile long saved;
     private boolean failing;
     private boolean fenced;
--- a/src/main/java/tinroad/state/Snapshot.java
+++ b/src/main/java/tinroad/state/Snapshot.java
@@ -15,15 +15,33 @@
  * @param epoch of the catalog of classes and tenants that was in force, 0 where none was told
  * @param number its version within the epoch
  */
-public record Snapshot(String name, long life, long generation, double savedAt, boolean evacuated, Map<String, Remembered> values,
-        Map<String, Double> ran, long epoch, long number) {
-    /** Ids that a snapshot holds at most; beyond it those due last are kept, as they stay dangerous longest. */
+public record Snapshot(
+        String name,
+        long life,
+        long generation,
+        double savedAt,
+        boolean evacuated,
+        Map<String, Remembered> values,
+        Map<String, Double> ran,
+        long epoch,
+        long number) {
+    /**
+     * Ids that a snapshot holds at most; beyond it those due last are kept, as they stay dangerous
+     * longest.
+     */
     public static final int MOST_RAN = 50_000;
+
     /** Values that a snapshot holds at most. */
     public static final int MOST_VALUES = 50_000;
 
     /** One that tells no catalog. */
-    public Snapshot(String name, long life, long generation, double savedAt, boolean evacuated, Map<String, Remembered> values,
+    public Snapshot(
+            String name,
+            long life,
+            long generation,
+            double savedAt,
+            boolean evacuated,
+            Map<String, Remembered> values,
             Map<String, Double> ran) {
         this(name, life, generation, savedAt, evacuated, values, ran, 0, 0);
     }
--- a/src/main/java/tinroad/state/StateFolder.java
+++ b/src/main/java/tinroad/state/StateFolder.java
@@ -18,9 +18,10 @@
 import java.util.regex.Pattern;
 
 /**
- * The files of state, and nothing decided about them. A snapshot is written beside, forced to the disk and renamed, so that
- * a name stands for a whole file or for none. Each life has a marker of its own, created by one process only; a process that
- * finds a marker above its own writes no more. No lock: one that a stopped process held would stop the next one, too.
+ * The files of state, and nothing decided about them. A snapshot is written beside, forced to the
+ * disk and renamed, so that a name stands for a whole file or for none. Each life has a marker of
+ * its own, created by one process only; a process that finds a marker above its own writes no more.
+ * No lock: one that a stopped process held would stop the next one, too.
  */
 public final class StateFolder {
     private static final Pattern SNAPSHOT = Pattern.compile("state-(\\d{19})-(\\d{19})");
@@ -44,7 +45,8 @@
     /**
      * State in {@code folder}, which is made where it is not there.
      *
-     * @param fence a folder elsewhere that remembers the last life, so that an older copy of this one is told; null for none
+     * @param fence a folder elsewhere that remembers the last life, so that an older copy of this
+     *     one is told; null for none
      * @param keep snapshots that are kept, at least 1
      */
     public StateFolder(Path folder, Path fence, int keep) {
@@ -62,9 +64,14 @@
         List<Recall.Candidate> found = new ArrayList<>();
         for (Path file : list(SNAPSHOT)) {
             try {
-                found.add(new Recall.Candidate(file.getFileName().toString(), Files.size(file) > Encoding.LONGEST
-                        ? Reading.not(Reading.Why.DAMAGED, "longer than " + Encoding.LONGEST + " bytes")
-                        : Encoding.read(Files.readAllBytes(file))));
+                found.add(
+                        new Recall.Candidate(
+                                file.getFileName().toString(),
+                                Files.size(file) > Encoding.LONGEST
+                                        ? Reading.not(
+                                                Reading.Why.DAMAGED,
+                                                "longer than " + Encoding.LONGEST + " bytes")
+                                        : Encoding.read(Files.readAllBytes(file))));
             } catch (NoSuchFileException e) {
                 // Another process keeps fewer.
             }
@@ -76,11 +83,12 @@
         List<Path> found = new ArrayList<>();
         if (Files.isDirectory(folder)) {
             try (DirectoryStream<Path> all = Files.newDirectoryStream(folder)) {
-                all.forEach(p -> {
-                    if (names.matcher(p.getFileName().toString()).matches()) {
-                        found.add(p);
-                    }
-                });
+                all.forEach(
+                        p -> {
+                            if (names.matcher(p.getFileName().toString()).matches()) {
+                                found.add(p);
+                            }
+                        });
             }
         }
         found.sort(Comparator.comparing(p -> p.getFileName().toString()));
@@ -119,7 +127,7 @@
     /** Begins a life with a higher number than {@code last}, which no other process gets. */
     public long claim(long last) throws IOException {
         Files.createDirectories(folder);
-        for (long n = Math.max(last, 0) + 1;; n++) {
+        for (long n = Math.max(last, 0) + 1; ; n++) {
             try {
                 Files.createFile(folder.resolve(String.format("life-%019d", n)));
                 life = n;
@@ -146,12 +154,17 @@
         return life;
     }
 
-    /** Saves a snapshot of this life; false where a later life has begun, and this one has nothing to say any more. */
+    /**
+     * Saves a snapshot of this life; false where a later life has begun, and this one has nothing
+     * to say any more.
+     */
     public boolean save(Snapshot s) throws IOException {
         if (knownLife() > life || s.life() != life) {
             return false;
         }
-        replace(folder.resolve(String.format("state-%019d-%019d", s.life(), s.generation())), Encoding.write(s));
+        replace(
+                folder.resolve(String.format("state-%019d-%019d", s.life(), s.generation())),
+                Encoding.write(s));
         List<Path> all = list(SNAPSHOT);
         for (Path old : all.subList(0, Math.max(0, all.size() - keep))) {
             Files.deleteIfExists(old);
@@ -163,8 +176,13 @@
         Path part = file.resolveSibling(file.getFileName() + PART);
         try {
             disk.write(part, bytes);
-            Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            try (FileChannel directory = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
+            Files.move(
+                    part,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
+            try (FileChannel directory =
+                    FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
                 directory.force(true);
             }
         } catch (IOException e) {
@@ -174,8 +192,12 @@
     }
 
     private static void force(Path file, byte[] bytes) throws IOException {
-        try (FileChannel out = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        file,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer left = ByteBuffer.wrap(bytes);
             while (left.hasRemaining()) {
                 out.write(left);
--- a/src/test/java/tinroad/ChangesTest.java
+++ b/src/test/java/tinroad/ChangesTest.java
@@ -37,9 +37,12 @@
 
 /** Classes and tenants that change while the module serves. */
 class ChangesTest {
-    private static final RequestClass PATIENT = new RequestClass(3900, 0, 4000, 1, 0, Semantics.FREE, 0, false, 0);
-    private static final RequestClass HASTY = new RequestClass(400, 0, 500, 1, 0, Semantics.FREE, 0, false, 0);
-    private static final RequestClass KEYED = new RequestClass(1000, 0, 4000, 2, 0.2, Semantics.GUARDED, 9000, true, 0);
+    private static final RequestClass PATIENT =
+            new RequestClass(3900, 0, 4000, 1, 0, Semantics.FREE, 0, false, 0);
+    private static final RequestClass HASTY =
+            new RequestClass(400, 0, 500, 1, 0, Semantics.FREE, 0, false, 0);
+    private static final RequestClass KEYED =
+            new RequestClass(1000, 0, 4000, 2, 0.2, Semantics.GUARDED, 9000, true, 0);
 
     private static final Gauges FULL = new Gauges(1, 2, 0.1, 50);
 
@@ -143,14 +146,16 @@
     void howHighTheCutRisesHangsOnHowManyClassesThereAreNow() {
         f.say = Say.MIN_RANK;
         f.begin();
-        f.controller.stage(IntStream.range(3, 20).mapToObj(i -> new ClassAt(i, KEYED)).toList(), List.of());
+        f.controller.stage(
+                IntStream.range(3, 20).mapToObj(i -> new ClassAt(i, KEYED)).toList(), List.of());
         f.controller.commit(f.now);
         f.serveCalmly("s", FREE, 20, 300);
         assertEquals("say 0.10", lastSaidUnderPressure("a"));
         // Guards the test against a module that takes the work for hung.
         f.ended("a", Outcome.OK);
         f.ended("aa", Outcome.OK);
-        f.controller.stage(IntStream.range(3, 20).mapToObj(i -> new ClassAt(i, null)).toList(), List.of());
+        f.controller.stage(
+                IntStream.range(3, 20).mapToObj(i -> new ClassAt(i, null)).toList(), List.of());
         f.controller.commit(f.now);
         assertEquals("say 0.65", lastSaidUnderPressure("b"));
     }
@@ -196,12 +201,14 @@
         f.request("new", GUARDED);
         f.ended("new", Outcome.OK);
         // The assumed 250 ms weigh two samples, and this one took a ms.
-        assertEquals(new Known(250 + (1 - 250) / 3.0, 3), f.controller.learned().get("run." + GUARDED));
+        assertEquals(
+                new Known(250 + (1 - 250) / 3.0, 3), f.controller.learned().get("run." + GUARDED));
     }
 
     @Test
     void whatIsInHandTeachesOnlyTheClassThatItCameUnder() {
-        // While it is cold the calm run is not learned, so that any sample would show as a slowdown.
+        // While it is cold the calm run is not learned, so that any sample would show as a
+        // slowdown.
         f.cold = true;
         f.begin();
         f.request("old", GUARDED);
@@ -227,7 +234,8 @@
         f.recorder.take();
         change(FREE, HASTY);
         f.after(1000, FULL);
-        assertEquals(List.of(), f.recorder.take().stream().filter(l -> !l.startsWith("timer")).toList());
+        assertEquals(
+                List.of(), f.recorder.take().stream().filter(l -> !l.startsWith("timer")).toList());
         f.ended("a", Outcome.OK);
         assertEquals(List.of("run held"), f.recorder.take("run"));
         f.ended("b", Outcome.OK);
@@ -281,7 +289,11 @@
         }
         double rate = tenants.rate(1, f.now);
         assertTrue(rate > 6);
-        f.controller.stage(List.of(), List.of(new TenantAt(1, new Tenant(3, 0.1)), new TenantAt(700, new Tenant(1, 0.1))));
+        f.controller.stage(
+                List.of(),
+                List.of(
+                        new TenantAt(1, new Tenant(3, 0.1)),
+                        new TenantAt(700, new Tenant(1, 0.1))));
         f.controller.commit(f.now);
         assertEquals(rate, tenants.rate(1, f.now));
         f.controller.stage(List.of(), List.of(new TenantAt(1, null)));
@@ -295,13 +307,26 @@
     // --- changes that change nothing ---
 
     /** A day of mixed traffic; after each event something else may happen to the module. */
-    private static List<String> day(long seed, List<RequestClass> classes, int[] places, List<Tenant> tenants,
-            Controller controller, Recorder recorder, Runnable each) {
+    private static List<String> day(
+            long seed,
+            List<RequestClass> classes,
+            int[] places,
+            List<Tenant> tenants,
+            Controller controller,
+            Recorder recorder,
+            Runnable each) {
         return day(seed, 2000, classes, places, tenants, controller, recorder, each);
     }
 
-    private static List<String> day(long seed, double start, List<RequestClass> classes, int[] places, List<Tenant> tenants,
-            Controller controller, Recorder recorder, Runnable each) {
+    private static List<String> day(
+            long seed,
+            double start,
+            List<RequestClass> classes,
+            int[] places,
+            List<Tenant> tenants,
+            Controller controller,
+            Recorder recorder,
+            Runnable each) {
         Random rnd = new Random(seed);
         recorder.take();
         double now = start;
@@ -312,16 +337,40 @@
             now += 10 * rnd.nextDouble();
             if (now >= tick) {
                 tick = now + 20;
-                controller.timer(now, "tick", new Gauges(0.5 + rnd.nextDouble() / 2, rnd.nextInt(5), 0.5, 40 + rnd.nextInt(9)));
+                controller.timer(
+                        now,
+                        "tick",
+                        new Gauges(
+                                0.5 + rnd.nextDouble() / 2,
+                                rnd.nextInt(5),
+                                0.5,
+                                40 + rnd.nextInt(9)));
             } else if (rnd.nextInt(5) < 2 && !running.isEmpty()) {
-                controller.ended(now, running.remove(rnd.nextInt(running.size())), 50,
+                controller.ended(
+                        now,
+                        running.remove(rnd.nextInt(running.size())),
+                        50,
                         rnd.nextInt(30) == 0 ? Outcome.FAILED : Outcome.OK);
             } else {
                 int cls = (int) (classes.size() * rnd.nextDouble() * rnd.nextDouble());
                 int tenant = (int) (tenants.size() * rnd.nextDouble() * rnd.nextDouble());
                 double due = now + classes.get(cls).deadline();
-                controller.request(now, new Request("r" + i, places[cls], tenant, rnd.nextInt(9), 20, due, 0, rnd.nextDouble(),
-                        0, "k" + i, null, rnd.nextInt(9) == 0, false));
+                controller.request(
+                        now,
+                        new Request(
+                                "r" + i,
+                                places[cls],
+                                tenant,
+                                rnd.nextInt(9),
+                                20,
+                                due,
+                                0,
+                                rnd.nextDouble(),
+                                0,
+                                "k" + i,
+                                null,
+                                rnd.nextInt(9) == 0,
+                                false));
             }
             each.run();
             for (String line : recorder.take()) {
@@ -336,31 +385,71 @@
     }
 
     private static Settings settings(List<RequestClass> classes, List<Tenant> tenants) {
-        return new Settings(classes, tenants, new Goal(0.5, 0.2, 0.2, 0.1), new Rules(60, 0.25, 10000, 2000, 5, 1500),
-                new Dependency(Below.NONE, 0, 0, 0), Say.MIN_RANK, Halt.PAUSE, 2, 4, 3, false, true, 30000, 100000, 4, 20, 0,
-                1000, true, true, 0.1, 5, false);
+        return new Settings(
+                classes,
+                tenants,
+                new Goal(0.5, 0.2, 0.2, 0.1),
+                new Rules(60, 0.25, 10000, 2000, 5, 1500),
+                new Dependency(Below.NONE, 0, 0, 0),
+                Say.MIN_RANK,
+                Halt.PAUSE,
+                2,
+                4,
+                3,
+                false,
+                true,
+                30000,
+                100000,
+                4,
+                20,
+                0,
+                1000,
+                true,
+                true,
+                0.1,
+                5,
+                false);
     }
 
     private static final int[] SAME_PLACES = IntStream.range(0, 1000).toArray();
 
     private static RequestClass spec(Random rnd) {
-        return new RequestClass(200 + rnd.nextInt(900), 0, 2000 + rnd.nextInt(2000), 1 + 5 * rnd.nextDouble(),
-                rnd.nextInt(2) * 0.2, Semantics.values()[rnd.nextInt(3)], 4000, false, 0);
+        return new RequestClass(
+                200 + rnd.nextInt(900),
+                0,
+                2000 + rnd.nextInt(2000),
+                1 + 5 * rnd.nextDouble(),
+                rnd.nextInt(2) * 0.2,
+                Semantics.values()[rnd.nextInt(3)],
+                4000,
+                false,
+                0);
     }
 
-    private static final List<RequestClass> CLASSES = new Random(1).ints(12).mapToObj(i -> spec(new Random(i))).toList();
-    private static final List<Tenant> TENANTS = List.of(new Tenant(5, 0.4), new Tenant(60, 0.3), new Tenant(9, 0.3));
+    private static final List<RequestClass> CLASSES =
+            new Random(1).ints(12).mapToObj(i -> spec(new Random(i))).toList();
+    private static final List<Tenant> TENANTS =
+            List.of(new Tenant(5, 0.4), new Tenant(60, 0.3), new Tenant(9, 0.3));
 
     /** A day is the same whether this is done after each event or not; the module after it. */
     private static Controller decidesNothing(BiConsumer<Controller, Random> each) {
         List<List<String>> days = new ArrayList<>();
         Controller controller = null;
-        for (BiConsumer<Controller, Random> after : List.<BiConsumer<Controller, Random>>of((c, r) -> { }, each)) {
+        for (BiConsumer<Controller, Random> after :
+                List.<BiConsumer<Controller, Random>>of((c, r) -> {}, each)) {
             Recorder recorder = new Recorder();
             Controller module = new OverloadController(recorder);
             module.start(1000, 7, settings(CLASSES, TENANTS));
             Random rnd = new Random(9);
-            days.add(day(5, CLASSES, SAME_PLACES, TENANTS, module, recorder, () -> after.accept(module, rnd)));
+            days.add(
+                    day(
+                            5,
+                            CLASSES,
+                            SAME_PLACES,
+                            TENANTS,
+                            module,
+                            recorder,
+                            () -> after.accept(module, rnd)));
             controller = module;
         }
         assertEquals(days.get(0), days.get(1));
@@ -370,45 +459,66 @@
     @Test
     void quotasToldAThousandTimesASecondAsTheyAreDecideNothing() {
         // An event comes each 5 ms in the mean.
-        decidesNothing((controller, rnd) -> {
-            for (int i = 0; i < 5; i++) {
-                controller.stage(List.of(), List.of(new TenantAt(i % 3, TENANTS.get(i % 3))));
-                controller.commit(0);
-            }
-        });
+        decidesNothing(
+                (controller, rnd) -> {
+                    for (int i = 0; i < 5; i++) {
+                        controller.stage(
+                                List.of(), List.of(new TenantAt(i % 3, TENANTS.get(i % 3))));
+                        controller.commit(0);
+                    }
+                });
     }
 
     @Test
     void quotasOfOthersChangedAThousandTimesASecondDecideNothingAndTheLastCounts() {
-        Controller controller = decidesNothing((module, rnd) -> {
-            for (int i = 1; i <= 5; i++) {
-                module.stage(List.of(), List.of(new TenantAt(3 + rnd.nextInt(500), new Tenant(rnd.nextInt(99), 0.1)),
-                        new TenantAt(700, new Tenant(i, 0.1))));
-                module.commit(0);
-            }
-        });
+        Controller controller =
+                decidesNothing(
+                        (module, rnd) -> {
+                            for (int i = 1; i <= 5; i++) {
+                                module.stage(
+                                        List.of(),
+                                        List.of(
+                                                new TenantAt(
+                                                        3 + rnd.nextInt(500),
+                                                        new Tenant(rnd.nextInt(99), 0.1)),
+                                                new TenantAt(700, new Tenant(i, 0.1))));
+                                module.commit(0);
+                            }
+                        });
         assertEquals(new Tenant(5, 0.1), ((Tenants) field(controller, "tenants")).at(700));
     }
 
     @Test
     void classesToldAsTheyAreDecideNothing() {
-        decidesNothing((controller, rnd) -> {
-            int place = rnd.nextInt(CLASSES.size());
-            controller.stage(List.of(new ClassAt(place, CLASSES.get(place))), List.of());
-            controller.commit(0);
-        });
+        decidesNothing(
+                (controller, rnd) -> {
+                    int place = rnd.nextInt(CLASSES.size());
+                    controller.stage(List.of(new ClassAt(place, CLASSES.get(place))), List.of());
+                    controller.commit(0);
+                });
     }
 
     @Test
     void whatIsStagedDecidesNothingUntilItIsCommittedAndACommitOfNothingNeither() {
-        Controller controller = decidesNothing((module, rnd) -> {
-            if (rnd.nextInt(10) == 0) {
-                module.unstage();
-                module.commit(0);
-            }
-            module.stage(List.of(new ClassAt(rnd.nextInt(40), rnd.nextBoolean() ? null : spec(rnd))),
-                    List.of(new TenantAt(rnd.nextInt(9), rnd.nextBoolean() ? null : new Tenant(rnd.nextInt(9), 0.1))));
-        });
+        Controller controller =
+                decidesNothing(
+                        (module, rnd) -> {
+                            if (rnd.nextInt(10) == 0) {
+                                module.unstage();
+                                module.commit(0);
+                            }
+                            module.stage(
+                                    List.of(
+                                            new ClassAt(
+                                                    rnd.nextInt(40),
+                                                    rnd.nextBoolean() ? null : spec(rnd))),
+                                    List.of(
+                                            new TenantAt(
+                                                    rnd.nextInt(9),
+                                                    rnd.nextBoolean()
+                                                            ? null
+                                                            : new Tenant(rnd.nextInt(9), 0.1))));
+                        });
         controller.commit(0);
         assertNotEquals(CLASSES.size(), ((Classes) field(controller, "classes")).size());
     }
@@ -452,7 +562,8 @@
             RequestClass put = rnd.nextInt(3) == 0 ? null : spec(rnd);
             Tenant quota = new Tenant(1 + rnd.nextInt(60), 0.2);
             int tenant = rnd.nextInt(2);
-            controller.stage(List.of(new ClassAt(place, put)), List.of(new TenantAt(tenant, quota)));
+            controller.stage(
+                    List.of(new ClassAt(place, put)), List.of(new TenantAt(tenant, quota)));
             if (rnd.nextInt(5) == 0) {
                 controller.unstage();
                 continue;
@@ -475,16 +586,21 @@
         Recorder other = new Recorder();
         Controller started = new OverloadController(other);
         started.start(1000, 7, settings(last, tenants));
-        assertEquals(day(seed, last, SAME_PLACES, tenants, started, other, () -> { }),
-                day(seed, last, places, tenants, controller, recorder, () -> { }));
+        assertEquals(
+                day(seed, last, SAME_PLACES, tenants, started, other, () -> {}),
+                day(seed, last, places, tenants, controller, recorder, () -> {}));
     }
 
     // --- cost ---
 
-    /** How many entries are touched by ticks, a calm day, a busy one, a change and a look at what was learned. */
+    /**
+     * How many entries are touched by ticks, a calm day, a busy one, a change and a look at what
+     * was learned.
+     */
     private static long[] touched(int classCount, int tenantCount) {
         List<RequestClass> classes = IntStream.range(0, classCount).mapToObj(i -> HASTY).toList();
-        List<Tenant> tenants = IntStream.range(0, tenantCount).mapToObj(i -> new Tenant(9, 1.0 / 4)).toList();
+        List<Tenant> tenants =
+                IntStream.range(0, tenantCount).mapToObj(i -> new Tenant(9, 1.0 / 4)).toList();
         Recorder recorder = new Recorder();
         Controller controller = new OverloadController(recorder);
         controller.start(1000, 7, settings(classes, tenants));
@@ -495,23 +611,39 @@
         reads.add(reads(controller));
         for (int i = 0; i < 200; i++) {
             double now = 6000 + 20 * i;
-            controller.request(now, new Request("c" + i, i % 2, i % 4, 1, 20, now + 500, 0, 0.5, 0, null, null, false, false));
+            controller.request(
+                    now,
+                    new Request(
+                            "c" + i, i % 2, i % 4, 1, 20, now + 500, 0, 0.5, 0, null, null, false,
+                            false));
             controller.timer(now + 5, "tick", Fixture.CALM);
             controller.ended(now + 10, "c" + i, 10, Outcome.OK);
         }
         reads.add(reads(controller));
-        day(3, 11_000, classes.subList(0, 2), SAME_PLACES, tenants.subList(0, 4), controller, recorder, () -> { });
+        day(
+                3,
+                11_000,
+                classes.subList(0, 2),
+                SAME_PLACES,
+                tenants.subList(0, 4),
+                controller,
+                recorder,
+                () -> {});
         reads.add(reads(controller));
-        controller.stage(List.of(new ClassAt(1, PATIENT)), List.of(new TenantAt(1, new Tenant(8, 0.1))));
+        controller.stage(
+                List.of(new ClassAt(1, PATIENT)), List.of(new TenantAt(1, new Tenant(8, 0.1))));
         controller.commit(90_000);
         reads.add(reads(controller));
         assertEquals(5, controller.learned().size());
         reads.add(reads(controller));
-        return IntStream.range(1, reads.size()).mapToLong(i -> reads.get(i) - reads.get(i - 1)).toArray();
+        return IntStream.range(1, reads.size())
+                .mapToLong(i -> reads.get(i) - reads.get(i - 1))
+                .toArray();
     }
 
     private static long reads(Controller controller) {
-        return ((Classes) field(controller, "classes")).reads() + ((Tenants) field(controller, "tenants")).reads();
+        return ((Classes) field(controller, "classes")).reads()
+                + ((Tenants) field(controller, "tenants")).reads();
     }
 
     @Test
@@ -521,7 +653,8 @@
         assertEquals(0, large[0]);
         assertEquals(small[1], large[1]);
         assertTrue(large[1] <= 200 * 20, "calm: " + large[1]);
-        // What is held is ordered anew at each event, and which requests are held hangs on how many classes there are.
+        // What is held is ordered anew at each event, and which requests are held hangs on how many
+        // classes there are.
         assertTrue(large[2] < 2 * small[2], "busy: " + small[2] + ", " + large[2]);
         assertEquals(small[3], large[3]);
         assertTrue(large[3] <= 10, "change: " + large[3]);
--- a/src/test/java/tinroad/ClassesTest.java
+++ b/src/test/java/tinroad/ClassesTest.java
@@ -53,7 +53,9 @@
         }
 
         double worth(boolean byWork) {
-            return live().stream().mapToDouble(i -> of.get(i)[0] * specs.get(i).worth() * (byWork ? run(i) : 1)).sum();
+            return live().stream()
+                    .mapToDouble(i -> of.get(i)[0] * specs.get(i).worth() * (byWork ? run(i) : 1))
+                    .sum();
         }
 
         double ratio(int i) {
@@ -61,7 +63,10 @@
         }
 
         List<Integer> live() {
-            return IntStream.range(0, specs.size()).filter(i -> specs.get(i) != null).boxed().toList();
+            return IntStream.range(0, specs.size())
+                    .filter(i -> specs.get(i) != null)
+                    .boxed()
+                    .toList();
         }
 
         double lagShare(int place) {
@@ -72,7 +77,16 @@
     }
 
     private static RequestClass spec(Random random) {
-        return new RequestClass(50 + random.nextInt(2000), 0, 4000, 1 + random.nextInt(9), 0, Semantics.FREE, 0, false, 0);
+        return new RequestClass(
+                50 + random.nextInt(2000),
+                0,
+                4000,
+                1 + random.nextInt(9),
+                0,
+                Semantics.FREE,
+                0,
+                false,
+                0);
     }
 
     private final Learned learned = new Learned(0.25, 2);
@@ -96,19 +110,24 @@
         List<ClassAt> staged = new ArrayList<>();
         double[] peaks = new double[2];
         for (int step = 0; step < 2000; step++) {
-            double passed = random.nextInt(200) == 0 ? 30_000 * random.nextDouble() : 20 * random.nextDouble();
+            double passed =
+                    random.nextInt(200) == 0
+                            ? 30_000 * random.nextDouble()
+                            : 20 * random.nextDouble();
             now += passed;
             classes.advance(now);
-            walked.of.forEach(s -> {
-                if (s != null) {
-                    s[0] *= Math.exp(-passed / SPAN);
-                    s[1] *= Math.exp(-passed / SPAN);
-                }
-            });
+            walked.of.forEach(
+                    s -> {
+                        if (s != null) {
+                            s[0] *= Math.exp(-passed / SPAN);
+                            s[1] *= Math.exp(-passed / SPAN);
+                        }
+                    });
             List<Integer> live = walked.live();
             int dice = random.nextInt(100);
             if (dice < 70 && !live.isEmpty()) {
-                int place = live.get((int) (live.size() * random.nextDouble() * random.nextDouble()));
+                int place =
+                        live.get((int) (live.size() * random.nextDouble() * random.nextDouble()));
                 ClassStats s = classes.ask(place);
                 walked.of.get(place)[0]++;
                 if (random.nextInt(3) > 0) {
@@ -117,10 +136,13 @@
                 }
                 double sample = 1 + 1000 * random.nextDouble();
                 if (random.nextBoolean()) {
-                    classes.change(s, classes.at(place), (of, c) -> {
-                        of.run = sample;
-                        of.calm = sample / 2;
-                    });
+                    classes.change(
+                            s,
+                            classes.at(place),
+                            (of, c) -> {
+                                of.run = sample;
+                                of.calm = sample / 2;
+                            });
                     walked.of.get(place)[2] = sample;
                     walked.of.get(place)[3] = sample / 2;
                 }
@@ -154,14 +176,18 @@
         List<Integer> live = walked.live();
         assertEquals(live.size(), classes.size());
         if (!live.isEmpty()) {
-            same(live.stream().mapToDouble(walked::run).sum() / live.stream().mapToDouble(walked::calm).sum(),
-                    classes.slowdown(), "slowdown");
+            same(
+                    live.stream().mapToDouble(walked::run).sum()
+                            / live.stream().mapToDouble(walked::calm).sum(),
+                    classes.slowdown(),
+                    "slowdown");
         }
         for (int place : live) {
             ClassStats[] s = new ClassStats[1];
             if (walked.of.get(place)[0] > 0) {
                 classes.change(place, (of, c) -> s[0] = of);
-                // Whether a class tells is decided at one request; on the very edge either is right.
+                // Whether a class tells is decided at one request; on the very edge either is
+                // right.
                 if (Math.abs(walked.of.get(place)[0] - 1) > 1e-9) {
                     same(walked.lagShare(place), classes.lagShare(s[0]), "lag of " + place);
                 }
@@ -184,20 +210,27 @@
                 classes.advance(i);
                 of[place] = classes.ask(place);
             } else if (of[place] != null) {
-                // From a thousandth of a ms to a day, so that each sum swallows what is added to it.
+                // From a thousandth of a ms to a day, so that each sum swallows what is added to
+                // it.
                 double sample = Math.pow(10, random.nextDouble() * 11 - 3);
-                classes.change(of[place], specs.get(place), (s, c) -> {
-                    s.run = sample;
-                    s.calm = 90_000_000 / sample;
-                });
+                classes.change(
+                        of[place],
+                        specs.get(place),
+                        (s, c) -> {
+                            s.run = sample;
+                            s.calm = 90_000_000 / sample;
+                        });
             }
         }
         // All back to small values: what is left of large ones would show.
         for (int i = 0; i < 50; i++) {
-            classes.change(of[i], specs.get(i), (s, c) -> {
-                s.run = 3;
-                s.calm = 2;
-            });
+            classes.change(
+                    of[i],
+                    specs.get(i),
+                    (s, c) -> {
+                        s.run = 3;
+                        s.calm = 2;
+                    });
         }
         double asked = 0;
         double worth = 0;
--- a/src/test/java/tinroad/Cuts.java
+++ b/src/test/java/tinroad/Cuts.java
@@ -9,13 +9,17 @@
 
 /** Feeds bytes to a channel as the network may: cut anywhere, in pieces that a seed decides. */
 public final class Cuts {
-    private Cuts() { }
+    private Cuts() {}
 
-    /** Writes all bytes to the channel's inbound side, in random pieces, most of them small; until it is closed. */
+    /**
+     * Writes all bytes to the channel's inbound side, in random pieces, most of them small; until
+     * it is closed.
+     */
     public static void feed(EmbeddedChannel channel, byte[] bytes, long seed) {
         Random random = new Random(seed);
-        for (int at = 0; at < bytes.length && channel.isOpen();) {
-            int size = Math.min(bytes.length - at, 1 + random.nextInt(random.nextBoolean() ? 4 : 600));
+        for (int at = 0; at < bytes.length && channel.isOpen(); ) {
+            int size =
+                    Math.min(bytes.length - at, 1 + random.nextInt(random.nextBoolean() ? 4 : 600));
             channel.writeInbound(Unpooled.copiedBuffer(bytes, at, size));
             at += size;
         }
--- a/src/test/java/tinroad/Fixture.java
+++ b/src/test/java/tinroad/Fixture.java
@@ -1,5 +1,6 @@
 package tinroad;
 
+import java.util.List;
 import tinroad.Controller.Below;
 import tinroad.Controller.Dependency;
 import tinroad.Controller.Gauges;
@@ -13,9 +14,10 @@
 import tinroad.Controller.Semantics;
 import tinroad.Controller.Settings;
 import tinroad.Controller.Tenant;
-import java.util.List;
 
-/** One controller on two cores with three classes: free, guarded and single-shot, and two tenants. */
+/**
+ * One controller on two cores with three classes: free, guarded and single-shot, and two tenants.
+ */
 final class Fixture {
     static final int FREE = 0;
     static final int GUARDED = 1;
@@ -42,13 +44,40 @@
     List<Tenant> tenants = List.of(new Tenant(100, 0.5), new Tenant(100, 0.5));
 
     Fixture begin() {
-        List<RequestClass> classes = List.of(
-                new RequestClass(1000, 0, 4000, 1, 0, Semantics.FREE, 0, true, skipWorth),
-                new RequestClass(1000, 0, 4000, 2, 0.2, Semantics.GUARDED, 9000, true, skipWorth),
-                new RequestClass(1000, 0, 4000, 2, 0, Semantics.SINGLE_SHOT, 0, true, skipWorth));
-        controller.start(now, 7, new Settings(classes, tenants, new Goal(0.5, 0.2, 0.2, 0.1),
-                new Rules(60, coldFrom, 10000, 2000, 5, 1500), below, say, halt, 2, 4, 3, cold, passesDeadline,
-                callersIdle, memoryKb, 4, 20, freshFor, 1000, true, marksRetry, 0.1, 5, worthByWork));
+        List<RequestClass> classes =
+                List.of(
+                        new RequestClass(1000, 0, 4000, 1, 0, Semantics.FREE, 0, true, skipWorth),
+                        new RequestClass(
+                                1000, 0, 4000, 2, 0.2, Semantics.GUARDED, 9000, true, skipWorth),
+                        new RequestClass(
+                                1000, 0, 4000, 2, 0, Semantics.SINGLE_SHOT, 0, true, skipWorth));
+        controller.start(
+                now,
+                7,
+                new Settings(
+                        classes,
+                        tenants,
+                        new Goal(0.5, 0.2, 0.2, 0.1),
+                        new Rules(60, coldFrom, 10000, 2000, 5, 1500),
+                        below,
+                        say,
+                        halt,
+                        2,
+                        4,
+                        3,
+                        cold,
+                        passesDeadline,
+                        callersIdle,
+                        memoryKb,
+                        4,
+                        20,
+                        freshFor,
+                        1000,
+                        true,
+                        marksRetry,
+                        0.1,
+                        5,
+                        worthByWork));
         return this;
     }
 
@@ -65,18 +94,56 @@
     }
 
     void requestBy(String id, int caller, double age) {
-        controller.request(now, new Request(id, FREE, 0, caller, 20, now - age + 4000, age, 0.9, 0, null, null, false,
-                false));
+        controller.request(
+                now,
+                new Request(
+                        id,
+                        FREE,
+                        0,
+                        caller,
+                        20,
+                        now - age + 4000,
+                        age,
+                        0.9,
+                        0,
+                        null,
+                        null,
+                        false,
+                        false));
     }
 
     void requestOfWork(String id, double work) {
-        controller.request(now, new Request(id, FREE, 0, 1, 20, now + 4000, 0, 0.9, work, null, null, false, false));
+        controller.request(
+                now,
+                new Request(
+                        id, FREE, 0, 1, 20, now + 4000, 0, 0.9, work, null, null, false, false));
     }
 
-    void request(String id, int cls, int tenant, double rank, String repeats, double age, boolean resent) {
+    void request(
+            String id,
+            int cls,
+            int tenant,
+            double rank,
+            String repeats,
+            double age,
+            boolean resent) {
         double due = passesDeadline ? now - age + 4000 : 0;
-        controller.request(now, new Request(id, cls, tenant, 1, 20, due, age, rank, 0, "k" + id, repeats, resent,
-                cls != FREE));
+        controller.request(
+                now,
+                new Request(
+                        id,
+                        cls,
+                        tenant,
+                        1,
+                        20,
+                        due,
+                        age,
+                        rank,
+                        0,
+                        "k" + id,
+                        repeats,
+                        resent,
+                        cls != FREE));
     }
 
     void ended(String id, Outcome outcome) {
--- a/src/test/java/tinroad/FourRulesTest.java
+++ b/src/test/java/tinroad/FourRulesTest.java
@@ -3,6 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.lang.reflect.Proxy;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.function.Function;
+import org.junit.jupiter.api.Test;
 import tinroad.Controller.Below;
 import tinroad.Controller.ClassAt;
 import tinroad.Controller.Dependency;
@@ -18,14 +24,11 @@
 import tinroad.Controller.Settings;
 import tinroad.Controller.Tenant;
 import tinroad.Controller.TenantAt;
-import java.lang.reflect.Proxy;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Random;
-import java.util.function.Function;
-import org.junit.jupiter.api.Test;
 
-/** Seeded random events over varied settings: the controller breaks no rule, and a broken one is found out. */
+/**
+ * Seeded random events over varied settings: the controller breaks no rule, and a broken one is
+ * found out.
+ */
 class FourRulesTest {
     private static Settings settings(Random rnd) {
         boolean calls = rnd.nextBoolean();
@@ -33,27 +36,58 @@
         for (Semantics kind : Semantics.values()) {
             classes.add(spec(rnd, kind, calls));
         }
-        List<Tenant> tenants = rnd.nextBoolean() ? List.of() : List.of(new Tenant(20, 0.5), new Tenant(20, 0.5));
+        List<Tenant> tenants =
+                rnd.nextBoolean() ? List.of() : List.of(new Tenant(20, 0.5), new Tenant(20, 0.5));
         Below below = calls ? Below.values()[1 + rnd.nextInt(2)] : Below.NONE;
-        return new Settings(classes, tenants, new Goal(0.5, 0.2, 0.2, 0.1),
+        return new Settings(
+                classes,
+                tenants,
+                new Goal(0.5, 0.2, 0.2, 0.1),
                 new Rules(60, 0.2 + rnd.nextDouble() * 0.5, 5000, 1000, 3 + rnd.nextInt(5), 1500),
-                new Dependency(below, rnd.nextDouble() * 4, 1000, 200), Say.values()[rnd.nextInt(4)],
-                Halt.values()[rnd.nextInt(3)], 1 + rnd.nextInt(8), 5, 3, rnd.nextBoolean(), rnd.nextBoolean(),
-                30000, 1000 + rnd.nextInt(8000), 2 + rnd.nextInt(8), 5 + rnd.nextInt(60), rnd.nextInt(2) * 400,
-                1000, rnd.nextBoolean(), rnd.nextBoolean(), 0.1, 5, rnd.nextBoolean());
+                new Dependency(below, rnd.nextDouble() * 4, 1000, 200),
+                Say.values()[rnd.nextInt(4)],
+                Halt.values()[rnd.nextInt(3)],
+                1 + rnd.nextInt(8),
+                5,
+                3,
+                rnd.nextBoolean(),
+                rnd.nextBoolean(),
+                30000,
+                1000 + rnd.nextInt(8000),
+                2 + rnd.nextInt(8),
+                5 + rnd.nextInt(60),
+                rnd.nextInt(2) * 400,
+                1000,
+                rnd.nextBoolean(),
+                rnd.nextBoolean(),
+                0.1,
+                5,
+                rnd.nextBoolean());
     }
 
     private static RequestClass spec(Random rnd, Semantics kind, boolean calls) {
-        return new RequestClass(500 + rnd.nextInt(1000), rnd.nextInt(2), 2000 + rnd.nextInt(2000), 1 + rnd.nextInt(5),
-                rnd.nextInt(2) * 0.2, kind, 3000 + rnd.nextInt(4000), calls, rnd.nextInt(2) * 0.5);
+        return new RequestClass(
+                500 + rnd.nextInt(1000),
+                rnd.nextInt(2),
+                2000 + rnd.nextInt(2000),
+                1 + rnd.nextInt(5),
+                rnd.nextInt(2) * 0.2,
+                kind,
+                3000 + rnd.nextInt(4000),
+                calls,
+                rnd.nextInt(2) * 0.5);
     }
 
     private static RuleChecker play(long seed, Function<Controller.Actions, Controller> factory) {
         return play(seed, factory, 0);
     }
 
-    /** {@code changes}: so many of a hundred events are preceded by a part of a change of classes and tenants. */
-    private static RuleChecker play(long seed, Function<Controller.Actions, Controller> factory, int changes) {
+    /**
+     * {@code changes}: so many of a hundred events are preceded by a part of a change of classes
+     * and tenants.
+     */
+    private static RuleChecker play(
+            long seed, Function<Controller.Actions, Controller> factory, int changes) {
         Random rnd = new Random(seed);
         Settings set = settings(rnd);
         RuleChecker server = new RuleChecker(set);
@@ -83,29 +117,47 @@
             }
             if (server.now >= nextTick) {
                 nextTick = server.now + 20;
-                c.timer(server.now, "tick", new Gauges(rnd.nextDouble(), rnd.nextInt(10), 0.5, rnd.nextInt(200)));
+                c.timer(
+                        server.now,
+                        "tick",
+                        new Gauges(rnd.nextDouble(), rnd.nextInt(10), 0.5, rnd.nextInt(200)));
             }
             server.check(leaveAt);
         }
         return server;
     }
 
-    /** Puts a class anew, changes one in place or takes one out, and now and then has all of it count or none. */
-    private static void change(Random rnd, Settings set, RuleChecker server, List<RequestClass> next, Controller c) {
+    /**
+     * Puts a class anew, changes one in place or takes one out, and now and then has all of it
+     * count or none.
+     */
+    private static void change(
+            Random rnd, Settings set, RuleChecker server, List<RequestClass> next, Controller c) {
         int place = rnd.nextInt(8);
         while (next.size() <= place) {
             next.add(null);
         }
         boolean inUse = place < server.classes.size() && server.classes.get(place) != null;
-        boolean named = server.seen.values().stream().anyMatch(s -> s.request.classIndex() == place && !s.over)
-                || server.kept.keySet().stream().anyMatch(id -> server.seen.get(id).request.classIndex() == place);
+        boolean named =
+                server.seen.values().stream()
+                                .anyMatch(s -> s.request.classIndex() == place && !s.over)
+                        || server.kept.keySet().stream()
+                                .anyMatch(id -> server.seen.get(id).request.classIndex() == place);
         if (rnd.nextInt(3) == 0) {
             next.set(place, null);
             c.stage(List.of(new ClassAt(place, null)), List.of());
         } else if (inUse || !named) {
             next.set(place, spec(rnd, Semantics.values()[place % 3], set.classes().get(0).calls()));
-            c.stage(List.of(new ClassAt(place, next.get(place))), List.of(new TenantAt(rnd.nextInt(2),
-                    rnd.nextInt(4) == 0 ? null : new Tenant(1 + rnd.nextInt(50), 0.1 + 0.5 * rnd.nextDouble()))));
+            c.stage(
+                    List.of(new ClassAt(place, next.get(place))),
+                    List.of(
+                            new TenantAt(
+                                    rnd.nextInt(2),
+                                    rnd.nextInt(4) == 0
+                                            ? null
+                                            : new Tenant(
+                                                    1 + rnd.nextInt(50),
+                                                    0.1 + 0.5 * rnd.nextDouble()))));
         }
         switch (rnd.nextInt(4)) {
             case 0 -> {
@@ -118,7 +170,7 @@
                 next.clear();
                 next.addAll(server.classes);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -130,10 +182,25 @@
         String key = cls + "-" + rnd.nextInt(40);
         double age = rnd.nextInt(30);
         double due = set.passesDeadline() ? server.now - age + 300 + rnd.nextInt(2500) : 0;
-        String repeats = cls % 3 == 2 || cls % 3 == 0 && set.freshFor() == 0 ? null : server.repeatOf(key, server.now - age);
-        Request r = new Request("r" + server.seen.size(), cls, set.tenants().isEmpty() ? 0 : rnd.nextInt(2),
-                rnd.nextInt(3), 5 + rnd.nextInt(40), due, age, rnd.nextDouble(), rnd.nextInt(300), key, repeats,
-                rnd.nextBoolean(), cls % 3 > 0);
+        String repeats =
+                cls % 3 == 2 || cls % 3 == 0 && set.freshFor() == 0
+                        ? null
+                        : server.repeatOf(key, server.now - age);
+        Request r =
+                new Request(
+                        "r" + server.seen.size(),
+                        cls,
+                        set.tenants().isEmpty() ? 0 : rnd.nextInt(2),
+                        rnd.nextInt(3),
+                        5 + rnd.nextInt(40),
+                        due,
+                        age,
+                        rnd.nextDouble(),
+                        rnd.nextInt(300),
+                        key,
+                        repeats,
+                        rnd.nextBoolean(),
+                        cls % 3 > 0);
         server.arrive(r);
         c.request(server.now, r);
     }
@@ -142,8 +209,10 @@
         String id = s.request.id();
         int dice = rnd.nextInt(400);
         if (s.running && dice < 12) {
-            Outcome outcome = s.answers > 0 && rnd.nextBoolean() ? Outcome.CANCELED
-                    : rnd.nextInt(4) == 0 ? Outcome.FAILED : Outcome.OK;
+            Outcome outcome =
+                    s.answers > 0 && rnd.nextBoolean()
+                            ? Outcome.CANCELED
+                            : rnd.nextInt(4) == 0 ? Outcome.FAILED : Outcome.OK;
             server.end(id, outcome);
             c.ended(server.now, id, 50, outcome);
         } else if (s.running && dice < 15 && server.settings.below().kind() != Below.NONE) {
@@ -183,7 +252,10 @@
         for (long seed = 1; seed <= 150; seed++) {
             RuleChecker server = play(seed, OverloadController::new, 30);
             assertEquals(List.of(), server.broken, "seed " + seed);
-            answered += server.seen.values().stream().filter(s -> s.ran && s.request.classIndex() > 2).count();
+            answered +=
+                    server.seen.values().stream()
+                            .filter(s -> s.ran && s.request.classIndex() > 2)
+                            .count();
         }
         assertTrue(answered > 1000, "ran at places put anew: " + answered);
     }
@@ -197,11 +269,18 @@
 
     private static List<String> trace(long seed) {
         List<String> calls = new ArrayList<>();
-        play(seed, actions -> new OverloadController((Controller.Actions) Proxy.newProxyInstance(
-                FourRulesTest.class.getClassLoader(), new Class<?>[] {Controller.Actions.class}, (p, m, args) -> {
-                    calls.add(m.getName() + List.of(args));
-                    return m.invoke(actions, args);
-                })));
+        play(
+                seed,
+                actions ->
+                        new OverloadController(
+                                (Controller.Actions)
+                                        Proxy.newProxyInstance(
+                                                FourRulesTest.class.getClassLoader(),
+                                                new Class<?>[] {Controller.Actions.class},
+                                                (p, m, args) -> {
+                                                    calls.add(m.getName() + List.of(args));
+                                                    return m.invoke(actions, args);
+                                                })));
         assertTrue(calls.size() > 100);
         return calls;
     }
@@ -210,9 +289,27 @@
     private static List<String> brokenWithout(String action) {
         List<String> broken = new ArrayList<>();
         for (long seed = 1; seed <= 40; seed++) {
-            broken.addAll(play(seed, actions -> new OverloadController((Controller.Actions) Proxy.newProxyInstance(
-                    FourRulesTest.class.getClassLoader(), new Class<?>[] {Controller.Actions.class},
-                    (p, m, args) -> m.getName().equals(action) ? null : m.invoke(actions, args)))).broken);
+            broken.addAll(
+                    play(
+                                    seed,
+                                    actions ->
+                                            new OverloadController(
+                                                    (Controller.Actions)
+                                                            Proxy.newProxyInstance(
+                                                                    FourRulesTest.class
+                                                                            .getClassLoader(),
+                                                                    new Class<?>[] {
+                                                                        Controller.Actions.class
+                                                                    },
+                                                                    (p, m, args) ->
+                                                                            m.getName()
+                                                                                            .equals(
+                                                                                                    action)
+                                                                                    ? null
+                                                                                    : m.invoke(
+                                                                                            actions,
+                                                                                            args))))
+                            .broken);
         }
         return broken;
     }
@@ -221,7 +318,12 @@
     void theCheckerFindsABrokenController() {
         assertTrue(brokenWithout("fail").stream().anyMatch(b -> b.startsWith("lost")));
         assertTrue(brokenWithout("keep").stream().anyMatch(b -> b.startsWith("duplicate key")));
-        assertTrue(brokenWithout("refuse").stream().anyMatch(b -> b.startsWith("fall-over")
-                || b.startsWith("drain") || b.startsWith("lost")));
+        assertTrue(
+                brokenWithout("refuse").stream()
+                        .anyMatch(
+                                b ->
+                                        b.startsWith("fall-over")
+                                                || b.startsWith("drain")
+                                                || b.startsWith("lost")));
     }
 }
--- a/src/test/java/tinroad/KnownRedTest.java
+++ b/src/test/java/tinroad/KnownRedTest.java
@@ -12,41 +12,64 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What CI passes over, and what it never does: {@code .ci/KnownRed.java} as a process of its own, on reports made up here. */
+/**
+ * What CI passes over, and what it never does: {@code .ci/KnownRed.java} as a process of its own,
+ * on reports made up here.
+ */
 class KnownRedTest {
     private static final String RED = "ATest#red: the clock goes back, issue 7";
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     @BeforeEach
     void twoClassesOneRed() throws IOException {
         Files.createDirectories(dir.resolve("reports"));
         Files.createDirectories(dir.resolve("src/a"));
-        report("a.ATest", test("a.ATest", "green", "<system-out><![CDATA[<failure/>]]></system-out>"),
+        report(
+                "a.ATest",
+                test("a.ATest", "green", "<system-out><![CDATA[<failure/>]]></system-out>"),
                 test("a.ATest", "red", "<failure message=\"no\">at</failure>"));
-        report("a.BTest", test("a.BTest", "green(Path)[1]", ""), test("a.BTest", "green(Path)[2]", ""));
+        report(
+                "a.BTest",
+                test("a.BTest", "green(Path)[1]", ""),
+                test("a.BTest", "green(Path)[2]", ""));
     }
 
     private static String test(String type, String name, String outcome) {
-        return "<testcase name=\"" + name + "\" classname=\"" + type + "\" time=\"0.1\">" + outcome + "</testcase>";
+        return "<testcase name=\""
+                + name
+                + "\" classname=\""
+                + type
+                + "\" time=\"0.1\">"
+                + outcome
+                + "</testcase>";
     }
 
     private void report(String type, String... tests) throws IOException {
         Files.writeString(dir.resolve("src").resolve(type.replace('.', '/') + ".java"), "");
-        Files.writeString(dir.resolve("reports").resolve("TEST-" + type + ".xml"),
-                "<?xml version=\"1.0\" encoding=\"UTF-8\"?><testsuite>" + String.join("", tests) + "</testsuite>");
+        Files.writeString(
+                dir.resolve("reports").resolve("TEST-" + type + ".xml"),
+                "<?xml version=\"1.0\" encoding=\"UTF-8\"?><testsuite>"
+                        + String.join("", tests)
+                        + "</testsuite>");
     }
 
     /** What it says of this list, its exit status first. */
     private List<String> judged(String... lines) throws IOException, InterruptedException {
         Path list = Files.write(dir.resolve("KNOWN-RED.txt"), List.of(lines));
-        return said(list.toString(), dir.resolve("reports").toString(), dir.resolve("src").toString());
+        return said(
+                list.toString(), dir.resolve("reports").toString(), dir.resolve("src").toString());
     }
 
     private static List<String> said(String... arguments) throws IOException, InterruptedException {
-        List<String> command = Stream.concat(Stream.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                ".ci/KnownRed.java"), Stream.of(arguments)).toList();
+        List<String> command =
+                Stream.concat(
+                                Stream.of(
+                                        Path.of(System.getProperty("java.home"), "bin", "java")
+                                                .toString(),
+                                        ".ci/KnownRed.java"),
+                                Stream.of(arguments))
+                        .toList();
         Process judge = new ProcessBuilder(command).redirectErrorStream(true).start();
         String out = new String(judge.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return Stream.concat(Stream.of(Integer.toString(judge.waitFor())), out.lines()).toList();
@@ -59,17 +82,29 @@
 
     @Test
     void failsOnEveryOtherRed() throws Exception {
-        report("a.BTest", test("a.BTest", "green(Path)[1]", ""), test("a.BTest", "green(Path)[2]", "<error/>"),
+        report(
+                "a.BTest",
+                test("a.BTest", "green(Path)[1]", ""),
+                test("a.BTest", "green(Path)[2]", "<error/>"),
                 test("a.BTest", "", "<error/>"));
-        assertEquals(List.of("1", "known red: passed over: " + RED, "known red: FAULT: red and not listed: a.BTest#green",
-                "known red: FAULT: red and not listed: a.BTest#"), judged(RED));
+        assertEquals(
+                List.of(
+                        "1",
+                        "known red: passed over: " + RED,
+                        "known red: FAULT: red and not listed: a.BTest#green",
+                        "known red: FAULT: red and not listed: a.BTest#"),
+                judged(RED));
         assertEquals("1", judged().get(0));
     }
 
     @Test
     void saysWhenAListedTestPasses() throws Exception {
         String passes = "BTest#green: the clock goes back, issue 7";
-        assertEquals(List.of("0", "known red: passed over: " + RED, "known red: PASSES, take it off the list: " + passes),
+        assertEquals(
+                List.of(
+                        "0",
+                        "known red: passed over: " + RED,
+                        "known red: PASSES, take it off the list: " + passes),
                 judged(RED, passes));
     }
 
@@ -78,25 +113,47 @@
         report("a.BTest", test("a.BTest", "green", "<skipped/>"));
         Files.createDirectories(dir.resolve("src/b"));
         report("b.ATest", test("b.ATest", "red", ""));
-        assertEquals(List.of("1", "known red: FAULT: no such test ran: ATest#gone", "known red: FAULT: skipped, not failed: BTest#green",
-                "known red: FAULT: more than one test is meant: ATest#red", "known red: FAULT: red and not listed: a.ATest#red"),
+        assertEquals(
+                List.of(
+                        "1",
+                        "known red: FAULT: no such test ran: ATest#gone",
+                        "known red: FAULT: skipped, not failed: BTest#green",
+                        "known red: FAULT: more than one test is meant: ATest#red",
+                        "known red: FAULT: red and not listed: a.ATest#red"),
                 judged("ATest#gone: left, issue 7", "BTest#green: left, issue 7", RED));
     }
 
     @Test
     void failsOnAListOutOfForm() throws Exception {
-        assertEquals(List.of("1", "known red: FAULT: a line out of form (Class#method: cause, issue N): ''",
-                "known red: FAULT: a line out of form (Class#method: cause, issue N): 'ATest#red: no issue'",
-                "known red: FAULT: listed twice: ATest#red", "known red: FAULT: 4 lines, 3 at most"),
-                said(Files.write(dir.resolve("KNOWN-RED.txt"), List.of("", "ATest#red: no issue", RED, RED)).toString()));
+        assertEquals(
+                List.of(
+                        "1",
+                        "known red: FAULT: a line out of form (Class#method: cause, issue N): ''",
+                        "known red: FAULT: a line out of form (Class#method: cause, issue N):"
+                                + " 'ATest#red: no issue'",
+                        "known red: FAULT: listed twice: ATest#red",
+                        "known red: FAULT: 4 lines, 3 at most"),
+                said(
+                        Files.write(
+                                        dir.resolve("KNOWN-RED.txt"),
+                                        List.of("", "ATest#red: no issue", RED, RED))
+                                .toString()));
     }
 
-    /** A process of tests that ended by itself writes no report of the class in hand, nor of those after it. */
+    /**
+     * A process of tests that ended by itself writes no report of the class in hand, nor of those
+     * after it.
+     */
     @Test
     void failsOnAClassThatLeftNoReport() throws Exception {
         Files.writeString(dir.resolve("src/a/CTest.java"), "");
         Files.writeString(dir.resolve("reports/TEST-a.BTest.xml"), "<testsuite><testcase");
-        assertEquals(List.of("1", "known red: passed over: " + RED, "known red: FAULT: a report that can't be read: TEST-a.BTest.xml",
-                "known red: FAULT: no report of a.CTest"), judged(RED));
+        assertEquals(
+                List.of(
+                        "1",
+                        "known red: passed over: " + RED,
+                        "known red: FAULT: a report that can't be read: TEST-a.BTest.xml",
+                        "known red: FAULT: no report of a.CTest"),
+                judged(RED));
     }
 }
--- a/src/test/java/tinroad/LayersTest.java
+++ b/src/test/java/tinroad/LayersTest.java
@@ -1,8 +1,8 @@
 package tinroad;
 
 import static com.tngtech.archunit.base.DescribedPredicate.not;
-import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
@@ -15,73 +15,180 @@
 /** The layers of docs/architecture.md: who may know what. */
 class LayersTest {
     /** Packages of decisions and state: they know no clock, wire, file, socket or thread. */
-    private static final String[] DECISIONS = {"tinroad", "tinroad.route..", "tinroad.translate..", "tinroad.expect..", "tinroad.recovery..", "tinroad.fleet..", "tinroad.catalog.."};
-    private static final JavaClasses ALL = new ClassFileImporter().withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
-            .importPackages("tinroad");
+    private static final String[] DECISIONS = {
+        "tinroad",
+        "tinroad.route..",
+        "tinroad.translate..",
+        "tinroad.expect..",
+        "tinroad.recovery..",
+        "tinroad.fleet..",
+        "tinroad.catalog.."
+    };
+
+    private static final JavaClasses ALL =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages("tinroad");
 
     @Test
     void arrowsGoDownOnly() {
-        Architectures.layeredArchitecture().consideringOnlyDependenciesInLayers().withOptionalLayers(true)
-                .layer("cli").definedBy("tinroad.cli..")
-                .layer("node").definedBy("tinroad.node..")
-                .layer("edges").definedBy("tinroad.fastcgi..", "tinroad.engine..", "tinroad.upstream..", "tinroad.control..",
-                        "tinroad.roster..", "tinroad.drill..", "tinroad.gossip..")
-                .layer("lab").definedBy("tinroad.lab..", "tinroad.model..")
-                .layer("core").definedBy("tinroad.core..")
-                .layer("decisions").definedBy("tinroad.route..", "tinroad.translate..", "tinroad.expect..", "tinroad.recovery..",
-                        "tinroad.fleet..", "tinroad.catalog..")
-                .layer("changes").definedBy("tinroad.changelog..")
-                .layer("settings").definedBy("tinroad.config..", "tinroad.operator..", "tinroad.state..")
-                .layer("log").definedBy("tinroad.log..")
-                .layer("module").definedBy("tinroad")
-                .whereLayer("cli").mayNotBeAccessedByAnyLayer()
-                .whereLayer("node").mayOnlyBeAccessedByLayers("cli")
-                .whereLayer("lab").mayOnlyBeAccessedByLayers("cli")
-                .whereLayer("edges").mayOnlyBeAccessedByLayers("cli", "node", "lab")
-                .whereLayer("core").mayOnlyBeAccessedByLayers("cli", "node", "edges", "lab")
-                .whereLayer("changes").mayOnlyBeAccessedByLayers("cli", "node")
-                .whereLayer("decisions").mayOnlyBeAccessedByLayers("cli", "node", "edges", "lab", "core", "changes")
-                .whereLayer("settings").mayOnlyBeAccessedByLayers("cli", "node", "edges", "lab", "core", "decisions", "changes")
+        Architectures.layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .withOptionalLayers(true)
+                .layer("cli")
+                .definedBy("tinroad.cli..")
+                .layer("node")
+                .definedBy("tinroad.node..")
+                .layer("edges")
+                .definedBy(
+                        "tinroad.fastcgi..",
+                        "tinroad.engine..",
+                        "tinroad.upstream..",
+                        "tinroad.control..",
+                        "tinroad.roster..",
+                        "tinroad.drill..",
+                        "tinroad.gossip..")
+                .layer("lab")
+                .definedBy("tinroad.lab..", "tinroad.model..")
+                .layer("core")
+                .definedBy("tinroad.core..")
+                .layer("decisions")
+                .definedBy(
+                        "tinroad.route..",
+                        "tinroad.translate..",
+                        "tinroad.expect..",
+                        "tinroad.recovery..",
+                        "tinroad.fleet..",
+                        "tinroad.catalog..")
+                .layer("changes")
+                .definedBy("tinroad.changelog..")
+                .layer("settings")
+                .definedBy("tinroad.config..", "tinroad.operator..", "tinroad.state..")
+                .layer("log")
+                .definedBy("tinroad.log..")
+                .layer("module")
+                .definedBy("tinroad")
+                .whereLayer("cli")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("node")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("lab")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("edges")
+                .mayOnlyBeAccessedByLayers("cli", "node", "lab")
+                .whereLayer("core")
+                .mayOnlyBeAccessedByLayers("cli", "node", "edges", "lab")
+                .whereLayer("changes")
+                .mayOnlyBeAccessedByLayers("cli", "node")
+                .whereLayer("decisions")
+                .mayOnlyBeAccessedByLayers("cli", "node", "edges", "lab", "core", "changes")
+                .whereLayer("settings")
+                .mayOnlyBeAccessedByLayers(
+                        "cli", "node", "edges", "lab", "core", "decisions", "changes")
                 .check(ALL);
     }
 
     @Test
     void decisionsKnowNoClockWireFileSocketOrThread() {
-        noClasses().that().resideInAnyPackage(DECISIONS).should().dependOnClassesThat(
-                resideInAnyPackage("io.netty..", "java.net..", "java.nio..", "java.io..", "java.time..", "java.util.concurrent..",
-                        "org.slf4j..", "com.fasterxml.jackson.core.."))
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECISIONS)
+                .should()
+                .dependOnClassesThat(
+                        resideInAnyPackage(
+                                "io.netty..",
+                                "java.net..",
+                                "java.nio..",
+                                "java.io..",
+                                "java.time..",
+                                "java.util.concurrent..",
+                                "org.slf4j..",
+                                "com.fasterxml.jackson.core.."))
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECISIONS)
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(Math.class, "random")
+                .orShould()
+                .dependOnClassesThat()
+                .areAssignableTo(Thread.class)
                 .check(ALL);
-        noClasses().that().resideInAnyPackage(DECISIONS).should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").orShould().callMethod(Math.class, "random")
-                .orShould().dependOnClassesThat().areAssignableTo(Thread.class).check(ALL);
     }
 
     @Test
     void theModuleKnowsNothingOfThisProgram() {
-        classes().that().resideInAPackage("tinroad").should().onlyDependOnClassesThat(
-                resideInAnyPackage("tinroad", "java.lang..", "java.util", "java.util.function", "java.util.stream")).check(ALL);
+        classes()
+                .that()
+                .resideInAPackage("tinroad")
+                .should()
+                .onlyDependOnClassesThat(
+                        resideInAnyPackage(
+                                "tinroad",
+                                "java.lang..",
+                                "java.util",
+                                "java.util.function",
+                                "java.util.stream"))
+                .check(ALL);
     }
 
     @Test
     void coreKnowsNoProtocolAndNoSocket() {
-        noClasses().that().resideInAPackage("tinroad.core..").should().dependOnClassesThat(
-                resideInAnyPackage("io.netty.channel..", "io.netty.handler..", "java.net..", "java.nio..", "com.fasterxml.."))
+        noClasses()
+                .that()
+                .resideInAPackage("tinroad.core..")
+                .should()
+                .dependOnClassesThat(
+                        resideInAnyPackage(
+                                "io.netty.channel..",
+                                "io.netty.handler..",
+                                "java.net..",
+                                "java.nio..",
+                                "com.fasterxml.."))
                 .check(ALL);
     }
 
     @Test
     void theEdgesDoNotKnowEachOther() {
-        for (String edge : new String[] {"fastcgi", "engine", "upstream", "control", "roster", "drill", "gossip"}) {
-            noClasses().that().resideInAPackage("tinroad." + edge + "..").should().dependOnClassesThat(
-                    resideInAnyPackage("tinroad.fastcgi..", "tinroad.engine..", "tinroad.upstream..", "tinroad.control..",
-                            "tinroad.roster..", "tinroad.drill..", "tinroad.gossip..").and(not(resideInAPackage("tinroad." + edge + ".."))))
-                    .allowEmptyShould(true).check(ALL);
+        for (String edge :
+                new String[] {
+                    "fastcgi", "engine", "upstream", "control", "roster", "drill", "gossip"
+                }) {
+            noClasses()
+                    .that()
+                    .resideInAPackage("tinroad." + edge + "..")
+                    .should()
+                    .dependOnClassesThat(
+                            resideInAnyPackage(
+                                            "tinroad.fastcgi..",
+                                            "tinroad.engine..",
+                                            "tinroad.upstream..",
+                                            "tinroad.control..",
+                                            "tinroad.roster..",
+                                            "tinroad.drill..",
+                                            "tinroad.gossip..")
+                                    .and(not(resideInAPackage("tinroad." + edge + ".."))))
+                    .allowEmptyShould(true)
+                    .check(ALL);
         }
     }
 
     @Test
     void onlyTheOperatorPackageAndCommandsUseDatabind() {
-        noClasses().that().resideOutsideOfPackages("tinroad.operator..", "tinroad.cli..", "tinroad.lab..", "tinroad.translate..")
-                .should().dependOnClassesThat().resideInAPackage("com.fasterxml.jackson.databind..").check(ALL);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(
+                        "tinroad.operator..",
+                        "tinroad.cli..",
+                        "tinroad.lab..",
+                        "tinroad.translate..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("com.fasterxml.jackson.databind..")
+                .check(ALL);
     }
 }
--- a/src/test/java/tinroad/LearnedTest.java
+++ b/src/test/java/tinroad/LearnedTest.java
@@ -15,11 +15,20 @@
 
 /** What one life of the module leaves to the next. */
 class LearnedTest {
-    private static final List<RequestClass> CLASSES = List.of(new RequestClass(1000, 0, 2000, 1, 0, Semantics.FREE, 0, false, 0),
-            new RequestClass(2000, 0, 4000, 3, 0, Semantics.SINGLE_SHOT, 0, false, 0));
+    private static final List<RequestClass> CLASSES =
+            List.of(
+                    new RequestClass(1000, 0, 2000, 1, 0, Semantics.FREE, 0, false, 0),
+                    new RequestClass(2000, 0, 4000, 3, 0, Semantics.SINGLE_SHOT, 0, false, 0));
 
     private final Learned learned = new Learned(0.25, 2);
-    private final Classes classes = new Classes(CLASSES, learned, 20_000, (ratio, worst) -> Math.max(0, 1 - (ratio - worst) / 0.1), false, 0);
+    private final Classes classes =
+            new Classes(
+                    CLASSES,
+                    learned,
+                    20_000,
+                    (ratio, worst) -> Math.max(0, 1 - (ratio - worst) / 0.1),
+                    false,
+                    0);
 
     private double run(int place) {
         return learned.run(stats(place), CLASSES.get(place));
@@ -34,11 +43,13 @@
     @Test
     void whatIsExportedIsRestoredButWeighsLittle() {
         LearnedTest before = new LearnedTest();
-        before.classes.change(0, (s, c) -> {
-            s.run = 24;
-            s.runs = 5000;
-            s.calm = 20;
-        });
+        before.classes.change(
+                0,
+                (s, c) -> {
+                    s.run = 24;
+                    s.runs = 5000;
+                    s.calm = 20;
+                });
         before.learned.returning = 0.4;
         learned.restore(before.learned.export(before.classes), 1, classes);
         assertEquals(20, run(0));
@@ -49,7 +60,8 @@
 
     @Test
     void onAColdEngineRunsAreExpectedToTakeAsMuchLongerAndNeverLongerThanWithoutAnyMemory() {
-        learned.restore(Map.of("run.0", new Known(24, 9), "run.1", new Known(30_000, 9)), 0.2, classes);
+        learned.restore(
+                Map.of("run.0", new Known(24, 9), "run.1", new Known(30_000, 9)), 0.2, classes);
         assertEquals(120, run(0));
         assertEquals(500, run(1));
         // No slowdown is seen in what is only cold, or was slow on another day.
@@ -72,20 +84,51 @@
 
     @Test
     void namesThatAreNoPlaceAreLeftOut() {
-        learned.restore(Map.of("run.-1", new Known(1, 1), "run.", new Known(1, 1), "calm.99999999999", new Known(1, 1),
-                "0", new Known(1, 1), "run.2", new Known(1, 1), "runs.0", new Known(1, 1)), 1, classes);
+        learned.restore(
+                Map.of(
+                        "run.-1",
+                        new Known(1, 1),
+                        "run.",
+                        new Known(1, 1),
+                        "calm.99999999999",
+                        new Known(1, 1),
+                        "0",
+                        new Known(1, 1),
+                        "run.2",
+                        new Known(1, 1),
+                        "runs.0",
+                        new Known(1, 1)),
+                1,
+                classes);
         classes.ask(0);
         assertEquals(Set.of("returning"), learned.export(classes).keySet());
     }
 
     @Property(tries = 500, seed = "21")
-    void noNumberMakesAClassImpossible(@ForAll double run, @ForAll double calm, @ForAll double weight, @ForAll double back) {
+    void noNumberMakesAClassImpossible(
+            @ForAll double run, @ForAll double calm, @ForAll double weight, @ForAll double back) {
         LearnedTest after = new LearnedTest();
-        after.learned.restore(Map.of("run.0", new Known(run, weight), "calm.0", new Known(calm, weight),
-                "run.9", new Known(run, 1), "returning", new Known(back, 1), "unheard.of", new Known(1, 1)), 0.2, after.classes);
+        after.learned.restore(
+                Map.of(
+                        "run.0",
+                        new Known(run, weight),
+                        "calm.0",
+                        new Known(calm, weight),
+                        "run.9",
+                        new Known(run, 1),
+                        "returning",
+                        new Known(back, 1),
+                        "unheard.of",
+                        new Known(1, 1)),
+                0.2,
+                after.classes);
         for (int i = 0; i < CLASSES.size(); i++) {
-            assertTrue(after.run(i) > 0 && after.run(i) < Double.POSITIVE_INFINITY && after.learned.calm(after.stats(i), CLASSES.get(i)) > 0
-                    && after.stats(i).runs > 0, "" + after.run(i));
+            assertTrue(
+                    after.run(i) > 0
+                            && after.run(i) < Double.POSITIVE_INFINITY
+                            && after.learned.calm(after.stats(i), CLASSES.get(i)) > 0
+                            && after.stats(i).runs > 0,
+                    "" + after.run(i));
         }
         assertTrue(after.learned.returning > 0 && after.learned.returning <= 1);
     }
--- a/src/test/java/tinroad/ModuleShapeTest.java
+++ b/src/test/java/tinroad/ModuleShapeTest.java
@@ -16,11 +16,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the operators hold the decision classes to: listed in the deploy file, and free of clock, wire and thread. */
+/**
+ * What the operators hold the decision classes to: listed in the deploy file, and free of clock,
+ * wire and thread.
+ */
 class ModuleShapeTest {
     private static final Path SOURCES = Path.of("src/main/java/tinroad");
     private static final Path CONTROLLER = SOURCES.resolve("OverloadController.java");
-    /** Uses a {@code HashMap} that it never iterates over, so the order of its entries decides nothing. */
+
+    /**
+     * Uses a {@code HashMap} that it never iterates over, so the order of its entries decides
+     * nothing.
+     */
     private static final Set<String> UNORDERED_LOOKUP_ONLY = Set.of("Expiring.java");
 
     private static List<Path> decisionClasses() throws IOException {
@@ -31,14 +38,19 @@
 
     @Test
     void theDeployFileListsEveryDecisionClass() throws IOException {
-        String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(line -> line.startsWith("policy = ")).collect(Collectors.joining());
+        String policy =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("policy = "))
+                        .collect(Collectors.joining());
         Set<String> listed = new TreeSet<>();
-        for (Matcher path = Pattern.compile("\"([^\"]+)\"").matcher(policy); path.find();) {
+        for (Matcher path = Pattern.compile("\"([^\"]+)\"").matcher(policy); path.find(); ) {
             listed.add(path.group(1));
         }
-        Set<String> present = decisionClasses().stream().filter(file -> !file.endsWith("package-info.java"))
-                .map(Path::toString).collect(Collectors.toCollection(TreeSet::new));
+        Set<String> present =
+                decisionClasses().stream()
+                        .filter(file -> !file.endsWith("package-info.java"))
+                        .map(Path::toString)
+                        .collect(Collectors.toCollection(TreeSet::new));
         assertEquals(present, listed);
     }
 
@@ -52,8 +64,20 @@
     void noDecisionClassKnowsAWireClockOrThread() throws IOException {
         for (Path file : decisionClasses()) {
             String text = Files.readString(file);
-            for (String word : List.of("jackson", "json", "System.", "Thread", "Instant", "txn", "qos", "telemetry",
-                    "server_id", "min_rank", "synchronized", "HashSet")) {
+            for (String word :
+                    List.of(
+                            "jackson",
+                            "json",
+                            "System.",
+                            "Thread",
+                            "Instant",
+                            "txn",
+                            "qos",
+                            "telemetry",
+                            "server_id",
+                            "min_rank",
+                            "synchronized",
+                            "HashSet")) {
                 assertFalse(text.contains(word), file + ": " + word);
             }
             if (!UNORDERED_LOOKUP_ONLY.contains(file.getFileName().toString())) {
--- a/src/test/java/tinroad/OverloadControllerTest.java
+++ b/src/test/java/tinroad/OverloadControllerTest.java
@@ -1,23 +1,23 @@
 package tinroad;
 
-import static tinroad.Fixture.FREE;
-import static tinroad.Fixture.GUARDED;
-import static tinroad.Fixture.ONCE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static tinroad.Fixture.FREE;
+import static tinroad.Fixture.GUARDED;
+import static tinroad.Fixture.ONCE;
 
+import java.lang.reflect.Field;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
 import tinroad.Controller.Below;
 import tinroad.Controller.Dependency;
 import tinroad.Controller.Gauges;
 import tinroad.Controller.Halt;
 import tinroad.Controller.Outcome;
 import tinroad.Controller.Say;
-import java.lang.reflect.Field;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import org.junit.jupiter.api.Test;
 
 /** The module against a recording {@code Actions}: each part of the design and each guard. */
 class OverloadControllerTest {
@@ -68,7 +68,8 @@
             f.ended("s" + i, Outcome.OK);
         }
         List<String> idle = f.recorder.take("idle");
-        assertTrue(Double.parseDouble(idle.get(idle.size() - 1).substring(5)) < 1000, idle.toString());
+        assertTrue(
+                Double.parseDouble(idle.get(idle.size() - 1).substring(5)) < 1000, idle.toString());
         for (int i = 0; i < 200; i++) {
             f.requestBy("t" + i, i % 3);
             f.after(100);
@@ -140,8 +141,12 @@
         for (Field field : OverloadController.class.getDeclaredFields()) {
             field.setAccessible(true);
             Object value = field.get(f.controller);
-            int size = value instanceof Map<?, ?> m ? m.size() : value instanceof List<?> l ? l.size()
-                    : value instanceof Expiring e ? e.size() : 0;
+            int size =
+                    value instanceof Map<?, ?> m
+                            ? m.size()
+                            : value instanceof List<?> l
+                                    ? l.size()
+                                    : value instanceof Expiring e ? e.size() : 0;
             assertTrue(size <= 60, field.getName() + " holds " + size);
         }
     }
@@ -227,7 +232,9 @@
         assertEquals(true, refusedBehindTwo(150, 300));
     }
 
-    /** Whether a request behind two runs is refused, after so many retries and then fresh requests. */
+    /**
+     * Whether a request behind two runs is refused, after so many retries and then fresh requests.
+     */
     private boolean refusedBehindTwo(int retries, int fresh) {
         Fixture g = new Fixture();
         g.begin();
@@ -353,7 +360,8 @@
         }
         assertFalse(f.recorder.take("say").isEmpty());
         f.request("low", GUARDED, 0, 0.0, null, 0, false);
-        assertEquals(1, f.recorder.take().stream().filter(l -> l.startsWith("refuse low ")).count());
+        assertEquals(
+                1, f.recorder.take().stream().filter(l -> l.startsWith("refuse low ")).count());
         f.ended("r0", Outcome.OK);
         f.ended("r1", Outcome.OK);
         for (int i = 0; i < 60; i++) {
@@ -470,12 +478,16 @@
     }
 
     private Controller.Request wait(String id, int caller, double wait) {
-        return new Controller.Request(id, FREE, 0, caller, 20, f.now + wait, 0, 0.9, 0, null, null, false, false);
+        return new Controller.Request(
+                id, FREE, 0, caller, 20, f.now + wait, 0, 0.9, 0, null, null, false, false);
     }
 
     // --- refusals ---
 
-    /** The refusals of a burst of 12 on two cores, the last of them perhaps a retry; runs take 300 ms. */
+    /**
+     * The refusals of a burst of 12 on two cores, the last of them perhaps a retry; runs take 300
+     * ms.
+     */
     private List<String> refusalsOfABurst(boolean lastIsRetry) {
         f.begin();
         f.serveCalmly("s", FREE, 20, 300);
@@ -503,7 +515,9 @@
         f.request("older", FREE, 0, 0.9, null, 900, false);
         List<String> refusals = f.recorder.take("refuse");
         assertEquals(2, refusals.size());
-        assertTrue(adviceOf(refusals.get(0)) >= 200 && adviceOf(refusals.get(0)) < 500, refusals.toString());
+        assertTrue(
+                adviceOf(refusals.get(0)) >= 200 && adviceOf(refusals.get(0)) < 500,
+                refusals.toString());
         assertEquals(500, adviceOf(refusals.get(1)));
     }
 
@@ -514,7 +528,9 @@
     @Test
     void aRefusedRetryIsAskedNotToRetryAgain() {
         List<String> refusals = refusalsOfABurst(true);
-        assertTrue(refusals.stream().anyMatch(l -> l.startsWith("refuse q11 ") && l.endsWith(" true")), refusals.toString());
+        assertTrue(
+                refusals.stream().anyMatch(l -> l.startsWith("refuse q11 ") && l.endsWith(" true")),
+                refusals.toString());
         assertTrue(refusals.stream().anyMatch(l -> l.endsWith(" false")), refusals.toString());
     }
 
@@ -544,7 +560,9 @@
         assertTrue(take().contains("health false true"));
         f.after(10000);
         List<String> lines = take();
-        assertTrue(lines.contains("health true true") && lines.contains("log open again"), lines.toString());
+        assertTrue(
+                lines.contains("health true true") && lines.contains("log open again"),
+                lines.toString());
     }
 
     @Test
@@ -611,9 +629,14 @@
         List<Double> told = new ArrayList<>();
         for (int caller = 0; caller < 8; caller++) {
             f.requestBy("x" + caller, 100 + caller);
-            told.addAll(f.recorder.take("refuse").stream().map(l -> Double.parseDouble(l.split(" ")[2])).toList());
-        }
-        assertTrue(told.size() >= 7 && told.stream().distinct().count() == told.size(), told.toString());
+            told.addAll(
+                    f.recorder.take("refuse").stream()
+                            .map(l -> Double.parseDouble(l.split(" ")[2]))
+                            .toList());
+        }
+        assertTrue(
+                told.size() >= 7 && told.stream().distinct().count() == told.size(),
+                told.toString());
         assertTrue(told.stream().allMatch(ms -> ms >= 200 && ms <= 600), told.toString());
     }
 
@@ -744,8 +767,15 @@
     void singleShotRunsOnceWithoutAKey() {
         f.begin();
         f.request("a", ONCE);
-        assertEquals(List.of("run a"), take().stream().filter(l -> !l.startsWith("health")
-                && !l.startsWith("idle") && !l.startsWith("timer")).toList());
+        assertEquals(
+                List.of("run a"),
+                take().stream()
+                        .filter(
+                                l ->
+                                        !l.startsWith("health")
+                                                && !l.startsWith("idle")
+                                                && !l.startsWith("timer"))
+                        .toList());
     }
 
     @Test
@@ -764,7 +794,9 @@
         f.request("old", FREE);
         f.controller.drain(f.now, f.now + 3000);
         List<String> lines = take();
-        assertTrue(lines.contains("health false true") && lines.contains("idle 1000"), lines.toString());
+        assertTrue(
+                lines.contains("health false true") && lines.contains("idle 1000"),
+                lines.toString());
         f.after(2100);
         take();
         f.request("new", FREE);
--- a/src/test/java/tinroad/PlacesTest.java
+++ b/src/test/java/tinroad/PlacesTest.java
@@ -25,11 +25,15 @@
         second.set(5000, 7);
         Places<Integer> third = second.next();
         third.set(300, -2);
-        assertEquals(List.of(300, 301, 1000), List.of(first.get(300), first.get(301), first.size()));
+        assertEquals(
+                List.of(300, 301, 1000), List.of(first.get(300), first.get(301), first.size()));
         assertNull(first.get(5000));
-        assertEquals(List.of(-1, 7, 5001), List.of(second.get(300), second.get(5000), second.size()));
+        assertEquals(
+                List.of(-1, 7, 5001), List.of(second.get(300), second.get(5000), second.size()));
         assertNull(second.get(301));
-        assertEquals(List.of(-2, 7, 299, 5001), List.of(third.get(300), third.get(5000), third.get(299), third.size()));
+        assertEquals(
+                List.of(-2, 7, 299, 5001),
+                List.of(third.get(300), third.get(5000), third.get(299), third.size()));
     }
 
     @Test
--- a/src/test/java/tinroad/Recorder.java
+++ b/src/test/java/tinroad/Recorder.java
@@ -24,59 +24,73 @@
         lines.add(String.format(Locale.ROOT, format, args));
     }
 
-    @Override public void run(String id) {
+    @Override
+    public void run(String id) {
         add("run %s", id);
     }
 
-    @Override public void refuse(String id, double stayAway, boolean last) {
+    @Override
+    public void refuse(String id, double stayAway, boolean last) {
         add("refuse %s %.0f %s", id, stayAway, last);
     }
 
-    @Override public void fail(String id) {
+    @Override
+    public void fail(String id) {
         add("fail %s", id);
     }
 
-    @Override public void halt(String id) {
+    @Override
+    public void halt(String id) {
         add("halt %s", id);
     }
 
-    @Override public void call(String id, double within) {
+    @Override
+    public void call(String id, double within) {
         add("call %s %.0f", id, within);
     }
 
-    @Override public void skip(String id) {
+    @Override
+    public void skip(String id) {
         add("skip %s", id);
     }
 
-    @Override public void keep(String id, double duration) {
+    @Override
+    public void keep(String id, double duration) {
         add("keep %s %.0f", id, duration);
     }
 
-    @Override public void forget(String id) {
+    @Override
+    public void forget(String id) {
         add("forget %s", id);
     }
 
-    @Override public void reuse(String id) {
+    @Override
+    public void reuse(String id) {
         add("reuse %s", id);
     }
 
-    @Override public void health(boolean good, boolean stored) {
+    @Override
+    public void health(boolean good, boolean stored) {
         add("health %s %s", good, stored);
     }
 
-    @Override public void say(double value) {
+    @Override
+    public void say(double value) {
         add("say %.2f", value);
     }
 
-    @Override public void idle(double after) {
+    @Override
+    public void idle(double after) {
         add("idle %.0f", after);
     }
 
-    @Override public void timer(String token, double delay) {
+    @Override
+    public void timer(String token, double delay) {
         add("timer %s %.0f", token, delay);
     }
 
-    @Override public void log(String text) {
+    @Override
+    public void log(String text) {
         add("log %s", text);
     }
 }
--- a/src/test/java/tinroad/ReturnsTest.java
+++ b/src/test/java/tinroad/ReturnsTest.java
@@ -39,8 +39,10 @@
     }
 
     @Property(tries = 300, seed = "1")
-    void adviceIsNeverLongerThanCountsAndNeverNegative(@ForAll @IntRange(min = 0, max = 100_000) int caller,
-            @ForAll @DoubleRange(min = 0, max = 5000) double mean, @ForAll @DoubleRange(min = 0, max = 5000) double gap) {
+    void adviceIsNeverLongerThanCountsAndNeverNegative(
+            @ForAll @IntRange(min = 0, max = 100_000) int caller,
+            @ForAll @DoubleRange(min = 0, max = 5000) double mean,
+            @ForAll @DoubleRange(min = 0, max = 5000) double gap) {
         Returns returns = new Returns();
         double now = 0;
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/tinroad/RuleChecker.java
+++ b/src/test/java/tinroad/RuleChecker.java
@@ -1,15 +1,17 @@
 package tinroad;
 
-import tinroad.Controller.Outcome;
-import tinroad.Controller.Request;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Settings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import tinroad.Controller.Outcome;
+import tinroad.Controller.Request;
+import tinroad.Controller.Semantics;
+import tinroad.Controller.Settings;
 
-/** A small server that obeys a controller's actions and notes where one of the four rules is broken. */
+/**
+ * A small server that obeys a controller's actions and notes where one of the four rules is broken.
+ */
 class RuleChecker implements Controller.Actions {
     /** What the server knows of one request. */
     static final class Seen {
@@ -34,12 +36,19 @@
     }
 
     final Settings settings;
+
     /** The classes as they stand now, by place; null where there is none. */
     final List<Controller.RequestClass> classes;
+
     final Map<String, Seen> seen = new LinkedHashMap<>();
     final Map<String, Double> kept = new LinkedHashMap<>();
-    /** Until when a key may not run again: by the window of the class as it stood when the one that ran came. */
+
+    /**
+     * Until when a key may not run again: by the window of the class as it stood when the one that
+     * ran came.
+     */
     final Map<String, Double> ranKeys = new LinkedHashMap<>();
+
     final List<String> broken = new ArrayList<>();
     final List<Double> lingering = new ArrayList<>();
     double now;
@@ -57,7 +66,10 @@
         seen.put(r.id(), new Seen(r, spec, arrived, due));
     }
 
-    /** The kept request that a new one with this key repeats if it arrived while the entry lived, or null. */
+    /**
+     * The kept request that a new one with this key repeats if it arrived while the entry lived, or
+     * null.
+     */
     String repeatOf(String key, double arrived) {
         for (Map.Entry<String, Double> e : kept.entrySet()) {
             if (e.getValue() >= arrived && key.equals(seen.get(e.getKey()).request.key())) {
@@ -72,8 +84,13 @@
         double kb = 0;
         for (Seen s : seen.values()) {
             boolean inMemory = !s.over;
-            kb += !inMemory ? 0 : s.request.memoryKb() * (s.running || s.atCall ? settings.runFactor() : 1);
-            if (s.answers == 0 && now > Math.max(s.due, s.arrived) + settings.rules().answerSlack()) {
+            kb +=
+                    !inMemory
+                            ? 0
+                            : s.request.memoryKb()
+                                    * (s.running || s.atCall ? settings.runFactor() : 1);
+            if (s.answers == 0
+                    && now > Math.max(s.due, s.arrived) + settings.rules().answerSlack()) {
                 s.answers = 1;
                 broken.add("lost " + s.request.id());
             }
@@ -111,7 +128,8 @@
         }
     }
 
-    @Override public void run(String id) {
+    @Override
+    public void run(String id) {
         Seen s = seen.get(id);
         Semantics kind = s.spec.semantics();
         if (s.over) {
@@ -134,7 +152,8 @@
         s.running = true;
     }
 
-    @Override public void refuse(String id, double stayAway, boolean last) {
+    @Override
+    public void refuse(String id, double stayAway, boolean last) {
         Seen s = seen.get(id);
         boolean effect = s.spec.semantics() != Semantics.FREE;
         if (effect && (s.ran || s.joined != null)) {
@@ -144,19 +163,22 @@
         s.over |= !s.running;
     }
 
-    @Override public void fail(String id) {
+    @Override
+    public void fail(String id) {
         Seen s = seen.get(id);
         answer(s, "fail");
         s.over |= !s.running && !s.atCall;
     }
 
-    @Override public void halt(String id) {
+    @Override
+    public void halt(String id) {
         if (settings.halt() == Controller.Halt.NONE) {
             broken.add("fault: halt");
         }
     }
 
-    @Override public void call(String id, double within) {
+    @Override
+    public void call(String id, double within) {
         seen.get(id).calling = true;
         lingering.removeIf(until -> until <= now);
         long inHand = seen.values().stream().filter(s -> s.calling).count() + lingering.size();
@@ -178,7 +200,8 @@
         }
     }
 
-    @Override public void skip(String id) {
+    @Override
+    public void skip(String id) {
         Seen s = seen.get(id);
         if (s.spec.skipWorth() == 0) {
             broken.add("fault: skip");
@@ -187,15 +210,18 @@
         s.running = true;
     }
 
-    @Override public void keep(String id, double duration) {
+    @Override
+    public void keep(String id, double duration) {
         kept.put(id, now + duration);
     }
 
-    @Override public void forget(String id) {
+    @Override
+    public void forget(String id) {
         kept.remove(id);
     }
 
-    @Override public void reuse(String id) {
+    @Override
+    public void reuse(String id) {
         Seen s = seen.get(id);
         if (s.request.repeats() == null) {
             broken.add("fault: reuse");
@@ -203,24 +229,26 @@
         s.joined = s.request.repeats();
     }
 
-    @Override public void health(boolean good, boolean stored) {
-    }
+    @Override
+    public void health(boolean good, boolean stored) {}
 
-    @Override public void say(double value) {
+    @Override
+    public void say(double value) {
         if (settings.say() == Controller.Say.NONE) {
             broken.add("fault: say");
         }
     }
 
-    @Override public void idle(double after) {
+    @Override
+    public void idle(double after) {
         if (after < 10 || after > settings.idle()) {
             broken.add("fault: idle");
         }
     }
 
-    @Override public void timer(String token, double delay) {
-    }
+    @Override
+    public void timer(String token, double delay) {}
 
-    @Override public void log(String text) {
-    }
+    @Override
+    public void log(String text) {}
 }
--- a/src/test/java/tinroad/catalog/CatalogMemory.java
+++ b/src/test/java/tinroad/catalog/CatalogMemory.java
@@ -7,11 +7,14 @@
 import tinroad.Controller.Semantics;
 import tinroad.Controller.Tenant;
 
-/** What a catalog costs: {@code CatalogMemory TENANTS ROUTES} from the command line prints heap by entry, and times. */
+/**
+ * What a catalog costs: {@code CatalogMemory TENANTS ROUTES} from the command line prints heap by
+ * entry, and times.
+ */
 public final class CatalogMemory {
     private static final int DIFFERENT = 100;
 
-    private CatalogMemory() { }
+    private CatalogMemory() {}
 
     /** Prints a line for each figure. */
     public static void main(String[] args) {
@@ -29,22 +32,73 @@
         for (int i = 0; i < routes; i++) {
             specs.add(new RequestClass(0, 0, 1 + i % DIFFERENT, 1, 0, Semantics.FREE, 0, false, 0));
         }
-        say("tenant, catalog alone", tenants, () -> Catalog.of(0, 0, List.of(), List.of(), tenantNames, quotas));
-        say("route, catalog alone", routes, () -> Catalog.of(0, 0, routeNames, specs, List.of(), List.of()));
-        say("tenant, with its name, quotas shared", tenants,
-                () -> Catalog.of(0, 0, List.of(), List.of(), names("tenant-", tenants), sharedQuotas));
-        say("tenant, with its name and a quota of its own", tenants, () -> Catalog.of(0, 0, List.of(), List.of(), names("tenant-", tenants),
-                sharedQuotas.stream().map(t -> new Tenant(t.quotaPerSecond(), t.share())).toList()));
-        say("route, with its name and a spec of its own", routes, () -> Catalog.of(0, 0, names("route-", routes), specs.stream()
-                .map(s -> new RequestClass(0, 0, s.deadline(), 1, 0, Semantics.FREE, 0, false, 0)).toList(), List.of(), List.of()));
+        say(
+                "tenant, catalog alone",
+                tenants,
+                () -> Catalog.of(0, 0, List.of(), List.of(), tenantNames, quotas));
+        say(
+                "route, catalog alone",
+                routes,
+                () -> Catalog.of(0, 0, routeNames, specs, List.of(), List.of()));
+        say(
+                "tenant, with its name, quotas shared",
+                tenants,
+                () ->
+                        Catalog.of(
+                                0,
+                                0,
+                                List.of(),
+                                List.of(),
+                                names("tenant-", tenants),
+                                sharedQuotas));
+        say(
+                "tenant, with its name and a quota of its own",
+                tenants,
+                () ->
+                        Catalog.of(
+                                0,
+                                0,
+                                List.of(),
+                                List.of(),
+                                names("tenant-", tenants),
+                                sharedQuotas.stream()
+                                        .map(t -> new Tenant(t.quotaPerSecond(), t.share()))
+                                        .toList()));
+        say(
+                "route, with its name and a spec of its own",
+                routes,
+                () ->
+                        Catalog.of(
+                                0,
+                                0,
+                                names("route-", routes),
+                                specs.stream()
+                                        .map(
+                                                s ->
+                                                        new RequestClass(
+                                                                0,
+                                                                0,
+                                                                s.deadline(),
+                                                                1,
+                                                                0,
+                                                                Semantics.FREE,
+                                                                0,
+                                                                false,
+                                                                0))
+                                        .toList(),
+                                List.of(),
+                                List.of()));
         Catalog whole = Catalog.of(0, 0, routeNames, specs, tenantNames, quotas);
-        say("tenant, of a re-read that is equal", tenants, () -> {
-            Whole same = new Whole(whole);
-            for (int i = 0; i < tenants; i++) {
-                same.tenant(tenantNames.get(i), quotas.get(i));
-            }
-            return same;
-        });
+        say(
+                "tenant, of a re-read that is equal",
+                tenants,
+                () -> {
+                    Whole same = new Whole(whole);
+                    for (int i = 0; i < tenants; i++) {
+                        same.tenant(tenantNames.get(i), quotas.get(i));
+                    }
+                    return same;
+                });
     }
 
     private static List<String> names(String word, int count) {
@@ -62,7 +116,8 @@
         Object made = make.get();
         long ms = (System.nanoTime() - from) / 1_000_000;
         long bytes = used() - before;
-        System.out.printf("%s: %.1f bytes, %d ms for %d%n", what, (double) bytes / entries, ms, entries);
+        System.out.printf(
+                "%s: %.1f bytes, %d ms for %d%n", what, (double) bytes / entries, ms, entries);
         java.lang.ref.Reference.reachabilityFence(made);
     }
 
--- a/src/test/java/tinroad/catalog/CatalogTest.java
+++ b/src/test/java/tinroad/catalog/CatalogTest.java
@@ -23,18 +23,31 @@
 import tinroad.config.Faults;
 import tinroad.config.SettingsCheck;
 
-/** What becomes of changes: in any order, with repeats, gaps and crashes, and of batches that can't be meant. */
+/**
+ * What becomes of changes: in any order, with repeats, gaps and crashes, and of batches that can't
+ * be meant.
+ */
 class CatalogTest {
     static RequestClass due(double deadline) {
         return new RequestClass(0, 0, deadline, 1, 0, Semantics.FREE, 0, false, 0);
     }
 
-    static Catalog of(long epoch, long number, Map<String, RequestClass> routes, Map<String, Tenant> tenants) {
-        return Catalog.of(epoch, number, List.copyOf(routes.keySet()), List.copyOf(routes.values()), List.copyOf(tenants.keySet()),
+    static Catalog of(
+            long epoch,
+            long number,
+            Map<String, RequestClass> routes,
+            Map<String, Tenant> tenants) {
+        return Catalog.of(
+                epoch,
+                number,
+                List.copyOf(routes.keySet()),
+                List.copyOf(routes.values()),
+                List.copyOf(tenants.keySet()),
                 List.copyOf(tenants.values()));
     }
 
-    private final Editor editor = new Editor(of(1, 5, Map.of("a", due(10)), Map.of("t", new Tenant(3, 1))));
+    private final Editor editor =
+            new Editor(of(1, 5, Map.of("a", due(10)), Map.of("t", new Tenant(3, 1))));
 
     private static Change put(long epoch, long number, Map<String, RequestClass> routes) {
         return new Change(epoch, number, routes, Set.of(), Map.of(), Set.of());
@@ -71,27 +84,58 @@
         // Another change under the same number, whether it tells what it leads to or not.
         assertEquals(new Outcome.Diverged(now), editor.offer(put(1, 6, Map.of("b", due(2)))));
         assertEquals(new Outcome.Diverged(now), editor.offer(remove(6, "b")));
-        assertEquals(new Outcome.Diverged(now), editor.offer(
-                new Change(1, 6, Map.of(), Set.of(), Map.of(), Set.of(), before, "0".repeat(32))));
+        assertEquals(
+                new Outcome.Diverged(now),
+                editor.offer(
+                        new Change(
+                                1,
+                                6,
+                                Map.of(),
+                                Set.of(),
+                                Map.of(),
+                                Set.of(),
+                                before,
+                                "0".repeat(32))));
         // Or one that goes on from what the other one wrote.
-        assertEquals(new Outcome.Diverged(now), editor.offer(
-                new Change(1, 7, Map.of("c", due(1)), Set.of(), Map.of(), Set.of(), before, null)));
-        Change next = new Change(1, 7, Map.of("c", due(1)), Set.of(), Map.of(), Set.of(), now, before);
-        refused("it leads to content " + editor.current().hashAfter(next) + ", and says " + before, next);
+        assertEquals(
+                new Outcome.Diverged(now),
+                editor.offer(
+                        new Change(
+                                1,
+                                7,
+                                Map.of("c", due(1)),
+                                Set.of(),
+                                Map.of(),
+                                Set.of(),
+                                before,
+                                null)));
+        Change next =
+                new Change(1, 7, Map.of("c", due(1)), Set.of(), Map.of(), Set.of(), now, before);
+        refused(
+                "it leads to content " + editor.current().hashAfter(next) + ", and says " + before,
+                next);
     }
 
     @Test
     void whatCanNotBeMeantIsRefusedWholeALineForEachFault() {
         refused("class b can't be removed: there is none", remove(6, "b"));
         refused("no class would be left", remove(6, "a"));
-        refused("class a is both put and removed", new Change(1, 6, Map.of("a", due(2)), Set.of("a"), Map.of(), Set.of()));
+        refused(
+                "class a is both put and removed",
+                new Change(1, 6, Map.of("a", due(2)), Set.of("a"), Map.of(), Set.of()));
         refused("put of class has no name", put(1, 6, Map.of("", due(2))));
-        refused("org t: share has to be from 0 to 1, not 2",
+        refused(
+                "org t: share has to be from 0 to 1, not 2",
                 new Change(1, 6, Map.of(), Set.of(), Map.of("t", new Tenant(1, 2)), Set.of()));
         String longest = "\u20ac".repeat(SettingsCheck.LONGEST_NAME / 3);
-        refused("put of class: the name " + longest.substring(0, 80) + "... (1367 characters) is longer than 4096 bytes",
+        refused(
+                "put of class: the name "
+                        + longest.substring(0, 80)
+                        + "... (1367 characters) is longer than 4096 bytes",
                 put(1, 6, Map.of(longest + "xx", due(2))));
-        assertInstanceOf(Outcome.Taken.class, editor.offer(put(1, 6, Map.of(longest + "x", due(2), "x", due(3)))));
+        assertInstanceOf(
+                Outcome.Taken.class,
+                editor.offer(put(1, 6, Map.of(longest + "x", due(2), "x", due(3)))));
         assertEquals(3, editor.current().routes());
     }
 
@@ -101,13 +145,21 @@
         for (int i = 0; i < 10_000; i++) {
             quotas.put("t" + i, new Tenant(i, i == 7007 ? -1 : 0.5));
         }
-        refused("org t7007: share has to be from 0 to 1, not -1", new Change(1, 6, Map.of(), Set.of(), quotas, Set.of()));
+        refused(
+                "org t7007: share has to be from 0 to 1, not -1",
+                new Change(1, 6, Map.of(), Set.of(), quotas, Set.of()));
         quotas.replaceAll((name, t) -> new Tenant(-1, 0));
-        List<String> faults = ((Outcome.Refused) editor.offer(new Change(1, 6, Map.of(), Set.of(), quotas, Set.of()))).faults();
+        List<String> faults =
+                ((Outcome.Refused)
+                                editor.offer(
+                                        new Change(1, 6, Map.of(), Set.of(), quotas, Set.of())))
+                        .faults();
         assertEquals(Faults.TOLD + 1, faults.size());
         assertEquals("and 9900 more", faults.get(Faults.TOLD));
         quotas.replaceAll((name, t) -> new Tenant(1, 0));
-        assertInstanceOf(Outcome.Taken.class, editor.offer(new Change(1, 6, Map.of(), Set.of(), quotas, Set.of())));
+        assertInstanceOf(
+                Outcome.Taken.class,
+                editor.offer(new Change(1, 6, Map.of(), Set.of(), quotas, Set.of())));
     }
 
     @Test
@@ -122,9 +174,15 @@
         assertInstanceOf(Outcome.Taken.class, editor.offer(put(1, 6, many)));
         // Full: one more place there is only after one that was left is free.
         editor.offer(remove(7, "r1"));
-        refused("class: no place for 1 new ones before what still runs under 1 removed ones has ended", put(1, 8, Map.of("x", due(1))));
+        refused(
+                "class: no place for 1 new ones before what still runs under 1 removed ones has"
+                        + " ended",
+                put(1, 8, Map.of("x", due(1))));
         editor.routeFree(0);
-        refused("class: no place for 1 new ones before what still runs under 1 removed ones has ended", put(1, 8, Map.of("x", due(1))));
+        refused(
+                "class: no place for 1 new ones before what still runs under 1 removed ones has"
+                        + " ended",
+                put(1, 8, Map.of("x", due(1))));
         for (int place = 0; place <= SettingsCheck.MOST_CLASSES; place++) {
             editor.routeFree(place);
         }
@@ -161,33 +219,54 @@
         assertEquals(false, other.requestClass("new", due(1)));
         assertEquals(false, other.requestClass("r5", due(6)));
         Change c = other.change(1, 7);
-        assertEquals(new Change(1, 7, Map.of("r4", due(9999), "new", due(1)), Set.of("r3"), Map.of(), Set.of("t"),
-                editor.current().hash(), of(0, 0, routes, Map.of()).hash()), c);
+        assertEquals(
+                new Change(
+                        1,
+                        7,
+                        Map.of("r4", due(9999), "new", due(1)),
+                        Set.of("r3"),
+                        Map.of(),
+                        Set.of("t"),
+                        editor.current().hash(),
+                        of(0, 0, routes, Map.of()).hash()),
+                c);
         // It stands for a version far ahead.
         Change ahead = other.change(3, 40);
         assertEquals(new Outcome.Gap(1), editor.offer(ahead));
         assertInstanceOf(Outcome.Taken.class, editor.offerWhole(ahead));
         assertEquals(new Outcome.Repeated(), editor.offerWhole(ahead));
         assertEquals(ahead.after(), editor.current().hash());
-        assertEquals(List.of(3L, 40L), List.of(editor.current().epoch(), editor.current().number()));
+        assertEquals(
+                List.of(3L, 40L), List.of(editor.current().epoch(), editor.current().number()));
         assertEquals(new Outcome.Fenced(3), editor.offerWhole(c));
     }
 
     @Test
     void theHashTellsEveryPartAndNoOrder() {
         RequestClass c = new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 7);
-        List<RequestClass> others = List.of(c, new RequestClass(9, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 7),
-                new RequestClass(1, 9, 3, 4, 0.5, Semantics.FREE, 6, false, 7), new RequestClass(1, 2, 9, 4, 0.5, Semantics.FREE, 6, false, 7),
-                new RequestClass(1, 2, 3, 9, 0.5, Semantics.FREE, 6, false, 7), new RequestClass(1, 2, 3, 4, 0.9, Semantics.FREE, 6, false, 7),
-                new RequestClass(1, 2, 3, 4, 0.5, Semantics.GUARDED, 6, false, 7), new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 9, false, 7),
-                new RequestClass(1, 2, 3, 4, 0.5, Semantics.SINGLE_SHOT, 6, false, 7),
-                new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, true, 7), new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 9));
+        List<RequestClass> others =
+                List.of(
+                        c,
+                        new RequestClass(9, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 7),
+                        new RequestClass(1, 9, 3, 4, 0.5, Semantics.FREE, 6, false, 7),
+                        new RequestClass(1, 2, 9, 4, 0.5, Semantics.FREE, 6, false, 7),
+                        new RequestClass(1, 2, 3, 9, 0.5, Semantics.FREE, 6, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.9, Semantics.FREE, 6, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.GUARDED, 6, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 9, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.SINGLE_SHOT, 6, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, true, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 9));
         Set<String> hashes = new HashSet<>();
         others.forEach(spec -> hashes.add(of(0, 0, Map.of("a", spec), Map.of()).hash()));
         assertEquals(others.size(), hashes.size());
-        assertEquals(Catalog.of(0, 0, List.of("a", "b"), List.of(c, due(1)), List.of(), List.of()).hash(),
-                Catalog.of(9, 9, List.of("b", "a"), List.of(due(1), c), List.of(), List.of()).hash());
-        assertNotEquals(of(0, 0, Map.of("a", c), Map.of("t", new Tenant(1, 0))).hash(),
+        assertEquals(
+                Catalog.of(0, 0, List.of("a", "b"), List.of(c, due(1)), List.of(), List.of())
+                        .hash(),
+                Catalog.of(9, 9, List.of("b", "a"), List.of(due(1), c), List.of(), List.of())
+                        .hash());
+        assertNotEquals(
+                of(0, 0, Map.of("a", c), Map.of("t", new Tenant(1, 0))).hash(),
                 of(0, 0, Map.of("a", c), Map.of("t", new Tenant(0, 1))).hash());
         ContentHash most = new ContentHash(-1, -1);
         ContentHash one = new ContentHash(0, 1);
@@ -195,7 +274,10 @@
         assertEquals(most, ContentHash.EMPTY.minus(one));
     }
 
-    /** Changes come late, early, twice, with faults; the process is started anew on a file: the end is that of the file read whole. */
+    /**
+     * Changes come late, early, twice, with faults; the process is started anew on a file: the end
+     * is that of the file read whole.
+     */
     @Property(tries = 300, seed = "30")
     void anyOrderOfChangesRepeatsAndCrashesEndsInTheHashOfTheFile(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -218,8 +300,16 @@
             routes.forEach(next::requestClass);
             tenants.forEach(next::tenant);
             Change c = next.change(1, n);
-            log.add(random.nextBoolean() ? c
-                    : new Change(1, n, c.putRoutes(), c.removedRoutes(), c.putTenants(), c.removedTenants()));
+            log.add(
+                    random.nextBoolean()
+                            ? c
+                            : new Change(
+                                    1,
+                                    n,
+                                    c.putRoutes(),
+                                    c.removedRoutes(),
+                                    c.putTenants(),
+                                    c.removedTenants()));
             files.add(of(1, n, routes, tenants));
         }
         Editor e = new Editor(files.get(0));
@@ -237,10 +327,24 @@
                     left.forEach(same::routeFree);
                     left.clear();
                 }
-                case 2 -> assertInstanceOf(Outcome.Refused.class,
-                        e.offer(new Change(1, at + 1, Map.of("bad", due(-1)), Set.of(), Map.of(), Set.of())));
+                case 2 ->
+                        assertInstanceOf(
+                                Outcome.Refused.class,
+                                e.offer(
+                                        new Change(
+                                                1,
+                                                at + 1,
+                                                Map.of("bad", due(-1)),
+                                                Set.of(),
+                                                Map.of(),
+                                                Set.of())));
                 default -> {
-                    Outcome o = e.offer(log.get(random.nextInt(Math.max(0, at - 3), Math.min(log.size(), at + 4))));
+                    Outcome o =
+                            e.offer(
+                                    log.get(
+                                            random.nextInt(
+                                                    Math.max(0, at - 3),
+                                                    Math.min(log.size(), at + 4))));
                     if (o instanceof Outcome.Taken taken) {
                         assertPlaces(taken, left);
                     }
@@ -258,8 +362,11 @@
     private static void assertPlaces(Outcome.Taken taken, Set<Integer> left) {
         Set<Integer> used = new HashSet<>();
         taken.next().allRoutes().forEach(r -> assertTrue(used.add(r.place()), "place given twice"));
-        left.forEach(place -> assertTrue(!used.contains(place), "place given anew before it was free"));
-        taken.delta().classes().stream().filter(c -> c.spec() == null).forEach(c -> left.add(c.place()));
+        left.forEach(
+                place -> assertTrue(!used.contains(place), "place given anew before it was free"));
+        taken.delta().classes().stream()
+                .filter(c -> c.spec() == null)
+                .forEach(c -> left.add(c.place()));
         assertEquals(taken.next().routes(), used.size());
     }
 }
--- a/src/test/java/tinroad/changelog/ChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/ChangeLogTest.java
@@ -29,11 +29,13 @@
 import tinroad.catalog.Editor;
 import tinroad.catalog.Whole;
 
-/** The files of a change log, and what a follower makes of whatever it finds: one line, and the last good catalog serves. */
+/**
+ * The files of a change log, and what a follower makes of whatever it finds: one line, and the last
+ * good catalog serves.
+ */
 @Timeout(600)
 class ChangeLogTest {
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
 
     private final Editor writer = new Editor(base());
     private final Editor reader = new Editor(base());
@@ -71,14 +73,41 @@
 
     @Test
     void whatIsWrittenIsReadAgainToTheLastBit() throws IOException {
-        RequestClass odd = new RequestClass(0.1, -0.0, 1e300, Double.MIN_VALUE, 1 / 3.0, Semantics.GUARDED, 5, true, 0.25);
-        Change c = new Change(3, 9, Map.of("\u20ac\ud83d\ude00\"\\", odd, "b", new RequestClass(0, 0, 7, 0, 0, Semantics.FREE, 0, false, 0)),
-                Set.of("x", "y"), Map.of("t", new Tenant(0.3, 0)), Set.of("u"), "before", "after");
+        RequestClass odd =
+                new RequestClass(
+                        0.1,
+                        -0.0,
+                        1e300,
+                        Double.MIN_VALUE,
+                        1 / 3.0,
+                        Semantics.GUARDED,
+                        5,
+                        true,
+                        0.25);
+        Change c =
+                new Change(
+                        3,
+                        9,
+                        Map.of(
+                                "\u20ac\ud83d\ude00\"\\",
+                                odd,
+                                "b",
+                                new RequestClass(0, 0, 7, 0, 0, Semantics.FREE, 0, false, 0)),
+                        Set.of("x", "y"),
+                        Map.of("t", new Tenant(0.3, 0)),
+                        Set.of("u"),
+                        "before",
+                        "after");
         byte[] bytes = ChangeEncoding.write(c);
-        ChangeFolder.Batch read = ChangeEncoding.read(new ByteArrayInputStream(bytes), new Position(3, 9));
+        ChangeFolder.Batch read =
+                ChangeEncoding.read(new ByteArrayInputStream(bytes), new Position(3, 9));
         assertEquals(c, read.change());
         assertTrue(read.faults().isEmpty(), read.faults().lines()::toString);
-        assertEquals("before after", c.before() + " " + ChangeEncoding.readHead(new ByteArrayInputStream(bytes)).after());
+        assertEquals(
+                "before after",
+                c.before()
+                        + " "
+                        + ChangeEncoding.readHead(new ByteArrayInputStream(bytes)).after());
         assertTrue(ChangeEncoding.write(quotas(base(), 1, 1, 1)).length < 2048);
     }
 
@@ -90,7 +119,9 @@
         write(1, 20);
         assertEquals(8, folder().positions().size());
         // Fallen behind: the file as it is now leads it on.
-        assertEquals("log: 1-6 is missing, the oldest change after it is 1-18: the settings file as it is now has to be read, by SIGHUP\n",
+        assertEquals(
+                "log: 1-6 is missing, the oldest change after it is 1-18: the settings file as it"
+                        + " is now has to be read, by SIGHUP\n",
                 follow());
         assertEquals("", follow());
         assertEquals(5, reader.current().number());
@@ -140,15 +171,21 @@
         write(1, 3);
         Editor old = new Editor(base());
         assertEquals("", follow());
-        assertEquals("settings file not taken: it is that of 1-0, and 1-3 serves", follower[0].whole(reader, whole(old)).line());
+        assertEquals(
+                "settings file not taken: it is that of 1-0, and 1-3 serves",
+                follower[0].whole(reader, whole(old)).line());
         assertNull(follower[0].whole(reader, whole(writer)).taken());
         old.offer(quotas(old.current(), 1, 1, 7));
-        assertEquals("settings file not taken: log knows no change to its content, " + old.current().hash(),
+        assertEquals(
+                "settings file not taken: log knows no change to its content, "
+                        + old.current().hash(),
                 follower[0].whole(reader, whole(old)).line());
         assertEquals("1-3", reader.current().epoch() + "-" + reader.current().number());
         // A process that starts on a file finds where in the log it is.
         assertEquals(3, follower[0].locate(writer.current().at(0, 0)).number());
-        assertEquals(List.of(1L, 0L), List.of(follower[0].locate(base()).epoch(), follower[0].locate(base()).number()));
+        assertEquals(
+                List.of(1L, 0L),
+                List.of(follower[0].locate(base()).epoch(), follower[0].locate(base()).number()));
         assertEquals(0, follower[0].locate(old.current().at(0, 0)).epoch());
     }
 
@@ -158,16 +195,26 @@
         Position at = new Position(1, 1);
         for (int i = 0; i < bytes.length; i++) {
             byte[] cut = Arrays.copyOf(bytes, i);
-            assertThrows(DamagedException.class, () -> ChangeEncoding.read(new ByteArrayInputStream(cut), at), "cut at " + i);
+            assertThrows(
+                    DamagedException.class,
+                    () -> ChangeEncoding.read(new ByteArrayInputStream(cut), at),
+                    "cut at " + i);
             for (int bit = 0; bit < 8; bit++) {
                 byte[] other = bytes.clone();
                 other[i] ^= (byte) (1 << bit);
-                assertThrows(DamagedException.class, () -> ChangeEncoding.read(new ByteArrayInputStream(other), at), i + " bit " + bit);
+                assertThrows(
+                        DamagedException.class,
+                        () -> ChangeEncoding.read(new ByteArrayInputStream(other), at),
+                        i + " bit " + bit);
             }
         }
-        assertThrows(DamagedException.class, () -> ChangeEncoding.read(new ByteArrayInputStream(bytes), new Position(1, 2)));
+        assertThrows(
+                DamagedException.class,
+                () -> ChangeEncoding.read(new ByteArrayInputStream(bytes), new Position(1, 2)));
         byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
-        assertThrows(DamagedException.class, () -> ChangeEncoding.read(new ByteArrayInputStream(longer), at));
+        assertThrows(
+                DamagedException.class,
+                () -> ChangeEncoding.read(new ByteArrayInputStream(longer), at));
     }
 
     @Test
@@ -197,7 +244,8 @@
         Files.writeString(file(1, 2), "x");
         String told = assertThrows(IOException.class, () -> write(1, 1)).getMessage();
         assertEquals("the newest change, 1-2, is damaged: no change, or cut short", told);
-        // One gateway has the damaged change, the other has not; the publisher goes on from where the second one is.
+        // One gateway has the damaged change, the other has not; the publisher goes on from where
+        // the second one is.
         LogFollower second = new LogFollower(folder(), "log", null);
         assertTrue(KillLogWrites.follow(second, behind).contains("1-2 is damaged"));
         Change mended = quotas(behind.current(), 2, 1, 3);
@@ -211,28 +259,49 @@
         assertNull(second.trouble());
         // The first one is told, and needs the file.
         assertTrue(follow().startsWith("change 2-1 belongs to another content than"));
-        assertEquals(mended.after(), follower[0].whole(reader, whole(behind)).taken().next().hash());
+        assertEquals(
+                mended.after(), follower[0].whole(reader, whole(behind)).taken().next().hash());
         assertEquals("log is followed again from 2-1\n", follow());
     }
 
     @Test
     void aBatchWithAFaultIsRefusedWhole() throws IOException {
         write(1, 1);
-        Change bad = new Change(1, 2, Map.of("b", new RequestClass(0, 0, 0, 0, 0, Semantics.FREE, 0, false, 0)), Set.of(), Map.of(), Set.of(),
-                writer.current().hash(), "");
+        Change bad =
+                new Change(
+                        1,
+                        2,
+                        Map.of("b", new RequestClass(0, 0, 0, 0, 0, Semantics.FREE, 0, false, 0)),
+                        Set.of(),
+                        Map.of(),
+                        Set.of(),
+                        writer.current().hash(),
+                        "");
         folder().append(bad);
         assertEquals("change 1-2 refused: class b: deadline has to be above 0, not 0\n", follow());
         Files.delete(file(1, 2));
         // A word that a later version knows, in a file whose checksum fits.
-        String text = new String(ChangeEncoding.write(quotas(writer.current(), 1, 2, 1)), StandardCharsets.UTF_8);
-        String body = text.substring(text.indexOf('\n') + 1).replace("\"classes\":[],\"orgs\":[{", "\"classes\":[{\"name\":\"b\",\"deadline\":1,"
-                + "\"semantics\":\"twice\"}],\"orgs\":[{");
+        String text =
+                new String(
+                        ChangeEncoding.write(quotas(writer.current(), 1, 2, 1)),
+                        StandardCharsets.UTF_8);
+        String body =
+                text.substring(text.indexOf('\n') + 1)
+                        .replace(
+                                "\"classes\":[],\"orgs\":[{",
+                                "\"classes\":[{\"name\":\"b\",\"deadline\":1,"
+                                        + "\"semantics\":\"twice\"}],\"orgs\":[{");
         CRC32C crc = new CRC32C();
         crc.update(1);
         crc.update(body.getBytes(StandardCharsets.UTF_8));
-        Files.writeString(file(1, 2), String.format("tinroad-change 1 %08x\n", crc.getValue()) + body);
-        assertEquals("change 1-2 refused: class b: semantics is none of free, guarded, single_shot: 'twice'\n", follow());
-        Files.writeString(file(1, 2), String.format("tinroad-change 2 %08x\n", crc.getValue()) + body);
+        Files.writeString(
+                file(1, 2), String.format("tinroad-change 1 %08x\n", crc.getValue()) + body);
+        assertEquals(
+                "change 1-2 refused: class b: semantics is none of free, guarded, single_shot:"
+                        + " 'twice'\n",
+                follow());
+        Files.writeString(
+                file(1, 2), String.format("tinroad-change 2 %08x\n", crc.getValue()) + body);
         assertEquals("log: change 1-2 is damaged: version 2, and this program reads 1\n", follow());
         assertEquals(1, reader.current().number());
     }
@@ -255,7 +324,9 @@
         // The same, seen by the next life, which knows what this one had.
         LogFollower next = new LogFollower(folder(), "log", new Position(1, 3));
         Editor began = new Editor(base());
-        assertEquals("log was rolled back: 1-3 was taken, and the newest is 1-1\n", KillLogWrites.follow(next, began));
+        assertEquals(
+                "log was rolled back: 1-3 was taken, and the newest is 1-1\n",
+                KillLogWrites.follow(next, began));
         assertEquals(1, began.current().number());
         Files.delete(file(1, 1));
         Files.delete(log);
@@ -273,7 +344,8 @@
         assertEquals("", follow());
         assertThrows(IOException.class, () -> folder().append(late));
         Files.write(file(1, 3), ChangeEncoding.write(late));
-        assertEquals("log: change 1-3 came after its epoch was over: not taken, 2 goes on\n", follow());
+        assertEquals(
+                "log: change 1-3 came after its epoch was over: not taken, 2 goes on\n", follow());
         assertSame();
         // It keeps nobody from what comes next, of this epoch and of a higher one.
         write(2, 1);
@@ -286,15 +358,26 @@
     void twoPublishersWithOneEpochAreTold() throws Exception {
         write(1, 1);
         assertEquals("", follow());
-        String other = assertThrows(IOException.class, () -> folder().append(quotas(base(), 1, 1, 9))).getMessage();
+        String other =
+                assertThrows(IOException.class, () -> folder().append(quotas(base(), 1, 1, 9)))
+                        .getMessage();
         assertEquals("change 1-1 is taken, or its epoch is over: the newest is 1-1", other);
-        assertTrue(assertThrows(IOException.class, () -> folder().append(quotas(base(), 1, 2, 9))).getMessage()
-                .startsWith("change 1-2 leads on from content "));
-        assertTrue(assertThrows(IOException.class, () -> folder().append(quotas(writer.current(), 1, 3, 9))).getMessage()
-                .contains("does not follow"));
+        assertTrue(
+                assertThrows(IOException.class, () -> folder().append(quotas(base(), 1, 2, 9)))
+                        .getMessage()
+                        .startsWith("change 1-2 leads on from content "));
+        assertTrue(
+                assertThrows(
+                                IOException.class,
+                                () -> folder().append(quotas(writer.current(), 1, 3, 9)))
+                        .getMessage()
+                        .contains("does not follow"));
         // One that writes past the checks: the reader tells.
         Files.write(file(1, 2), ChangeEncoding.write(quotas(base(), 1, 2, 9)));
-        assertTrue(follow().startsWith("change 1-2 belongs to another content than " + writer.current().hash()));
+        assertTrue(
+                follow().startsWith(
+                                "change 1-2 belongs to another content than "
+                                        + writer.current().hash()));
         Files.delete(file(1, 2));
         Files.write(file(1, 1), ChangeEncoding.write(quotas(base(), 1, 1, 9)));
         Files.createFile(dir.resolve("log/touched"));
@@ -309,19 +392,29 @@
         Thread[] both = new Thread[2];
         for (int w = 0; w < both.length; w++) {
             int entries = w + 1;
-            both[w] = new Thread(() -> {
-                Editor mine = new Editor(base());
-                LogFollower f = new LogFollower(log, "log", null);
-                for (int tries = 0; tries < 1000 && mine.current().number() < 60; tries++) {
-                    try {
-                        log.append(quotas(mine.current(), 1, mine.current().number() + 1, entries));
-                        written.incrementAndGet();
-                    } catch (IOException e) {
-                        // Told to this one; it goes on from what the other one wrote.
-                    }
-                    KillLogWrites.follow(f, mine);
-                }
-            });
+            both[w] =
+                    new Thread(
+                            () -> {
+                                Editor mine = new Editor(base());
+                                LogFollower f = new LogFollower(log, "log", null);
+                                for (int tries = 0;
+                                        tries < 1000 && mine.current().number() < 60;
+                                        tries++) {
+                                    try {
+                                        log.append(
+                                                quotas(
+                                                        mine.current(),
+                                                        1,
+                                                        mine.current().number() + 1,
+                                                        entries));
+                                        written.incrementAndGet();
+                                    } catch (IOException e) {
+                                        // Told to this one; it goes on from what the other one
+                                        // wrote.
+                                    }
+                                    KillLogWrites.follow(f, mine);
+                                }
+                            });
             both[w].start();
         }
         for (Thread w : both) {
@@ -340,13 +433,18 @@
     @Test
     void whatAKilledPublisherLeftIsClearedAway() throws IOException {
         write(1, 1);
-        Path half = Files.write(dir.resolve("log/" + new Position(1, 1).file() + "-killed.part"), new byte[20]);
+        Path half =
+                Files.write(
+                        dir.resolve("log/" + new Position(1, 1).file() + "-killed.part"),
+                        new byte[20]);
         write(1, 1);
         assertTrue(Files.notExists(half));
     }
 
     @Test
     void fiftyKillsWhileTheLogIsWrittenDamageNothing() throws Exception {
-        assertEquals("kills 50, damaged 0, lost 0", KillLogWrites.campaign(dir.resolve("killed"), 50, 1));
+        assertEquals(
+                "kills 50, damaged 0, lost 0",
+                KillLogWrites.campaign(dir.resolve("killed"), 50, 1));
     }
 }
--- a/src/test/java/tinroad/changelog/KillLogWrites.java
+++ b/src/test/java/tinroad/changelog/KillLogWrites.java
@@ -18,25 +18,31 @@
 import tinroad.state.KillWrites;
 
 /**
- * Kills processes while they write a change log: {@code KillLogWrites FOLDER KILLS SEED} from the command line. Damaged counts kills
- * after which a reader that follows all the while had trouble, lost those after which a change reported as written was not there.
+ * Kills processes while they write a change log: {@code KillLogWrites FOLDER KILLS SEED} from the
+ * command line. Damaged counts kills after which a reader that follows all the while had trouble,
+ * lost those after which a change reported as written was not there.
  */
 public final class KillLogWrites {
     private static final int KEEP = 100_000;
     private static final int ENTRIES = 20;
 
-    private KillLogWrites() { }
+    private KillLogWrites() {}
 
-    /** Writes without end and says what it has written; or, with three arguments, runs a campaign. */
+    /**
+     * Writes without end and says what it has written; or, with three arguments, runs a campaign.
+     */
     public static void main(String[] args) throws Exception {
         if (args.length == 3) {
-            System.out.println(campaign(Path.of(args[0]), Integer.parseInt(args[1]), Long.parseLong(args[2])));
+            System.out.println(
+                    campaign(Path.of(args[0]), Integer.parseInt(args[1]), Long.parseLong(args[2])));
             return;
         }
         ChangeFolder folder = new ChangeFolder(Path.of(args[0]), KEEP);
         List<Position> there = Files.isDirectory(Path.of(args[0])) ? folder.positions() : List.of();
-        Editor editor = new Editor(there.isEmpty() ? base() : content(there.get(there.size() - 1).number()));
-        for (long n = editor.current().number() + 1;; n++) {
+        Editor editor =
+                new Editor(
+                        there.isEmpty() ? base() : content(there.get(there.size() - 1).number()));
+        for (long n = editor.current().number() + 1; ; n++) {
             Change c = quotas(editor.current(), 1, n, ENTRIES);
             folder.append(c);
             editor.offer(c);
@@ -45,13 +51,26 @@
     }
 
     static Catalog base() {
-        return Catalog.of(0, 0, List.of("a"), List.of(new RequestClass(0, 0, 10, 1, 0, Semantics.FREE, 0, false, 0)), List.of(), List.of());
+        return Catalog.of(
+                0,
+                0,
+                List.of("a"),
+                List.of(new RequestClass(0, 0, 10, 1, 0, Semantics.FREE, 0, false, 0)),
+                List.of(),
+                List.of());
     }
 
-    /** What the log has led to at this number, without reading it: a file as its publisher has it. */
+    /**
+     * What the log has led to at this number, without reading it: a file as its publisher has it.
+     */
     private static Catalog content(long number) {
         List<String> names = IntStream.range(0, ENTRIES).mapToObj(i -> "t" + i).toList();
-        return Catalog.of(1, number, List.of("a"), List.of(base().route("a").spec()), names,
+        return Catalog.of(
+                1,
+                number,
+                List.of("a"),
+                List.of(base().route("a").spec()),
+                names,
                 names.stream().map(name -> new Tenant(number, 0)).toList());
     }
 
@@ -62,14 +81,22 @@
             put.put("t" + i, new Tenant(number, 0));
         }
         Change c = new Change(epoch, number, Map.of(), Set.of(), put, Set.of());
-        return new Change(epoch, number, c.putRoutes(), c.removedRoutes(), put, c.removedTenants(), now.hash(), now.hashAfter(c));
+        return new Change(
+                epoch,
+                number,
+                c.putRoutes(),
+                c.removedRoutes(),
+                put,
+                c.removedTenants(),
+                now.hash(),
+                now.hashAfter(c));
     }
 
     /** Takes all that is there; returns the lines that were told. */
     static String follow(LogFollower follower, Editor editor) {
         StringBuilder lines = new StringBuilder();
         // Twice more after the last: what is wrong with the folder is looked for then.
-        for (int idle = 0; idle < 2;) {
+        for (int idle = 0; idle < 2; ) {
             LogFollower.Step step = follower.step(editor);
             idle = step.taken() == null ? idle + 1 : 0;
             lines.append(step.line() == null ? "" : step.line() + "\n");
@@ -77,7 +104,8 @@
         return lines.toString();
     }
 
-    static String campaign(Path folder, int kills, long seed) throws IOException, InterruptedException {
+    static String campaign(Path folder, int kills, long seed)
+            throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
         LogFollower follower = new LogFollower(new ChangeFolder(folder, KEEP), "log", null);
         Editor editor = new Editor(base());
@@ -90,9 +118,17 @@
             reader.done = true;
             reader.join();
             damaged += reader.trouble + follow(follower, editor).length() > 0 ? 1 : 0;
-            Tenant t = editor.current().number() == 0 ? null : editor.current().tenant("t" + (ENTRIES - 1)).spec();
-            lost += t != null && t.quotaPerSecond() == editor.current().number()
-                    && editor.current().number() >= Long.parseLong(last.split(" ")[1]) ? 0 : 1;
+            Tenant t =
+                    editor.current().number() == 0
+                            ? null
+                            : editor.current().tenant("t" + (ENTRIES - 1)).spec();
+            lost +=
+                    t != null
+                                    && t.quotaPerSecond() == editor.current().number()
+                                    && editor.current().number()
+                                            >= Long.parseLong(last.split(" ")[1])
+                            ? 0
+                            : 1;
         }
         return "kills " + kills + ", damaged " + damaged + ", lost " + lost;
     }
--- a/src/test/java/tinroad/cli/Crossing.java
+++ b/src/test/java/tinroad/cli/Crossing.java
@@ -39,19 +39,22 @@
     static final Pattern JOB = Pattern.compile("\"job\":\"([0-9a-f]{16})\"");
     static final Pattern REF = Pattern.compile("\"ref\":\"([^\"]*)\"");
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     ServerSocket engine;
     DatagramSocket roster;
     Process gateway;
     final List<Socket> callers = new ArrayList<>();
     final List<Socket> links = new ArrayList<>();
+
     /** Runs that the engine was told of, in order. */
     final BlockingQueue<String> runs = new LinkedBlockingQueue<>();
+
     final BlockingQueue<String> log = new LinkedBlockingQueue<>();
     volatile boolean runsEnd = true;
+
     /** So many links are still greeted. */
     final Semaphore hellos = new Semaphore(100);
+
     volatile Socket link;
     int notices;
 
@@ -60,15 +63,16 @@
         engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         roster = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         roster.setSoTimeout(HUNG_MS);
-        thread(() -> {
-            while (true) {
-                Socket next = engine.accept();
-                synchronized (links) {
-                    links.add(next);
-                }
-                thread(() -> serve(next));
-            }
-        });
+        thread(
+                () -> {
+                    while (true) {
+                        Socket next = engine.accept();
+                        synchronized (links) {
+                            links.add(next);
+                        }
+                        thread(() -> serve(next));
+                    }
+                });
     }
 
     @AfterEach
@@ -94,13 +98,15 @@
 
     /** Runs until it fails, as all do once their sockets are closed. */
     static void thread(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                // The end of the test, or of the process.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (Exception e) {
+                                // The end of the test, or of the process.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -110,7 +116,9 @@
     }
 
     void serve(Socket on) throws IOException {
-        BufferedReader lines = new BufferedReader(new InputStreamReader(on.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(on.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             if (line.contains("\"ATTACH\"")) {
                 link = on;
@@ -119,7 +127,11 @@
             } else if (line.contains("\"STAT\"")) {
                 Matcher ref = REF.matcher(line);
                 assertTrue(ref.find());
-                tell(on, "{\"type\":\"STATS\",\"ref\":\"" + ref.group(1) + "\",\"gauges\":[0.1,1,0.1,1]}");
+                tell(
+                        on,
+                        "{\"type\":\"STATS\",\"ref\":\""
+                                + ref.group(1)
+                                + "\",\"gauges\":[0.1,1,0.1,1]}");
             } else if (line.contains("\"RUN\"")) {
                 Matcher job = JOB.matcher(line);
                 assertTrue(job.find());
@@ -136,24 +148,35 @@
     }
 
     private synchronized void done(Socket on, String job) throws IOException {
-        tell(on, "{\"type\":\"DONE\",\"n\":" + ++notices + ",\"job\":\"" + job
-                + "\",\"state\":\"done\",\"took\":3,\"data\":\"b2s=\"}");
+        tell(
+                on,
+                "{\"type\":\"DONE\",\"n\":"
+                        + ++notices
+                        + ",\"job\":\""
+                        + job
+                        + "\",\"state\":\"done\",\"took\":3,\"data\":\"b2s=\"}");
     }
 
     /** What is changed of the example's configuration, and what follows it on the command line. */
     UnaryOperator<String> configured = text -> text;
+
     List<String> more = List.of();
 
     /** Writes the configuration that the next start, or the next hangup, finds. */
     Path configure(int sockets, int stopMs) throws IOException {
-        String text = Files.readString(Path.of("deploy/example.json"))
-                .replace(":4400", ":" + engine.getLocalPort()).replace(":8761", ":" + roster.getLocalPort())
-                .replace("\"sockets\": 1024", "\"sockets\": " + sockets).replace("\"stop_ms\": 500", "\"stop_ms\": " + stopMs)
-                .replace("\"engine\"", "\"control\": \"127.0.0.1:0\", \"engine\"");
+        String text =
+                Files.readString(Path.of("deploy/example.json"))
+                        .replace(":4400", ":" + engine.getLocalPort())
+                        .replace(":8761", ":" + roster.getLocalPort())
+                        .replace("\"sockets\": 1024", "\"sockets\": " + sockets)
+                        .replace("\"stop_ms\": 500", "\"stop_ms\": " + stopMs)
+                        .replace("\"engine\"", "\"control\": \"127.0.0.1:0\", \"engine\"");
         return Files.writeString(dir.resolve("config.json"), configured.apply(text));
     }
 
-    /** Starts the program, perhaps by another, and returns where it listens once its health is good. */
+    /**
+     * Starts the program, perhaps by another, and returns where it listens once its health is good.
+     */
     InetSocketAddress start(int sockets, int stopMs, String... by) throws Exception {
         InetSocketAddress at = listens(sockets, stopMs, by);
         logged("health good");
@@ -169,18 +192,26 @@
     void launch(int sockets, int stopMs, String... by) throws Exception {
         Path file = configure(sockets, stopMs);
         List<String> command = new ArrayList<>(List.of(by));
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp", Program.CLASS_PATH,
-                Main.class.getName(), "serve", "--config", file.toString()));
+        command.addAll(
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        Program.CLASS_PATH,
+                        Main.class.getName(),
+                        "serve",
+                        "--config",
+                        file.toString()));
         command.addAll(more);
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("TMPDIR", dir.toString());
         gateway = builder.start();
         BufferedReader lines = gateway.inputReader(StandardCharsets.UTF_8);
-        thread(() -> {
-            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                log.add(line);
-            }
-        });
+        thread(
+                () -> {
+                    for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+                        log.add(line);
+                    }
+                });
     }
 
     /** Where it listens, once it does. */
@@ -193,7 +224,9 @@
 
     String logged(String part) throws InterruptedException {
         List<String> before = new ArrayList<>();
-        for (String line = log.poll(HUNG_MS, TimeUnit.MILLISECONDS); line != null; line = log.poll(HUNG_MS, TimeUnit.MILLISECONDS)) {
+        for (String line = log.poll(HUNG_MS, TimeUnit.MILLISECONDS);
+                line != null;
+                line = log.poll(HUNG_MS, TimeUnit.MILLISECONDS)) {
             before.add(line);
             if (line.contains(part)) {
                 return line;
@@ -203,7 +236,11 @@
     }
 
     void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(gateway.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(gateway.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** Waits for the process to stand still, as the system tells. */
@@ -225,7 +262,17 @@
     }
 
     static void record(OutputStream out, int type, int id, byte[] content) throws IOException {
-        out.write(new byte[] {1, (byte) type, 0, (byte) id, (byte) (content.length >> 8), (byte) content.length, 0, 0});
+        out.write(
+                new byte[] {
+                    1,
+                    (byte) type,
+                    0,
+                    (byte) id,
+                    (byte) (content.length >> 8),
+                    (byte) content.length,
+                    0,
+                    0
+                });
         out.write(content);
     }
 
@@ -247,11 +294,12 @@
             fields.put("HTTP_REQ_TOKEN", token);
         }
         ByteArrayOutputStream params = new ByteArrayOutputStream();
-        fields.forEach((name, value) -> {
-            params.write(name.length());
-            params.write(value.length());
-            params.writeBytes((name + value).getBytes(StandardCharsets.US_ASCII));
-        });
+        fields.forEach(
+                (name, value) -> {
+                    params.write(name.length());
+                    params.write(value.length());
+                    params.writeBytes((name + value).getBytes(StandardCharsets.US_ASCII));
+                });
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         record(out, 1, 1, new byte[] {0, 1, 1, 0, 0, 0, 0, 0});
         record(out, 4, 1, params.toByteArray());
@@ -261,7 +309,10 @@
         return out.toByteArray();
     }
 
-    /** The first line of the one answer that comes; fails where the connection ends before it is whole. */
+    /**
+     * The first line of the one answer that comes; fails where the connection ends before it is
+     * whole.
+     */
     static String answer(Socket caller) throws IOException {
         DataInputStream in = new DataInputStream(caller.getInputStream());
         StringBuilder text = new StringBuilder();
@@ -291,6 +342,8 @@
     }
 
     static void isAnswered(String status) {
-        assertTrue(status.equals("Status: 200 OK") || status.equals("Status: 503 Service Unavailable"), status);
+        assertTrue(
+                status.equals("Status: 200 OK") || status.equals("Status: 503 Service Unavailable"),
+                status);
     }
 }
