--- a/src/main/java/tinroad/OverloadController.java
+++ b/src/main/java/tinroad/OverloadController.java
@@ -530,7 +530,7 @@
     private boolean probe(double now) {
         probeCredit += hung ? 0 : 1 - failing;
         if (running + held.size() >= set.cores()
-                || probeCredit < 1 && now - lastProbe < PROBE_GAP) {
+                || (probeCredit < 1 && now - lastProbe < PROBE_GAP)) {
             return false;
         }
         probeCredit = Math.max(0, probeCredit - 1);
@@ -936,7 +936,9 @@
         boolean room = share >= 1 ? calls + lingering.size() + 1 <= share : share == 0;
         if (share > 0 && share < 1) {
             double reserved = (calls + 1) * (within + set.below().lingers());
-            room = lent + reserved <= share * set.below().callSpan() / 2 || calls == 0 && lent <= 0;
+            room =
+                    lent + reserved <= share * set.below().callSpan() / 2
+                            || (calls == 0 && lent <= 0);
         }
         return room && calls + 1 <= callLimit;
     }
@@ -1029,11 +1031,11 @@
             if (w.state == State.HELD) {
                 boolean misses = now + run(w) + w.stats.away > w.aimAt;
                 missed |= misses;
-                if (now >= dueGuard(w) || hung || misses && running >= set.cores()) {
+                if (now >= dueGuard(w) || hung || (misses && running >= set.cores())) {
                     refuse(w);
                 }
             } else if (now >= dueGuard(w)
-                    || now >= w.aimAt && cut > 0 && !held.isEmpty() && worthless(w)) {
+                    || (now >= w.aimAt && cut > 0 && !held.isEmpty() && worthless(w))) {
                 answerFailed(w);
             }
         }
@@ -1074,7 +1076,8 @@
                     case TOKENS -> limit() * (1 - closed) * TOKEN_ROOM / Math.max(1, set.callers());
                     case BIAS -> 1 - closed;
                 };
-        if (set.say() != Say.NONE && Math.abs(level - said) >= SAY_STEP || level == 0 && said > 0) {
+        if ((set.say() != Say.NONE && Math.abs(level - said) >= SAY_STEP)
+                || (level == 0 && said > 0)) {
             said = level;
             act.say(level);
         }
@@ -1089,7 +1092,7 @@
         keepOpenInAJam();
         double excess = classes.slowdown() - 1;
         if (connections > 0 && clock - startedAt > longestIdle()) {
-            if (calmSweeps == 0 || running <= set.cores() && held.isEmpty()) {
+            if (calmSweeps == 0 || (running <= set.cores() && held.isEmpty())) {
                 calmConnections +=
                         Math.max(EWMA_CALM, 1 / ++calmSweeps) * (connections - calmConnections);
             }
--- a/src/main/java/tinroad/catalog/ContentHash.java
+++ b/src/main/java/tinroad/catalog/ContentHash.java
@@ -29,7 +29,7 @@
 
     private static int put(byte[] bytes, int at, long value, int size) {
         for (int i = 0; i < size; i++) {
-            bytes[at + i] = (byte) (value >>> Byte.SIZE * (size - 1 - i));
+            bytes[at + i] = (byte) (value >>> (Byte.SIZE * (size - 1 - i)));
         }
         return at + size;
     }
--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -102,7 +102,7 @@
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
-        if (paths.size() != act.paths || epoch != null && epoch < 1 || keep < 1) {
+        if (paths.size() != act.paths || (epoch != null && epoch < 1) || keep < 1) {
             err.println(
                     "tinroad: catalog "
                             + act.name().toLowerCase(Locale.ROOT)
--- a/src/main/java/tinroad/cli/Ignored.java
+++ b/src/main/java/tinroad/cli/Ignored.java
@@ -30,7 +30,7 @@
                                                                     line.substring(FIELD.length())
                                                                             .strip(),
                                                                     HEXADECIMAL)
-                                                            >>> number - 1
+                                                            >>> (number - 1)
                                                     & 1)
                                             != 0);
         } catch (IOException | NumberFormatException e) {
--- a/src/main/java/tinroad/core/Gateway.java
+++ b/src/main/java/tinroad/core/Gateway.java
@@ -555,7 +555,7 @@
         }
         // Guards the module's averages against what was due before it was read: nobody waits for
         // it.
-        if (!started || now >= due || keyed && request.repeats == null && repeats.full()) {
+        if (!started || now >= due || (keyed && request.repeats == null && repeats.full())) {
             turnAway(
                     route,
                     requester,
--- a/src/main/java/tinroad/core/Repeats.java
+++ b/src/main/java/tinroad/core/Repeats.java
@@ -129,7 +129,7 @@
                 kept != null
                         && now <= kept.until
                         && (!kept.concluded
-                                || kept.result != null && now <= kept.concludedAt + freshFor);
+                                || (kept.result != null && now <= kept.concludedAt + freshFor));
         return useful ? kept : null;
     }
 
--- a/src/main/java/tinroad/core/Request.java
+++ b/src/main/java/tinroad/core/Request.java
@@ -83,7 +83,7 @@
      * ran.
      */
     boolean mayHaveRun() {
-        return progress != Progress.NOT_SENT || repeats != null && repeats.ran();
+        return progress != Progress.NOT_SENT || (repeats != null && repeats.ran());
     }
 
     /** Tells whether two tries carry the same body; asked for while the body is there. */
--- a/src/main/java/tinroad/fastcgi/FrontConnection.java
+++ b/src/main/java/tinroad/fastcgi/FrontConnection.java
@@ -377,8 +377,8 @@
 
     /** Whether its first request, or one that it has begun, is owed since before {@code then}. */
     private boolean owes(double then) {
-        if (!carriesRequests && !carriesChecks && openedAt < then
-                || decoder.midRecord() && partialSince < then) {
+        if ((!carriesRequests && !carriesChecks && openedAt < then)
+                || (decoder.midRecord() && partialSince < then)) {
             return true;
         }
         for (Exchange exchange : open.values()) {
@@ -394,9 +394,9 @@
      * is not lost.
      */
     boolean dispensable() {
-        return lingering && allSent()
+        return (lingering && allSent())
                 || empty()
-                || !carriesRequests && open.values().stream().noneMatch(e -> e.handed);
+                || (!carriesRequests && open.values().stream().noneMatch(e -> e.handed));
     }
 
     /**
--- a/src/main/java/tinroad/fastcgi/Params.java
+++ b/src/main/java/tinroad/fastcgi/Params.java
@@ -162,7 +162,7 @@
     }
 
     private static String decimal(String text) {
-        return text != null && text.chars().allMatch(c -> c >= '0' && c <= '9' || c == '.')
+        return text != null && text.chars().allMatch(c -> (c >= '0' && c <= '9') || c == '.')
                 ? text
                 : "";
     }
@@ -178,6 +178,9 @@
     private static boolean isHex(String text) {
         return text.chars()
                 .allMatch(
-                        c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F');
+                        c ->
+                                (c >= '0' && c <= '9')
+                                        || (c >= 'a' && c <= 'f')
+                                        || (c >= 'A' && c <= 'F'));
     }
 }
--- a/src/main/java/tinroad/fleet/Claim.java
+++ b/src/main/java/tinroad/fleet/Claim.java
@@ -29,7 +29,7 @@
             return status.compareTo(held.status) > 0;
         }
         int order = version.compareTo(held.version);
-        return order > 0 || order == 0 && status.compareTo(held.status) > 0;
+        return order > 0 || (order == 0 && status.compareTo(held.status) > 0);
     }
 
     Claim as(Status other, String claimant) {
--- a/src/main/java/tinroad/fleet/Membership.java
+++ b/src/main/java/tinroad/fleet/Membership.java
@@ -310,9 +310,9 @@
                                 .filter(
                                         h ->
                                                 h.claim.status() == Status.ALIVE
-                                                        || suspected
+                                                        || (suspected
                                                                 && h.claim.status()
-                                                                        == Status.SUSPECT)
+                                                                        == Status.SUSPECT))
                                 .filter(h -> !h.claim.name().equals(except))
                                 .toList());
         List<Held> picked = new ArrayList<>();
--- a/src/main/java/tinroad/fleet/View.java
+++ b/src/main/java/tinroad/fleet/View.java
@@ -34,7 +34,7 @@
     public View merge(double now, Digest digest) {
         Held before = held.get(digest.name());
         if (!digest.laterThan(before == null ? null : before.digest)
-                || before == null && held.size() >= most) {
+                || (before == null && held.size() >= most)) {
             return this;
         }
         // Never from the future: an age that somebody made up makes it no younger than it can be.
--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -222,7 +222,7 @@
         keepers.execute(this::sample);
         keepers.execute(this::doors);
         double end = script.length() + mostPatience() + 500;
-        while (now() < script.length() || now() < end && waiting() > 0) {
+        while (now() < script.length() || (now() < end && waiting() > 0)) {
             Thread.sleep(100);
             if (options.progress != null
                     && Math.floor(now() / 1000) != Math.floor((now() - 100) / 1000)) {
--- a/src/main/java/tinroad/lab/scale/Fit.java
+++ b/src/main/java/tinroad/lab/scale/Fit.java
@@ -117,7 +117,7 @@
         boolean logs = xs[0] > 0;
         SimpleRegression log = logs ? regression(xs, ys, Math::log, y -> y) : null;
         if (most - least <= SAME * Math.abs(mean)
-                || !grows(linear) && (log == null || !grows(log))) {
+                || (!grows(linear) && (log == null || !grows(log)))) {
             double wide = width(linear);
             return new Chosen(
                     Form.FLAT,
--- a/src/main/java/tinroad/lab/scale/ScalePoint.java
+++ b/src/main/java/tinroad/lab/scale/ScalePoint.java
@@ -379,7 +379,7 @@
                         hollow,
                         "not within " + ScaleReader.plain(scale.settle()) + " ms");
             }
-            if (over || joined && sum(now, "riding") / hollow < AT_REST) {
+            if (over || (joined && sum(now, "riding") / hollow < AT_REST)) {
                 break;
             }
             Thread.sleep(KNOWN_LOOK_MS);
--- a/src/main/java/tinroad/lab/scale/ZoneWire.java
+++ b/src/main/java/tinroad/lab/scale/ZoneWire.java
@@ -79,7 +79,7 @@
                         && peer >= 0
                         && zones.zone(peer) != zones.zone(self)
                         && (zones.zone(peer) == cutZone || zones.zone(self) == cutZone);
-        return muted || cut || loss > 0 && random.nextDouble() < loss;
+        return muted || cut || (loss > 0 && random.nextDouble() < loss);
     }
 
     @Override
@@ -115,7 +115,7 @@
         int peer = zones.number(packet.recipient());
         boolean real = peer >= 0 && peer < toReal.length;
         out.add(packet);
-        if (muted || real && lost(peer)) {
+        if (muted || (real && lost(peer))) {
             ReferenceCountUtil.release(msg);
             promise.setSuccess();
             return;
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -252,8 +252,8 @@
                         || t.deed() == Deed.REFUSE
                         || t.deed() == Deed.THROTTLE
                         || t.deed() == Deed.MUTE;
-        if (datagrams && t.links().stream().anyMatch(l -> l != Link.ROSTER)
-                || streams && t.links().contains(Link.ROSTER)) {
+        if ((datagrams && t.links().stream().anyMatch(l -> l != Link.ROSTER))
+                || (streams && t.links().contains(Link.ROSTER))) {
             wrong(
                     "faults",
                     i,
--- a/src/main/java/tinroad/lab/truth/Rules.java
+++ b/src/main/java/tinroad/lab/truth/Rules.java
@@ -192,10 +192,10 @@
     private boolean owns(Try t) {
         return t.served != null
                 && (t.served.equals(t.result)
-                        || t.free
+                        || (t.free
                                 && t.key != null
                                 && results.getOrDefault(t.gateway + " " + t.key, Set.of())
-                                        .contains(t.served));
+                                        .contains(t.served)));
     }
 
     private Ledger.Life life(Try t) {
--- a/src/main/java/tinroad/model/FleetModel.java
+++ b/src/main/java/tinroad/model/FleetModel.java
@@ -161,7 +161,7 @@
                         * Math.max(1, script.callers().inAll());
         double end = script.length() + patience + 500;
         while (now < script.length()
-                || now < end && proxies.stream().anyMatch(p -> p.waiting() > 0)) {
+                || (now < end && proxies.stream().anyMatch(p -> p.waiting() > 0))) {
             step();
         }
         // Callers may have gone; what they sent, and what is on its way, is owed an answer all the
--- a/src/main/java/tinroad/recovery/Comeback.java
+++ b/src/main/java/tinroad/recovery/Comeback.java
@@ -57,7 +57,7 @@
      * not seen yet.
      */
     public void engine(double now, boolean started) {
-        if (phase == Phase.DRAINING || phase != Phase.STARTING && !started) {
+        if (phase == Phase.DRAINING || (phase != Phase.STARTING && !started)) {
             return;
         }
         engineAt = now;
--- a/src/main/java/tinroad/recovery/Ramp.java
+++ b/src/main/java/tinroad/recovery/Ramp.java
@@ -109,7 +109,7 @@
         double length = now - windowAt;
         if (phase == Phase.FULL
                 || length < WINDOW
-                || ends < ENDS_PER_CORE * cores && length < LONGEST_WINDOW) {
+                || (ends < ENDS_PER_CORE * cores && length < LONGEST_WINDOW)) {
             return;
         }
         double perSecond = ends * 1000 / length;
@@ -136,7 +136,7 @@
         quickest = Math.min(quickest * FADE, slow);
         boolean harm =
                 slow > CROWD * quickest
-                        || slow > HARM * quickest && perSecond < NO_MORE * endsBefore;
+                        || (slow > HARM * quickest && perSecond < NO_MORE * endsBefore);
         if (perSecond > MORE * best) {
             best = perSecond;
             bestAt = now;
--- a/src/test/java/tinroad/FourRulesTest.java
+++ b/src/test/java/tinroad/FourRulesTest.java
@@ -183,7 +183,7 @@
         double age = rnd.nextInt(30);
         double due = set.passesDeadline() ? server.now - age + 300 + rnd.nextInt(2500) : 0;
         String repeats =
-                cls % 3 == 2 || cls % 3 == 0 && set.freshFor() == 0
+                cls % 3 == 2 || (cls % 3 == 0 && set.freshFor() == 0)
                         ? null
                         : server.repeatOf(key, server.now - age);
         Request r =
--- a/src/test/java/tinroad/fastcgi/FrontCrossingTest.java
+++ b/src/test/java/tinroad/fastcgi/FrontCrossingTest.java
@@ -128,7 +128,7 @@
         while (true) {
             byte[] head = caller.getInputStream().readNBytes(8);
             assertEquals(8, head.length, "the connection ended without a whole answer");
-            int length = (head[4] & 0xff) << 8 | head[5] & 0xff;
+            int length = (head[4] & 0xff) << 8 | (head[5] & 0xff);
             byte[] content = caller.getInputStream().readNBytes(length + head[6]);
             int at = all.length;
             all = Arrays.copyOf(all, at + 8 + content.length);
--- a/src/test/java/tinroad/fleet/ViewTest.java
+++ b/src/test/java/tinroad/fleet/ViewTest.java
@@ -74,7 +74,7 @@
         for (Digest d : digests) {
             View.Fresh f = v.fresh(now, d.name(), Kind.ASKED, 3000);
             assertTrue(
-                    f == null || f.age() <= 3000 && f.age() >= now - 10_000 - 1e-6,
+                    f == null || (f.age() <= 3000 && f.age() >= now - 10_000 - 1e-6),
                     String.valueOf(f));
         }
     }
--- a/src/test/java/tinroad/state/StateTest.java
+++ b/src/test/java/tinroad/state/StateTest.java
@@ -167,10 +167,10 @@
                 Aged.of(new Remembered(value, weight, NOW - learnedAgo, 3), NOW, 10, 1000, oldest);
         assertTrue(
                 aged == null
-                        || aged.age() <= oldest
+                        || (aged.age() <= oldest
                                 && aged.age() >= 0
                                 && Double.isFinite(aged.value())
-                                && aged.weight() >= 0);
+                                && aged.weight() >= 0));
         assertTrue(aged == null || learnedAgo >= -Recall.CLOCKS);
     }
 
