--- a/src/test/java/tinroad/catalog/CatalogMemory.java
+++ b/src/test/java/tinroad/catalog/CatalogMemory.java
@@ -110,7 +110,7 @@
     }
 
     private static void say(String what, int entries, Supplier<Object> make) {
-        make.get();
+        Object unused = make.get();
         long before = used();
         long from = System.nanoTime();
         Object made = make.get();
--- /dev/null
+++ b/src/test/java/tinroad/changelog/StoredChangeLogTest.java
@@ -0,0 +1,39 @@
+package tinroad.changelog;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import tinroad.catalog.Catalog;
+import tinroad.catalog.Editor;
+import tinroad.config.GatewayConfig;
+import tinroad.config.Site;
+
+/** A change log written by the released program 0.2.0 (commit 8aa3729) is followed to its end. */
+class StoredChangeLogTest {
+    private static final Path FILES = Path.of("src/test/resources/stored/0.2.0");
+
+    @Test
+    void theReleasesChangeLogLeadsFromItsFirstConfigurationToItsLast() throws Exception {
+        Editor editor = new Editor(catalog("config.json"));
+        LogFollower follower =
+                new LogFollower(
+                        new ChangeFolder(FILES.resolve("changes"), ChangeFolder.KEEP), "log", null);
+        KillLogWrites.follow(follower, editor);
+        assertEquals(2, editor.current().epoch());
+        assertEquals(1, editor.current().number());
+        assertEquals("fbb16f2c539afdcb22f1e5c9f6ae48a4", editor.current().hash().toString());
+        assertEquals(catalog("config-after-changes.json").hash(), editor.current().hash());
+    }
+
+    private static Catalog catalog(String file) throws Exception {
+        Site site = GatewayConfig.read(FILES.resolve(file)).site();
+        return Catalog.of(
+                0,
+                0,
+                site.classNames(),
+                site.settings().classes(),
+                site.tenantNames(),
+                site.settings().tenants());
+    }
+}
