--- a/src/main/java/tinroad/fleet/Membership.java
+++ b/src/main/java/tinroad/fleet/Membership.java
@@ -25,7 +25,7 @@
         void send(String address, Message message);
 
         /** What is held of a member has changed; {@code before} is null where it was unknown. */
-        void changed(double now, Claim before, Claim after);
+        void changed(double nowMillis, MemberUpdate before, MemberUpdate after);
     }
 
     /** Members that are told of in one part of a sync: a datagram of 1,200 bytes holds them. */
@@ -44,7 +44,7 @@
 
     /** What is held of another member. */
     private static final class Held {
-        private Claim claim;
+        private MemberUpdate claim;
         private double since;
         private double suspectUntil;
         private double suspectedAt;
@@ -72,15 +72,15 @@
     private record Behalf(String forAddress, long theirNumber, double nackAt) {}
 
     private static final class Riding {
-        private final Claim claim;
+        private final MemberUpdate claim;
         private int sent;
 
-        Riding(Claim claim) {
+        Riding(MemberUpdate claim) {
             this.claim = claim;
         }
     }
 
-    private final Tuning tuning;
+    private final MembershipConfig tuning;
     private final SplittableRandom random;
     private final Out out;
     private final List<String> seeds;
@@ -94,7 +94,7 @@
     /** Where the next part of a sync begins. */
     private int cursor;
 
-    private Claim self;
+    private MemberUpdate self;
     private Probe probe;
     private long numbers;
     private int health;
@@ -108,7 +108,8 @@
     private long walked;
 
     /** A member that stands as {@code self} says, and knows these addresses to begin with. */
-    public Membership(Claim self, List<String> seeds, Tuning tuning, long seed, Out out) {
+    public Membership(
+            MemberUpdate self, List<String> seeds, MembershipConfig tuning, long seed, Out out) {
         this.self = self;
         this.seeds = seeds.stream().filter(a -> !a.equals(self.address())).toList();
         this.tuning = tuning;
@@ -120,54 +121,54 @@
      * Begins: the first probes and the first word to a seed are spread over a period, so that a
      * fleet does not begin as one.
      */
-    public void start(double now) {
-        selfSince = now;
-        lastTick = now;
-        nextProbe = now + random.nextDouble() * tuning.period();
-        nextSync = now + random.nextDouble() * tuning.period();
+    public void start(double nowMillis) {
+        selfSince = nowMillis;
+        lastTick = nowMillis;
+        nextProbe = nowMillis + random.nextDouble() * tuning.period();
+        nextSync = nowMillis + random.nextDouble() * tuning.period();
     }
 
     // --- time ---
 
     /** Time passes; called every few ms, or late where this member stood still. */
-    public void tick(double now) {
-        double late = now - lastTick;
-        lastTick = now;
+    public void tick(double nowMillis) {
+        double late = nowMillis - lastTick;
+        lastTick = nowMillis;
         if (late > tuning.period() * STOOD_STILL) {
-            stoodStill(now, late);
+            stoodStill(nowMillis, late);
         }
         if (left) {
             return;
         }
-        judgeProbe(now);
+        judgeProbe(nowMillis);
         behalf.values()
                 .removeIf(
                         b -> {
-                            if (now >= b.nackAt && tuning.health() > 0) {
+                            if (nowMillis >= b.nackAt && tuning.health() > 0) {
                                 out.send(b.forAddress, new Message.Nack(b.theirNumber, ride()));
                             }
-                            return now >= b.nackAt;
+                            return nowMillis >= b.nackAt;
                         });
-        judgeSuspects(now);
-        if (now >= nextProbe && probe == null) {
-            nextProbe = now + tuning.period() * (1 + health);
-            probe(now);
+        judgeSuspects(nowMillis);
+        if (nowMillis >= nextProbe && probe == null) {
+            nextProbe = nowMillis + tuning.period() * (1 + health);
+            probe(nowMillis);
         }
-        if (news && now >= nextNews) {
+        if (news && nowMillis >= nextNews) {
             news = false;
-            nextNews = now + tuning.pause();
+            nextNews = nowMillis + tuning.pause();
             pick(tuning.spread(), "", true)
                     .forEach(h -> out.send(h.claim.address(), new Message.Sync(false, ride())));
         }
-        if (now >= nextSync) {
+        if (nowMillis >= nextSync) {
             // While something is not clear, more often: after a cut there is much to be put right.
             nextSync =
-                    now
+                    nowMillis
                             + (suspects.isEmpty() ? tuning.sync() : tuning.period())
                                     * random.nextDouble(0.75, 1.25);
             walked += members.size();
             members.values()
-                    .removeIf(h -> h.claim.status().over() && now - h.since > tuning.kept());
+                    .removeIf(h -> h.claim.status().over() && nowMillis - h.since > tuning.kept());
             sync();
         }
     }
@@ -176,7 +177,7 @@
      * Guards the others against a member whose timers all fall due at once: what it did not hear it
      * can't hold against them.
      */
-    private void stoodStill(double now, double late) {
+    private void stoodStill(double nowMillis, double late) {
         if (tuning.health() == 0) {
             return;
         }
@@ -185,8 +186,8 @@
         for (Held h : members.values()) {
             h.suspectUntil += late;
         }
-        nextProbe = now + tuning.period() * random.nextDouble();
-        nextSync = now;
+        nextProbe = nowMillis + tuning.period() * random.nextDouble();
+        nextSync = nowMillis;
     }
 
     /**
@@ -194,19 +195,19 @@
      * cut, or a restart of many, and nobody can tell from one side. They stay suspected, and are
      * waited for.
      */
-    private void judgeSuspects(double now) {
+    private void judgeSuspects(double nowMillis) {
         if (suspects.isEmpty()) {
             return;
         }
         boolean cut = cut();
         for (String name : List.copyOf(suspects)) {
             Held h = members.get(name);
-            if (cut && now < h.suspectedAt + tuning.cutKept()) {
+            if (cut && nowMillis < h.suspectedAt + tuning.cutKept()) {
                 // Once it is healed, each has its time to speak for itself: the last ones must not
                 // fall as the others are cleared.
-                h.suspectUntil = Math.max(h.suspectUntil, now + tuning.suspicionLeast());
-            } else if (now >= h.suspectUntil) {
-                hear(now, h.claim.as(Status.DEAD, self.name()));
+                h.suspectUntil = Math.max(h.suspectUntil, nowMillis + tuning.suspicionLeast());
+            } else if (nowMillis >= h.suspectUntil) {
+                hear(nowMillis, h.claim.as(MemberStatus.DEAD, self.name()));
             }
         }
     }
@@ -217,14 +218,14 @@
                 && suspects.size() >= tuning.cutPart() * (alive + suspects.size());
     }
 
-    private void judgeProbe(double now) {
+    private void judgeProbe(double nowMillis) {
         if (probe == null) {
             return;
         }
         Held h = members.get(probe.name);
         if (h == null || h.claim.status().over()) {
             probe = null;
-        } else if (now >= probe.until) {
+        } else if (nowMillis >= probe.until) {
             // Who asked others, and hears not even that they have no answer, is itself the one that
             // hears little.
             worsen(
@@ -232,8 +233,8 @@
                             ? Math.max(1, probe.asked - probe.nacks)
                             : 0);
             probe = null;
-            hear(now, h.claim.as(Status.SUSPECT, self.name()));
-        } else if (now >= probe.directUntil && probe.asked == 0) {
+            hear(nowMillis, h.claim.as(MemberStatus.SUSPECT, self.name()));
+        } else if (nowMillis >= probe.directUntil && probe.asked == 0) {
             List<Held> others = pick(tuning.indirect(), probe.name, false);
             probe.asked = others.size();
             others.forEach(
@@ -248,7 +249,7 @@
         health = Math.min(tuning.health(), health + by);
     }
 
-    private void probe(double now) {
+    private void probe(double nowMillis) {
         // One probe of four goes to one that is suspected: only then it hears of it for sure, and
         // speaks for itself.
         Held h = !suspects.isEmpty() && random.nextInt(4) == 0 ? suspect() : next();
@@ -261,8 +262,8 @@
                 new Probe(
                         h.claim.name(),
                         number,
-                        now + tuning.timeout() * scale,
-                        now + 0.9 * tuning.period() * scale);
+                        nowMillis + tuning.timeout() * scale,
+                        nowMillis + 0.9 * tuning.period() * scale);
         out.send(h.claim.address(), new Message.Ping(number, rideWith(h.claim)));
     }
 
@@ -309,10 +310,10 @@
                         members.values().stream()
                                 .filter(
                                         h ->
-                                                h.claim.status() == Status.ALIVE
+                                                h.claim.status() == MemberStatus.ALIVE
                                                         || (suspected
                                                                 && h.claim.status()
-                                                                        == Status.SUSPECT))
+                                                                        == MemberStatus.SUSPECT))
                                 .filter(h -> !h.claim.name().equals(except))
                                 .toList());
         List<Held> picked = new ArrayList<>();
@@ -329,7 +330,7 @@
      */
     private void sync() {
         List<Held> there = pick(1, "", true);
-        Map<String, List<Claim>> gone = new LinkedHashMap<>();
+        Map<String, List<MemberUpdate>> gone = new LinkedHashMap<>();
         Set<String> known = new HashSet<>();
         walked += 2L * members.size();
         members.values().stream()
@@ -338,7 +339,10 @@
         seeds.stream().filter(a -> !known.contains(a)).forEach(a -> gone.put(a, List.of(self)));
         // Who is held dead, and lives, must hear of it: only another stay brings it back.
         members.values().stream()
-                .filter(h -> h.claim.status() == Status.DEAD && !known.contains(h.claim.address()))
+                .filter(
+                        h ->
+                                h.claim.status() == MemberStatus.DEAD
+                                        && !known.contains(h.claim.address()))
                 .forEach(h -> gone.put(h.claim.address(), List.of(self, h.claim)));
         if (!there.isEmpty()) {
             tell(there.get(0).claim.address(), 1, true);
@@ -363,7 +367,7 @@
         for (int part = 0;
                 part < parts && (part == 0 || part * (SYNC_PART - 1) < all.size());
                 part++) {
-            List<Claim> claims = new ArrayList<>();
+            List<MemberUpdate> claims = new ArrayList<>();
             claims.add(self);
             for (int i = 0; i < Math.min(SYNC_PART - 1, all.size()); i++) {
                 cursor = (cursor + 1) % all.size();
@@ -376,11 +380,11 @@
     // --- messages ---
 
     /** A message came from this address. */
-    public void receive(double now, String from, Message message) {
+    public void receive(double nowMillis, String from, Message message) {
         if (left) {
             return;
         }
-        message.claims().forEach(c -> hear(now, c));
+        message.claims().forEach(c -> hear(nowMillis, c));
         if (message instanceof Message.Ping ping) {
             out.send(from, new Message.Ack(ping.number(), ride()));
         } else if (message instanceof Message.Ack ack) {
@@ -395,7 +399,7 @@
             }
         } else if (message instanceof Message.Ask ask && behalf.size() < tuning.most()) {
             long number = ++numbers;
-            behalf.put(number, new Behalf(from, ask.number(), now + tuning.timeout()));
+            behalf.put(number, new Behalf(from, ask.number(), nowMillis + tuning.timeout()));
             out.send(ask.address(), new Message.Ping(number, ride()));
         }
     }
@@ -412,16 +416,16 @@
 
     // --- claims ---
 
-    private void hear(double now, Claim claim) {
+    private void hear(double nowMillis, MemberUpdate claim) {
         if (claim.name().equals(self.name())) {
-            ofMyself(now, claim);
+            ofMyself(nowMillis, claim);
             return;
         }
         Held h = members.get(claim.name());
-        Claim before = h == null ? null : h.claim;
+        MemberUpdate before = h == null ? null : h.claim;
         if (!claim.overrides(before)) {
-            if (before.status() == Status.SUSPECT
-                    && claim.status() == Status.SUSPECT
+            if (before.status() == MemberStatus.SUSPECT
+                    && claim.status() == MemberStatus.SUSPECT
                     && claim.version().equals(before.version())) {
                 confirm(h, claim);
             }
@@ -438,22 +442,22 @@
         count(before, -1);
         count(claim, 1);
         h.claim = claim;
-        h.since = now;
+        h.since = nowMillis;
         h.suspectedBy.clear();
-        if (claim.status() == Status.SUSPECT) {
-            h.suspectedAt = now;
+        if (claim.status() == MemberStatus.SUSPECT) {
+            h.suspectedAt = nowMillis;
             h.suspectedBy.add(claim.by());
-            h.suspectUntil = now + tuning.suspicionMost();
+            h.suspectUntil = nowMillis + tuning.suspicionMost();
         }
         riding.put(claim.name(), new Riding(claim));
         news = true;
-        out.changed(now, before, claim);
+        out.changed(nowMillis, before, claim);
     }
 
-    private void count(Claim claim, int by) {
-        if (claim != null && claim.status() == Status.ALIVE) {
+    private void count(MemberUpdate claim, int by) {
+        if (claim != null && claim.status() == MemberStatus.ALIVE) {
             alive += by;
-        } else if (claim != null && claim.status() == Status.SUSPECT) {
+        } else if (claim != null && claim.status() == MemberStatus.SUSPECT) {
             if (by > 0) {
                 suspects.add(claim.name());
             } else {
@@ -463,7 +467,7 @@
     }
 
     /** Others that found it silent, too, shorten its time; one that hears little alone does not. */
-    private void confirm(Held h, Claim claim) {
+    private void confirm(Held h, MemberUpdate claim) {
         if (h.suspectedBy.size() <= tuning.confirmations() && h.suspectedBy.add(claim.by())) {
             double part = Math.log(h.suspectedBy.size()) / Math.log(tuning.confirmations() + 1);
             double time =
@@ -476,40 +480,40 @@
         }
     }
 
-    private void ofMyself(double now, Claim claim) {
+    private void ofMyself(double nowMillis, MemberUpdate claim) {
         boolean mine = claim.version().sameStay(self.version());
         if (mine && claim.status().over()) {
             // Declared dead, and alive: that stay is over, another begins.
-            rise(now, self.version().rising(claim.version().era()));
+            rise(nowMillis, self.version().rising(claim.version().era()));
             worsen(1);
         } else if (mine
-                && claim.status() == Status.SUSPECT
+                && claim.status() == MemberStatus.SUSPECT
                 && claim.version().incarnation() >= self.version().incarnation()) {
-            rise(now, self.version().refuting(claim.version().incarnation()));
+            rise(nowMillis, self.version().refuting(claim.version().incarnation()));
             worsen(1);
         } else if (claim.version().life() == self.version().life()
                 && claim.version().era() > self.version().era()) {
-            rise(now, self.version().rising(claim.version().era()));
+            rise(nowMillis, self.version().rising(claim.version().era()));
         }
     }
 
-    private void rise(double now, Version version) {
-        Claim before = self;
+    private void rise(double nowMillis, Incarnation version) {
+        MemberUpdate before = self;
         self =
-                new Claim(
+                new MemberUpdate(
                         self.name(),
                         self.address(),
                         self.zone(),
                         version,
-                        Status.ALIVE,
+                        MemberStatus.ALIVE,
                         self.name());
-        selfSince = now;
+        selfSince = nowMillis;
         riding.put(self.name(), new Riding(self));
         news = true;
-        out.changed(now, before, self);
+        out.changed(nowMillis, before, self);
     }
 
-    private List<Claim> ride() {
+    private List<MemberUpdate> ride() {
         return rideWith(null);
     }
 
@@ -517,10 +521,10 @@
      * Claims that were sent on least first; with one on whom they go to, who then may speak for
      * itself.
      */
-    private List<Claim> rideWith(Claim first) {
+    private List<MemberUpdate> rideWith(MemberUpdate first) {
         int most = tuning.repeats() * (int) Math.ceil(Math.log(members.size() + 2) / LN2);
-        List<Claim> picked = new ArrayList<>();
-        if (first != null && first.status() == Status.SUSPECT) {
+        List<MemberUpdate> picked = new ArrayList<>();
+        if (first != null && first.status() == MemberStatus.SUSPECT) {
             picked.add(first);
         }
         walked += 2L * riding.size();
@@ -539,41 +543,41 @@
     // --- the end, and what is held ---
 
     /** Says that it leaves, to a few who tell the others. */
-    public void leave(double now) {
-        Claim before = self;
-        self = self.as(Status.LEFT, self.name());
+    public void leave(double nowMillis) {
+        MemberUpdate before = self;
+        self = self.as(MemberStatus.LEFT, self.name());
         riding.put(self.name(), new Riding(self));
         for (Held h : pick(2 * tuning.indirect(), "", false)) {
             out.send(h.claim.address(), new Message.Ping(++numbers, ride()));
         }
         left = true;
-        out.changed(now, before, self);
+        out.changed(nowMillis, before, self);
     }
 
     /** What is held of a member, and for how long, in ms. */
-    public record Line(Claim claim, double since) {}
+    public record Line(MemberUpdate claim, double since) {}
 
     /** All that is held, itself first, the others by name. */
-    public List<Line> lines(double now) {
+    public List<Line> lines(double nowMillis) {
         List<Line> lines = new ArrayList<>();
-        members.values().forEach(h -> lines.add(new Line(h.claim, now - h.since)));
+        members.values().forEach(h -> lines.add(new Line(h.claim, nowMillis - h.since)));
         lines.sort(Comparator.comparing(l -> l.claim.name()));
-        lines.add(0, new Line(self, now - selfSince));
+        lines.add(0, new Line(self, nowMillis - selfSince));
         return lines;
     }
 
     /** What this member says of itself. */
-    public Claim self() {
+    public MemberUpdate self() {
         return self;
     }
 
     /** What is held of the others, those that are over included for a while. */
-    public Collection<Claim> others() {
+    public Collection<MemberUpdate> others() {
         return members.values().stream().map(h -> h.claim).toList();
     }
 
     /** What is held of a member, or null. */
-    public Claim of(String name) {
+    public MemberUpdate of(String name) {
         Held h = members.get(name);
         return h == null ? null : h.claim;
     }
--- a/src/main/java/tinroad/fleet/Tuning.java
+++ b/src/main/java/tinroad/fleet/MembershipConfig.java
@@ -22,7 +22,7 @@
  * @param kept how long what is over is remembered
  * @param most members that are known at most
  */
-public record Tuning(
+public record MembershipConfig(
         double period,
         double timeout,
         int indirect,
@@ -44,12 +44,13 @@
      * Probes four times a second; a member may stand still for two seconds and is not taken for
      * dead.
      */
-    public static final Tuning DEFAULT =
-            new Tuning(
+    public static final MembershipConfig DEFAULT =
+            new MembershipConfig(
                     250, 90, 4, 2300, 5000, 2, 3, 3, 100, 2, 18, 1000, 0.2, 3, 60_000, 60_000,
                     2000);
 
     /** SWIM as of 2002: fixed suspicion, no own health, no negative answers. */
-    public static final Tuning PLAIN =
-            new Tuning(250, 90, 4, 2300, 2300, 2, 0, 3, 100, 2, 18, 1000, 2, 3, 0, 60_000, 2000);
+    public static final MembershipConfig PLAIN =
+            new MembershipConfig(
+                    250, 90, 4, 2300, 2300, 2, 0, 3, 100, 2, 18, 1000, 2, 3, 0, 60_000, 2000);
 }
--- a/src/main/java/tinroad/fleet/View.java
+++ b/src/main/java/tinroad/fleet/MembershipView.java
@@ -13,56 +13,57 @@
  * and number. Nobody gets a value without its age, nor one that is older than he allows. Times in
  * ms, of the reader's own clock.
  */
-public final class View {
+public final class MembershipView {
     /** A value, and how old it is. */
     public record Fresh(String name, double value, double age) {}
 
-    private record Held(Digest digest, double saidAt) {}
+    private record Held(LoadDigest digest, double saidAt) {}
 
     /** Knows nobody. */
-    public static final View EMPTY = new View(HashTreePMap.empty(), 2000);
+    public static final MembershipView EMPTY = new MembershipView(HashTreePMap.empty(), 2000);
 
     private final PMap<String, Held> held;
     private final int most;
 
-    private View(PMap<String, Held> held, int most) {
+    private MembershipView(PMap<String, Held> held, int most) {
         this.held = held;
         this.most = most;
     }
 
     /** With this digest, if it is the later one; bounded in the members that it names. */
-    public View merge(double now, Digest digest) {
+    public MembershipView merge(double nowMillis, LoadDigest digest) {
         Held before = held.get(digest.name());
         if (!digest.laterThan(before == null ? null : before.digest)
                 || (before == null && held.size() >= most)) {
             return this;
         }
         // Never from the future: an age that somebody made up makes it no younger than it can be.
-        return new View(
-                held.plus(digest.name(), new Held(digest, now - Math.max(0, digest.age()))), most);
+        return new MembershipView(
+                held.plus(digest.name(), new Held(digest, nowMillis - Math.max(0, digest.age()))),
+                most);
     }
 
     /** Without a member whose stay is over. */
-    public View without(String name) {
-        return held.containsKey(name) ? new View(held.minus(name), most) : this;
+    public MembershipView without(String name) {
+        return held.containsKey(name) ? new MembershipView(held.minus(name), most) : this;
     }
 
     /**
      * What this member said of this kind, where that is no older than {@code maxAge}; else null,
      * and the reader goes on alone.
      */
-    public Fresh fresh(double now, String name, Digest.Kind kind, double maxAge) {
+    public Fresh fresh(double nowMillis, String name, LoadDigest.Kind kind, double maxAge) {
         Held h = held.get(name);
         Double value = h == null ? null : h.digest.values().get(kind);
-        double age = h == null ? 0 : Math.max(0, now - h.saidAt);
+        double age = h == null ? 0 : Math.max(0, nowMillis - h.saidAt);
         return value == null || age > maxAge ? null : new Fresh(name, value, age);
     }
 
     /** The same of all members, those left out of whom nothing so young is known. */
-    public List<Fresh> fresh(double now, Digest.Kind kind, double maxAge) {
+    public List<Fresh> fresh(double nowMillis, LoadDigest.Kind kind, double maxAge) {
         List<Fresh> all = new ArrayList<>();
         for (String name : held.keySet()) {
-            Fresh f = fresh(now, name, kind, maxAge);
+            Fresh f = fresh(nowMillis, name, kind, maxAge);
             if (f != null) {
                 all.add(f);
             }
@@ -71,15 +72,15 @@
     }
 
     /** A digest to pass on, with its age as it is now; null where nothing is known. */
-    public Digest pass(double now, String name) {
+    public LoadDigest pass(double nowMillis, String name) {
         Held h = held.get(name);
         return h == null
                 ? null
-                : new Digest(
+                : new LoadDigest(
                         name,
                         h.digest.version(),
                         h.digest.number(),
-                        Math.max(0, now - h.saidAt),
+                        Math.max(0, nowMillis - h.saidAt),
                         h.digest.values());
     }
 
@@ -89,7 +90,7 @@
     }
 
     /** Whether both know the same, whenever they heard it. */
-    public boolean knowsTheSame(View other) {
+    public boolean knowsTheSame(MembershipView other) {
         return held.size() == other.held.size()
                 && held.entrySet().stream()
                         .allMatch(
@@ -104,9 +105,9 @@
     }
 
     /** All that is held, by name, for operators. */
-    public Map<String, Digest> digests(double now) {
-        Map<String, Digest> all = new TreeMap<>();
-        held.keySet().forEach(name -> all.put(name, pass(now, name)));
+    public Map<String, LoadDigest> digests(double nowMillis) {
+        Map<String, LoadDigest> all = new TreeMap<>();
+        held.keySet().forEach(name -> all.put(name, pass(nowMillis, name)));
         return all;
     }
 }
--- a/src/main/java/tinroad/fleet/Message.java
+++ b/src/main/java/tinroad/fleet/Message.java
@@ -5,20 +5,20 @@
 /** What members say to each other. Each message carries claims beside its purpose. */
 public sealed interface Message {
     /** Claims that ride along. */
-    List<Claim> claims();
+    List<MemberUpdate> claims();
 
     /** Are you there? {@code number} is the asker's. */
-    record Ping(long number, List<Claim> claims) implements Message {}
+    record Ping(long number, List<MemberUpdate> claims) implements Message {}
 
     /** I am; for the ping of this number, or on behalf of the one who was asked for. */
-    record Ack(long number, List<Claim> claims) implements Message {}
+    record Ack(long number, List<MemberUpdate> claims) implements Message {}
 
     /** Ask the member at {@code address} for me. */
-    record Ask(long number, String address, List<Claim> claims) implements Message {}
+    record Ask(long number, String address, List<MemberUpdate> claims) implements Message {}
 
     /** I asked for you, and have no answer either: at least I am there. */
-    record Nack(long number, List<Claim> claims) implements Message {}
+    record Nack(long number, List<MemberUpdate> claims) implements Message {}
 
     /** A part of all that I hold; {@code wants} yours. */
-    record Sync(boolean wants, List<Claim> claims) implements Message {}
+    record Sync(boolean wants, List<MemberUpdate> claims) implements Message {}
 }
--- a/src/main/java/tinroad/gossip/Datagrams.java
+++ b/src/main/java/tinroad/gossip/MessageCodec.java
@@ -14,10 +14,10 @@
 import java.util.List;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import tinroad.fleet.Claim;
+import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberStatus;
+import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Message;
-import tinroad.fleet.Status;
-import tinroad.fleet.Version;
 
 /**
  * Messages as datagrams: a byte for the format, CBOR (RFC 8949), and the first 16 bytes of
@@ -25,7 +25,7 @@
  * moment in which members don't hear each other; the first one signs. Fields that a later version
  * adds are skipped. Owned by one thread.
  */
-public final class Datagrams {
+public final class MessageCodec {
     /** Longest datagram, in bytes: fits any path without being split. */
     public static final int LONGEST = 1200;
 
@@ -41,7 +41,7 @@
      * With these keys, each of at least 16 bytes; what is sent bears the first, what comes may bear
      * any.
      */
-    public Datagrams(List<byte[]> keys) {
+    public MessageCodec(List<byte[]> keys) {
         try {
             for (byte[] key : keys) {
                 Mac mac = Mac.getInstance(ALGORITHM);
@@ -85,7 +85,7 @@
                 head(to, s.wants() ? "sync?" : "sync", 0, null);
             }
             to.writeStartArray();
-            for (Claim c : message.claims().subList(0, claims)) {
+            for (MemberUpdate c : message.claims().subList(0, claims)) {
                 to.writeStartArray();
                 to.writeString(c.name());
                 to.writeString(c.address());
@@ -148,13 +148,13 @@
         String kind = text(in);
         long number = number(in);
         String address = text(in);
-        List<Claim> claims = new ArrayList<>();
+        List<MemberUpdate> claims = new ArrayList<>();
         expect(in, JsonToken.START_ARRAY);
         while (in.nextToken() == JsonToken.START_ARRAY) {
             String name = text(in);
             String at = text(in);
             String zone = text(in);
-            Version version = new Version(number(in), small(in), small(in));
+            Incarnation version = new Incarnation(number(in), small(in), small(in));
             int status = small(in);
             String by = text(in);
             // A later version may say more of a claim, or know a status that this one does not:
@@ -162,8 +162,10 @@
             while (in.nextToken() != JsonToken.END_ARRAY) {
                 in.skipChildren();
             }
-            if (status < Status.values().length && !name.isEmpty()) {
-                claims.add(new Claim(name, at, zone, version, Status.values()[status], by));
+            if (status < MemberStatus.values().length && !name.isEmpty()) {
+                claims.add(
+                        new MemberUpdate(
+                                name, at, zone, version, MemberStatus.values()[status], by));
             }
         }
         return switch (kind) {
--- a/src/main/java/tinroad/gossip/Carrier.java
+++ b/src/main/java/tinroad/gossip/UdpTransport.java
@@ -23,18 +23,18 @@
 import java.util.function.DoubleSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinroad.fleet.Claim;
+import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberStatus;
+import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Membership;
+import tinroad.fleet.MembershipConfig;
 import tinroad.fleet.Message;
-import tinroad.fleet.Status;
-import tinroad.fleet.Tuning;
-import tinroad.fleet.Version;
 
 /**
  * Brings a membership's messages over UDP, on the event loop; bounded in what it sends and reads,
  * whatever comes in.
  */
-public final class Carrier implements Membership.Out {
+public final class UdpTransport implements Membership.Out {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
     private static final long TICK_MS = 20;
 
@@ -50,7 +50,7 @@
 
     private final EventLoop loop;
     private final InetSocketAddress at;
-    private final Datagrams datagrams;
+    private final MessageCodec datagrams;
     private final DoubleSupplier clock;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private Channel channel;
@@ -62,11 +62,12 @@
     private double cutToldAt;
 
     /** A carrier that hears at this address; {@code clock} is Unix ms that never step back. */
-    public Carrier(EventLoop loop, InetSocketAddress at, List<byte[]> keys, DoubleSupplier clock) {
+    public UdpTransport(
+            EventLoop loop, InetSocketAddress at, List<byte[]> keys, DoubleSupplier clock) {
         this.loop = loop;
         this.at = at;
         this.clock = clock;
-        datagrams = new Datagrams(keys);
+        datagrams = new MessageCodec(keys);
     }
 
     /**
@@ -103,15 +104,16 @@
                 done -> {
                     if (done.isSuccess()) {
                         channel = bound.channel();
-                        Claim self =
-                                new Claim(
+                        MemberUpdate self =
+                                new MemberUpdate(
                                         name,
                                         text((InetSocketAddress) channel.localAddress()),
                                         zone,
-                                        new Version(life, 0, 0),
-                                        Status.ALIVE,
+                                        new Incarnation(life, 0, 0),
+                                        MemberStatus.ALIVE,
                                         name);
-                        membership = new Membership(self, seeds, Tuning.DEFAULT, seed, this);
+                        membership =
+                                new Membership(self, seeds, MembershipConfig.DEFAULT, seed, this);
                         membership.start(clock.getAsDouble());
                         loop.scheduleAtFixedRate(
                                 this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
@@ -138,16 +140,16 @@
     }
 
     private void tick() {
-        double now = clock.getAsDouble();
-        if (now - second >= 1000) {
-            second = now;
+        double nowMillis = clock.getAsDouble();
+        if (nowMillis - second >= 1000) {
+            second = nowMillis;
             sent = 0;
             read = 0;
         }
-        guarded(() -> membership.tick(now));
+        guarded(() -> membership.tick(nowMillis));
         // Told at most every few seconds: at the edge of it both follow each other quickly.
-        if (membership.cut() != cut && now - cutToldAt >= CUT_TOLD) {
-            cutToldAt = now;
+        if (membership.cut() != cut && nowMillis - cutToldAt >= CUT_TOLD) {
+            cutToldAt = nowMillis;
             cut = membership.cut();
             LOG.warn(
                     cut
@@ -160,7 +162,7 @@
         // Guards the loop: what comes beyond this is not even checked.
         if (membership == null
                 || ++read > MOST_READ
-                || packet.content().readableBytes() > Datagrams.LONGEST) {
+                || packet.content().readableBytes() > MessageCodec.LONGEST) {
             return;
         }
         Message message = datagrams.read(ByteBufUtil.getBytes(packet.content()));
@@ -183,7 +185,7 @@
 
     @Override
     public void send(String address, Message message) {
-        InetSocketAddress to = addresses.computeIfAbsent(address, Carrier::address);
+        InetSocketAddress to = addresses.computeIfAbsent(address, UdpTransport::address);
         if (addresses.size() > MOST_ADDRESSES) {
             addresses.remove(addresses.keySet().iterator().next());
         }
@@ -212,14 +214,14 @@
     }
 
     @Override
-    public void changed(double now, Claim before, Claim after) {
+    public void changed(double nowMillis, MemberUpdate before, MemberUpdate after) {
         if (after.name().equals(membership.self().name())) {
             LOG.debug("of itself: {} {}", after.status(), after.version());
         } else if (after.status().over()) {
             LOG.info(
                     "{} {}, says {}",
                     after.name(),
-                    after.status() == Status.LEFT ? "left" : "is dead",
+                    after.status() == MemberStatus.LEFT ? "left" : "is dead",
                     after.by());
         } else if (before == null) {
             LOG.info("{} joined, life {}", after.name(), after.version().life());
--- a/src/main/java/tinroad/lab/Charts.java
+++ b/src/main/java/tinroad/lab/Charts.java
@@ -10,9 +10,9 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import tinroad.lab.plan.Plan;
-import tinroad.lab.truth.Bound;
-import tinroad.lab.truth.Measures;
+import tinroad.lab.schedule.Plan;
+import tinroad.lab.verification.Bound;
+import tinroad.lab.verification.Measures;
 
 /**
  * The charts of a run: service, and the tries that the fleet meets, over the day; each as SVG and
--- a/src/main/java/tinroad/lab/Comparison.java
+++ b/src/main/java/tinroad/lab/Comparison.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import tinroad.lab.plan.Draw;
-import tinroad.lab.truth.Paired;
+import tinroad.lab.schedule.Draw;
+import tinroad.lab.verification.Paired;
 
 /**
  * Two programs by the same script: the pairs of the seeds that count for both, figure by figure.
--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -29,30 +29,30 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import tinroad.lab.plan.Asked;
-import tinroad.lab.plan.Draw;
-import tinroad.lab.plan.Hit;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.fake.Agenda;
+import tinroad.lab.fake.EngineStand;
+import tinroad.lab.fake.ProxyStand;
+import tinroad.lab.fake.RosterStand;
+import tinroad.lab.fake.World;
+import tinroad.lab.fake.World.Mutant;
 import tinroad.lab.relay.DatagramRelay;
 import tinroad.lab.relay.LinkFaults;
 import tinroad.lab.relay.StreamRelay;
+import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.Draw;
+import tinroad.lab.schedule.Hit;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Deed;
 import tinroad.lab.script.Script.Folder;
 import tinroad.lab.script.Script.Kind;
 import tinroad.lab.script.Script.Link;
-import tinroad.lab.stand.Agenda;
-import tinroad.lab.stand.EngineStand;
-import tinroad.lab.stand.ProxyStand;
-import tinroad.lab.stand.RosterStand;
-import tinroad.lab.stand.World;
-import tinroad.lab.stand.World.Mutant;
-import tinroad.lab.truth.Bound;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Ledger.Excuse;
-import tinroad.lab.truth.Ledger.Life;
-import tinroad.lab.truth.Measures;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Bound;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Ledger.Excuse;
+import tinroad.lab.verification.Ledger.Life;
+import tinroad.lab.verification.Measures;
+import tinroad.lab.verification.Try;
 
 /**
  * Plays one plan. The stand-ins live on one event loop, the relays on others; what blocks
@@ -230,7 +230,7 @@
             }
         }
         long[] cpuAfter = cpu();
-        Thread.sleep((long) (tinroad.lab.truth.Rules.SLACK + 100));
+        Thread.sleep((long) (tinroad.lab.verification.Rules.SLACK + 100));
         leaveAll();
         over = true;
         onLoop(() -> members.forEach(m -> m.engine.end()));
@@ -422,13 +422,13 @@
     }
 
     private void tick() {
-        double now = now();
-        if (now - lastTick > STALL) {
-            ledger.stalls.add(new double[] {lastTick, now});
+        double nowMillis = now();
+        if (nowMillis - lastTick > STALL) {
+            ledger.stalls.add(new double[] {lastTick, nowMillis});
         }
-        lastTick = now;
+        lastTick = nowMillis;
         members.forEach(m -> m.engine.advance());
-        agenda.run(now);
+        agenda.run(nowMillis);
     }
 
     // --- processes ---
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -11,14 +11,14 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import tinroad.lab.plan.Hit;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.schedule.Hit;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
-import tinroad.lab.truth.Bound;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Measures;
-import tinroad.lab.truth.Rules;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Bound;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Measures;
+import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.Try;
 
 /** What is told of a run: figures by name, the broken rules, files and charts. */
 public final class Report {
--- a/src/main/java/tinroad/lab/Settings.java
+++ b/src/main/java/tinroad/lab/Settings.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.stream.IntStream;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Kind;
 
--- a/src/main/java/tinroad/lab/capacity/CapacityPage.java
+++ b/src/main/java/tinroad/lab/capacity/CapacityPage.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
+import tinroad.operator.ValidationError;
 
 /**
  * A page whose tables are written from result files: between {@code <!-- table NAME -->} and {@code
@@ -32,7 +32,7 @@
     private final Path file;
     private final Tables tables;
     private final List<String> out = new ArrayList<>();
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> faults = new ArrayList<>();
 
     private CapacityPage(Path file, Tables tables) {
         this.file = file;
@@ -55,7 +55,7 @@
      * What of the page is not as it would be written, a fault for each place; throws where the
      * figures themselves are wrong.
      */
-    public static List<Fault> check(Path page) throws OperatorException, IOException {
+    public static List<ValidationError> check(Path page) throws OperatorException, IOException {
         CapacityPage made = make(page);
         List<String> found = Files.readAllLines(page);
         for (int i = 0; i < Math.max(found.size(), made.out.size()); i++) {
@@ -78,7 +78,7 @@
     }
 
     private void fault(int line, String text) {
-        faults.add(new Fault(file.toString(), line, "", text));
+        faults.add(new ValidationError(file.toString(), line, "", text));
     }
 
     private void make(List<String> lines) {
--- a/src/main/java/tinroad/lab/capacity/Figures.java
+++ b/src/main/java/tinroad/lab/capacity/Figures.java
@@ -20,10 +20,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import tinroad.fleet.Tuning;
-import tinroad.operator.CheckedFile;
-import tinroad.operator.Fault;
+import tinroad.fleet.MembershipConfig;
 import tinroad.operator.OperatorException;
+import tinroad.operator.ValidatedFile;
+import tinroad.operator.ValidationError;
 
 /**
  * All figures of the page, worked out from its file, the result files and the constants of the
@@ -72,7 +72,7 @@
     /** Runs that count for no row, and why. */
     private final Map<String, String> rejected = new LinkedHashMap<>();
 
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> faults = new ArrayList<>();
 
     private Figures(Config all, Path folder) throws IOException {
         this.all = all;
@@ -87,7 +87,7 @@
 
     /** The figures of this file; throws with all that is wrong in it. */
     static Figures read(Path file) throws OperatorException, IOException {
-        Config all = CheckedFile.read(file, Figures.class);
+        Config all = ValidatedFile.read(file, Figures.class);
         Figures figures = new Figures(all, file.toAbsolutePath().getParent());
         for (ConfigValue size : all.getList("target")) {
             figures.size((ConfigObject) size);
@@ -106,7 +106,7 @@
     }
 
     private void wrong(ConfigObject at, String key, String text) {
-        faults.add(CheckedFile.fault(at.getOrDefault(key, at), key, text));
+        faults.add(ValidatedFile.fault(at.getOrDefault(key, at), key, text));
     }
 
     private void size(ConfigObject at) {
@@ -491,13 +491,14 @@
 
     private static double tuning(String name) {
         RecordComponent component =
-                Arrays.stream(Tuning.class.getRecordComponents())
+                Arrays.stream(MembershipConfig.class.getRecordComponents())
                         .filter(r -> r.getName().equals(name))
                         .findFirst()
                         .orElseThrow(
                                 () -> new IllegalArgumentException("no " + name + " in Tuning"));
         try {
-            return ((Number) component.getAccessor().invoke(Tuning.DEFAULT)).doubleValue();
+            return ((Number) component.getAccessor().invoke(MembershipConfig.DEFAULT))
+                    .doubleValue();
         } catch (ReflectiveOperationException e) {
             // Can't happen: a record's accessors are public.
             throw new IllegalStateException(e);
--- a/src/main/java/tinroad/lab/capacity/Results.java
+++ b/src/main/java/tinroad/lab/capacity/Results.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tinroad.operator.Fault;
+import tinroad.operator.ValidationError;
 
 /**
  * What runs have measured, and the fits over it, as the result files hold them. A file that is not
@@ -82,7 +82,7 @@
     private final Map<String, Fit> fits = new TreeMap<>();
     private final List<Off> offs = new ArrayList<>();
     private final Set<String> runs = new TreeSet<>();
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> faults = new ArrayList<>();
 
     /** Reads the three files. */
     Results(List<Path> pointFiles, List<Path> fitFiles, List<Path> offFiles) throws IOException {
@@ -116,10 +116,10 @@
                 }
             } catch (JsonProcessingException e) {
                 faults.add(
-                        new Fault(
+                        new ValidationError(
                                 file.toString(), i + 1, "", "not JSON: " + e.getOriginalMessage()));
             } catch (IllegalArgumentException e) {
-                faults.add(new Fault(file.toString(), i + 1, "", e.getMessage()));
+                faults.add(new ValidationError(file.toString(), i + 1, "", e.getMessage()));
             }
         }
     }
@@ -212,7 +212,7 @@
     }
 
     /** What is wrong in the files. */
-    List<Fault> faults() {
+    List<ValidationError> faults() {
         return faults;
     }
 
--- a/src/main/java/tinroad/lab/capacity/Sharing.java
+++ b/src/main/java/tinroad/lab/capacity/Sharing.java
@@ -1,7 +1,7 @@
 package tinroad.lab.capacity;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.plan.Draw;
+import tinroad.lab.schedule.Draw;
 
 /**
  * What the module's verdict on a tenant is worth where its requests are counted apart at many
--- a/src/main/java/tinroad/lab/stand/Agenda.java
+++ b/src/main/java/tinroad/lab/fake/Agenda.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -23,8 +23,8 @@
     }
 
     /** Does what is due, also what it brings about. */
-    public void run(double now) {
-        while (!items.isEmpty() && items.peek().at <= now) {
+    public void run(double nowMillis) {
+        while (!items.isEmpty() && items.peek().at <= nowMillis) {
             items.poll().task.run();
         }
     }
--- a/src/main/java/tinroad/lab/stand/Bodies.java
+++ b/src/main/java/tinroad/lab/fake/Bodies.java
@@ -1,8 +1,8 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import tinroad.lab.plan.Asked;
+import tinroad.lab.schedule.Asked;
 
 /** What requests carry: the same for all tries of one, and another for another. */
 final class Bodies {
--- a/src/main/java/tinroad/lab/stand/Choosing.java
+++ b/src/main/java/tinroad/lab/fake/Choosing.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import java.util.Arrays;
 import java.util.BitSet;
@@ -55,12 +55,12 @@
      * The gateway for the next try of a request about {@code subject}, or -1 where none of those
      * not {@code asked} is left.
      */
-    public int next(double now, BitSet asked, int subject) {
+    public int next(double nowMillis, BitSet asked, int subject) {
         int best = -1;
         double least = Double.POSITIVE_INFINITY;
         turn = choice == Choice.TURN ? (turn + 1) % open.length : turn;
         for (int g = 0; g < open.length; g++) {
-            if (takes(g, now, asked)) {
+            if (takes(g, nowMillis, asked)) {
                 double weight =
                         switch (choice) {
                             case TURN -> Math.floorMod(g - turn, open.length);
@@ -78,13 +78,13 @@
         return best;
     }
 
-    private boolean takes(int g, double now, BitSet asked) {
-        return listed[g] && !checkedBad[g] && awayUntil[g] <= now && !asked.get(g);
+    private boolean takes(int g, double nowMillis, BitSet asked) {
+        return listed[g] && !checkedBad[g] && awayUntil[g] <= nowMillis && !asked.get(g);
     }
 
     /** Whether there is one for another try now. */
-    public boolean left(double now, BitSet asked) {
-        return IntStream.range(0, open.length).anyMatch(g -> takes(g, now, asked));
+    public boolean left(double nowMillis, BitSet asked) {
+        return IntStream.range(0, open.length).anyMatch(g -> takes(g, nowMillis, asked));
     }
 
     /**
--- a/src/main/java/tinroad/lab/stand/Connection.java
+++ b/src/main/java/tinroad/lab/fake/Connection.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -96,8 +96,8 @@
     }
 
     /** Sends a request, now or once connected. */
-    void send(Map<String, String> fields, byte[] body, Waiter waiter, double now) {
-        lastUsed = now;
+    void send(Map<String, String> fields, byte[] body, Waiter waiter, double nowMillis) {
+        lastUsed = nowMillis;
         numbers = numbers % LARGEST_NUMBER + 1;
         int number = numbers;
         open.put(number, waiter);
--- a/src/main/java/tinroad/lab/stand/Cores.java
+++ b/src/main/java/tinroad/lab/fake/Cores.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -41,12 +41,12 @@
     private long reads;
 
     /** Cores that start at {@code now}: cold, or warm for good. */
-    public Cores(Script.Work law, int cores, double speed, double now, boolean cold) {
+    public Cores(Script.Work law, int cores, double speed, double nowMillis, boolean cold) {
         this.law = law;
         this.cores = cores;
         this.speed = speed;
-        this.now = now;
-        startedAt = cold ? now : Double.NEGATIVE_INFINITY;
+        this.now = nowMillis;
+        startedAt = cold ? nowMillis : Double.NEGATIVE_INFINITY;
     }
 
     /** How much of its speed a core has at this moment. */
--- a/src/main/java/tinroad/lab/stand/EngineStand.java
+++ b/src/main/java/tinroad/lab/fake/EngineStand.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -22,10 +22,10 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
-import tinroad.lab.plan.Asked;
+import tinroad.lab.schedule.Asked;
 import tinroad.lab.script.Script;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Try;
 
 /**
  * An engine: the protocol of its link over the model of its cores. What it ran, and what it made,
--- a/src/main/java/tinroad/lab/stand/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/Proxy.java
@@ -1,15 +1,15 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import java.util.BitSet;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.plan.Asked;
-import tinroad.lab.plan.Draw;
+import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Kind;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Rules;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.Try;
 
 /**
  * The requests of one client proxy: where each try goes, what came of it, whether there is another.
@@ -107,15 +107,15 @@
     }
 
     private void attempt(Open o, int tryNumber) {
-        double now = world.now();
-        int gateway = choosing.next(now, o.gateways, o.asked.subject());
+        double nowMillis = world.now();
+        int gateway = choosing.next(nowMillis, o.gateways, o.asked.subject());
         if (gateway < 0 && !o.gateways.isEmpty()) {
             // All were asked: from the top of the list again.
             o.gateways.clear();
-            gateway = choosing.next(now, o.gateways, o.asked.subject());
+            gateway = choosing.next(nowMillis, o.gateways, o.asked.subject());
         }
         if (gateway < 0) {
-            double at = repeating.wait(now, o.until, choosing.freeAt());
+            double at = repeating.wait(nowMillis, o.until, choosing.freeAt());
             if (at == Repeating.NEVER) {
                 finish(o, o.now == null ? Try.End.UNSENT : o.now.end);
             } else {
@@ -129,7 +129,7 @@
 
     private void send(Open o, int tryNumber, int gateway) {
         Kind kind = script.classes().get(o.asked.kind());
-        double now = world.now();
+        double nowMillis = world.now();
         Try t =
                 new Try(
                         String.format(Locale.ROOT, "%016x", ids.nextLong()),
@@ -139,7 +139,7 @@
                         gateway,
                         kind.free(),
                         kind.free() ? kind.name() + " " + o.asked.subject() : null,
-                        now + kind.deadline());
+                        nowMillis + kind.deadline());
         o.now = t;
         o.fate.tries = tryNumber;
         t.life = world.life(gateway);
@@ -147,7 +147,7 @@
         world.ledger.tries.add(t);
         choosing.open(gateway, 1);
         world.agenda.at(
-                Math.min(o.until, now + script.callers().patience() * kind.deadline()),
+                Math.min(o.until, nowMillis + script.callers().patience() * kind.deadline()),
                 () -> ended(o, t, Try.End.GIVEN_UP, 0, false));
         if (!carrier.send(o.asked, t, kind, told(o, t))) {
             ended(o, t, Try.End.UNSENT, 0, false);
@@ -200,9 +200,9 @@
         }
         t.end = end;
         choosing.open(t.gateway, -1);
-        double now = world.now();
+        double nowMillis = world.now();
         if (stayAway > 0 && repeating.heeds()) {
-            choosing.stayAway(t.gateway, now + stayAway);
+            choosing.stayAway(t.gateway, nowMillis + stayAway);
         }
         boolean unproven = world.mutant == World.Mutant.CALLER_REPEATS_UNPROVEN;
         double next =
@@ -210,9 +210,9 @@
                         end,
                         t.free || unproven,
                         t.number,
-                        now,
+                        nowMillis,
                         o.until,
-                        choosing.left(now, o.gateways),
+                        choosing.left(nowMillis, o.gateways),
                         last);
         if (next == Repeating.NEVER) {
             finish(o, end);
--- a/src/main/java/tinroad/lab/stand/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/ProxyStand.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -7,12 +7,12 @@
 import java.util.Locale;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.plan.Asked;
-import tinroad.lab.plan.Draw;
+import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Kind;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Try;
 
 /** One client proxy: its connections, its tries, its health checks. */
 public final class ProxyStand {
--- a/src/main/java/tinroad/lab/stand/Repeating.java
+++ b/src/main/java/tinroad/lab/fake/Repeating.java
@@ -1,8 +1,8 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import tinroad.lab.script.Script.Callers;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Try;
 
 /**
  * Whether and when a client proxy tries a request again. What may run only once is repeated only
@@ -43,7 +43,7 @@
             Try.End end,
             boolean free,
             int tries,
-            double now,
+            double nowMillis,
             double until,
             boolean othersLeft,
             boolean last) {
@@ -56,7 +56,7 @@
             return NEVER;
         }
         boolean walks = callers.walk() && othersLeft && end != Try.End.FAILED;
-        double at = walks ? now : now + callers.pause() * (0.5 + random.nextDouble());
+        double at = walks ? nowMillis : nowMillis + callers.pause() * (0.5 + random.nextDouble());
         return at < until ? at : NEVER;
     }
 
@@ -64,11 +64,11 @@
      * When to look again for a gateway, as none can be chosen now; {@code freeAt} is when advice
      * next allows one.
      */
-    public double wait(double now, double until, double freeAt) {
+    public double wait(double nowMillis, double until, double freeAt) {
         double at =
                 Math.min(
-                        Math.max(freeAt, now + LEAST_WAIT),
-                        now + callers.pause() * (0.5 + random.nextDouble()));
+                        Math.max(freeAt, nowMillis + LEAST_WAIT),
+                        nowMillis + callers.pause() * (0.5 + random.nextDouble()));
         return at < until ? at : NEVER;
     }
 }
--- a/src/main/java/tinroad/lab/stand/RosterList.java
+++ b/src/main/java/tinroad/lab/fake/RosterList.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 /**
  * What the roster knows: which gateways are listed, and which of them take work. A gateway is
@@ -22,39 +22,39 @@
     }
 
     /** The engine of a gateway comes up. */
-    public void engineUp(int gateway, double now) {
+    public void engineUp(int gateway, double nowMillis) {
         if (!down) {
-            heardAt[gateway] = now;
+            heardAt[gateway] = nowMillis;
             listed[gateway] = true;
             on[gateway] = true;
         }
     }
 
     /** A report of a gateway. */
-    public void heard(int gateway, boolean takesWork, double now) {
+    public void heard(int gateway, boolean takesWork, double nowMillis) {
         if (!down) {
-            heardAt[gateway] = now;
+            heardAt[gateway] = nowMillis;
             listed[gateway] = true;
             on[gateway] = takesWork;
         }
     }
 
     /** The roster goes down, or comes back; the time it was down does not count against anybody. */
-    public void down(boolean isDown, double now) {
+    public void down(boolean isDown, double nowMillis) {
         if (isDown && !down) {
-            downAt = now;
+            downAt = nowMillis;
         } else if (!isDown && down) {
             for (int g = 0; g < heardAt.length; g++) {
-                heardAt[g] += now - downAt;
+                heardAt[g] += nowMillis - downAt;
             }
         }
         down = isDown;
     }
 
     /** Takes what lapsed off the list. */
-    public void expire(double now) {
+    public void expire(double nowMillis) {
         for (int g = 0; !down && g < listed.length; g++) {
-            listed[g] &= now - heardAt[g] <= lapse;
+            listed[g] &= nowMillis - heardAt[g] <= lapse;
         }
     }
 
--- a/src/main/java/tinroad/lab/stand/RosterStand.java
+++ b/src/main/java/tinroad/lab/fake/RosterStand.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelHandlerContext;
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.plan.Draw;
+import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
 
 /** The roster: hears reports over UDP, and has its news reach each proxy late. */
--- a/src/main/java/tinroad/lab/stand/Wire.java
+++ b/src/main/java/tinroad/lab/fake/Wire.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
--- a/src/main/java/tinroad/lab/stand/World.java
+++ b/src/main/java/tinroad/lab/fake/World.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.DoubleSupplier;
-import tinroad.lab.plan.Plan;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Try;
+import tinroad.lab.schedule.Plan;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Try;
 
 /** What the stand-ins of a run share: one event loop owns it and all of them. */
 public final class World {
--- a/src/main/java/tinroad/lab/stand/package-info.java
+++ b/src/main/java/tinroad/lab/fake/package-info.java
@@ -4,4 +4,4 @@
  * Choosing}, {@code Repeating}, {@code RosterList}) knows no wire or clock; the rest carries it
  * over sockets.
  */
-package tinroad.lab.stand;
+package tinroad.lab.fake;
--- a/src/main/java/tinroad/lab/relay/Pipe.java
+++ b/src/main/java/tinroad/lab/relay/Pipe.java
@@ -243,10 +243,10 @@
         private void write(ByteBuf buf) {
             double rate = faults.rate(way);
             double delay = faults.delay(way, ThreadLocalRandom.current().nextDouble());
-            double now = System.nanoTime() / 1e6;
+            double nowMillis = System.nanoTime() / 1e6;
             // Order is kept: nothing overtakes what was delayed before.
             freeAt =
-                    Math.max(freeAt, now + delay)
+                    Math.max(freeAt, nowMillis + delay)
                             + (rate == Double.POSITIVE_INFINITY ? 0 : buf.readableBytes() / rate);
             later(() -> to.writeAndFlush(buf));
         }
--- a/src/main/java/tinroad/lab/scale/BareServer.java
+++ b/src/main/java/tinroad/lab/scale/BareServer.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import tinroad.lab.stand.Wire;
+import tinroad.lab.fake.Wire;
 
 /**
  * Answers each request at once, and decides nothing: behind a relay, what a request takes where
--- a/src/main/java/tinroad/lab/scale/Hollow.java
+++ b/src/main/java/tinroad/lab/scale/Hollow.java
@@ -6,16 +6,16 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.function.DoubleConsumer;
-import tinroad.Controller;
 import tinroad.config.ConfigException;
 import tinroad.config.GatewayConfig;
 import tinroad.core.Clock;
 import tinroad.core.Engine;
+import tinroad.discovery.LoadReporter;
 import tinroad.engine.EngineLink;
-import tinroad.fleet.Claim;
-import tinroad.gossip.Carrier;
-import tinroad.recovery.Rereads;
-import tinroad.roster.RosterReporter;
+import tinroad.fleet.MemberUpdate;
+import tinroad.gossip.UdpTransport;
+import tinroad.overload.Controller;
+import tinroad.recovery.ConfigReloadBackoff;
 
 /**
  * A gateway's control side, made of the classes that {@code serve} has: membership and its carrier,
@@ -27,10 +27,10 @@
     private final int number;
     private final EventLoop loop;
     private final Clock clock;
-    private final Carrier carrier;
+    private final UdpTransport carrier;
     private final ZoneWire wire;
-    private final Rereads rereads;
-    private final RosterReporter roster;
+    private final ConfigReloadBackoff rereads;
+    private final LoadReporter roster;
     private final EngineLink engine;
 
     /** What the gateway was told, held as a real one holds it. */
@@ -54,13 +54,13 @@
                         spec.regionDelay(),
                         spec.seed());
         carrier =
-                new Carrier(
+                new UdpTransport(
                         loop,
                         new InetSocketAddress(spec.zones().host(number), 0),
                         List.of(spec.key()),
-                        clock::now);
-        roster = new RosterReporter(loop, config.roster(), name(), spec.seed());
-        rereads = new Rereads(name(), spec.seed());
+                        clock::nowMillis);
+        roster = new LoadReporter(loop, config.roster(), name(), spec.seed());
+        rereads = new ConfigReloadBackoff(name(), spec.seed());
         engine =
                 spec.engineAway(number)
                         ? new EngineLink(
@@ -99,7 +99,7 @@
                     carrier.start(
                                     name(),
                                     spec.zones().name(number),
-                                    (long) clock.now(),
+                                    (long) clock.nowMillis(),
                                     spec.seeds(),
                                     spec.seed() + number,
                                     wire)
@@ -107,14 +107,14 @@
                                     bound ->
                                             startMs =
                                                     bound.isSuccess()
-                                                            ? clock.now() - begunAt
+                                                            ? clock.nowMillis() - begunAt
                                                             : Double.NaN);
                 });
     }
 
     /** Looks whether to read its settings again, as it does four times a second; off the loop. */
     void watch() {
-        if (rereads.due(clock.now(), engine == null || engine.reached())) {
+        if (rereads.due(clock.nowMillis(), engine == null || engine.reached())) {
             reread(took -> {});
         }
     }
@@ -129,7 +129,7 @@
             loop.execute(
                     () -> {
                         apply(next);
-                        inForce.accept(clock.now());
+                        inForce.accept(clock.nowMillis());
                     });
         } catch (ConfigException e) {
             throw new IllegalStateException(e);
@@ -152,7 +152,7 @@
     }
 
     boolean holdsDead(String name) {
-        Claim claim = carrier.membership() == null ? null : carrier.membership().of(name);
+        MemberUpdate claim = carrier.membership() == null ? null : carrier.membership().of(name);
         return claim != null && claim.status().over();
     }
 
@@ -190,18 +190,18 @@
     /** Listens to an engine that never comes. */
     private static final class Nobody implements Engine.Listener {
         @Override
-        public void attached(boolean fresh, double startedAgo) {}
+        public void onAttached(boolean fresh, double startedAgo) {}
 
         @Override
-        public void caughtUp() {}
+        public void onCaughtUp() {}
 
         @Override
-        public void detached() {}
+        public void onDetached() {}
 
         @Override
-        public void ended(String id, Engine.End end, double took, ByteBuf result) {}
+        public void onRunEnded(String id, Engine.RunOutcome end, double took, ByteBuf result) {}
 
         @Override
-        public void gauges(String tag, Controller.Gauges gauges) {}
+        public void onGauges(String tag, Controller.Gauges gauges) {}
     }
 }
--- a/src/main/java/tinroad/lab/scale/HollowHost.java
+++ b/src/main/java/tinroad/lab/scale/HollowHost.java
@@ -78,19 +78,19 @@
 
     private void start() throws ConfigException {
         for (EventExecutor loop : group) {
-            double[] last = {clock.now()};
+            double[] last = {clock.nowMillis()};
             loop.scheduleAtFixedRate(
                     () -> {
-                        double now = clock.now();
-                        stall = Math.max(stall, now - last[0] - BEAT_MS);
-                        last[0] = now;
+                        double nowMillis = clock.nowMillis();
+                        stall = Math.max(stall, nowMillis - last[0] - BEAT_MS);
+                        last[0] = nowMillis;
                     },
                     BEAT_MS,
                     BEAT_MS,
                     TimeUnit.MILLISECONDS);
         }
         for (int i = 0; i < spec.count(); i++) {
-            double begunAt = clock.now();
+            double begunAt = clock.nowMillis();
             Hollow hollow = new Hollow(spec, spec.first() + i, group.next(), clock);
             all.add(hollow);
             hollow.start(begunAt);
@@ -106,7 +106,7 @@
     private ObjectNode answer(String[] words) throws Exception {
         switch (words[0]) {
             case "change" -> {
-                double told = clock.now();
+                double told = clock.nowMillis();
                 // One after the other, as the files of a machine's gateways would be read by each
                 // for itself.
                 reader.execute(() -> all.forEach(h -> h.reread(at -> inForce.add(at - told))));
@@ -135,7 +135,7 @@
 
     private void look(Hollow h, String name) {
         if (h.holdsDead(name)) {
-            heardOfDeath.put(h.number(), clock.now());
+            heardOfDeath.put(h.number(), clock.nowMillis());
         } else {
             h.loop().schedule(() -> look(h, name), LOOK_MS, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/tinroad/lab/scale/Load.java
+++ b/src/main/java/tinroad/lab/scale/Load.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
 import org.HdrHistogram.Histogram;
-import tinroad.lab.stand.Wire;
+import tinroad.lab.fake.Wire;
 
 /**
  * Requests to one address in open loop: each goes out when it was planned, whatever became of those
--- a/src/main/java/tinroad/lab/scale/RosterCounter.java
+++ b/src/main/java/tinroad/lab/scale/RosterCounter.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import tinroad.lab.stand.RosterList;
+import tinroad.lab.fake.RosterList;
 
 /**
  * A roster that hears the reports of all, keeps its list, and counts. Owned by its event loop; read
--- a/src/main/java/tinroad/lab/scale/ScaleReader.java
+++ b/src/main/java/tinroad/lab/scale/ScaleReader.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import tinroad.operator.CheckedFile;
-import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
+import tinroad.operator.ValidatedFile;
+import tinroad.operator.ValidationError;
 
 /**
  * Reads a scale script: what a schema can say is checked against it, and then how the parts fit
@@ -24,7 +24,7 @@
 
     /** The script in this file; throws with all that is wrong in it. */
     public static Scale read(Path file) throws OperatorException {
-        Config c = CheckedFile.read(file, Scale.class);
+        Config c = ValidatedFile.read(file, Scale.class);
         Config h = c.getConfig("held");
         Config f = c.getConfig("fleet");
         Scale scale =
@@ -55,7 +55,7 @@
                                 f.getDouble("engines-away"),
                                 f.getDouble("pace"),
                                 f.getInt("sockets")));
-        List<Fault> faults = check(scale, c);
+        List<ValidationError> faults = check(scale, c);
         if (!faults.isEmpty()) {
             throw new OperatorException(faults.stream().distinct().sorted().toList());
         }
@@ -66,8 +66,8 @@
         return from.getDuration(key, TimeUnit.NANOSECONDS) / 1e6;
     }
 
-    private static List<Fault> check(Scale s, Config c) {
-        List<Fault> faults = new ArrayList<>();
+    private static List<ValidationError> check(Scale s, Config c) {
+        List<ValidationError> faults = new ArrayList<>();
         for (int i = 0; i < s.sizes().size(); i++) {
             double x = s.sizes().get(i);
             if (i > 0 && x <= s.sizes().get(i - 1)) {
@@ -126,8 +126,8 @@
         };
     }
 
-    private static Fault fault(Config c, String key, String text) {
-        return CheckedFile.fault(c.getValue(key), key, text);
+    private static ValidationError fault(Config c, String key, String text) {
+        return ValidatedFile.fault(c.getValue(key), key, text);
     }
 
     static String plain(double x) {
--- a/src/main/java/tinroad/lab/plan/Asked.java
+++ b/src/main/java/tinroad/lab/schedule/Asked.java
@@ -1,4 +1,4 @@
-package tinroad.lab.plan;
+package tinroad.lab.schedule;
 
 /**
  * A request, as its first caller has it; all tries of it carry the same.
--- a/src/main/java/tinroad/lab/plan/Draw.java
+++ b/src/main/java/tinroad/lab/schedule/Draw.java
@@ -1,4 +1,4 @@
-package tinroad.lab.plan;
+package tinroad.lab.schedule;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
--- a/src/main/java/tinroad/lab/plan/Hit.java
+++ b/src/main/java/tinroad/lab/schedule/Hit.java
@@ -1,4 +1,4 @@
-package tinroad.lab.plan;
+package tinroad.lab.schedule;
 
 import tinroad.lab.script.Script.Trouble;
 
--- a/src/main/java/tinroad/lab/plan/Plan.java
+++ b/src/main/java/tinroad/lab/schedule/Plan.java
@@ -1,4 +1,4 @@
-package tinroad.lab.plan;
+package tinroad.lab.schedule;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -26,9 +26,9 @@
 import tinroad.lab.script.Script.Trouble;
 import tinroad.lab.script.Script.Way;
 import tinroad.lab.script.Script.Work;
-import tinroad.operator.CheckedFile;
-import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
+import tinroad.operator.ValidatedFile;
+import tinroad.operator.ValidationError;
 
 /**
  * Reads a lab script: what a schema can say is checked against it, and then how the parts fit
@@ -36,7 +36,7 @@
  */
 public final class ScriptReader {
     private final Config all;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> faults = new ArrayList<>();
 
     private ScriptReader(Config all) {
         this.all = all;
@@ -44,7 +44,7 @@
 
     /** The script in this file; throws with all that is wrong in it. */
     public static Script read(Path file) throws OperatorException {
-        return new ScriptReader(CheckedFile.read(file, Script.class)).read();
+        return new ScriptReader(ValidatedFile.read(file, Script.class)).read();
     }
 
     private Script read() throws OperatorException {
@@ -266,13 +266,13 @@
 
     private void wrong(String path, String text) {
         ConfigValue at = all.getValue(path);
-        faults.add(CheckedFile.fault(at, path, text));
+        faults.add(ValidatedFile.fault(at, path, text));
     }
 
     private void wrong(String list, int item, String key, String text) {
         ConfigObject object = (ConfigObject) ((ConfigList) all.getValue(list)).get(item);
         faults.add(
-                CheckedFile.fault(
+                ValidatedFile.fault(
                         object.getOrDefault(key, object), list + "." + item + "." + key, text));
     }
 }
--- a/src/main/java/tinroad/lab/truth/Bound.java
+++ b/src/main/java/tinroad/lab/verification/Bound.java
@@ -1,9 +1,9 @@
-package tinroad.lab.truth;
+package tinroad.lab.verification;
 
 import java.util.ArrayList;
 import java.util.List;
-import tinroad.lab.plan.Hit;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.schedule.Hit;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Deed;
 
--- a/src/main/java/tinroad/lab/truth/Ledger.java
+++ b/src/main/java/tinroad/lab/verification/Ledger.java
@@ -1,9 +1,9 @@
-package tinroad.lab.truth;
+package tinroad.lab.verification;
 
 import java.util.ArrayList;
 import java.util.List;
-import tinroad.lab.plan.Asked;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.Plan;
 
 /**
  * Everything that was seen at the ends, as it came. Filled by one thread; times in ms from the
--- a/src/main/java/tinroad/lab/truth/Rules.java
+++ b/src/main/java/tinroad/lab/verification/Rules.java
@@ -1,4 +1,4 @@
-package tinroad.lab.truth;
+package tinroad.lab.verification;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/tinroad/node/CatalogUpdates.java
+++ b/src/main/java/tinroad/node/CatalogUpdater.java
@@ -12,12 +12,12 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 import tinroad.catalog.Catalog;
-import tinroad.catalog.Change;
-import tinroad.catalog.Delta;
-import tinroad.catalog.Editor;
-import tinroad.catalog.Whole;
-import tinroad.changelog.LogFollower;
-import tinroad.changelog.Position;
+import tinroad.catalog.CatalogBuilder;
+import tinroad.catalog.CatalogChange;
+import tinroad.catalog.CatalogDelta;
+import tinroad.catalog.FullSnapshotDiff;
+import tinroad.changelog.ChangeLogFollower;
+import tinroad.changelog.LogPosition;
 import tinroad.config.ConfigException;
 import tinroad.config.ConfigSource;
 import tinroad.config.GatewayConfig;
@@ -29,15 +29,15 @@
  * differs. One version is told at a time: the next one waits until it is in force, so that what
  * waits has a bound.
  */
-final class CatalogUpdates implements AutoCloseable {
+final class CatalogUpdater implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("catalog");
 
     private final Gateway gateway;
     private final Executor loop;
-    private final Editor editor;
+    private final CatalogBuilder editor;
 
     /** What is followed, or null. */
-    private final LogFollower follower;
+    private final ChangeLogFollower follower;
 
     private final ScheduledThreadPoolExecutor thread;
 
@@ -53,11 +53,11 @@
      * Updates of {@code gateway}, which still has its {@code first} catalog; those of a change log
      * come by {@code follower}, or null.
      */
-    CatalogUpdates(Gateway gateway, Catalog first, Executor loop, LogFollower follower) {
+    CatalogUpdater(Gateway gateway, Catalog first, Executor loop, ChangeLogFollower follower) {
         this.gateway = gateway;
         this.loop = loop;
         this.follower = follower;
-        editor = new Editor(first);
+        editor = new CatalogBuilder(first);
         thread =
                 new ScheduledThreadPoolExecutor(
                         1,
@@ -68,7 +68,7 @@
                         });
         loop.execute(
                 () ->
-                        gateway.onFree(
+                        gateway.onSlotsFree(
                                 places -> free(places, editor::routeFree),
                                 places -> free(places, editor::tenantFree)));
     }
@@ -83,7 +83,7 @@
         try {
             boolean more = true;
             while (more) {
-                LogFollower.Step step = follower.step(editor);
+                ChangeLogFollower.Step step = follower.step(editor);
                 if (follower.trouble() != null) {
                     tell(step.line());
                 } else if (step.line() != null) {
@@ -121,7 +121,7 @@
     Reread read(ConfigSource source) throws ConfigException {
         return onThread(
                 () -> {
-                    Whole whole = new Whole(editor.current());
+                    FullSnapshotDiff whole = new FullSnapshotDiff(editor.current());
                     GatewayConfig config = source.read(whole);
                     return new Reread(config, change(whole).size(), false);
                 });
@@ -136,11 +136,11 @@
     Reread apply(ConfigSource source, boolean asked) throws ConfigException {
         return onThread(
                 () -> {
-                    Whole whole = new Whole(editor.current());
+                    FullSnapshotDiff whole = new FullSnapshotDiff(editor.current());
                     GatewayConfig config = source.read(whole);
-                    Editor.Outcome.Taken taken;
+                    CatalogBuilder.Outcome.Taken taken;
                     if (follower != null) {
-                        LogFollower.Step step = follower.whole(editor, whole);
+                        ChangeLogFollower.Step step = follower.whole(editor, whole);
                         tell(asked ? step.line() : null);
                         taken = step.taken();
                     } else {
@@ -154,21 +154,21 @@
     }
 
     /** Null where nothing differs. */
-    private Editor.Outcome.Taken offer(Change change) throws ConfigException {
+    private CatalogBuilder.Outcome.Taken offer(CatalogChange change) throws ConfigException {
         if (change.size() == 0) {
             return null;
         }
-        Editor.Outcome outcome = editor.offerWhole(change);
-        if (outcome instanceof Editor.Outcome.Taken taken) {
+        CatalogBuilder.Outcome outcome = editor.offerWhole(change);
+        if (outcome instanceof CatalogBuilder.Outcome.Taken taken) {
             return taken;
         }
         throw new ConfigException(
-                outcome instanceof Editor.Outcome.Refused refused
+                outcome instanceof CatalogBuilder.Outcome.Refused refused
                         ? String.join("\n", refused.faults())
-                        : LogFollower.line(change, outcome));
+                        : ChangeLogFollower.line(change, outcome));
     }
 
-    private Change change(Whole whole) {
+    private CatalogChange change(FullSnapshotDiff whole) {
         Catalog base = editor.current();
         return whole.change(base.epoch(), base.number() + 1);
     }
@@ -191,16 +191,16 @@
     }
 
     /** Hands the gateway a version, and waits until it is in force; false where it never is. */
-    private boolean bring(Editor.Outcome.Taken taken) {
+    private boolean bring(CatalogBuilder.Outcome.Taken taken) {
         Catalog next = taken.next();
-        Delta delta = taken.delta();
+        CatalogDelta delta = taken.delta();
         CompletableFuture<Boolean> end = new CompletableFuture<>();
         try {
             int untold = untold(next);
             loop.execute(
                     () -> {
-                        gateway.changesUntold(untold);
-                        gateway.change(next, delta, end::complete);
+                        gateway.setUnappliedChanges(untold);
+                        gateway.applyChange(next, delta, end::complete);
                     });
             boolean inForce = end.get();
             if (inForce) {
@@ -224,7 +224,7 @@
 
     /** How many later versions the log was seen to hold beyond this one. */
     private int untold(Catalog next) {
-        Position newest = follower == null ? null : follower.newest();
+        LogPosition newest = follower == null ? null : follower.newest();
         boolean later = newest != null && newest.epoch() == next.epoch();
         return later
                 ? (int) Math.max(0, Math.min(Integer.MAX_VALUE, newest.number() - next.number()))
@@ -232,7 +232,7 @@
     }
 
     private void refused(String text) {
-        loop.execute(() -> gateway.changeRefused(text));
+        loop.execute(() -> gateway.changeRejected(text));
     }
 
     @Override
--- a/src/main/java/tinroad/node/Server.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -14,31 +14,31 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinroad.OverloadController;
+import tinroad.admin.AdminServer;
 import tinroad.catalog.Catalog;
-import tinroad.changelog.ChangeFolder;
-import tinroad.changelog.LogFollower;
-import tinroad.changelog.Position;
+import tinroad.changelog.ChangeLogFollower;
+import tinroad.changelog.ChangeLogStore;
+import tinroad.changelog.LogPosition;
+import tinroad.config.ConfigDiff;
 import tinroad.config.ConfigException;
 import tinroad.config.ConfigSource;
-import tinroad.config.Differences;
 import tinroad.config.GatewayConfig;
-import tinroad.control.ControlServer;
 import tinroad.core.Clock;
 import tinroad.core.Gateway;
+import tinroad.discovery.LoadReporter;
 import tinroad.engine.EngineLink;
-import tinroad.fastcgi.FastCgiFront;
-import tinroad.gossip.Carrier;
+import tinroad.fastcgi.FastCgiFrontend;
+import tinroad.gossip.UdpTransport;
 import tinroad.log.Keys;
 import tinroad.operator.CatalogSettings;
 import tinroad.operator.FleetSettings;
 import tinroad.operator.StateSettings;
-import tinroad.recovery.Memory;
-import tinroad.recovery.Rereads;
-import tinroad.roster.RosterReporter;
+import tinroad.overload.OverloadController;
+import tinroad.recovery.ConfigReloadBackoff;
+import tinroad.recovery.RestoredState;
 
 /** The parts of one gateway put together on one event loop, from its start to its leave. */
-public final class Server implements AutoCloseable {
+public final class GatewayNode implements AutoCloseable {
     /**
      * The last part of the time to leave, in ms at least: for the last answers to be taken and the
      * process to end.
@@ -83,31 +83,31 @@
     private final EventLoop loop = group.next();
     private final EngineLink engine;
     private final Gateway gateway;
-    private final FastCgiFront front;
-    private final RosterReporter roster;
-    private final Succession succession;
-    private final Rereads rereads;
+    private final FastCgiFrontend front;
+    private final LoadReporter roster;
+    private final ListenerHandover succession;
+    private final ConfigReloadBackoff rereads;
 
     /** What lasts, or null where nothing does. */
-    private final Remembering remembering;
+    private final StatePersistence remembering;
 
     private final double saveEvery;
     private final CatalogSettings catalogSettings;
     private final Catalog first;
 
     /** Who follows the change log, or null where there is none. */
-    private final LogFollower follower;
+    private final ChangeLogFollower follower;
 
     /**
      * Made with the first settings that come later: a gateway that never hears of any has no thread
      * for them.
      */
-    private CatalogUpdates updates;
+    private CatalogUpdater updates;
 
     private final FleetSettings fleetSettings;
 
     /** What speaks with the other gateways, or null where nothing does. */
-    private final Carrier fleet;
+    private final UdpTransport fleet;
 
     private boolean shared;
 
@@ -125,7 +125,7 @@
      * A gateway that shares {@code directory}, or null, with other processes under the same name.
      * Reads what lasted, and blocks for it.
      */
-    public Server(
+    public GatewayNode(
             GatewayConfig config,
             String directory,
             StateSettings state,
@@ -134,18 +134,21 @@
     }
 
     /** The same, with classes and tenants that change as {@code catalogSettings} say. */
-    public Server(
+    public GatewayNode(
             GatewayConfig config,
             String directory,
             StateSettings state,
             FleetSettings fleetSettings,
             CatalogSettings catalogSettings) {
         this.config = config;
-        remembering = state.lasts() ? Remembering.open(state, config.name(), clock.now()) : null;
+        remembering =
+                state.lasts()
+                        ? StatePersistence.open(state, config.name(), clock.nowMillis())
+                        : null;
         saveEvery = state.every();
         engineAt = config.engine();
         rosterAt = config.roster();
-        succession = new Succession(directory, config.name());
+        succession = new ListenerHandover(directory, config.name());
         engine =
                 new EngineLink(
                         loop,
@@ -174,19 +177,22 @@
                         engine,
                         OverloadController::new,
                         LoggerFactory.getLogger("gateway"));
-        front = new FastCgiFront(clock, gateway, config.sockets(), config.memoryMb());
-        rereads = new Rereads(config.name(), config.seed());
-        roster = new RosterReporter(loop, config.roster(), config.name(), config.seed());
-        gateway.add(front);
+        front = new FastCgiFrontend(clock, gateway, config.sockets(), config.memoryMb());
+        rereads = new ConfigReloadBackoff(config.name(), config.seed());
+        roster = new LoadReporter(loop, config.roster(), config.name(), config.seed());
+        gateway.addFrontend(front);
         this.fleetSettings = fleetSettings;
         fleet =
                 fleetSettings.speaks()
-                        ? new Carrier(
-                                loop, fleetSettings.listen(), fleetSettings.keys(), clock::now)
+                        ? new UdpTransport(
+                                loop,
+                                fleetSettings.listen(),
+                                fleetSettings.keys(),
+                                clock::nowMillis)
                         : null;
         gateway.onHealth(this::health);
         if (remembering != null) {
-            gateway.remembers(remembering.memory());
+            gateway.restoreFrom(remembering.memory());
             after(saveEvery, this::save);
         }
     }
@@ -195,15 +201,15 @@
      * Who follows the change log, from no earlier on than what lasted tells; null where there is
      * none.
      */
-    private LogFollower follower(CatalogSettings set) {
+    private ChangeLogFollower follower(CatalogSettings set) {
         if (set.log() == null) {
             return null;
         }
-        Memory memory = remembering == null ? Memory.NONE : remembering.memory();
-        return new LogFollower(
-                new ChangeFolder(set.log(), ChangeFolder.KEEP),
+        RestoredState memory = remembering == null ? RestoredState.NONE : remembering.memory();
+        return new ChangeLogFollower(
+                new ChangeLogStore(set.log(), ChangeLogStore.KEEP),
                 "change log " + set.log(),
-                memory.epoch() > 0 ? new Position(memory.epoch(), memory.number()) : null);
+                memory.epoch() > 0 ? new LogPosition(memory.epoch(), memory.number()) : null);
     }
 
     private void save() {
@@ -226,7 +232,7 @@
     /** Has the virtual machine see its work before any caller does; blocks until then. */
     public void rehearse() throws InterruptedException {
         LOG.debug("rehearsing");
-        loop.submit(() -> new Rehearsal(config.site()).play()).await();
+        loop.submit(() -> new JitWarmup(config.site()).play()).await();
     }
 
     /**
@@ -236,7 +242,7 @@
     public InetSocketAddress start() throws IOException, InterruptedException {
         if (config.control() != null) {
             listening(
-                    new ControlServer(gateway, () -> fleet == null ? null : fleet.membership())
+                    new AdminServer(gateway, () -> fleet == null ? null : fleet.membership())
                             .listen(loop, config.control()),
                     config.control());
         }
@@ -246,8 +252,8 @@
         // Guards the requests that come while a new version starts: until it takes work, all go to
         // the old one.
         boolean beside =
-                FastCgiFront.taken(config.listen(), false)
-                        && !FastCgiFront.taken(config.listen(), true);
+                FastCgiFrontend.taken(config.listen(), false)
+                        && !FastCgiFrontend.taken(config.listen(), true);
         if (beside) {
             Keys.with(LOG.atInfo(), "listen", config.listen())
                     .log(
@@ -270,7 +276,7 @@
         }
         ChannelFuture bound = listening(listen.getNow(), config.listen());
         succession.take();
-        loop.execute(gateway::opened);
+        loop.execute(gateway::markListening);
         Keys.with(
                         Keys.with(LOG.atInfo(), "listen", bound.channel().localAddress()),
                         "member",
@@ -299,9 +305,9 @@
      */
     private void join() {
         long life =
-                remembering != null && remembering.memory().life() > 0
-                        ? remembering.memory().life()
-                        : (long) clock.now();
+                remembering != null && remembering.memory().incarnation() > 0
+                        ? remembering.memory().incarnation()
+                        : (long) clock.nowMillis();
         fleet.start(config.name(), fleetSettings.zone(), life, fleetSettings.seeds(), config.seed())
                 .addListener(
                         bound -> {
@@ -331,21 +337,21 @@
         goOnWith(reread(source, true));
     }
 
-    private CatalogUpdates.Reread reread(ConfigSource source, boolean asked)
+    private CatalogUpdater.Reread reread(ConfigSource source, boolean asked)
             throws ConfigException {
         return catalogSettings.inPlace() ? updates().apply(source, asked) : updates().read(source);
     }
 
-    private synchronized CatalogUpdates updates() {
+    private synchronized CatalogUpdater updates() {
         if (updates == null) {
-            updates = new CatalogUpdates(gateway, first, loop, follower);
+            updates = new CatalogUpdater(gateway, first, loop, follower);
         }
         return updates;
     }
 
-    private void goOnWith(CatalogUpdates.Reread reread) {
+    private void goOnWith(CatalogUpdater.Reread reread) {
         GatewayConfig next = reread.config();
-        List<String> later = new ArrayList<>(Differences.between(config, next));
+        List<String> later = new ArrayList<>(ConfigDiff.between(config, next));
         if (reread.later() > 0) {
             later.add("settings.classes and settings.orgs: " + reread.later() + " differ");
         }
@@ -374,7 +380,7 @@
      * comes on. A process that was replaced leaves at once, and quietly: the gateway itself stays.
      */
     public void leave() {
-        double noticedAt = Math.min(clock.now(), gateway.aliveAt());
+        double noticedAt = Math.min(clock.nowMillis(), gateway.lastSeenAliveMillis());
         if (begun.compareAndSet(Begun.NEITHER, Begun.LEAVING)) {
             // Guards against a wait for the rehearsal, or for the engine: nobody has asked for
             // anything yet.
@@ -387,9 +393,9 @@
                 () -> {
                     if (replaced) {
                         LOG.info("replaced by another process");
-                        gateway.replaced();
+                        gateway.markReplaced();
                         roster.silence();
-                        front.leave();
+                        front.closeGracefully();
                         endOnceEmpty();
                     }
                     drain(noticedAt);
@@ -413,13 +419,13 @@
                                                 Math.min(MOST_LATE, EXIT_PART * config.stopMs())));
         // Guards the grace against a notice that was heard late, as where the process gets little
         // of a core.
-        double grace = config.site().settings().rules().drainGrace();
-        gateway.drain(noticedAt - Math.min(MOST_LATE, UNHEARD_PART * grace), leaveAt);
+        double grace = config.site().settings().rules().drainGraceMillis();
+        gateway.beginDraining(noticedAt - Math.min(MOST_LATE, UNHEARD_PART * grace), leaveAt);
         if (fleet != null) {
             fleet.leave();
         }
-        double left = leaveAt - clock.now();
-        after(Math.max(0, left - CLOSING), front::leave);
+        double left = leaveAt - clock.nowMillis();
+        after(Math.max(0, left - CLOSING), front::closeGracefully);
         after(Math.max(0, left), this::endOnceEmpty);
     }
 
@@ -452,9 +458,9 @@
 
     private void watch(ConfigSource source) {
         share(succession.shared());
-        if (rereads.due(clock.now(), engine.reached()) && source.changed()) {
+        if (rereads.due(clock.nowMillis(), engine.reached()) && source.changed()) {
             try {
-                CatalogUpdates.Reread next = reread(source, false);
+                CatalogUpdater.Reread next = reread(source, false);
                 boolean moved =
                         !(next.config().engine().equals(engineAt)
                                 && next.config().roster().equals(rosterAt));
--- a/src/main/java/tinroad/node/Rehearsal.java
+++ b/src/main/java/tinroad/node/JitWarmup.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.Map;
 import org.slf4j.helpers.NOPLogger;
-import tinroad.Controller;
-import tinroad.OverloadController;
+import tinroad.admin.AdminServer;
 import tinroad.config.Site;
-import tinroad.control.ControlServer;
 import tinroad.core.Gateway;
 import tinroad.engine.EngineLink;
-import tinroad.fastcgi.FastCgiFront;
+import tinroad.fastcgi.FastCgiFrontend;
+import tinroad.overload.Controller;
+import tinroad.overload.OverloadController;
 
 /**
  * Made-up requests, run through a gateway of their own that is thrown away, before the real one
@@ -25,7 +25,7 @@
  * often, and on a part of a core that work would keep callers waiting. Touches no socket, and
  * writes no log line.
  */
-final class Rehearsal {
+final class JitWarmup {
     /**
      * Steps of so many ms; in each as many requests come as the made-up engine ends, but for its
      * rests.
@@ -58,15 +58,15 @@
     private final ArrayDeque<Runnable> timers = new ArrayDeque<>();
     private final ArrayDeque<String> running = new ArrayDeque<>();
     private final List<EmbeddedChannel> callers = new ArrayList<>();
-    private final FastCgiFront front;
-    private final ControlServer control;
+    private final FastCgiFrontend front;
+    private final AdminServer control;
     private final EmbeddedChannel engine;
     private double now;
     private int asked;
     private int answered;
     private int notices;
 
-    Rehearsal(Site whole) {
+    JitWarmup(Site whole) {
         site = whole.first(SAMPLE);
         EngineLink link = new EngineLink(null, null, site.gaugeNames(), "", 0);
         Gateway gateway =
@@ -78,9 +78,9 @@
                         link,
                         OverloadController::new,
                         NOPLogger.NOP_LOGGER);
-        front = new FastCgiFront(() -> now, gateway, Integer.MAX_VALUE, Double.MAX_VALUE);
-        gateway.add(front);
-        control = new ControlServer(gateway);
+        front = new FastCgiFrontend(() -> now, gateway, Integer.MAX_VALUE, Double.MAX_VALUE);
+        gateway.addFrontend(front);
+        control = new AdminServer(gateway);
         link.listen(gateway);
         engine = new EmbeddedChannel(link.handlers());
         for (int i = 0; i < CONNECTIONS; i++) {
@@ -161,7 +161,8 @@
         fields.put("HTTP_REQ_KB", "24.5");
         fields.put("HTTP_REQ_RANK", "0." + asked % 10);
         int cls = (asked - 1) % site.classNames().size();
-        if (site.settings().classes().get(cls).semantics() == Controller.Semantics.GUARDED) {
+        if (site.settings().classes().get(cls).idempotency()
+                == Controller.Idempotency.IDEMPOTENT_WITH_KEY) {
             fields.put("HTTP_REQ_TOKEN", String.format("%032x", asked));
         }
         ByteBuf pairs = Unpooled.buffer();
--- a/src/main/java/tinroad/node/Succession.java
+++ b/src/main/java/tinroad/node/ListenerHandover.java
@@ -15,7 +15,7 @@
  * the directory that they share. A process that finds another named there was replaced while it
  * served; the one that came first holds a lock, which the system lets go however that process ends.
  */
-final class Succession implements AutoCloseable {
+final class ListenerHandover implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
     private final Path file;
@@ -28,7 +28,7 @@
      * The processes named {@code name} that share {@code directory}; null where there is none to
      * share.
      */
-    Succession(String directory, String name) {
+    ListenerHandover(String directory, String name) {
         boolean shared = directory != null && !directory.isEmpty();
         file = shared ? Path.of(directory, "tinroad-" + name + ".latest") : null;
         lock = shared ? Path.of(directory, "tinroad-" + name + ".lock") : null;
--- a/src/main/java/tinroad/node/Remembering.java
+++ b/src/main/java/tinroad/node/StatePersistence.java
@@ -4,27 +4,27 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinroad.Controller.Known;
 import tinroad.core.Gateway;
 import tinroad.operator.StateSettings;
-import tinroad.recovery.Memory;
-import tinroad.recovery.Remembrance;
-import tinroad.state.Recall;
-import tinroad.state.Saver;
+import tinroad.overload.Controller.Estimate;
+import tinroad.recovery.RestoredState;
+import tinroad.recovery.StateRestorer;
 import tinroad.state.Snapshot;
-import tinroad.state.StateFolder;
+import tinroad.state.SnapshotSelector;
+import tinroad.state.SnapshotStore;
+import tinroad.state.SnapshotWriter;
 
 /**
  * Where what lasts of a gateway is read from, once before it listens, and saved to, again and again
  * off the event loop.
  */
-final class Remembering implements AutoCloseable {
+final class StatePersistence implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("state");
 
-    private final Remembrance remembrance;
-    private final Saver saver;
+    private final StateRestorer remembrance;
+    private final SnapshotWriter saver;
 
-    private Remembering(Remembrance remembrance, Saver saver) {
+    private StatePersistence(StateRestorer remembrance, SnapshotWriter saver) {
         this.remembrance = remembrance;
         this.saver = saver;
     }
@@ -34,57 +34,57 @@
      * believed and nothing saved: that is told in one line, and the gateway serves as one of which
      * nothing lasts.
      */
-    static Remembering open(StateSettings set, String name, double now) {
-        StateFolder folder = new StateFolder(set.folder(), set.fence(), set.keep());
+    static StatePersistence open(StateSettings set, String name, double nowMillis) {
+        SnapshotStore folder = new SnapshotStore(set.folder(), set.fence(), set.keep());
         try {
-            Recall.Decision d =
-                    Recall.decide(
+            SnapshotSelector.Decision d =
+                    SnapshotSelector.decide(
                             folder.candidates(),
                             name,
-                            now,
+                            nowMillis,
                             set.oldest(),
                             folder.knownLife(),
                             folder.fenceLife());
             long life = folder.claim(d.lastLife());
             d.setAside().forEach(text -> LOG.warn("set aside: {}", text));
-            LOG.info("life {} begins {}", life, words(d, now));
-            return new Remembering(
-                    new Remembrance(name, d, life, set.oldest(), set.halfLife()),
-                    new Saver(folder));
+            LOG.info("life {} begins {}", life, words(d, nowMillis));
+            return new StatePersistence(
+                    new StateRestorer(name, d, life, set.oldest(), set.halfLife()),
+                    new SnapshotWriter(folder));
         } catch (IOException e) {
             LOG.warn("state can't be used, nothing lasts: {}", e.toString());
-            return new Remembering(null, null);
+            return new StatePersistence(null, null);
         }
     }
 
-    private static String words(Recall.Decision d, double now) {
+    private static String words(SnapshotSelector.Decision d, double nowMillis) {
         Snapshot s = d.snapshot();
         return switch (d.begin()) {
             case WARM ->
                     "with life "
-                            + s.life()
+                            + s.incarnation()
                             + ", saved "
-                            + Math.round(Math.max(0, now - s.savedAt()) / 1000)
+                            + Math.round(Math.max(0, nowMillis - s.savedAtMillis()) / 1000)
                             + " s ago";
             case FIRST -> "for the first time";
             case COLD -> "cold: nothing of what was there is believed";
         };
     }
 
-    Memory memory() {
-        return remembrance == null ? Memory.NONE : remembrance;
+    RestoredState memory() {
+        return remembrance == null ? RestoredState.NONE : remembrance;
     }
 
     /** Has what the gateway knows now saved; on the event loop, which does not wait for it. */
     void save(Gateway gateway) {
-        Map<String, Known> values = gateway.learned();
+        Map<String, Estimate> values = gateway.learnedEstimates();
         // Before its engine was there it knows nothing, and what an earlier life left stays.
         if (saver != null && !values.isEmpty()) {
             saver.offer(
                     remembrance.leaves(
-                            gateway.now(),
+                            gateway.nowMillis(),
                             values,
-                            gateway.ranIds(),
+                            gateway.executedIds(),
                             gateway.evacuated(),
                             gateway.catalog().epoch(),
                             gateway.catalog().number()));
--- a/src/main/java/tinroad/operator/Sources.java
+++ b/src/main/java/tinroad/operator/ConfigSources.java
@@ -36,7 +36,7 @@
  * lets pass: a file that an include does not find, bytes that are no UTF-8, a setting given twice
  * in one file, includes of addresses.
  */
-final class Sources {
+final class ConfigSources {
     /** A longer file, in bytes, is not read. */
     static final int LONGEST = 256 * 1024;
 
@@ -52,13 +52,13 @@
      */
     private static final String MARK = "mark";
 
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> faults = new ArrayList<>();
     private final Deque<Path> open = new ArrayDeque<>();
     private final Map<String, List<Integer>> lastLines = new HashMap<>();
     private int files;
 
     /** What is wrong so far. */
-    List<Fault> faults() {
+    List<ValidationError> faults() {
         return faults;
     }
 
@@ -109,7 +109,7 @@
     }
 
     /** What the parser says, with the line that it names. */
-    static Fault fault(String name, ConfigException e) {
+    static ValidationError fault(String name, ConfigException e) {
         int line = e.origin() == null ? 1 : Math.max(1, e.origin().lineNumber());
         String text = e.getMessage();
         String place = e.origin() == null ? "" : e.origin().description();
@@ -118,7 +118,7 @@
                         ? text.substring(place.length()).replaceFirst("^:\\s*", "")
                         : text;
         // The rest is advice for other kinds of files.
-        return new Fault(
+        return new ValidationError(
                 place.isEmpty() ? name : file(place),
                 line,
                 "",
@@ -141,7 +141,7 @@
         int at = Math.max(1, line);
         if (++files > MOST_FILES) {
             faults.add(
-                    new Fault(
+                    new ValidationError(
                             asked,
                             at,
                             "",
@@ -152,14 +152,14 @@
             byte[] bytes = in.readNBytes(LONGEST + 1);
             if (bytes.length > LONGEST) {
                 faults.add(
-                        new Fault(
+                        new ValidationError(
                                 file.toString(), 1, "", "longer than " + LONGEST / 1024 + " KiB"));
                 return null;
             }
             return decoded(file.toString(), bytes);
         } catch (IOException e) {
             faults.add(
-                    new Fault(
+                    new ValidationError(
                             asked,
                             at,
                             "",
@@ -179,7 +179,7 @@
             text = decoder.decode(in).toString();
         } catch (CharacterCodingException e) {
             faults.add(
-                    new Fault(
+                    new ValidationError(
                             name,
                             lineAt(
                                     new String(
@@ -198,7 +198,7 @@
             boolean control = c < ' ' && c != '\n' && c != '\r' && c != '\t';
             if (control || depth > DEEPEST) {
                 faults.add(
-                        new Fault(
+                        new ValidationError(
                                 name,
                                 lineAt(text.substring(0, i)),
                                 "",
@@ -211,7 +211,7 @@
         if (text.lines()
                 .map(String::strip)
                 .allMatch(l -> l.isEmpty() || l.startsWith("#") || l.startsWith("//"))) {
-            faults.add(new Fault(name, 1, "", "empty: a setting was expected"));
+            faults.add(new ValidationError(name, 1, "", "empty: a setting was expected"));
             return null;
         }
         return text;
@@ -248,7 +248,7 @@
                         same++;
                     }
                     faults.add(
-                            new Fault(
+                            new ValidationError(
                                     name,
                                     entry.getValue().origin().lineNumber(),
                                     key,
@@ -297,7 +297,7 @@
         private ConfigObject refused(String what) {
             Path from = open.peek();
             faults.add(
-                    new Fault(
+                    new ValidationError(
                             from.toString(),
                             line(from, what),
                             "",
--- a/src/main/java/tinroad/operator/FleetSettings.java
+++ b/src/main/java/tinroad/operator/FleetSettings.java
@@ -33,7 +33,7 @@
     /** One or two keys, each a line of Base64. */
     static List<byte[]> keys(Path file) throws OperatorException {
         List<byte[]> keys = new ArrayList<>();
-        List<Fault> faults = new ArrayList<>();
+        List<ValidationError> faults = new ArrayList<>();
         try {
             int line = 0;
             for (String text : Files.readAllLines(file, StandardCharsets.US_ASCII)) {
@@ -42,7 +42,7 @@
                     byte[] key = decoded(text.strip());
                     if (key == null || key.length < SHORTEST || keys.size() == MOST) {
                         faults.add(
-                                new Fault(
+                                new ValidationError(
                                         file.toString(),
                                         line,
                                         "",
@@ -58,7 +58,7 @@
             }
         } catch (IOException e) {
             faults.add(
-                    new Fault(
+                    new ValidationError(
                             file.toString(),
                             1,
                             "",
@@ -66,7 +66,8 @@
                                     + (Files.exists(file) ? e.toString() : "no such file")));
         }
         if (keys.isEmpty() && faults.isEmpty()) {
-            faults.add(new Fault(file.toString(), 1, "", "holds no key: a line of Base64"));
+            faults.add(
+                    new ValidationError(file.toString(), 1, "", "holds no key: a line of Base64"));
         }
         if (!faults.isEmpty()) {
             throw new OperatorException(faults);
--- a/src/main/java/tinroad/operator/Operator.java
+++ b/src/main/java/tinroad/operator/OperatorConfig.java
@@ -12,11 +12,11 @@
  * What the operators set beyond the platform's configuration, read and checked once. What a file
  * leaves out has the value that the schema gives as its default.
  */
-public record Operator(
+public record OperatorConfig(
         LogSettings log, StateSettings state, FleetSettings fleet, CatalogSettings catalog) {
 
     /** One that says nothing of the catalog. */
-    public Operator(LogSettings log, StateSettings state, FleetSettings fleet) {
+    public OperatorConfig(LogSettings log, StateSettings state, FleetSettings fleet) {
         this(log, state, fleet, CatalogSettings.DEFAULT);
     }
 
@@ -24,15 +24,15 @@
      * Reads the file; throws with all that is wrong in it. A folder that it names is beside it,
      * unless it is absolute.
      */
-    public static Operator read(Path file) throws OperatorException {
-        Config all = CheckedFile.read(file, Operator.class);
+    public static OperatorConfig read(Path file) throws OperatorException {
+        Config all = ValidatedFile.read(file, OperatorConfig.class);
         Config log = all.getConfig("log");
         Map<String, String> levels = new HashMap<>();
         log.getConfig("levels")
                 .root()
                 .forEach((name, level) -> levels.put(name, level.unwrapped().toString()));
         Config state = all.getConfig("state");
-        return new Operator(
+        return new OperatorConfig(
                 new LogSettings(
                         log.getString("format").equals("json"),
                         log.getString("level"),
@@ -66,7 +66,7 @@
         if (keys == null) {
             throw new OperatorException(
                     List.of(
-                            CheckedFile.fault(
+                            ValidatedFile.fault(
                                     fleet.getValue("listen"),
                                     "fleet.key-file",
                                     "must be given where fleet.listen is")));
--- a/src/main/java/tinroad/operator/OperatorException.java
+++ b/src/main/java/tinroad/operator/OperatorException.java
@@ -9,16 +9,16 @@
 public final class OperatorException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<Fault> faults;
+    private final transient List<ValidationError> faults;
 
     /** At least one fault. */
-    public OperatorException(List<Fault> faults) {
+    public OperatorException(List<ValidationError> faults) {
         super(faults.get(0) + (faults.size() > 1 ? " (and " + (faults.size() - 1) + " more)" : ""));
         this.faults = List.copyOf(faults);
     }
 
     /** What is wrong, at least one. */
-    public List<Fault> faults() {
+    public List<ValidationError> faults() {
         return faults;
     }
 }
--- a/src/main/java/tinroad/operator/Nearest.java
+++ b/src/main/java/tinroad/operator/SpellingSuggestion.java
@@ -4,11 +4,11 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /** What a misspelt name may have meant. */
-public final class Nearest {
+public final class SpellingSuggestion {
     /** A name further from a known one than this, in edits, is no misspelling of it. */
     private static final int FAR = 3;
 
-    private Nearest() {}
+    private SpellingSuggestion() {}
 
     /** The known name nearest to {@code name}, or null where none is near. */
     public static String to(String name, Collection<String> known) {
--- a/src/main/java/tinroad/operator/CheckedFile.java
+++ b/src/main/java/tinroad/operator/ValidatedFile.java
@@ -27,13 +27,13 @@
  * Reads one HOCON file of the operators': text to values, values against a JSON Schema, what is
  * left out from defaults. All faults are told at once, each with its file and line.
  */
-public final class CheckedFile {
+public final class ValidatedFile {
     private static final String DIALECT = "https://json-schema.org/draft/2020-12/schema";
     private final Path file;
     private final Schema schema;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> faults = new ArrayList<>();
 
-    private CheckedFile(Path file, Schema schema) {
+    private ValidatedFile(Path file, Schema schema) {
         this.file = file;
         this.schema = schema;
     }
@@ -43,21 +43,21 @@
      * class {@code at}; the defaults may hold more than the schema lets a file hold.
      */
     public static Config read(Path file, Class<?> at) throws OperatorException {
-        return new CheckedFile(file, schema(at))
+        return new ValidatedFile(file, schema(at))
                 .read(ConfigFactory.parseResources(at, "defaults.conf"));
     }
 
     /** A fault of a value that the schema lets pass, where it stands. */
-    public static Fault fault(ConfigValue value, String key, String text) {
-        return new Fault(
-                Sources.file(value.origin().description()),
+    public static ValidationError fault(ConfigValue value, String key, String text) {
+        return new ValidationError(
+                ConfigSources.file(value.origin().description()),
                 Math.max(1, value.origin().lineNumber()),
                 key,
                 text);
     }
 
     private Config read(Config defaults) throws OperatorException {
-        Sources sources = new Sources();
+        ConfigSources sources = new ConfigSources();
         ConfigObject root = sources.first(file);
         faults.addAll(sources.faults());
         if (root != null) {
@@ -68,7 +68,7 @@
                     return config.withFallback(defaults);
                 }
             } catch (ConfigException e) {
-                faults.add(Sources.fault(file.toString(), e));
+                faults.add(ConfigSources.fault(file.toString(), e));
             }
         }
         throw new OperatorException(faults.stream().distinct().sorted().toList());
@@ -154,7 +154,7 @@
         List<String> known = new ArrayList<>();
         JsonNode parent = schema.getSchemaNode().at(parentPointer(error));
         parent.path("properties").fieldNames().forEachRemaining(known::add);
-        String near = Nearest.to(error.getProperty(), known);
+        String near = SpellingSuggestion.to(error.getProperty(), known);
         return "unknown"
                 + (near == null ? "" : ": is " + near + " meant?")
                 + "; known here: "
--- a/src/main/java/tinroad/operator/Fault.java
+++ b/src/main/java/tinroad/operator/ValidationError.java
@@ -10,15 +10,16 @@
  * @param key the full path of the setting, or "" where the fault is in no one setting
  * @param text what is wrong, and what is allowed
  */
-public record Fault(String file, int line, String key, String text) implements Comparable<Fault> {
-    private static final Comparator<Fault> ORDER =
-            Comparator.comparing(Fault::file)
-                    .thenComparingInt(Fault::line)
-                    .thenComparing(Fault::key)
-                    .thenComparing(Fault::text);
+public record ValidationError(String file, int line, String key, String text)
+        implements Comparable<ValidationError> {
+    private static final Comparator<ValidationError> ORDER =
+            Comparator.comparing(ValidationError::file)
+                    .thenComparingInt(ValidationError::line)
+                    .thenComparing(ValidationError::key)
+                    .thenComparing(ValidationError::text);
 
     @Override
-    public int compareTo(Fault other) {
+    public int compareTo(ValidationError other) {
         return ORDER.compare(this, other);
     }
 
--- a/src/main/java/tinroad/ClassStats.java
+++ b/src/main/java/tinroad/overload/ClassStatistics.java
@@ -1,19 +1,19 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.List;
 
 /**
  * What is measured of one class. Its run and its calm one, in ms, are 0 until there is a sample or
  * a memory of them. Holds values only: what becomes of them is decided by the module, what is
- * summed over them by {@link Classes}.
+ * summed over them by {@link ClassTable}.
  */
-final class ClassStats {
+final class ClassStatistics {
     /** A wait that fresh tries of a class come with, and how sure that is. */
-    static final class Patience {
+    static final class ClientTimeout {
         final double wait;
         double votes = 1;
 
-        Patience(double wait) {
+        ClientTimeout(double wait) {
             this.wait = wait;
         }
     }
@@ -34,13 +34,13 @@
     double served;
     private double fadedAt;
 
-    /** Where it stands in {@link Telling}; -1: nowhere. */
+    /** Where it stands in {@link UnderservedClasses}; -1: nowhere. */
     int telling = -1;
 
-    List<Patience> waits = List.of();
+    List<ClientTimeout> waits = List.of();
 
     /** Nothing yet, which weighs so many samples. */
-    ClassStats(int place, double weight) {
+    ClassStatistics(int place, double weight) {
         this.place = place;
         runs = weight;
         calmRuns = weight;
@@ -50,12 +50,12 @@
      * Fades what it was asked and served lately; {@code span}: ms in which it falls to its e-th
      * part.
      */
-    void fade(double now, double span) {
-        if (now > fadedAt) {
-            double part = asked == 0 ? 0 : Math.exp((fadedAt - now) / span);
+    void fade(double nowMillis, double span) {
+        if (nowMillis > fadedAt) {
+            double part = asked == 0 ? 0 : Math.exp((fadedAt - nowMillis) / span);
             asked *= part;
             served *= part;
-            fadedAt = now;
+            fadedAt = nowMillis;
         }
     }
 }
--- a/src/main/java/tinroad/Classes.java
+++ b/src/main/java/tinroad/overload/ClassTable.java
@@ -1,12 +1,12 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.DoubleBinaryOperator;
 import java.util.stream.IntStream;
-import tinroad.Controller.ClassAt;
-import tinroad.Controller.RequestClass;
+import tinroad.overload.Controller.ClassSlot;
+import tinroad.overload.Controller.RequestClass;
 
 /**
  * The classes of requests by place, and what is summed over them, kept up with every sample: no
@@ -14,36 +14,36 @@
  * hears of all samples meanwhile, and takes its place at once. Knows the time only from {@link
  * #advance}, and nothing of what the sums are used for.
  */
-final class Classes {
+final class ClassTable {
     /**
      * The specs of one version, what is measured of them, where there is anything, and the sums.
      */
     private static final class Version {
-        final Places<RequestClass> specs;
-        final Places<ClassStats> stats;
+        final SlotTable<RequestClass> specs;
+        final SlotTable<ClassStatistics> stats;
         int size;
-        final Sum run;
-        final Sum calm;
-        final Sum asked;
-        final Sum worth;
+        final CompensatedSum run;
+        final CompensatedSum calm;
+        final CompensatedSum asked;
+        final CompensatedSum worth;
 
         Version() {
-            specs = new Places<>();
-            stats = new Places<>();
-            run = new Sum();
-            calm = new Sum();
-            asked = new Sum();
-            worth = new Sum();
+            specs = new SlotTable<>();
+            stats = new SlotTable<>();
+            run = new CompensatedSum();
+            calm = new CompensatedSum();
+            asked = new CompensatedSum();
+            worth = new CompensatedSum();
         }
 
         Version(Version before) {
             specs = before.specs.next();
             stats = before.stats.next();
             size = before.size;
-            run = new Sum(before.run);
-            calm = new Sum(before.calm);
-            asked = new Sum(before.asked);
-            worth = new Sum(before.worth);
+            run = new CompensatedSum(before.run);
+            calm = new CompensatedSum(before.calm);
+            asked = new CompensatedSum(before.asked);
+            worth = new CompensatedSum(before.worth);
         }
 
         void fade(double part) {
@@ -52,7 +52,7 @@
         }
     }
 
-    private final Learned learned;
+    private final LearnedStatistics learned;
     private final double span;
     private final boolean worthByWork;
 
@@ -62,7 +62,7 @@
     private Version now = new Version();
     private Version staged;
     private double clock;
-    private final Telling telling;
+    private final UnderservedClasses telling;
 
     /**
      * @param span ms in which what was asked and served falls to its e-th part
@@ -70,16 +70,16 @@
      *     ratio
      * @param worthByWork a class's worth is for each ms of its run
      */
-    Classes(
+    ClassTable(
             List<RequestClass> specs,
-            Learned learned,
+            LearnedStatistics learned,
             double span,
             DoubleBinaryOperator lag,
             boolean worthByWork,
             double clock) {
         this.learned = learned;
         this.span = span;
-        telling = new Telling(lag);
+        telling = new UnderservedClasses(lag);
         this.worthByWork = worthByWork;
         this.clock = clock;
         for (RequestClass c : specs) {
@@ -106,11 +106,11 @@
      * What has samples or a memory of them. Until the first request, change or memory all, with
      * what is assumed of them: that is what a memory may be of.
      */
-    List<ClassStats> known() {
+    List<ClassStatistics> known() {
         if (untouched) {
             return IntStream.range(0, now.specs.size()).mapToObj(learned::nothing).toList();
         }
-        List<ClassStats> known = new ArrayList<>();
+        List<ClassStatistics> known = new ArrayList<>();
         now.stats.forEach(
                 s -> {
                     if (s.known) {
@@ -126,8 +126,8 @@
     }
 
     /** What an answer of this class adds to what operators want, before any bonus. */
-    double worth(ClassStats s, RequestClass c) {
-        return c.worth() * (worthByWork ? learned.run(s, c) : 1);
+    double worth(ClassStatistics s, RequestClass c) {
+        return c.priorityWeight() * (worthByWork ? learned.run(s, c) : 1);
     }
 
     /** Requests lately, over all classes. */
@@ -141,7 +141,7 @@
     }
 
     /** Requests of this class lately. */
-    double asked(ClassStats s) {
+    double asked(ClassStatistics s) {
         s.fade(clock, span);
         return s.asked;
     }
@@ -156,15 +156,15 @@
      * This class's part of the weight that those served worst share; nothing for one that was taken
      * out.
      */
-    double lagShare(ClassStats s) {
+    double lagShare(ClassStatistics s) {
         return counts(s) ? telling.lagShare(s, now.size, clock) : 0;
     }
 
     // --- samples ---
 
     /** A request of the class at this place came. */
-    ClassStats ask(int place) {
-        ClassStats s = measured(place);
+    ClassStatistics ask(int place) {
+        ClassStatistics s = measured(place);
         s.fade(clock, span);
         addWhereCounted(s, -1);
         s.asked++;
@@ -174,19 +174,19 @@
     }
 
     /** One of them was served in time. */
-    void serve(ClassStats s) {
+    void serve(ClassStatistics s) {
         s.fade(clock, span);
         s.served++;
         telling.changed(s);
     }
 
     /** What is measured of the class at this place changes. */
-    void change(int place, BiConsumer<ClassStats, RequestClass> how) {
+    void change(int place, BiConsumer<ClassStatistics, RequestClass> how) {
         change(measured(place), at(place), how);
     }
 
     /** The same of a request in hand, of the class that it came under. */
-    void change(ClassStats s, RequestClass c, BiConsumer<ClassStats, RequestClass> how) {
+    void change(ClassStatistics s, RequestClass c, BiConsumer<ClassStatistics, RequestClass> how) {
         s.fade(clock, span);
         addWhereCounted(s, -1);
         how.accept(s, c);
@@ -194,9 +194,9 @@
         s.known = true;
     }
 
-    private ClassStats measured(int place) {
+    private ClassStatistics measured(int place) {
         untouched = false;
-        ClassStats s = now.stats.get(place);
+        ClassStatistics s = now.stats.get(place);
         if (s == null) {
             s = learned.nothing(place);
             now.stats.set(place, s);
@@ -207,7 +207,7 @@
         return s;
     }
 
-    private void addWhereCounted(ClassStats s, int sign) {
+    private void addWhereCounted(ClassStatistics s, int sign) {
         if (counts(s)) {
             add(now, at(s.place), s, sign);
             if (staged != null) {
@@ -216,11 +216,11 @@
         }
     }
 
-    private boolean counts(ClassStats s) {
+    private boolean counts(ClassStatistics s) {
         return at(s.place) != null && now.stats.get(s.place) == s;
     }
 
-    private void add(Version v, RequestClass c, ClassStats s, int sign) {
+    private void add(Version v, RequestClass c, ClassStatistics s, int sign) {
         if (c != null) {
             v.run.add(sign * learned.run(s, c));
             v.calm.add(sign * learned.calm(s, c));
@@ -234,14 +234,14 @@
     // --- changes ---
 
     /** Prepares a part of a change. */
-    void stage(List<ClassAt> changes) {
+    void stage(List<ClassSlot> changes) {
         if (changes.isEmpty()) {
             return;
         }
         untouched = false;
         staged = staged == null ? new Version(now) : staged;
-        for (ClassAt change : changes) {
-            int place = change.place();
+        for (ClassSlot change : changes) {
+            int place = change.slot();
             if (change.spec() != null && at(place) == null && staged.stats.get(place) != null) {
                 // Whatever was learned there is of another class.
                 staged.stats.set(place, null);
@@ -250,7 +250,7 @@
         }
     }
 
-    private void put(Version v, int place, RequestClass c, ClassStats s) {
+    private void put(Version v, int place, RequestClass c, ClassStatistics s) {
         if (s != null) {
             s.fade(clock, span);
         }
--- a/src/main/java/tinroad/Sum.java
+++ b/src/main/java/tinroad/overload/CompensatedSum.java
@@ -1,18 +1,18 @@
-package tinroad;
+package tinroad.overload;
 
 /**
  * A sum that is kept by adding and taking away. Neumaier's compensated summation: guards against
  * drift, as what each addition rounds away is kept beside it.
  */
-final class Sum {
+final class CompensatedSum {
     private double sum;
     private double rounded;
 
     /** Nothing. */
-    Sum() {}
+    CompensatedSum() {}
 
     /** The same as another. */
-    Sum(Sum other) {
+    CompensatedSum(CompensatedSum other) {
         sum = other.sum;
         rounded = other.rounded;
     }
--- a/src/main/java/tinroad/Controller.java
+++ b/src/main/java/tinroad/overload/Controller.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.List;
 import java.util.Map;
@@ -12,31 +12,32 @@
 public interface Controller {
 
     /** The server starts; called once, before anything else. The seed feeds all random choices. */
-    void start(double now, long seed, Settings settings);
+    void start(double nowMillis, long seed, Settings settings);
 
     /** A request was read and now waits in the hold. It is owed exactly one final answer. */
-    void request(double now, Request request);
+    void requestArrived(double nowMillis, Request request);
 
-    /** A run, or a wait on {@link Actions#reuse}, finished. */
-    void ended(double now, String id, double elapsed, Outcome outcome);
+    /** A run, or a wait on {@link Actions#replayResult}, finished. */
+    void completed(double nowMillis, String id, double elapsedMillis, Outcome outcome);
 
     /** A running request cannot go on without a call to what lies below. */
-    void needs(double now, String id);
+    void dependencyCallNeeded(double nowMillis, String id);
 
-    /** A call made with {@link Actions#call} came back. */
-    void called(double now, String id, double elapsed, Outcome outcome);
+    /** A call made with {@link Actions#callDependency} came back. */
+    void dependencyCallCompleted(
+            double nowMillis, String id, double elapsedMillis, Outcome outcome);
 
     /** Nobody waits for this request any more. */
-    void gone(double now, String id);
+    void cancelled(double nowMillis, String id);
 
     /** Notice to leave; the process is killed at {@code leaveAt}. */
-    void drain(double now, double leaveAt);
+    void beginDraining(double nowMillis, double shutdownAtMillis);
 
-    /** A timer set with {@link Actions#timer} is due. */
-    void timer(double now, String token, Gauges gauges);
+    /** A timer set with {@link Actions#scheduleTimer} is due. */
+    void timerFired(double nowMillis, String token, Gauges gauges);
 
     /** What was learned so far, by name: all that a later life may begin with. */
-    default Map<String, Known> learned() {
+    default Map<String, Estimate> learnedEstimates() {
         return Map.of();
     }
 
@@ -45,23 +46,23 @@
      * start, or never. {@code cold}: what runs here was just started, and is slower than it was
      * then.
      */
-    default void restore(Map<String, Known> known, boolean cold) {}
+    default void restore(Map<String, Estimate> known, boolean cold) {}
 
     /**
      * Prepares a part of a change of classes and tenants, as many parts as it takes. Nothing of it
      * counts before {@link #commit}, so that no event waits long for a large change.
      */
-    default void stage(List<ClassAt> classes, List<TenantAt> tenants) {}
+    default void stage(List<ClassSlot> classes, List<TenantSlot> tenants) {}
 
     /**
      * All that was staged counts from now on, at one instant. What is in hand keeps the due time,
      * the effect and the tenant that it came under; what was learned of a place that stays used
      * stays.
      */
-    default void commit(double now) {}
+    default void commit(double nowMillis) {}
 
     /** Nothing that was staged since the last commit counts. */
-    default void unstage() {}
+    default void discardStaged() {}
 
     /**
      * What the controller may do. Every action takes effect at the time of the event being handled.
@@ -74,47 +75,47 @@
          * Final answer: turned away unrun. {@code stayAway} 0: no advice; {@code last}: do not
          * retry elsewhere.
          */
-        void refuse(String id, double stayAway, boolean last);
+        void reject(String id, double retryAfterMillis, boolean doNotRetry);
 
         /** Final answer: error, no promise. */
         void fail(String id);
 
-        /** Stops a running request, as {@link Settings#halt} allows. */
-        void halt(String id);
+        /** Stops a running request, as {@link Settings#cancellationMode} allows. */
+        void cancel(String id);
 
         /** Issues the call a request waits on, given up after {@code within}. */
-        void call(String id, double within);
+        void callDependency(String id, double timeoutMillis);
 
         /** Goes on without the call, for a poorer answer. */
-        void skip(String id);
+        void skipDependency(String id);
 
         /** Keeps the request's key for this long, so that repeats are known. */
-        void keep(String id, double duration);
+        void retainKey(String id, double durationMillis);
 
         /** Frees the kept key of this request. */
-        void forget(String id);
+        void releaseKey(String id);
 
         /** Answers a repeat with the result of the request that it repeats. */
-        void reuse(String id);
+        void replayResult(String id);
 
         /** Sets what health checks are told; {@code stored}: without doing real work for it. */
-        void health(boolean good, boolean stored);
+        void setHealth(boolean healthy, boolean stored);
 
         /** Sets the free value that goes out with every answer. */
-        void say(double value);
+        void advertiseLoad(double value);
 
         /** Closes connections unused for this long; 0 leaves them to the callers. */
-        void idle(double after);
+        void setIdleTimeout(double idleMillis);
 
-        /** Asks for a {@link Controller#timer} event. */
-        void timer(String token, double delay);
+        /** Asks for a {@link Controller#timerFired} event. */
+        void scheduleTimer(String token, double delayMillis);
 
         /** A line for the operators' log. */
         void log(String text);
     }
 
     /** A learned value, in ms or as a part, and how many samples stand behind it. */
-    record Known(double value, double weight) {}
+    record Estimate(double value, double weight) {}
 
     /** How a run or a call ended. */
     enum Outcome {
@@ -128,32 +129,32 @@
         IGNORED
     }
 
-    /** What callers make of {@link Actions#say}. */
-    enum Say {
+    /** What callers make of {@link Actions#advertiseLoad}. */
+    enum LoadHint {
         NONE,
         MIN_RANK,
         TOKENS,
         BIAS
     }
 
-    /** What {@link Actions#halt} does. */
-    enum Halt {
+    /** What {@link Actions#cancel} does. */
+    enum CancellationMode {
         NONE,
         DROP,
         PAUSE
     }
 
     /** Whether a request may be run again. */
-    enum Semantics {
-        FREE,
-        GUARDED,
-        SINGLE_SHOT
+    enum Idempotency {
+        IDEMPOTENT,
+        IDEMPOTENT_WITH_KEY,
+        NON_IDEMPOTENT
     }
 
     /** What lies below this server. */
-    enum Below {
+    enum DependencyKind {
         NONE,
-        COMMON,
+        SHARED,
         NEXT_HOP
     }
 
@@ -163,39 +164,43 @@
      */
     record Request(
             String id,
-            int classIndex,
-            int tenant,
+            int classSlot,
+            int tenantSlot,
             int caller,
             double memoryKb,
-            double due,
-            double age,
-            double rank,
-            double work,
-            String key,
-            String repeats,
-            boolean resent,
+            double deadlineAtMillis,
+            double ageMillis,
+            double priority,
+            double workMillis,
+            String resultKey,
+            String duplicateOf,
+            boolean retry,
             boolean write) {}
 
     /**
      * The server's own gauges, NaN where absent: share of cores busy, wanting a core, memory share,
      * connections.
      */
-    record Gauges(double coreUse, double onCores, double memoryShare, double connections) {}
+    record Gauges(
+            double coreUtilization,
+            double runnable,
+            double memoryUtilization,
+            double connections) {}
 
     /**
      * A request class. {@code aimStretch} 0: the aim is fixed. {@code keyWindow}: for guarded
      * classes.
      */
     record RequestClass(
-            double aim,
-            double aimStretch,
-            double deadline,
-            double worth,
-            double lateShare,
-            Semantics semantics,
-            double keyWindow,
-            boolean calls,
-            double skipWorth) {}
+            double objectiveMillis,
+            double objectivePerWork,
+            double deadlineMillis,
+            double priorityWeight,
+            double lateWeightShare,
+            Idempotency idempotency,
+            double keyWindowMillis,
+            boolean callsDependency,
+            double degradedWeightShare) {}
 
     /** A tenant's part: requests a second over the whole fleet, and share of the service. */
     record Tenant(double quotaPerSecond, double share) {}
@@ -205,52 +210,57 @@
      * more; those in hand go on. A spec at a place that had none begins with nothing learned; the
      * place is given anew only once nothing in hand names it.
      */
-    record ClassAt(int place, RequestClass spec) {}
+    record ClassSlot(int slot, RequestClass spec) {}
 
     /** The same of a tenant. */
-    record TenantAt(int place, Tenant spec) {}
+    record TenantSlot(int slot, Tenant spec) {}
 
     /** Weights of the operators' goal. */
-    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
+    record ObjectiveWeights(
+            double overall, double worstWindow, double worstClass, double worstTenant) {}
 
     /** The figures of the rules a server must keep. */
     record Rules(
-            double answerSlack,
-            double coldFrom,
-            double rampTime,
-            double drainGrace,
-            double crowdPerCore,
-            double crowdSpan) {}
+            double answerSlackMillis,
+            double coldStartSpeed,
+            double slowStartMillis,
+            double drainGraceMillis,
+            double concurrencyPerCore,
+            double concurrencyWindowMillis) {}
 
     /**
      * What lies below: this server's share of its calls, the span of the mean, how long a call
      * given up stays.
      */
-    record Dependency(Below kind, double callShare, double callSpan, double lingers) {}
+    record Dependency(
+            DependencyKind kind,
+            double concurrentCallQuota,
+            double quotaWindowMillis,
+            double lingerMillis) {}
 
     /** All a server is told at its start. */
     record Settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
-            Goal goal,
+            ObjectiveWeights objectiveWeights,
             Rules rules,
-            Dependency below,
-            Say say,
-            Halt halt,
+            Dependency dependency,
+            LoadHint loadHint,
+            CancellationMode cancellationMode,
             int cores,
             int servers,
             int callers,
-            boolean cold,
-            boolean passesDeadline,
-            double idle,
+            boolean coldStart,
+            boolean requestsCarryDeadline,
+            double clientIdleMillis,
             double memoryKb,
-            double runFactor,
+            double runMemoryFactor,
             double keyKb,
-            double freshFor,
-            double maxStayAway,
-            boolean passesStayAway,
-            boolean marksRetry,
-            double overShareWorth,
-            double step,
-            boolean worthByWork) {}
+            double resultFreshMillis,
+            double maxRetryAfterMillis,
+            boolean sendsRetryAfter,
+            boolean requestsMarkRetries,
+            double overQuotaWeight,
+            double clockStepMillis,
+            boolean weightByWork) {}
 }
--- a/src/main/java/tinroad/FadingRates.java
+++ b/src/main/java/tinroad/overload/DecayingRates.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.Arrays;
 
@@ -7,7 +7,7 @@
  * or added to, so that time passing costs nothing. Times in ms, as they are given. Nothing is held
  * for chunks never used.
  */
-final class FadingRates {
+final class DecayingRates {
     private static final int BITS = 8;
 
     /** The time in which a rate falls to its e-th part. */
@@ -16,18 +16,18 @@
     /** Each rate and then its time stamp. */
     private double[][] chunks = new double[1][];
 
-    FadingRates(double span) {
+    DecayingRates(double span) {
         this.span = span;
     }
 
     /** The rate at this place. */
-    double at(int place, double now) {
+    double at(int place, double nowMillis) {
         double[] chunk = place >> BITS < chunks.length ? chunks[place >> BITS] : null;
-        return chunk == null ? 0 : faded(chunk, index(place), now);
+        return chunk == null ? 0 : faded(chunk, index(place), nowMillis);
     }
 
     /** Adds to the rate at this place. */
-    void add(int place, double amount, double now) {
+    void add(int place, double amount, double nowMillis) {
         int at = place >> BITS;
         if (at >= chunks.length) {
             chunks = Arrays.copyOf(chunks, Math.max(at + 1, chunks.length + chunks.length / 2));
@@ -35,7 +35,7 @@
         if (chunks[at] == null) {
             chunks[at] = new double[2 << BITS];
         }
-        faded(chunks[at], index(place), now);
+        faded(chunks[at], index(place), nowMillis);
         chunks[at][index(place)] += amount;
     }
 
@@ -50,10 +50,10 @@
         return (place & (1 << BITS) - 1) * 2;
     }
 
-    private double faded(double[] chunk, int i, double now) {
-        if (now > chunk[i + 1]) {
-            chunk[i] = chunk[i] == 0 ? 0 : chunk[i] * Math.exp((chunk[i + 1] - now) / span);
-            chunk[i + 1] = now;
+    private double faded(double[] chunk, int i, double nowMillis) {
+        if (nowMillis > chunk[i + 1]) {
+            chunk[i] = chunk[i] == 0 ? 0 : chunk[i] * Math.exp((chunk[i + 1] - nowMillis) / span);
+            chunk[i + 1] = nowMillis;
         }
         return chunk[i];
     }
--- a/src/main/java/tinroad/Expiring.java
+++ b/src/main/java/tinroad/overload/ExpiringSet.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * Names that are kept until a time each. Looks only at those whose time has come: the others cost
  * nothing meanwhile.
  */
-final class Expiring {
+final class ExpiringSet {
     private record Kept(String name, double until) implements Comparable<Kept> {
         @Override
         public int compareTo(Kept other) {
@@ -38,9 +38,9 @@
     }
 
     /** Lets go of those whose time is past, and says of how many. */
-    int expire(double now) {
+    int expire(double nowMillis) {
         int expired = 0;
-        while (!byTime.isEmpty() && byTime.peek().until < now) {
+        while (!byTime.isEmpty() && byTime.peek().until < nowMillis) {
             Kept k = byTime.remove();
             expired += kept.remove(k.name, k) ? 1 : 0;
         }
--- a/src/main/java/tinroad/Learned.java
+++ b/src/main/java/tinroad/overload/LearnedStatistics.java
@@ -1,17 +1,17 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import tinroad.ClassStats.Patience;
-import tinroad.Controller.Known;
-import tinroad.Controller.RequestClass;
+import tinroad.overload.ClassStatistics.ClientTimeout;
+import tinroad.overload.Controller.Estimate;
+import tinroad.overload.Controller.RequestClass;
 
 /**
  * What the module has learned of its classes and callers: all that may outlive the process. Times
  * in ms.
  */
-final class Learned {
+final class LearnedStatistics {
     /** What the part of callers that come back weighs, whose samples are not counted. */
     private static final double UNCOUNTED = 4;
 
@@ -32,31 +32,31 @@
     double returning = 1;
 
     /** Nothing yet. */
-    Learned(double part, double weight) {
+    LearnedStatistics(double part, double weight) {
         this.part = part;
         this.weight = weight;
     }
 
     /** Nothing of the class at this place. */
-    ClassStats nothing(int place) {
-        return new ClassStats(place, weight);
+    ClassStatistics nothing(int place) {
+        return new ClassStatistics(place, weight);
     }
 
     /** Expected run of this class; {@code s} null: nothing is measured. */
-    double run(ClassStats s, RequestClass c) {
-        return s == null || s.run == 0 ? part * c.aim() : s.run;
+    double run(ClassStatistics s, RequestClass c) {
+        return s == null || s.run == 0 ? part * c.objectiveMillis() : s.run;
     }
 
     /** The same while calm. */
-    double calm(ClassStats s, RequestClass c) {
-        return s == null || s.calm == 0 ? part * c.aim() : s.calm;
+    double calm(ClassStatistics s, RequestClass c) {
+        return s == null || s.calm == 0 ? part * c.objectiveMillis() : s.calm;
     }
 
     /** A new wait displaces those that are seldom seen. */
-    static void newWait(ClassStats s, double wait) {
+    static void newWait(ClassStatistics s, double wait) {
         if (s.waits.size() < WAITS) {
             s.waits = s.waits.isEmpty() ? new ArrayList<>(WAITS) : s.waits;
-            s.waits.add(new Patience(wait));
+            s.waits.add(new ClientTimeout(wait));
             return;
         }
         s.waits.forEach(p -> p.votes -= 1.0 / WAITS);
@@ -64,18 +64,18 @@
     }
 
     /** All of it by name, each with the samples behind it: {@code run.0} is of the class at 0. */
-    Map<String, Known> export(Classes classes) {
-        Map<String, Known> all = new LinkedHashMap<>();
-        for (ClassStats s : classes.known()) {
+    Map<String, Estimate> export(ClassTable classes) {
+        Map<String, Estimate> all = new LinkedHashMap<>();
+        for (ClassStatistics s : classes.known()) {
             RequestClass c = classes.at(s.place);
             if (c != null || s.run > 0) {
-                all.put("run." + s.place, new Known(run(s, c), s.runs));
+                all.put("run." + s.place, new Estimate(run(s, c), s.runs));
             }
             if (c != null || s.calm > 0) {
-                all.put("calm." + s.place, new Known(calm(s, c), s.calmRuns));
+                all.put("calm." + s.place, new Estimate(calm(s, c), s.calmRuns));
             }
         }
-        all.put("returning", new Known(returning, UNCOUNTED));
+        all.put("returning", new Estimate(returning, UNCOUNTED));
         return all;
     }
 
@@ -83,7 +83,7 @@
      * Begins with what an earlier life knew, on cores of this part of their speed. What no class
      * can be is left out.
      */
-    void restore(Map<String, Known> known, double speed, Classes classes) {
+    void restore(Map<String, Estimate> known, double speed, ClassTable classes) {
         for (String name : known.keySet()) {
             int place =
                     name.matches("(run|calm)[.][0-9]{1,8}")
@@ -93,13 +93,14 @@
                 classes.change(place, (s, c) -> restore(s, c, known, speed));
             }
         }
-        Known back = known.get("returning");
+        Estimate back = known.get("returning");
         returning = usable(back) ? Math.min(1, back.value()) : returning;
     }
 
-    private void restore(ClassStats s, RequestClass c, Map<String, Known> known, double speed) {
-        Known run = known.get("run." + s.place);
-        Known calm = known.get("calm." + s.place);
+    private void restore(
+            ClassStatistics s, RequestClass c, Map<String, Estimate> known, double speed) {
+        Estimate run = known.get("run." + s.place);
+        Estimate calm = known.get("calm." + s.place);
         if (usable(run)) {
             // Guards against another day's slowness: no more is expected than without any memory.
             s.run =
@@ -110,7 +111,7 @@
         }
     }
 
-    private static boolean usable(Known k) {
+    private static boolean usable(Estimate k) {
         return k != null && k.value() > 0 && k.value() < 1e9 && k.weight() > 0;
     }
 }
--- a/src/main/java/tinroad/OverloadController.java
+++ b/src/main/java/tinroad/overload/OverloadController.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 // The types, events and actions used here are in Controller.java, beside this file.
 
@@ -242,7 +242,7 @@
         /** What it came under, whatever has changed since. */
         final RequestClass spec;
 
-        final ClassStats stats;
+        final ClassStatistics stats;
         final int tenant;
         final Tenant quota;
         final int caller;
@@ -266,25 +266,31 @@
         Work(
                 Request r,
                 RequestClass c,
-                ClassStats s,
+                ClassStatistics s,
                 Tenant t,
-                double now,
+                double nowMillis,
                 boolean told,
                 double spent) {
             id = r.id();
             spec = c;
             stats = s;
-            tenant = r.tenant();
+            tenant = r.tenantSlot();
             quota = t;
             caller = r.caller();
             kb = r.memoryKb();
-            arrived = now - r.age();
-            due = told && r.due() > 0 ? r.due() : arrived + c.deadline();
-            double aim = Math.min(c.deadline(), c.aim() + c.aimStretch() * r.work());
+            arrived = nowMillis - r.ageMillis();
+            due =
+                    told && r.deadlineAtMillis() > 0
+                            ? r.deadlineAtMillis()
+                            : arrived + c.deadlineMillis();
+            double aim =
+                    Math.min(
+                            c.deadlineMillis(),
+                            c.objectiveMillis() + c.objectivePerWork() * r.workMillis());
             aimAt = Math.min(due, arrived + aim - spent);
-            rank = r.rank();
-            resent = r.resent();
-            work = r.work();
+            rank = r.priority();
+            resent = r.retry();
+            work = r.workMillis();
         }
     }
 
@@ -293,10 +299,10 @@
     private final Map<String, Work> all = new LinkedHashMap<>();
     private final List<Work> held = new ArrayList<>();
     private final List<Work> callQueue = new ArrayList<>();
-    private final Expiring keys = new Expiring();
-    private final Learned learned = new Learned(FIRST_RUN, FIRST_WEIGHT);
-    private Classes classes;
-    private Tenants tenants;
+    private final ExpiringSet keys = new ExpiringSet();
+    private final LearnedStatistics learned = new LearnedStatistics(FIRST_RUN, FIRST_WEIGHT);
+    private ClassTable classes;
+    private TenantTable tenants;
     private double allRates;
     private double startedAt;
     private double clock;
@@ -318,7 +324,7 @@
     private double calmConnections;
     private double calmSweeps;
     private final LinkedHashMap<Integer, Double> lastSeen = new LinkedHashMap<>();
-    private final Returns returns = new Returns();
+    private final RetryAfterSchedule returns = new RetryAfterSchedule();
     private double sickAt;
     private double ratesWhenSick;
     private double failing;
@@ -346,55 +352,55 @@
     }
 
     @Override
-    public void start(double now, long seed, Settings settings) {
+    public void start(double nowMillis, long seed, Settings settings) {
         set = settings;
-        startedAt = now;
-        clock = now;
-        lastEnd = now;
-        lastSweep = now;
+        startedAt = nowMillis;
+        clock = nowMillis;
+        lastEnd = nowMillis;
+        lastSweep = nowMillis;
         classes =
-                new Classes(
+                new ClassTable(
                         settings.classes(),
                         learned,
                         SERVED_SPAN,
                         OverloadController::lag,
-                        settings.worthByWork(),
-                        now);
-        tenants = new Tenants(settings.tenants(), RATE_SPAN);
+                        settings.weightByWork(),
+                        nowMillis);
+        tenants = new TenantTable(settings.tenants(), RATE_SPAN);
         limit = Math.max(1, settings.cores() * RUNS_PER_CORE);
         idle = longestIdle();
-        act.health(true, true);
-        act.idle(idle);
-        act.timer("tick", TICK);
+        act.setHealth(true, true);
+        act.setIdleTimeout(idle);
+        act.scheduleTimer("tick", TICK);
     }
 
     @Override
-    public Map<String, Known> learned() {
+    public Map<String, Estimate> learnedEstimates() {
         return learned.export(classes);
     }
 
     @Override
-    public void restore(Map<String, Known> known, boolean cold) {
-        learned.restore(known, cold ? Math.max(0.01, set.rules().coldFrom()) : 1, classes);
+    public void restore(Map<String, Estimate> known, boolean cold) {
+        learned.restore(known, cold ? Math.max(0.01, set.rules().coldStartSpeed()) : 1, classes);
     }
 
     // --- changes of settings ---
 
     @Override
-    public void stage(List<ClassAt> changed, List<TenantAt> quotas) {
+    public void stage(List<ClassSlot> changed, List<TenantSlot> quotas) {
         classes.stage(changed);
         tenants.stage(quotas);
     }
 
     @Override
-    public void commit(double now) {
-        advance(now);
+    public void commit(double nowMillis) {
+        advance(nowMillis);
         classes.commit();
         tenants.commit();
     }
 
     @Override
-    public void unstage() {
+    public void discardStaged() {
         classes.unstage();
         tenants.unstage();
     }
@@ -402,36 +408,36 @@
     // --- admission ---
 
     @Override
-    public void request(double now, Request r) {
-        advance(now);
-        RequestClass c = classes.at(r.classIndex());
+    public void requestArrived(double nowMillis, Request r) {
+        advance(nowMillis);
+        RequestClass c = classes.at(r.classSlot());
         if (c == null) {
-            act.refuse(r.id(), 0, false);
+            act.reject(r.id(), 0, false);
             return;
         }
-        ClassStats s = classes.ask(r.classIndex());
+        ClassStatistics s = classes.ask(r.classSlot());
         Work w =
                 new Work(
                         r,
                         c,
                         s,
-                        tenants.at(r.tenant()),
-                        now,
-                        set.passesDeadline(),
-                        spent(now, r, c, s));
+                        tenants.at(r.tenantSlot()),
+                        nowMillis,
+                        set.requestsCarryDeadline(),
+                        spent(nowMillis, r, c, s));
         all.put(w.id, w);
         memory += w.kb;
-        tenants.ask(w.tenant, 1000 / RATE_SPAN, now);
+        tenants.ask(w.tenant, 1000 / RATE_SPAN, nowMillis);
         allRates += 1000 / RATE_SPAN;
-        countReturn(now, r.caller());
+        countReturn(nowMillis, r.caller());
         resentPart += EWMA_CALM * ((w.resent ? 1 : 0) - resentPart);
-        behind += EWMA_RUN * (r.age() / c.aim() - behind);
-        if (r.repeats() != null && c.semantics() != Semantics.SINGLE_SHOT) {
+        behind += EWMA_RUN * (r.ageMillis() / c.objectiveMillis() - behind);
+        if (r.duplicateOf() != null && c.idempotency() != Idempotency.NON_IDEMPOTENT) {
             join(w, c);
-        } else if (!fits(w, c) || late(w, now) || !admitted(w, now)) {
+        } else if (!fits(w, c) || late(w, nowMillis) || !admitted(w, nowMillis)) {
             refuse(w);
         } else {
-            keep(w, c, r, now);
+            keep(w, c, r, nowMillis);
             held.add(w);
             dispatch();
         }
@@ -444,39 +450,39 @@
      * shorter one what a server has spent. Where no wait is told, a marked retry has waited
      * elsewhere, or stayed away for as long as it was asked.
      */
-    private double spent(double now, Request r, RequestClass c, ClassStats s) {
-        if (!set.passesDeadline() || r.due() <= 0) {
-            return r.resent() ? Math.min(c.aim() / 2, set.maxStayAway()) : 0;
+    private double spent(double nowMillis, Request r, RequestClass c, ClassStatistics s) {
+        if (!set.requestsCarryDeadline() || r.deadlineAtMillis() <= 0) {
+            return r.retry() ? Math.min(c.objectiveMillis() / 2, set.maxRetryAfterMillis()) : 0;
         }
-        double wait = r.due() - now + r.age();
+        double wait = r.deadlineAtMillis() - nowMillis + r.ageMillis();
         double next = Double.MAX_VALUE;
         boolean known = false;
-        for (ClassStats.Patience p : s.waits) {
-            if (Math.abs(wait - p.wait) <= WAIT_SAME * c.deadline()) {
-                p.votes = Math.min(WAIT_VOTES, p.votes + (r.resent() ? 0 : 1));
+        for (ClassStatistics.ClientTimeout p : s.waits) {
+            if (Math.abs(wait - p.wait) <= WAIT_SAME * c.deadlineMillis()) {
+                p.votes = Math.min(WAIT_VOTES, p.votes + (r.retry() ? 0 : 1));
                 return 0;
             }
             known |= p.votes >= WAIT_KNOWN;
             next = p.votes >= WAIT_KNOWN && p.wait > wait ? Math.min(next, p.wait) : next;
         }
-        if (!r.resent()) {
-            Learned.newWait(s, wait);
+        if (!r.retry()) {
+            LearnedStatistics.newWait(s, wait);
         }
-        return known ? Math.max(0, Math.min(next, c.deadline()) - wait) : 0;
+        return known ? Math.max(0, Math.min(next, c.deadlineMillis()) - wait) : 0;
     }
 
     /**
      * How many callers come back while a calm server would keep their connection; the rest are
      * forgotten.
      */
-    private void countReturn(double now, int caller) {
+    private void countReturn(double nowMillis, int caller) {
         Iterator<Double> oldest = lastSeen.values().iterator();
-        while (oldest.hasNext() && oldest.next() < now - longestIdle()) {
+        while (oldest.hasNext() && oldest.next() < nowMillis - longestIdle()) {
             oldest.remove();
         }
         learned.returning +=
                 EWMA_CALM * ((lastSeen.remove(caller) != null ? 1 : 0) - learned.returning);
-        lastSeen.put(caller, now);
+        lastSeen.put(caller, nowMillis);
     }
 
     /**
@@ -489,7 +495,7 @@
             return;
         }
         w.state = State.JOINED;
-        act.reuse(w.id);
+        act.replayResult(w.id);
     }
 
     private double memoryPart(double part) {
@@ -497,28 +503,29 @@
     }
 
     private boolean fits(Work w, RequestClass c) {
-        double key = c.semantics() == Semantics.GUARDED ? set.keyKb() : 0;
+        double key = c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? set.keyKb() : 0;
         return memory + key <= memoryPart(MEMORY_PART);
     }
 
     /**
      * Guards the drain rule: nothing that arrived after the grace is run; nor what is due at once.
      */
-    private boolean late(Work w, double now) {
-        return w.arrived > drainAt + set.rules().drainGrace() - set.step() || now >= dueGuard(w);
+    private boolean late(Work w, double nowMillis) {
+        return w.arrived > drainAt + set.rules().drainGraceMillis() - set.clockStepMillis()
+                || nowMillis >= dueGuard(w);
     }
 
-    private boolean admitted(Work w, double now) {
+    private boolean admitted(Work w, double nowMillis) {
         if (shut()) {
-            return probe(now);
+            return probe(nowMillis);
         }
         if (w.rank * tenantWorth(w) < cut) {
             return false;
         }
         double part = ADMIT_PART + ADMIT_JAM * resentPart;
-        boolean meets = w.work <= w.aimAt - now && finish(w) <= (w.aimAt - now) * part;
-        missed |= !meets && now < w.aimAt;
-        int anyway = now > w.aimAt ? set.cores() / 2 : Math.min(set.cores(), ALWAYS);
+        boolean meets = w.work <= w.aimAt - nowMillis && finish(w) <= (w.aimAt - nowMillis) * part;
+        missed |= !meets && nowMillis < w.aimAt;
+        int anyway = nowMillis > w.aimAt ? set.cores() / 2 : Math.min(set.cores(), ALWAYS);
         return meets || running + held.size() < anyway;
     }
 
@@ -527,14 +534,14 @@
     }
 
     /** While shut: the part of the arrivals that would succeed, and a probe now and then. */
-    private boolean probe(double now) {
+    private boolean probe(double nowMillis) {
         probeCredit += hung ? 0 : 1 - failing;
         if (running + held.size() >= set.cores()
-                || (probeCredit < 1 && now - lastProbe < PROBE_GAP)) {
+                || (probeCredit < 1 && nowMillis - lastProbe < PROBE_GAP)) {
             return false;
         }
         probeCredit = Math.max(0, probeCredit - 1);
-        lastProbe = now;
+        lastProbe = nowMillis;
         return true;
     }
 
@@ -553,20 +560,20 @@
         return held.stream().filter(h -> priority(h) >= order).mapToDouble(this::run).sum();
     }
 
-    private void keep(Work w, RequestClass c, Request r, double now) {
+    private void keep(Work w, RequestClass c, Request r, double nowMillis) {
         double span = 0;
-        if (c.semantics() == Semantics.GUARDED) {
-            span = c.keyWindow() + set.step();
-        } else if (c.semantics() == Semantics.FREE
-                && set.freshFor() > 0
-                && r.key() != null
+        if (c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+            span = c.keyWindowMillis() + set.clockStepMillis();
+        } else if (c.idempotency() == Idempotency.IDEMPOTENT
+                && set.resultFreshMillis() > 0
+                && r.resultKey() != null
                 && memory + set.keyKb() <= memoryPart(RUN_MEMORY_PART)) {
-            span = w.due - now + set.freshFor();
+            span = w.due - nowMillis + set.resultFreshMillis();
         }
         if (span > 0) {
-            act.keep(w.id, span);
+            act.retainKey(w.id, span);
             w.kept = true;
-            keys.put(w.id, now + span + set.step());
+            keys.put(w.id, nowMillis + span + set.clockStepMillis());
             memory += set.keyKb();
         }
     }
@@ -594,7 +601,7 @@
     /** The memory guard; a server that runs nothing may use the arrivals' headroom for one run. */
     private boolean runnable(Work w) {
         double part = running == 0 ? MEMORY_PART : RUN_MEMORY_PART;
-        return memory + w.kb * (set.runFactor() - 1) <= memoryPart(part);
+        return memory + w.kb * (set.runMemoryFactor() - 1) <= memoryPart(part);
     }
 
     private void start(Work w) {
@@ -606,7 +613,7 @@
         w.ran = true;
         w.servedAtStart = coreTime;
         running++;
-        memory += w.kb * (set.runFactor() - 1);
+        memory += w.kb * (set.runMemoryFactor() - 1);
         act.run(w.id);
     }
 
@@ -623,7 +630,7 @@
      */
     private double onCore() {
         return meanRunning > 0
-                ? Math.max(1 / set.rules().crowdPerCore(), meanOnCores / meanRunning)
+                ? Math.max(1 / set.rules().concurrencyPerCore(), meanOnCores / meanRunning)
                 : 1;
     }
 
@@ -641,11 +648,12 @@
     private double crowd() {
         Rules rules = set.rules();
         double warm = 1;
-        if (set.cold() && rules.rampTime() > 0) {
-            double ramp = Math.min(1, (clock - startedAt) / rules.rampTime());
-            warm = rules.coldFrom() + (1 - rules.coldFrom()) * ramp;
+        if (set.coldStart() && rules.slowStartMillis() > 0) {
+            double ramp = Math.min(1, (clock - startedAt) / rules.slowStartMillis());
+            warm = rules.coldStartSpeed() + (1 - rules.coldStartSpeed()) * ramp;
         }
-        return Math.max(1, set.cores() * (1 + (rules.crowdPerCore() - 1) * warm) * CROWD_PART);
+        return Math.max(
+                1, set.cores() * (1 + (rules.concurrencyPerCore() - 1) * warm) * CROWD_PART);
     }
 
     /**
@@ -655,7 +663,7 @@
      */
     private double priority(Work w) {
         double run = run(w);
-        double share = clock + run + w.stats.away > w.aimAt ? w.spec.lateShare() : 1;
+        double share = clock + run + w.stats.away > w.aimAt ? w.spec.lateWeightShare() : 1;
         return value(w) * share * tenantWorth(w) * (w.resent ? RESENT_PART : 1) / run;
     }
 
@@ -671,8 +679,15 @@
             return own;
         }
         double share = classes.asked(w.stats) / asked;
-        double bonus = share > 0 ? set.goal().worstClass() * classes.lagShare(w.stats) / share : 0;
-        return (set.goal().whole() + set.goal().worstWindow()) * own * asked / worth + bonus;
+        double bonus =
+                share > 0
+                        ? set.objectiveWeights().worstClass() * classes.lagShare(w.stats) / share
+                        : 0;
+        return (set.objectiveWeights().overall() + set.objectiveWeights().worstWindow())
+                        * own
+                        * asked
+                        / worth
+                + bonus;
     }
 
     /**
@@ -694,7 +709,7 @@
         double expected = Math.max(quota, beside) * RATE_SPAN / 1000;
         double fair = (expected + OVER_SPREAD * Math.sqrt(expected)) * 1000 / RATE_SPAN;
         double within = Math.min(1, fair / Math.max(1e-9, own));
-        return within + (1 - within) * set.overShareWorth();
+        return within + (1 - within) * set.overQuotaWeight();
     }
 
     /** Expected run on one free core here. */
@@ -726,29 +741,29 @@
     // --- what runs ---
 
     @Override
-    public void ended(double now, String id, double elapsed, Outcome outcome) {
-        advance(now);
+    public void completed(double nowMillis, String id, double elapsed, Outcome outcome) {
+        advance(nowMillis);
         Work w = all.get(id);
         if (w == null) {
             return;
         }
         boolean ran = w.state == State.RUNNING || w.state == State.AT_CALL;
         if (ran && (outcome == Outcome.OK || outcome == Outcome.FAILED)) {
-            learn(w, outcome == Outcome.OK, now);
+            learn(w, outcome == Outcome.OK, nowMillis);
         }
-        if (outcome == Outcome.OK && !w.answered && now <= w.aimAt) {
+        if (outcome == Outcome.OK && !w.answered && nowMillis <= w.aimAt) {
             classes.serve(w.stats);
         }
         drop(w);
         dispatch();
-        placeCalls(now);
+        placeCalls(nowMillis);
     }
 
-    private void learn(Work w, boolean ok, double now) {
-        lastEnd = now;
+    private void learn(Work w, boolean ok, double nowMillis) {
+        lastEnd = nowMillis;
         hung = false;
         failing += EWMA_OUTCOME * ((ok ? 0 : 1) - failing);
-        sickAt = sick ? sickAt : now;
+        sickAt = sick ? sickAt : nowMillis;
         ratesWhenSick = sick ? ratesWhenSick : rates();
         sick = failing > (sick ? WELL_AT : SICK_AT);
         if (!ok) {
@@ -762,7 +777,8 @@
                     double sample = Math.max(1, coreTime - w.servedAtStart);
                     s.run = blend(learned.run(s, c), sample, Math.max(EWMA_RUN, 1 / ++s.runs));
                     if (running <= set.cores()
-                            && (!set.cold() || clock - startedAt >= set.rules().rampTime())) {
+                            && (!set.coldStart()
+                                    || clock - startedAt >= set.rules().slowStartMillis())) {
                         s.calm =
                                 blend(
                                         learned.calm(s, c),
@@ -781,8 +797,8 @@
     }
 
     @Override
-    public void gone(double now, String id) {
-        advance(now);
+    public void cancelled(double nowMillis, String id) {
+        advance(nowMillis);
         Work w = all.get(id);
         if (w == null) {
             return;
@@ -790,22 +806,26 @@
         w.answered = true;
         if (w.state == State.HELD || w.state == State.JOINED) {
             drop(w);
-        } else if (w.state == State.RUNNING && w.spec.semantics() == Semantics.FREE) {
+        } else if (w.state == State.RUNNING && w.spec.idempotency() == Idempotency.IDEMPOTENT) {
             stop(w);
         }
         dispatch();
     }
 
     private void stop(Work w) {
-        if (set.halt() != Halt.NONE && w.state == State.RUNNING) {
-            act.halt(w.id);
+        if (set.cancellationMode() != CancellationMode.NONE && w.state == State.RUNNING) {
+            act.cancel(w.id);
         }
     }
 
     /** Takes a request that is over out of all tables. */
     private void drop(Work w) {
         all.remove(w.id);
-        memory -= w.kb * (w.state == State.HELD || w.state == State.JOINED ? 1 : set.runFactor());
+        memory -=
+                w.kb
+                        * (w.state == State.HELD || w.state == State.JOINED
+                                ? 1
+                                : set.runMemoryFactor());
         if (w.state == State.HELD) {
             held.remove(w);
         } else if (w.state == State.RUNNING) {
@@ -818,7 +838,7 @@
             }
         }
         if (!w.ran && w.kept && keys.remove(w.id)) {
-            act.forget(w.id);
+            act.releaseKey(w.id);
             memory -= set.keyKb();
         }
     }
@@ -826,25 +846,26 @@
     // --- calls below ---
 
     @Override
-    public void needs(double now, String id) {
-        advance(now);
+    public void dependencyCallNeeded(double nowMillis, String id) {
+        advance(nowMillis);
         Work w = all.get(id);
         if (w == null || w.state != State.RUNNING) {
             return;
         }
         w.state = State.AT_CALL;
-        w.leftAt = now;
+        w.leftAt = nowMillis;
         w.leftCoreAt = coreTime;
         running--;
         atCall++;
         callQueue.add(w);
-        placeCalls(now);
+        placeCalls(nowMillis);
         dispatch();
     }
 
     @Override
-    public void called(double now, String id, double elapsed, Outcome outcome) {
-        advance(now);
+    public void dependencyCallCompleted(
+            double nowMillis, String id, double elapsed, Outcome outcome) {
+        advance(nowMillis);
         Work w = all.get(id);
         if (w == null || !w.calling) {
             return;
@@ -855,14 +876,16 @@
         boolean unran = outcome == Outcome.QUEUE_FULL || outcome == Outcome.CONNECT_ERROR;
         if (outcome == Outcome.OK) {
             resume(w);
-        } else if (c.skipWorth() > 0) {
+        } else if (c.degradedWeightShare() > 0) {
             skip(w);
-        } else if (!w.answered && (unran || c.semantics() == Semantics.FREE) && now < w.aimAt) {
+        } else if (!w.answered
+                && (unran || c.idempotency() == Idempotency.IDEMPOTENT)
+                && nowMillis < w.aimAt) {
             callQueue.add(w);
         } else if (!w.answered) {
             answerFailed(w);
         }
-        placeCalls(now);
+        placeCalls(nowMillis);
         dispatch();
     }
 
@@ -871,7 +894,7 @@
         w.calling = false;
         calls--;
         if (givenUp) {
-            lingering.add(clock + set.below().lingers());
+            lingering.add(clock + set.dependency().lingerMillis());
         }
     }
 
@@ -880,7 +903,8 @@
         double drift = Math.min(blend(callCalm, elapsed, EWMA_CALM), callCalm * (1 + CALL_DRIFT));
         callCalm = callCalm == 0 ? elapsed : drift;
         callTime = callTime == 0 ? elapsed : callTime + EWMA_OUTCOME * (elapsed - callTime);
-        boolean slow = !ok || elapsed > Math.max(FAR_OVER * callCalm, FIRST_RUN * c.aim());
+        boolean slow =
+                !ok || elapsed > Math.max(FAR_OVER * callCalm, FIRST_RUN * c.objectiveMillis());
         double most = Math.max(1, crowd());
         callLimit = Math.min(callLimit, most);
         callLimit =
@@ -900,28 +924,29 @@
     private void skip(Work w) {
         callQueue.remove(w);
         resume(w);
-        act.skip(w.id);
+        act.skipDependency(w.id);
     }
 
     /**
      * Places what calls may be made; what cannot call in time goes on without, where that has a
      * worth.
      */
-    private void placeCalls(double now) {
+    private void placeCalls(double nowMillis) {
         for (Work w : List.copyOf(callQueue)) {
             RequestClass c = w.spec;
-            double within = dueGuard(w) - now;
-            if (c.skipWorth() > 0) {
-                double usual = Math.max(FIRST_RUN * c.aim(), FAR_OVER * FAR_OVER * callCalm);
-                within = Math.min(Math.min(within, w.aimAt - run(w) / 2 - now), usual);
+            double within = dueGuard(w) - nowMillis;
+            if (c.degradedWeightShare() > 0) {
+                double usual =
+                        Math.max(FIRST_RUN * c.objectiveMillis(), FAR_OVER * FAR_OVER * callCalm);
+                within = Math.min(Math.min(within, w.aimAt - run(w) / 2 - nowMillis), usual);
             }
             boolean fits = within > 0 && (calls == 0 || callTime < within);
             if (fits && mayCall(within)) {
                 callQueue.remove(w);
                 w.calling = true;
                 calls++;
-                act.call(w.id, within);
-            } else if (c.skipWorth() > 0 && (!fits || now - w.leftAt >= TICK)) {
+                act.callDependency(w.id, within);
+            } else if (c.degradedWeightShare() > 0 && (!fits || nowMillis - w.leftAt >= TICK)) {
                 skip(w);
             }
         }
@@ -932,12 +957,15 @@
      * share is less than one call, calls are paid for by the time they take.
      */
     private boolean mayCall(double within) {
-        double share = set.below().kind() == Below.COMMON ? set.below().callShare() * CALL_PART : 0;
+        double share =
+                set.dependency().kind() == DependencyKind.SHARED
+                        ? set.dependency().concurrentCallQuota() * CALL_PART
+                        : 0;
         boolean room = share >= 1 ? calls + lingering.size() + 1 <= share : share == 0;
         if (share > 0 && share < 1) {
-            double reserved = (calls + 1) * (within + set.below().lingers());
+            double reserved = (calls + 1) * (within + set.dependency().lingerMillis());
             room =
-                    lent + reserved <= share * set.below().callSpan() / 2
+                    lent + reserved <= share * set.dependency().quotaWindowMillis() / 2
                             || (calls == 0 && lent <= 0);
         }
         return room && calls + 1 <= callLimit;
@@ -954,15 +982,16 @@
     private void refuse(Work w) {
         boolean closed = shut() || drainAt < Double.MAX_VALUE;
         boolean local = closed || classes.slowdown() > SLOW_RATIO;
-        double most = set.passesStayAway() ? set.maxStayAway() * (local ? 1 : LOAD_ADVICE) : 0;
+        double most =
+                set.sendsRetryAfter() ? set.maxRetryAfterMillis() * (local ? 1 : LOAD_ADVICE) : 0;
         double away =
                 closed
                         ? most
                         : Math.min(most, ahead(0) * onCore() / set.cores() + clock - w.arrived);
         away = shut() && most > 0 ? returns.tell(w.caller, clock, SHUT_ADVICE * most, most) : away;
         w.answered = true;
-        boolean general = !set.marksRetry() || w.resent || resentPart > RESENT_GENERAL;
-        act.refuse(w.id, away, !local && general);
+        boolean general = !set.requestsMarkRetries() || w.resent || resentPart > RESENT_GENERAL;
+        act.reject(w.id, away, !local && general);
         drop(w);
     }
 
@@ -980,62 +1009,62 @@
     }
 
     private double dueGuard(Work w) {
-        double margin = TICK + 2 * set.step();
+        double margin = TICK + 2 * set.clockStepMillis();
         return Math.min(w.due, leaveAt) - margin;
     }
 
     // --- ticks ---
 
     @Override
-    public void drain(double now, double at) {
-        advance(now);
-        drainAt = now;
+    public void beginDraining(double nowMillis, double at) {
+        advance(nowMillis);
+        drainAt = nowMillis;
         leaveAt = at;
-        act.health(false, true);
+        act.setHealth(false, true);
         good = false;
         idle = idleFloor();
-        act.idle(idle);
-        act.log("draining, leave in " + Math.round(at - now) + " ms");
+        act.setIdleTimeout(idle);
+        act.log("draining, leave in " + Math.round(at - nowMillis) + " ms");
     }
 
     @Override
-    public void timer(double now, String token, Gauges gauges) {
-        advance(now);
-        act.timer("tick", TICK);
+    public void timerFired(double nowMillis, String token, Gauges gauges) {
+        advance(nowMillis);
+        act.scheduleTimer("tick", TICK);
         measureStretch();
-        measureOnCore(gauges.onCores());
-        watch(now);
-        memory -= keys.expire(now) * set.keyKb();
+        measureOnCore(gauges.runnable());
+        watch(nowMillis);
+        memory -= keys.expire(nowMillis) * set.keyKb();
         moveCut();
-        if (now - lastSweep >= SWEEP) {
-            lastSweep = now;
+        if (nowMillis - lastSweep >= SWEEP) {
+            lastSweep = nowMillis;
             sweep(gauges);
         }
         tellHealth();
         dispatch();
-        placeCalls(now);
+        placeCalls(nowMillis);
     }
 
     /**
      * Answers everything before it is due, and turns away held work that can no longer meet its
      * aim.
      */
-    private void watch(double now) {
+    private void watch(double nowMillis) {
         hung =
                 running >= Math.min(set.cores(), (int) limit())
-                        && now - lastEnd > HANG_RUNS * meanRun();
+                        && nowMillis - lastEnd > HANG_RUNS * meanRun();
         for (Work w : List.copyOf(all.values())) {
             if (w.answered) {
                 continue;
             }
             if (w.state == State.HELD) {
-                boolean misses = now + run(w) + w.stats.away > w.aimAt;
+                boolean misses = nowMillis + run(w) + w.stats.away > w.aimAt;
                 missed |= misses;
-                if (now >= dueGuard(w) || hung || (misses && running >= set.cores())) {
+                if (nowMillis >= dueGuard(w) || hung || (misses && running >= set.cores())) {
                     refuse(w);
                 }
-            } else if (now >= dueGuard(w)
-                    || (now >= w.aimAt && cut > 0 && !held.isEmpty() && worthless(w))) {
+            } else if (nowMillis >= dueGuard(w)
+                    || (nowMillis >= w.aimAt && cut > 0 && !held.isEmpty() && worthless(w))) {
                 answerFailed(w);
             }
         }
@@ -1046,11 +1075,13 @@
      */
     private boolean worthless(Work w) {
         RequestClass c = w.spec;
-        boolean far = set.halt() != Halt.NONE && coreTime - w.servedAtStart > FAR_OVER * usual(w);
+        boolean far =
+                set.cancellationMode() != CancellationMode.NONE
+                        && coreTime - w.servedAtStart > FAR_OVER * usual(w);
         return far
                 && w.state == State.RUNNING
-                && c.lateShare() == 0
-                && c.semantics() == Semantics.FREE;
+                && c.lateWeightShare() == 0
+                && c.idempotency() == Idempotency.IDEMPOTENT;
     }
 
     /** Mean run that the runs under way should take, not stretched by how long they have taken. */
@@ -1070,16 +1101,16 @@
         missed = false;
         double closed = shut() ? 1 : cut;
         double level =
-                switch (set.say()) {
+                switch (set.loadHint()) {
                     case NONE -> 0;
                     case MIN_RANK -> closed;
                     case TOKENS -> limit() * (1 - closed) * TOKEN_ROOM / Math.max(1, set.callers());
                     case BIAS -> 1 - closed;
                 };
-        if ((set.say() != Say.NONE && Math.abs(level - said) >= SAY_STEP)
+        if ((set.loadHint() != LoadHint.NONE && Math.abs(level - said) >= SAY_STEP)
                 || (level == 0 && said > 0)) {
             said = level;
-            act.say(level);
+            act.advertiseLoad(level);
         }
     }
 
@@ -1105,12 +1136,14 @@
         double next = leaving ? floor : Math.max(least, Math.min(target, idle * IDLE_REGROW));
         if (next != idle) {
             idle = next;
-            act.idle(idle);
+            act.setIdleTimeout(idle);
         }
-        if (g.onCores() > CORES_CROWDED * set.cores()) {
+        if (g.runnable() > CORES_CROWDED * set.cores()) {
             limit = Math.max(set.cores(), limit - 1);
-        } else if (g.coreUse() < CORES_FULL && !held.isEmpty()) {
-            limit = Math.min(limit + 1, set.cores() * set.rules().crowdPerCore() * CROWD_PART);
+        } else if (g.coreUtilization() < CORES_FULL && !held.isEmpty()) {
+            limit =
+                    Math.min(
+                            limit + 1, set.cores() * set.rules().concurrencyPerCore() * CROWD_PART);
         }
     }
 
@@ -1122,7 +1155,7 @@
      * that hold the table are not those that ask.
      */
     private void keepOpenInAJam() {
-        double longer = Math.max(longestIdle(), Math.min(set.idle(), 2 * keepOpen));
+        double longer = Math.max(longestIdle(), Math.min(set.clientIdleMillis(), 2 * keepOpen));
         keepOpen =
                 behind > BEHIND && classes.slowdown() < 1 + 2 * BEHIND
                         ? longer
@@ -1143,7 +1176,7 @@
     }
 
     private double longestIdle() {
-        return set.idle() > 0 ? Math.min(IDLE_CALM, set.idle()) : IDLE_CALM;
+        return set.clientIdleMillis() > 0 ? Math.min(IDLE_CALM, set.clientIdleMillis()) : IDLE_CALM;
     }
 
     private void tellHealth() {
@@ -1158,7 +1191,7 @@
         boolean now = !hung && !fails && drainAt == Double.MAX_VALUE;
         if (now != good) {
             good = now;
-            act.health(good, true);
+            act.setHealth(good, true);
         }
     }
 
@@ -1179,23 +1212,23 @@
      * callers' lists nothing comes that could prove a failing server well, so while nothing ends
      * the evidence fades.
      */
-    private void advance(double now) {
-        double passed = now - clock;
+    private void advance(double nowMillis) {
+        double passed = nowMillis - clock;
         if (passed <= 0) {
             return;
         }
-        clock = now;
+        clock = nowMillis;
         ranBefore = running;
         coreTime += passed * Math.min(1, set.cores() / Math.max(1, running * onCore()));
         double fadeRate = Math.exp(-passed / RATE_SPAN);
         allRates *= fadeRate;
         failing *= sick && clock - lastEnd > RATE_SPAN ? fadeRate : 1;
         sick &= failing > WELL_AT;
-        classes.advance(now);
+        classes.advance(nowMillis);
         lent =
-                Math.max(0, lent - passed * set.below().callShare() * CALL_PART / 2)
+                Math.max(0, lent - passed * set.dependency().concurrentCallQuota() * CALL_PART / 2)
                         + passed * (calls + lingering.size());
-        while (!lingering.isEmpty() && lingering.peek() <= now) {
+        while (!lingering.isEmpty() && lingering.peek() <= nowMillis) {
             lingering.remove();
         }
     }
--- a/src/main/java/tinroad/Returns.java
+++ b/src/main/java/tinroad/overload/RetryAfterSchedule.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.LinkedHashMap;
 
@@ -7,7 +7,7 @@
  * wave: each keeps its slot until it has come, and slots are spread by the golden ratio, whose next
  * point falls into a largest gap. Times in ms.
  */
-final class Returns {
+final class RetryAfterSchedule {
     private static final double GOLDEN = 0.6180339887498949;
 
     /** Callers with a slot at most; beyond it the oldest is forgotten. */
@@ -20,17 +20,17 @@
      * How long this caller is to stay away: until its slot, or a new one half of {@code mean}
      * nearer or further.
      */
-    double tell(int caller, double now, double mean, double most) {
+    double tell(int caller, double nowMillis, double mean, double most) {
         Double slot = slots.get(caller);
-        if (slot == null || slot <= now) {
+        if (slot == null || slot <= nowMillis) {
             fraction = (fraction + GOLDEN) % 1;
-            slot = now + Math.min(most, mean * (0.5 + fraction));
+            slot = nowMillis + Math.min(most, mean * (0.5 + fraction));
             slots.remove(caller);
             slots.put(caller, slot);
             if (slots.size() > MOST) {
                 slots.remove(slots.keySet().iterator().next());
             }
         }
-        return slot - now;
+        return slot - nowMillis;
     }
 }
--- a/src/main/java/tinroad/Places.java
+++ b/src/main/java/tinroad/overload/SlotTable.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.Arrays;
 import java.util.List;
@@ -9,7 +9,7 @@
  * all chunks but those that it changes. Guards against a change of one entry that costs by the size
  * of the table. Nothing is held for chunks never used.
  */
-final class Places<T> {
+final class SlotTable<T> {
     private static final int BITS = 8;
     private static final int CHUNK = 1 << BITS;
 
@@ -30,19 +30,19 @@
     private long reads;
 
     /** An empty table. */
-    Places() {
+    SlotTable() {
         this(new Object[0][], 0);
     }
 
-    private Places(Object[][] chunks, int size) {
+    private SlotTable(Object[][] chunks, int size) {
         this.chunks = chunks;
         this.own = new boolean[chunks.length];
         this.size = size;
     }
 
     /** The values of a list, at the places that they have there. */
-    static <T> Places<T> of(List<T> values) {
-        Places<T> all = new Places<>();
+    static <T> SlotTable<T> of(List<T> values) {
+        SlotTable<T> all = new SlotTable<>();
         for (T value : values) {
             all.set(all.size, value);
         }
@@ -53,8 +53,8 @@
      * The next version, which is this one until something is set in it; what is set in this one
      * afterwards it may see or not.
      */
-    Places<T> next() {
-        Places<T> next = new Places<>(chunks.clone(), size);
+    SlotTable<T> next() {
+        SlotTable<T> next = new SlotTable<>(chunks.clone(), size);
         next.reads = reads;
         return next;
     }
--- a/src/main/java/tinroad/Tenants.java
+++ b/src/main/java/tinroad/overload/TenantTable.java
@@ -1,22 +1,22 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.List;
-import tinroad.Controller.Tenant;
-import tinroad.Controller.TenantAt;
+import tinroad.overload.Controller.Tenant;
+import tinroad.overload.Controller.TenantSlot;
 
 /**
  * The tenants by place and what each asks for lately. A change is prepared in a version beside the
  * one that counts.
  */
-final class Tenants {
-    private final FadingRates rates;
-    private Places<Tenant> now;
-    private Places<Tenant> staged;
+final class TenantTable {
+    private final DecayingRates rates;
+    private SlotTable<Tenant> now;
+    private SlotTable<Tenant> staged;
 
     /** {@code span}: ms in which a rate falls to its e-th part. */
-    Tenants(List<Tenant> tenants, double span) {
-        now = Places.of(tenants);
-        rates = new FadingRates(span);
+    TenantTable(List<Tenant> tenants, double span) {
+        now = SlotTable.of(tenants);
+        rates = new DecayingRates(span);
     }
 
     /** The tenant at this place, or null. */
@@ -35,17 +35,17 @@
     }
 
     /** Prepares a part of a change. */
-    void stage(List<TenantAt> changes) {
+    void stage(List<TenantSlot> changes) {
         if (changes.isEmpty()) {
             return;
         }
         staged = staged == null ? now.next() : staged;
-        for (TenantAt change : changes) {
-            if (at(change.place()) == null) {
+        for (TenantSlot change : changes) {
+            if (at(change.slot()) == null) {
                 // Nobody is there before the change, so nobody's rate is lost if it is dropped.
-                rates.clear(change.place());
+                rates.clear(change.slot());
             }
-            staged.set(change.place(), change.spec());
+            staged.set(change.slot(), change.spec());
         }
     }
 
--- a/src/main/java/tinroad/Telling.java
+++ b/src/main/java/tinroad/overload/UnderservedClasses.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.Arrays;
 import java.util.function.DoubleBinaryOperator;
@@ -9,9 +9,9 @@
  * how far each is behind. At most as many as there were requests in that time. What is gone over
  * after each change lies in arrays: classes that are asked seldom lie all over the memory.
  */
-final class Telling {
+final class UnderservedClasses {
     private final DoubleBinaryOperator lag;
-    private ClassStats[] of = new ClassStats[16];
+    private ClassStatistics[] of = new ClassStatistics[16];
     private double[] ratio = new double[16];
     private double[] until = new double[16];
     private int size;
@@ -26,12 +26,12 @@
      * {@code lag}: how far behind a class is that has this ratio, beside the worst ratio: the
      * module's to say.
      */
-    Telling(DoubleBinaryOperator lag) {
+    UnderservedClasses(DoubleBinaryOperator lag) {
         this.lag = lag;
     }
 
     /** This class tells until then. */
-    void add(ClassStats s, double tellsUntil) {
+    void add(ClassStatistics s, double tellsUntil) {
         if (s.telling < 0) {
             if (size == of.length) {
                 of = Arrays.copyOf(of, 2 * size);
@@ -46,7 +46,7 @@
     }
 
     /** It was asked or served. */
-    void changed(ClassStats s) {
+    void changed(ClassStatistics s) {
         if (s.telling >= 0) {
             ratio[s.telling] = Math.min(1, s.served / s.asked);
             stale = true;
@@ -54,7 +54,7 @@
     }
 
     /** Others may be behind no more, or others be there: only these tell. */
-    void retain(Predicate<ClassStats> those) {
+    void retain(Predicate<ClassStatistics> those) {
         for (int i = size - 1; i >= 0; i--) {
             if (!those.test(of[i])) {
                 remove(i);
@@ -67,18 +67,18 @@
      * How far this class is behind, as a part of all of so many classes. One that does not tell
      * counts as well served.
      */
-    double lagShare(ClassStats s, int classes, double now) {
-        if (stale || now > quietAt) {
-            refresh(classes, now);
+    double lagShare(ClassStatistics s, int classes, double nowMillis) {
+        if (stale || nowMillis > quietAt) {
+            refresh(classes, nowMillis);
         }
         return lag(s.telling < 0 ? 1 : ratio[s.telling]) / lags;
     }
 
-    private void refresh(int classes, double now) {
+    private void refresh(int classes, double nowMillis) {
         worst = 1;
         quietAt = Double.MAX_VALUE;
         for (int i = size - 1; i >= 0; i--) {
-            if (until[i] < now) {
+            if (until[i] < nowMillis) {
                 remove(i);
             } else {
                 worst = Math.min(worst, ratio[i]);
--- a/src/main/java/tinroad/recovery/Rereads.java
+++ b/src/main/java/tinroad/recovery/ConfigReloadBackoff.java
@@ -5,11 +5,11 @@
 /**
  * When to read the configuration again without being told to, as the engine is gone and may have
  * moved. Guards against a signal that never came: it then costs seconds and not the day. While the
- * engine stays away the readings grow rarer, at the gaps of {@link Reconnects}, which keep the
- * gateways of a fleet that all lost their engines at once out of step. Owned by the thread that
- * asks.
+ * engine stays away the readings grow rarer, at the gaps of {@link DecorrelatedJitterBackoff},
+ * which keep the gateways of a fleet that all lost their engines at once out of step. Owned by the
+ * thread that asks.
  */
-public final class Rereads {
+public final class ConfigReloadBackoff {
     /**
      * So long, in ms, the engine is away before the first reading: links break and come back all
      * the time.
@@ -23,21 +23,21 @@
     public static final double CAP = 8000;
 
     private final SplittableRandom random;
-    private final Reconnects gaps;
+    private final DecorrelatedJitterBackoff gaps;
     private boolean gone;
     private double nextAt;
 
     /** Readings out of step with those of any other name or seed. */
-    public Rereads(String name, long seed) {
-        random = Draws.of(name, seed);
-        gaps = new Reconnects(name, seed, FIRST, CAP);
+    public ConfigReloadBackoff(String name, long seed) {
+        random = SeededRandom.of(name, seed);
+        gaps = new DecorrelatedJitterBackoff(name, seed, FIRST, CAP);
     }
 
     /**
      * Whether to read at {@code now}, in ms; asked again and again, {@code reached} telling whether
      * the engine is there.
      */
-    public boolean due(double now, boolean reached) {
+    public boolean due(double nowMillis, boolean reached) {
         if (reached) {
             gone = false;
             return false;
@@ -45,12 +45,12 @@
         if (!gone) {
             gone = true;
             gaps.alive();
-            nextAt = now + FIRST + random.nextDouble(SPREAD);
+            nextAt = nowMillis + FIRST + random.nextDouble(SPREAD);
         }
-        if (now < nextAt) {
+        if (nowMillis < nextAt) {
             return false;
         }
-        nextAt = now + gaps.next();
+        nextAt = nowMillis + gaps.next();
         return true;
     }
 }
--- a/src/main/java/tinroad/recovery/Reconnects.java
+++ b/src/main/java/tinroad/recovery/DecorrelatedJitterBackoff.java
@@ -9,7 +9,7 @@
  * keep the gateways of a fleet out of step that lost their links in the same moment. Owned by the
  * thread that connects; times in ms.
  */
-public final class Reconnects {
+public final class DecorrelatedJitterBackoff {
     private static final double GROWTH = 3;
 
     private final SplittableRandom random;
@@ -18,8 +18,8 @@
     private double gap;
 
     /** Gaps from {@code first} to {@code cap}, drawn by what tells this gateway from all others. */
-    public Reconnects(String name, long seed, double first, double cap) {
-        random = Draws.of(name, seed);
+    public DecorrelatedJitterBackoff(String name, long seed, double first, double cap) {
+        random = SeededRandom.of(name, seed);
         this.first = first;
         this.cap = cap;
         gap = first;
--- a/src/main/java/tinroad/recovery/Pace.java
+++ b/src/main/java/tinroad/recovery/JitteredInterval.java
@@ -6,14 +6,14 @@
  * A period that keeps no two gateways in step: each gap is drawn anew, so that a fleet that started
  * in one moment has spread over the whole period after a few gaps, and stays so. Times in ms.
  */
-public final class Pace {
+public final class JitteredInterval {
     private final SplittableRandom random;
     private final double period;
     private final double spread;
 
     /** Gaps of {@code period} more or less {@code spread}, a share of it. */
-    public Pace(String name, long seed, double period, double spread) {
-        random = Draws.of(name, seed);
+    public JitteredInterval(String name, long seed, double period, double spread) {
+        random = SeededRandom.of(name, seed);
         this.period = period;
         this.spread = spread;
     }
