--- a/src/main/java/tinroad/recovery/Comeback.java
+++ b/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
@@ -5,7 +5,7 @@
  * later, is watched until it has shown what it can do; one that was up all the time is taken at its
  * word, unless what this gateway remembers can't be trusted. Times in ms. Owned by one thread.
  */
-public final class Comeback {
+public final class RecoveryPhaseTracker {
     /** Where a gateway stands. */
     public enum Phase {
         /** The engine was never there: nothing is taken. */
@@ -23,7 +23,7 @@
     private final int cores;
     private double usualRun;
     private final boolean distrusts;
-    private Ramp ramp;
+    private SlowStart ramp;
     private Phase phase = Phase.STARTING;
     private double since;
     private double fullAfter = Double.NaN;
@@ -37,11 +37,11 @@
      * @param distrusts what was remembered is not believed: an engine that was up all the time is
      *     watched, too
      */
-    public Comeback(double now, int cores, double usualRun, boolean distrusts) {
+    public RecoveryPhaseTracker(double nowMillis, int cores, double usualRun, boolean distrusts) {
         this.cores = cores;
         this.usualRun = usualRun;
         this.distrusts = distrusts;
-        since = now;
+        since = nowMillis;
     }
 
     /**
@@ -56,28 +56,28 @@
      * The engine is there; {@code started} is whether that is a start of it which this gateway has
      * not seen yet.
      */
-    public void engine(double now, boolean started) {
+    public void engine(double nowMillis, boolean started) {
         if (phase == Phase.DRAINING || (phase != Phase.STARTING && !started)) {
             return;
         }
-        engineAt = now;
+        engineAt = nowMillis;
         if (started || distrusts) {
-            ramp = new Ramp(now, cores, usualRun);
+            ramp = new SlowStart(nowMillis, cores, usualRun);
             become(
                     Phase.COLD,
-                    now,
+                    nowMillis,
                     started ? "the engine has started" : "what was remembered is not believed");
         } else {
             ramp = null;
             fullAfter = 0;
-            become(Phase.FULL, now, "the engine was up all the time");
+            become(Phase.FULL, nowMillis, "the engine was up all the time");
         }
     }
 
-    private void become(Phase next, double now, String reason) {
+    private void become(Phase next, double nowMillis, String reason) {
         if (phase != next) {
             phase = next;
-            since = now;
+            since = nowMillis;
         }
         why = reason;
     }
@@ -90,40 +90,40 @@
     }
 
     /** A run ended after {@code took}, where its class is expected to take {@code usual}. */
-    public void ended(double now, double took, double usual) {
+    public void ended(double nowMillis, double took, double usual) {
         if (ramp != null) {
-            ramp.ended(now, took, usual);
-            follow(now);
+            ramp.ended(nowMillis, took, usual);
+            follow(nowMillis);
         }
     }
 
     /** Time passes. */
-    public void tick(double now) {
+    public void tick(double nowMillis) {
         if (ramp != null) {
-            ramp.tick(now);
-            follow(now);
+            ramp.tick(nowMillis);
+            follow(nowMillis);
         }
     }
 
-    private void follow(double now) {
+    private void follow(double nowMillis) {
         if (phase == Phase.DRAINING) {
             return;
         }
         switch (ramp.phase()) {
             case COLD -> why = ramp.why();
-            case RAMPING -> become(Phase.RAMPING, now, ramp.why());
+            case RAMPING -> become(Phase.RAMPING, nowMillis, ramp.why());
             default -> {
-                fullAfter = now - engineAt;
-                become(Phase.FULL, now, ramp.why());
+                fullAfter = nowMillis - engineAt;
+                become(Phase.FULL, nowMillis, ramp.why());
                 ramp = null;
             }
         }
     }
 
     /** The notice to leave has come. */
-    public void draining(double now) {
+    public void draining(double nowMillis) {
         ramp = null;
-        become(Phase.DRAINING, now, "told to leave");
+        become(Phase.DRAINING, nowMillis, "told to leave");
     }
 
     /** Where it stands. */
--- a/src/main/java/tinroad/recovery/Memory.java
+++ b/src/main/java/tinroad/recovery/RestoredState.java
@@ -1,10 +1,10 @@
 package tinroad.recovery;
 
 import java.util.Map;
-import tinroad.Controller.Known;
+import tinroad.overload.Controller.Estimate;
 
 /** What an earlier life of this gateway left, for the one that begins. */
-public interface Memory {
+public interface RestoredState {
     /**
      * A value that is used again.
      *
@@ -12,19 +12,19 @@
      * @param age ms since it was last true, at the moment of its use
      * @param life that learned it
      */
-    record Recalled(Known known, double age, long life) {}
+    record RestoredValue(Estimate estimate, double ageMillis, long incarnation) {}
 
     /**
      * What may be used at {@code now}, Unix ms, of what this life would begin with otherwise,
      * {@code priors}.
      */
-    Map<String, Recalled> recall(Map<String, Known> priors, double now);
+    Map<String, RestoredValue> restore(Map<String, Estimate> priors, double nowMillis);
 
     /** The life has begun, with these values: some recalled, the others assumed. */
-    void begun(Map<String, Known> values);
+    void started(Map<String, Estimate> values);
 
     /** Ids that ran or may have, with their due times in Unix ms: none may run again. */
-    Map<String, Double> ran();
+    Map<String, Double> executedIds();
 
     /** Whether operators had the gateway taken off the list. */
     boolean evacuated();
@@ -40,7 +40,7 @@
     }
 
     /** The number of this life; 0 where nothing lasts. */
-    long life();
+    long incarnation();
 
     /** How the life began, for operators. */
     String begins();
@@ -49,23 +49,24 @@
      * Whether something was remembered and is not believed: then an engine that was up all the time
      * is watched as one that was started.
      */
-    default boolean distrusts() {
+    default boolean distrustsState() {
         return false;
     }
 
     /** A gateway of which nothing lasts. */
-    Memory NONE =
-            new Memory() {
+    RestoredState NONE =
+            new RestoredState() {
                 @Override
-                public Map<String, Recalled> recall(Map<String, Known> priors, double now) {
+                public Map<String, RestoredValue> restore(
+                        Map<String, Estimate> priors, double nowMillis) {
                     return Map.of();
                 }
 
                 @Override
-                public void begun(Map<String, Known> values) {}
+                public void started(Map<String, Estimate> values) {}
 
                 @Override
-                public Map<String, Double> ran() {
+                public Map<String, Double> executedIds() {
                     return Map.of();
                 }
 
@@ -75,7 +76,7 @@
                 }
 
                 @Override
-                public long life() {
+                public long incarnation() {
                     return 0;
                 }
 
--- a/src/main/java/tinroad/recovery/Draws.java
+++ b/src/main/java/tinroad/recovery/SeededRandom.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /** Random numbers by what tells one gateway from all others. */
-final class Draws {
-    private Draws() {}
+final class SeededRandom {
+    private SeededRandom() {}
 
     /**
      * The numbers of this gateway and start; none of another's, however near its name or seed is.
--- a/src/main/java/tinroad/recovery/Ramp.java
+++ b/src/main/java/tinroad/recovery/SlowStart.java
@@ -9,7 +9,7 @@
  * whatever speed, and the module's own admission is enough. Times in ms, rates a second. Owned by
  * one thread.
  */
-public final class Ramp {
+public final class SlowStart {
     /** What a gateway may do. */
     public enum Phase {
         /** Nothing has ended yet: a few runs at a time, to see. */
@@ -80,12 +80,12 @@
      *
      * @param usualRun ms that a run is expected to take, by what is known before any has ended
      */
-    public Ramp(double now, int cores, double usualRun) {
+    public SlowStart(double nowMillis, int cores, double usualRun) {
         this.cores = cores;
         least = cores * 1000 / usualRun;
         rate = least;
-        windowAt = now;
-        bestAt = now;
+        windowAt = nowMillis;
+        bestAt = nowMillis;
     }
 
     /** A request came, and was taken in or turned away. */
@@ -95,18 +95,18 @@
     }
 
     /** A run ended after {@code took} ms, where its class usually takes {@code usual}. */
-    public void ended(double now, double took, double usual) {
+    public void ended(double nowMillis, double took, double usual) {
         ends++;
         stretch += took / usual;
         if (phase == Phase.COLD) {
             phase = Phase.RAMPING;
-            bestAt = now;
+            bestAt = nowMillis;
         }
     }
 
     /** Time passes: ends a window that has seen enough. */
-    public void tick(double now) {
-        double length = now - windowAt;
+    public void tick(double nowMillis) {
+        double length = nowMillis - windowAt;
         if (phase == Phase.FULL
                 || length < WINDOW
                 || (ends < ENDS_PER_CORE * cores && length < LONGEST_WINDOW)) {
@@ -123,23 +123,23 @@
             why = "nothing ends";
             quiet = 0;
         } else {
-            measured(now, perSecond, stretch / ends, limits);
+            measured(nowMillis, perSecond, stretch / ends, limits);
         }
-        windowAt = now;
+        windowAt = nowMillis;
         ends = 0;
         taken = 0;
         turnedAway = 0;
         stretch = 0;
     }
 
-    private void measured(double now, double perSecond, double slow, boolean limits) {
+    private void measured(double nowMillis, double perSecond, double slow, boolean limits) {
         quickest = Math.min(quickest * FADE, slow);
         boolean harm =
                 slow > CROWD * quickest
                         || (slow > HARM * quickest && perSecond < NO_MORE * endsBefore);
         if (perSecond > MORE * best) {
             best = perSecond;
-            bestAt = now;
+            bestAt = nowMillis;
         }
         endsBefore = perSecond;
         if (harm) {
@@ -159,7 +159,7 @@
         }
         if (quiet >= QUIET) {
             phase = Phase.FULL;
-        } else if (now - bestAt > PLATEAU && best > 0) {
+        } else if (nowMillis - bestAt > PLATEAU && best > 0) {
             phase = Phase.FULL;
             why = "more room brings no more ends";
         }
--- a/src/main/java/tinroad/recovery/Remembrance.java
+++ b/src/main/java/tinroad/recovery/StateRestorer.java
@@ -5,27 +5,27 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import tinroad.Controller.Known;
-import tinroad.state.Aged;
+import tinroad.overload.Controller.Estimate;
+import tinroad.state.DecayedValue;
+import tinroad.state.LearnedValue;
 import tinroad.state.Provenance;
-import tinroad.state.Recall;
-import tinroad.state.Remembered;
 import tinroad.state.Snapshot;
+import tinroad.state.SnapshotSelector;
 
 /**
  * What one life uses of the lives before, and what it leaves to the next. Every value that is used
  * carries when it was learned and by whom; nothing is used beyond its age, and nothing gets younger
  * by being saved. Times in Unix ms.
  */
-public final class Remembrance implements Memory {
+public final class StateRestorer implements RestoredState {
     private final String name;
     private final Snapshot before;
-    private final Recall.Begin begin;
+    private final SnapshotSelector.Begin begin;
     private final long life;
     private final double oldest;
     private final double halfLife;
     private final Provenance provenance;
-    private final Map<String, Remembered> used = new HashMap<>();
+    private final Map<String, LearnedValue> used = new HashMap<>();
     private long generation;
 
     /**
@@ -34,8 +34,12 @@
      * @param oldest ms, the age beyond which nothing is used
      * @param halfLife ms in which half of what was learned fades
      */
-    public Remembrance(
-            String name, Recall.Decision decision, long life, double oldest, double halfLife) {
+    public StateRestorer(
+            String name,
+            SnapshotSelector.Decision decision,
+            long life,
+            double oldest,
+            double halfLife) {
         this.name = name;
         this.life = life;
         this.oldest = oldest;
@@ -46,25 +50,28 @@
     }
 
     @Override
-    public boolean distrusts() {
-        return begin == Recall.Begin.COLD;
+    public boolean distrustsState() {
+        return begin == SnapshotSelector.Begin.COLD;
     }
 
     @Override
-    public Map<String, Recalled> recall(Map<String, Known> priors, double now) {
-        Map<String, Recalled> all = new LinkedHashMap<>();
+    public Map<String, RestoredValue> restore(Map<String, Estimate> priors, double nowMillis) {
+        Map<String, RestoredValue> all = new LinkedHashMap<>();
         if (before != null) {
             priors.forEach(
                     (what, prior) -> {
-                        Remembered r = before.values().get(what);
-                        Aged aged =
-                                r == null ? null : Aged.of(r, now, prior.value(), halfLife, oldest);
+                        LearnedValue r = before.values().get(what);
+                        DecayedValue aged =
+                                r == null
+                                        ? null
+                                        : DecayedValue.of(
+                                                r, nowMillis, prior.value(), halfLife, oldest);
                         if (aged != null) {
                             used.put(what, r);
                             all.put(
                                     what,
-                                    new Recalled(
-                                            new Known(aged.value(), aged.weight()),
+                                    new RestoredValue(
+                                            new Estimate(aged.value(), aged.weight()),
                                             aged.age(),
                                             aged.life()));
                         }
@@ -74,13 +81,13 @@
     }
 
     @Override
-    public void begun(Map<String, Known> values) {
+    public void started(Map<String, Estimate> values) {
         provenance.begin(values, used);
     }
 
     @Override
-    public Map<String, Double> ran() {
-        return before == null ? Map.of() : before.ran();
+    public Map<String, Double> executedIds() {
+        return before == null ? Map.of() : before.executedIds();
     }
 
     @Override
@@ -99,7 +106,7 @@
     }
 
     @Override
-    public long life() {
+    public long incarnation() {
         return life;
     }
 
@@ -113,8 +120,8 @@
      * operators' word, its catalog.
      */
     public Snapshot leaves(
-            double now,
-            Map<String, Known> values,
+            double nowMillis,
+            Map<String, Estimate> values,
             Map<String, Double> ran,
             boolean evacuated,
             long epoch,
@@ -123,9 +130,9 @@
                 name,
                 life,
                 ++generation,
-                now,
+                nowMillis,
                 evacuated,
-                provenance.at(now, values),
+                provenance.at(nowMillis, values),
                 bounded(ran),
                 epoch,
                 number);
--- a/src/main/java/tinroad/model/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -1,4 +1,4 @@
-package tinroad.model;
+package tinroad.simulation;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -12,26 +12,26 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import tinroad.config.Site;
 import tinroad.config.SiteReader;
-import tinroad.core.Answer;
-import tinroad.core.Inbound;
+import tinroad.core.IncomingRequest;
+import tinroad.core.Response;
 import tinroad.lab.Lab;
 import tinroad.lab.Settings;
-import tinroad.lab.plan.Asked;
-import tinroad.lab.plan.Draw;
-import tinroad.lab.plan.Hit;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.fake.Agenda;
+import tinroad.lab.fake.Proxy;
+import tinroad.lab.fake.RosterStand;
+import tinroad.lab.fake.World;
+import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.Draw;
+import tinroad.lab.schedule.Hit;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Deed;
 import tinroad.lab.script.Script.Kind;
-import tinroad.lab.stand.Agenda;
-import tinroad.lab.stand.Proxy;
-import tinroad.lab.stand.RosterStand;
-import tinroad.lab.stand.World;
-import tinroad.lab.truth.Bound;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Ledger.Excuse;
-import tinroad.lab.truth.Rules;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Bound;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Ledger.Excuse;
+import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.Try;
 
 /**
  * A fleet of whole gateways on virtual time, in one thread: the program's own request table, module
@@ -192,8 +192,8 @@
         }
         told.sent();
         engines.get(t.gateway).takeIn(script.engine().read() * kind.work());
-        Inbound in =
-                new Inbound(
+        IncomingRequest in =
+                new IncomingRequest(
                         t.id,
                         ZERO + now,
                         kind.name(),
@@ -208,11 +208,11 @@
     }
 
     /** What an answer says to a caller, on its way back. */
-    void answer(Answer a, Proxy.Told told) {
+    void answer(Response a, Proxy.Told told) {
         Try.End end =
                 switch (a.kind()) {
                     case SERVED -> Try.End.SERVED;
-                    case REFUSED -> Try.End.REFUSED;
+                    case REJECTED -> Try.End.REFUSED;
                     case FAILED, INVALID -> Try.End.FAILED;
                 };
         String served =
@@ -224,8 +224,8 @@
                                 end,
                                 a.kind().name().toLowerCase(Locale.ROOT),
                                 served,
-                                a.stayAway(),
-                                a.last()));
+                                a.retryAfterMillis(),
+                                a.doNotRetry()));
     }
 
     private void checks() {
--- a/src/main/java/tinroad/model/MembersModel.java
+++ b/src/main/java/tinroad/simulation/MembersModel.java
@@ -1,4 +1,4 @@
-package tinroad.model;
+package tinroad.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
-import tinroad.fleet.Claim;
+import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberStatus;
+import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Membership;
+import tinroad.fleet.MembershipConfig;
 import tinroad.fleet.Message;
-import tinroad.fleet.Status;
-import tinroad.fleet.Tuning;
-import tinroad.fleet.Version;
-import tinroad.lab.stand.Agenda;
+import tinroad.lab.fake.Agenda;
 
 /**
  * Members of a fleet on virtual time: the program's own {@code fleet.Membership} over a network
@@ -37,7 +37,7 @@
         private final int number;
         private final Membership membership;
         private final List<Runnable> missed = new ArrayList<>();
-        private final Map<String, Version> highest = new HashMap<>();
+        private final Map<String, Incarnation> highest = new HashMap<>();
         private boolean gone;
         private boolean stopped;
 
@@ -46,12 +46,12 @@
             String address = address(number);
             membership =
                     new Membership(
-                            new Claim(
+                            new MemberUpdate(
                                     "m" + number,
                                     address,
                                     "z" + number % zones,
-                                    new Version(life, 0, 0),
-                                    Status.ALIVE,
+                                    new Incarnation(life, 0, 0),
+                                    MemberStatus.ALIVE,
                                     "m" + number),
                             seeds,
                             tuning,
@@ -83,8 +83,8 @@
         }
 
         @Override
-        public void changed(double at, Claim before, Claim after) {
-            Version known =
+        public void changed(double at, MemberUpdate before, MemberUpdate after) {
+            Incarnation known =
                     highest.merge(
                             after.name(), after.version(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
             boolean mixed = known.sameStay(after.version()) && after.status().over();
@@ -115,10 +115,10 @@
             }
             int about = Integer.parseInt(after.name().substring(1));
             boolean lives = !nodes.get(about).gone;
-            if (after.status() == Status.SUSPECT && lives) {
+            if (after.status() == MemberStatus.SUSPECT && lives) {
                 falseSuspicions++;
             }
-            if (after.status() == Status.DEAD
+            if (after.status() == MemberStatus.DEAD
                     && lives
                     && nodes.get(about).membership.self().version().sameStay(after.version())) {
                 falseDeaths.merge(after.name() + after.version().era(), 1, Integer::sum);
@@ -127,7 +127,7 @@
     }
 
     private final int zones;
-    private final Tuning tuning;
+    private final MembershipConfig tuning;
     private final SplittableRandom random;
     private final List<String> seeds;
     private final List<Node> nodes = new ArrayList<>();
@@ -143,7 +143,7 @@
     private long falseSuspicions;
 
     /** So many members in so many zones, that know the first three to begin with. */
-    public MembersModel(int members, int zones, Tuning tuning, long seed) {
+    public MembersModel(int members, int zones, MembershipConfig tuning, long seed) {
         this.zones = zones;
         this.tuning = tuning;
         random = new SplittableRandom(seed);
@@ -175,7 +175,7 @@
      * Lets time pass until all that live hold this of the member, at most so long; tells how long
      * it took.
      */
-    public double until(int member, Status status, double most) {
+    public double until(int member, MemberStatus status, double most) {
         double from = now;
         while (now - from < most && !all(member, status)) {
             pass(STEP);
@@ -183,12 +183,12 @@
         return now - from;
     }
 
-    private boolean all(int member, Status status) {
+    private boolean all(int member, MemberStatus status) {
         return nodes.stream()
                 .filter(n -> !n.gone && !n.stopped && n.number != member)
                 .allMatch(
                         n -> {
-                            Claim c = n.membership.of("m" + member);
+                            MemberUpdate c = n.membership.of("m" + member);
                             return c != null && c.status() == status;
                         });
     }
@@ -202,7 +202,8 @@
                         n ->
                                 n.membership.there().size() == living - 1
                                         && n.membership.others().stream()
-                                                .noneMatch(c -> c.status() == Status.SUSPECT));
+                                                .noneMatch(
+                                                        c -> c.status() == MemberStatus.SUSPECT));
     }
 
     /** Lets time pass until the view is whole, at most so long; tells how long it took. */
@@ -302,7 +303,7 @@
     }
 
     /** What a member holds of another, or null. */
-    public Claim held(int by, int member) {
+    public MemberUpdate held(int by, int member) {
         return nodes.get(by).membership.of("m" + member);
     }
 }
--- a/src/main/java/tinroad/model/MembersSweep.java
+++ b/src/main/java/tinroad/simulation/MembersSweep.java
@@ -1,11 +1,11 @@
-package tinroad.model;
+package tinroad.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
-import tinroad.fleet.Status;
-import tinroad.fleet.Tuning;
-import tinroad.lab.truth.Paired;
+import tinroad.fleet.MemberStatus;
+import tinroad.fleet.MembershipConfig;
+import tinroad.lab.verification.Paired;
 
 /**
  * The figures of a membership against the fleet's size and the network's loss, over several seeds.
@@ -42,7 +42,7 @@
      * s, is cut in halves for 6 s.
      */
     public static List<Object> row(
-            String rules, Tuning tuning, int members, double loss, long[] seeds) {
+            String rules, MembershipConfig tuning, int members, double loss, long[] seeds) {
         List<Double> deaths = new ArrayList<>();
         List<Double> healed = new ArrayList<>();
         double suspicions = 0;
@@ -63,7 +63,7 @@
             suspicions += m.falseSuspicions() * HOUR / QUIET;
             falseDeaths += m.falseDeaths() * HOUR / QUIET;
             m.kill(members - 1);
-            deaths.add(m.until(members - 1, Status.DEAD, MOST));
+            deaths.add(m.until(members - 1, MemberStatus.DEAD, MOST));
             m.pass(3000);
             m.countAnew();
             IntStream.range(0, Math.max(1, members / 10)).forEach(n -> m.stop(n, true));
--- a/src/main/java/tinroad/model/ModelEngine.java
+++ b/src/main/java/tinroad/simulation/ModelEngine.java
@@ -1,19 +1,19 @@
-package tinroad.model;
+package tinroad.simulation;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import tinroad.Controller.Gauges;
 import tinroad.core.Engine;
 import tinroad.core.Progress;
-import tinroad.lab.plan.Asked;
+import tinroad.lab.fake.Cores;
+import tinroad.lab.fake.EngineStand;
+import tinroad.lab.schedule.Asked;
 import tinroad.lab.script.Script;
-import tinroad.lab.stand.Cores;
-import tinroad.lab.stand.EngineStand;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Try;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Try;
+import tinroad.overload.Controller.Gauges;
 
 /** An engine of the model: the lab's cores behind a link that is there while both ends are. */
 final class ModelEngine implements Engine {
@@ -62,8 +62,8 @@
                 model.now() + 2 * FleetModel.WAY,
                 () -> {
                     if (up && listener == to) {
-                        to.attached(fresh, model.now() - upSince);
-                        to.caughtUp();
+                        to.onAttached(fresh, model.now() - upSince);
+                        to.onCaughtUp();
                     }
                 });
     }
@@ -77,7 +77,7 @@
         running.clear();
         cores.clear();
         if (listener != null) {
-            listener.detached();
+            listener.onDetached();
         }
     }
 
@@ -131,9 +131,9 @@
                 model.now() + FleetModel.WAY,
                 () -> {
                     if (listener == run.listener) {
-                        listener.ended(
+                        listener.onRunEnded(
                                 id,
-                                run.sick ? End.CRASHED : End.DONE,
+                                run.sick ? RunOutcome.CRASHED : RunOutcome.DONE,
                                 took,
                                 run.sick
                                         ? Unpooled.EMPTY_BUFFER
@@ -156,7 +156,7 @@
             Listener to = listener;
             model.at(
                     model.now() + 2 * FleetModel.WAY,
-                    () -> to.ended(id, End.STALE, 0, Unpooled.EMPTY_BUFFER));
+                    () -> to.onRunEnded(id, RunOutcome.STALE, 0, Unpooled.EMPTY_BUFFER));
             return Progress.SENT;
         }
         Asked asked = model.plan().requests().get(t.request);
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public boolean askGauges(String tag) {
+    public boolean requestGauges(String tag) {
         if (!up || paused) {
             return up;
         }
@@ -177,7 +177,7 @@
         model.at(
                 model.now() + 2 * FleetModel.WAY,
                 () ->
-                        to.gauges(
+                        to.onGauges(
                                 tag,
                                 new Gauges(
                                         cores.use(),
--- a/src/main/java/tinroad/model/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -1,25 +1,25 @@
-package tinroad.model;
+package tinroad.simulation;
 
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.slf4j.helpers.NOPLogger;
-import tinroad.Controller.Known;
-import tinroad.OverloadController;
 import tinroad.config.Site;
 import tinroad.core.Gateway;
-import tinroad.core.Inbound;
-import tinroad.lab.plan.Draw;
+import tinroad.core.IncomingRequest;
+import tinroad.discovery.LoadReporter;
+import tinroad.lab.fake.Proxy;
+import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
-import tinroad.lab.stand.Proxy;
-import tinroad.lab.truth.Ledger;
-import tinroad.recovery.Pace;
-import tinroad.recovery.Remembrance;
-import tinroad.roster.RosterReporter;
-import tinroad.state.Reading;
-import tinroad.state.Recall;
+import tinroad.lab.verification.Ledger;
+import tinroad.overload.Controller.Estimate;
+import tinroad.overload.OverloadController;
+import tinroad.recovery.JitteredInterval;
+import tinroad.recovery.StateRestorer;
 import tinroad.state.Snapshot;
+import tinroad.state.SnapshotReadResult;
+import tinroad.state.SnapshotSelector;
 
 /** One gateway of the model, life after life: the program's own parts on the model's time. */
 final class ModelGateway {
@@ -39,7 +39,7 @@
     private final Site cold;
     private final Set<Proxy.Told> open = new LinkedHashSet<>();
     private Gateway gateway;
-    private Remembrance remembrance;
+    private StateRestorer remembrance;
 
     /** What is in the folder of state, and what was kept of it the time before. */
     private Snapshot folder;
@@ -97,18 +97,20 @@
             double unix = FleetModel.ZERO + model.now();
             // The number of a life is told from elsewhere, as by a fence: an older folder is then
             // known for what it is.
-            Recall.Decision d =
-                    Recall.decide(
+            SnapshotSelector.Decision d =
+                    SnapshotSelector.decide(
                             folder == null
                                     ? List.of()
-                                    : List.of(new Recall.Candidate("state", Reading.of(folder))),
+                                    : List.of(
+                                            new SnapshotSelector.Candidate(
+                                                    "state", SnapshotReadResult.of(folder))),
                             "g" + number,
                             unix,
                             OLDEST,
                             life.number,
                             life.number);
-            remembrance = new Remembrance("g" + number, d, life.number + 1, OLDEST, HALF_LIFE);
-            gateway.remembers(remembrance);
+            remembrance = new StateRestorer("g" + number, d, life.number + 1, OLDEST, HALF_LIFE);
+            gateway.restoreFrom(remembrance);
             save(mine);
         }
         gateway.onHealth(
@@ -116,20 +118,20 @@
                     good = healthy;
                     model.reports(number, healthy);
                 });
-        gateway.opened();
+        gateway.markListening();
         engine.attach(gateway);
-        report(mine, RosterReporter.pace("g" + number, seed));
+        report(mine, LoadReporter.pace("g" + number, seed));
     }
 
     private void save(Ledger.Life mine) {
         if (life == mine && gateway != null) {
-            Map<String, Known> values = gateway.learned();
+            Map<String, Estimate> values = gateway.learnedEstimates();
             if (!values.isEmpty()) {
                 folder =
                         remembrance.leaves(
-                                gateway.now(),
+                                gateway.nowMillis(),
                                 values,
-                                gateway.ranIds(),
+                                gateway.executedIds(),
                                 gateway.evacuated(),
                                 gateway.catalog().epoch(),
                                 gateway.catalog().number());
@@ -138,7 +140,7 @@
         }
     }
 
-    private void report(Ledger.Life mine, Pace pace) {
+    private void report(Ledger.Life mine, JitteredInterval pace) {
         if (life == mine && gateway != null) {
             model.reports(number, good);
             model.at(model.now() + pace.next(), () -> report(mine, pace));
@@ -171,14 +173,14 @@
         return gateway != null && gateway.healthy();
     }
 
-    void request(Inbound in, Proxy.Told told) {
+    void request(IncomingRequest in, Proxy.Told told) {
         if (gateway == null) {
             told.lost(true, model.now());
             return;
         }
         open.add(told);
         Ledger.Life mine = life;
-        gateway.request(
+        gateway.handle(
                 in,
                 answer -> {
                     if (life == mine && open.remove(told)) {
@@ -190,7 +192,7 @@
     void notice(double stop) {
         life.noticedAt = model.now();
         double noticedAt = FleetModel.ZERO + model.now();
-        gateway.drain(noticedAt, noticedAt + stop - EXIT_MARGIN);
+        gateway.beginDraining(noticedAt, noticedAt + stop - EXIT_MARGIN);
     }
 
     /** The process ends: whoever waited for it loses its connection. */
--- a/src/main/java/tinroad/drill/Drill.java
+++ b/src/main/java/tinroad/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package tinroad.drill;
+package tinroad.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -7,12 +7,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Function;
-import tinroad.Controller;
+import tinroad.overload.Controller;
 
 /**
  * The wire's loop: reads a batch, hands each event to its instance's controller, writes one reply.
  */
-public final class Drill {
+public final class SimulatorAdapter {
     private final Function<Controller.Actions, Controller> factory;
     private final WireReader in;
     private final WireWriter out;
@@ -20,7 +20,7 @@
     private final Map<Long, Controller> instances = new HashMap<>();
 
     /** A loop over {@code in}, with a controller of {@code factory} for each instance. */
-    public Drill(
+    public SimulatorAdapter(
             Function<Controller.Actions, Controller> factory,
             InputStream in,
             OutputStream out,
@@ -38,27 +38,27 @@
             if (!in.type().equals("mark")) {
                 throw in.wrong("expected mark, found " + in.type());
             }
-            double now = in.number("moment");
+            double nowMillis = in.number("moment");
             long turn = in.integer("turn");
-            events(now);
+            events(nowMillis);
             out.ack(turn);
         }
     }
 
-    private void events(double now) throws IOException {
+    private void events(double nowMillis) throws IOException {
         while (in.next()) {
             if (in.type().equals("eob")) {
                 return;
             }
-            event(now);
+            event(nowMillis);
         }
         throw in.wrong("input ended inside a batch");
     }
 
-    private void event(double now) throws IOException {
+    private void event(double nowMillis) throws IOException {
         long server = in.integer("server_id");
         switch (in.type()) {
-            case "begin" -> begin(now, server);
+            case "begin" -> begin(nowMillis, server);
             case "stop" -> instances.remove(server);
             case "req", "ended", "needs", "dep_reply", "vanished", "lame_duck", "timeout_fired" -> {
                 Controller controller = instances.get(server);
@@ -66,13 +66,13 @@
                     throw in.wrong(
                             in.type() + " for server_id " + server + ", which has not begun");
                 }
-                guarded(server, call(controller, now));
+                guarded(server, call(controller, nowMillis));
             }
             default -> throw in.wrong("unknown event " + in.type());
         }
     }
 
-    private void begin(double now, long server) throws IOException {
+    private void begin(double nowMillis, long server) throws IOException {
         Controller.Settings settings = in.settings();
         long seed = in.integer("init_seed");
         guarded(
@@ -80,51 +80,51 @@
                 () -> {
                     Controller controller = factory.apply(out.actions(server));
                     instances.put(server, controller);
-                    controller.start(now, seed, settings);
+                    controller.start(nowMillis, seed, settings);
                 });
     }
 
-    private Runnable call(Controller c, double now) throws IOException {
+    private Runnable call(Controller c, double nowMillis) throws IOException {
         switch (in.type()) {
             case "req":
                 {
                     Controller.Request request = in.request();
-                    return () -> c.request(now, request);
+                    return () -> c.requestArrived(nowMillis, request);
                 }
             case "ended":
                 {
                     String id = in.text("txn");
                     double elapsed = in.number("wait_time");
                     Controller.Outcome outcome = in.outcome();
-                    return () -> c.ended(now, id, elapsed, outcome);
+                    return () -> c.completed(nowMillis, id, elapsed, outcome);
                 }
             case "dep_reply":
                 {
                     String id = in.text("txn");
                     double elapsed = in.number("wait_time");
                     Controller.Outcome outcome = in.outcome();
-                    return () -> c.called(now, id, elapsed, outcome);
+                    return () -> c.dependencyCallCompleted(nowMillis, id, elapsed, outcome);
                 }
             case "needs":
                 {
                     String id = in.text("txn");
-                    return () -> c.needs(now, id);
+                    return () -> c.dependencyCallNeeded(nowMillis, id);
                 }
             case "vanished":
                 {
                     String id = in.text("txn");
-                    return () -> c.gone(now, id);
+                    return () -> c.cancelled(nowMillis, id);
                 }
             case "lame_duck":
                 {
                     double leaveAt = in.number("valid_until");
-                    return () -> c.drain(now, leaveAt);
+                    return () -> c.beginDraining(nowMillis, leaveAt);
                 }
             default:
                 {
                     String token = in.text("token");
                     Controller.Gauges gauges = in.gauges();
-                    return () -> c.timer(now, token, gauges);
+                    return () -> c.timerFired(nowMillis, token, gauges);
                 }
         }
     }
--- a/src/main/java/tinroad/drill/WireReader.java
+++ b/src/main/java/tinroad/simulator/WireReader.java
@@ -1,4 +1,4 @@
-package tinroad.drill;
+package tinroad.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,10 +13,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tinroad.Controller;
-import tinroad.Controller.Outcome;
 import tinroad.config.Site;
 import tinroad.config.SiteReader;
+import tinroad.overload.Controller;
+import tinroad.overload.Controller.Outcome;
 
 /** Reads the wire's messages, one JSON object a line; unknown fields and settings are skipped. */
 final class WireReader {
--- a/src/main/java/tinroad/drill/WireWriter.java
+++ b/src/main/java/tinroad/simulator/WireWriter.java
@@ -1,4 +1,4 @@
-package tinroad.drill;
+package tinroad.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
-import tinroad.Controller;
+import tinroad.overload.Controller;
 
 /**
  * Writes the wire's actions, one JSON object a line; {@link #ack} closes a reply and flushes it.
@@ -82,7 +82,7 @@
         }
 
         @Override
-        public void refuse(String id, double stayAway, boolean last) {
+        public void reject(String id, double stayAway, boolean last) {
             act(
                     "not_now",
                     () -> {
@@ -102,12 +102,12 @@
         }
 
         @Override
-        public void halt(String id) {
+        public void cancel(String id) {
             act("yank", id);
         }
 
         @Override
-        public void call(String id, double within) {
+        public void callDependency(String id, double within) {
             act(
                     "reach_out",
                     () -> {
@@ -117,12 +117,12 @@
         }
 
         @Override
-        public void skip(String id) {
+        public void skipDependency(String id) {
             act("degrade", id);
         }
 
         @Override
-        public void keep(String id, double duration) {
+        public void retainKey(String id, double duration) {
             act(
                     "record_key",
                     () -> {
@@ -132,17 +132,17 @@
         }
 
         @Override
-        public void forget(String id) {
+        public void releaseKey(String id) {
             act("evict", id);
         }
 
         @Override
-        public void reuse(String id) {
+        public void replayResult(String id) {
             act("reuse", id);
         }
 
         @Override
-        public void health(boolean good, boolean stored) {
+        public void setHealth(boolean good, boolean stored) {
             act(
                     "readiness",
                     () -> {
@@ -152,17 +152,17 @@
         }
 
         @Override
-        public void say(double value) {
+        public void advertiseLoad(double value) {
             act("stamp", () -> json.writeNumberField("x", value));
         }
 
         @Override
-        public void idle(double after) {
+        public void setIdleTimeout(double after) {
             act("keepalive", () -> json.writeNumberField("keep_for", after));
         }
 
         @Override
-        public void timer(String token, double delay) {
+        public void scheduleTimer(String token, double delay) {
             act(
                     "after",
                     () -> {
--- a/src/main/java/tinroad/state/Aged.java
+++ b/src/main/java/tinroad/state/DecayedValue.java
@@ -10,7 +10,7 @@
  * @param age ms since it was last true
  * @param life that learned it
  */
-public record Aged(double value, double weight, double age, long life) {
+public record DecayedValue(double value, double weight, double age, long life) {
 
     /**
      * The value at {@code now}, or null where it is too old, comes from later than now, or is no
@@ -20,10 +20,11 @@
      * @param halfLife ms
      * @param oldest ms
      */
-    public static Aged of(Remembered r, double now, double prior, double halfLife, double oldest) {
-        double age = Math.max(0, now - r.learnedAt());
+    public static DecayedValue of(
+            LearnedValue r, double nowMillis, double prior, double halfLife, double oldest) {
+        double age = Math.max(0, nowMillis - r.learnedAt());
         boolean usable =
-                r.learnedAt() <= now + Recall.CLOCKS
+                r.learnedAt() <= nowMillis + SnapshotSelector.CLOCKS
                         && age <= oldest
                         && Double.isFinite(r.value())
                         && Double.isFinite(r.weight())
@@ -32,6 +33,7 @@
             return null;
         }
         double left = Math.pow(0.5, age / halfLife);
-        return new Aged(prior + (r.value() - prior) * left, r.weight() * left, age, r.life());
+        return new DecayedValue(
+                prior + (r.value() - prior) * left, r.weight() * left, age, r.life());
     }
 }
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import tinroad.Controller.Known;
+import tinroad.overload.Controller.Estimate;
 
 /**
  * When, and by which life, each value was learned that a life would leave to the next. Guards
@@ -15,10 +15,10 @@
     private final long life;
 
     /** What this life began with, and what of that was remembered. */
-    private final Map<String, Known> began = new HashMap<>();
+    private final Map<String, Estimate> began = new HashMap<>();
 
-    private final Map<String, Remembered> remembered = new HashMap<>();
-    private final Map<String, Remembered> left = new HashMap<>();
+    private final Map<String, LearnedValue> remembered = new HashMap<>();
+    private final Map<String, LearnedValue> left = new HashMap<>();
 
     /** Of the life with this number. */
     public Provenance(long life) {
@@ -29,7 +29,7 @@
      * The life begins with {@code values}; those named in {@code from} were remembered, the others
      * assumed.
      */
-    public void begin(Map<String, Known> values, Map<String, Remembered> from) {
+    public void begin(Map<String, Estimate> values, Map<String, LearnedValue> from) {
         began.putAll(values);
         remembered.putAll(from);
     }
@@ -38,11 +38,11 @@
      * What to leave at {@code now}, as {@code values} stand; what was only ever assumed is left
      * out.
      */
-    public Map<String, Remembered> at(double now, Map<String, Known> values) {
-        Map<String, Remembered> all = new LinkedHashMap<>();
+    public Map<String, LearnedValue> at(double nowMillis, Map<String, Estimate> values) {
+        Map<String, LearnedValue> all = new LinkedHashMap<>();
         values.forEach(
                 (name, known) -> {
-                    Remembered r = at(now, name, known);
+                    LearnedValue r = at(nowMillis, name, known);
                     if (r != null) {
                         all.put(name, r);
                         left.put(name, r);
@@ -51,14 +51,14 @@
         return all;
     }
 
-    private Remembered at(double now, String name, Known known) {
-        Known first = began.get(name);
-        Remembered before = remembered.get(name);
+    private LearnedValue at(double nowMillis, String name, Estimate known) {
+        Estimate first = began.get(name);
+        LearnedValue before = remembered.get(name);
         if (known.equals(first)) {
             // As it was read: once more faded it would be faded twice.
             return before;
         }
-        Remembered last = left.get(name);
+        LearnedValue last = left.get(name);
         if (last != null
                 && last.life() == life
                 && last.value() == known.value()
@@ -69,7 +69,9 @@
         // Of a value without counted samples it is only known that it moved.
         double share = before == null || own <= 0 ? 1 : own / (own + first.weight());
         double learnedAt =
-                before == null ? now : before.learnedAt() + (now - before.learnedAt()) * share;
-        return new Remembered(known.value(), known.weight(), learnedAt, life);
+                before == null
+                        ? nowMillis
+                        : before.learnedAt() + (nowMillis - before.learnedAt()) * share;
+        return new LearnedValue(known.value(), known.weight(), learnedAt, life);
     }
 }
--- a/src/main/java/tinroad/state/Snapshot.java
+++ b/src/main/java/tinroad/state/Snapshot.java
@@ -17,12 +17,12 @@
  */
 public record Snapshot(
         String name,
-        long life,
+        long incarnation,
         long generation,
-        double savedAt,
+        double savedAtMillis,
         boolean evacuated,
-        Map<String, Remembered> values,
-        Map<String, Double> ran,
+        Map<String, LearnedValue> values,
+        Map<String, Double> executedIds,
         long epoch,
         long number) {
     /**
@@ -41,7 +41,7 @@
             long generation,
             double savedAt,
             boolean evacuated,
-            Map<String, Remembered> values,
+            Map<String, LearnedValue> values,
             Map<String, Double> ran) {
         this(name, life, generation, savedAt, evacuated, values, ran, 0, 0);
     }
--- a/src/main/java/tinroad/state/Encoding.java
+++ b/src/main/java/tinroad/state/SnapshotCodec.java
@@ -13,14 +13,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import tinroad.state.Reading.Why;
+import tinroad.state.SnapshotReadResult.RejectionReason;
 
 /**
  * Snapshots as bytes: a line that names format and version, the length, CBOR (RFC 8949), and
  * CRC-32C over all of it. Fields that a later version adds are skipped; a later version of the
  * format is not read at all.
  */
-public final class Encoding {
+public final class SnapshotCodec {
     /** The version that is written, and the latest that is read. */
     public static final int VERSION = 1;
 
@@ -31,7 +31,7 @@
     private static final int CHECK = 4;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private Encoding() {}
+    private SnapshotCodec() {}
 
     /** The bytes of a snapshot. */
     public static byte[] write(Snapshot s) {
@@ -43,14 +43,14 @@
         try (JsonGenerator out = CBOR.createGenerator(payload)) {
             out.writeStartObject();
             out.writeStringField("name", s.name());
-            out.writeNumberField("life", s.life());
+            out.writeNumberField("life", s.incarnation());
             out.writeNumberField("generation", s.generation());
-            out.writeNumberField("saved_at", s.savedAt());
+            out.writeNumberField("saved_at", s.savedAtMillis());
             out.writeBooleanField("evacuated", s.evacuated());
             out.writeNumberField("catalog_epoch", s.epoch());
             out.writeNumberField("catalog_number", s.number());
             out.writeObjectFieldStart("values");
-            for (Map.Entry<String, Remembered> e : s.values().entrySet()) {
+            for (Map.Entry<String, LearnedValue> e : s.values().entrySet()) {
                 out.writeFieldName(e.getKey());
                 out.writeStartArray();
                 out.writeNumber(e.getValue().value());
@@ -61,7 +61,7 @@
             }
             out.writeEndObject();
             out.writeObjectFieldStart("ran");
-            for (Map.Entry<String, Double> e : s.ran().entrySet()) {
+            for (Map.Entry<String, Double> e : s.executedIds().entrySet()) {
                 out.writeNumberField(e.getKey(), e.getValue());
             }
             out.writeEndObject();
@@ -83,43 +83,47 @@
     }
 
     /** The snapshot in these bytes, whatever they are. */
-    public static Reading read(byte[] bytes) {
+    public static SnapshotReadResult read(byte[] bytes) {
         int line = 0;
         while (line < Math.min(bytes.length, 32) && bytes[line] != '\n') {
             line++;
         }
         String head = new String(bytes, 0, Math.min(line, bytes.length), StandardCharsets.US_ASCII);
         if (!head.matches(MAGIC + "\\d{1,6}") || bytes.length < line + 1 + Integer.BYTES + CHECK) {
-            return Reading.not(Why.DAMAGED, "no state, or cut short: " + bytes.length + " bytes");
+            return SnapshotReadResult.not(
+                    RejectionReason.DAMAGED, "no state, or cut short: " + bytes.length + " bytes");
         }
         int end = bytes.length - CHECK;
         if (ByteBuffer.wrap(bytes).getInt(end) != check(bytes, end)) {
-            return Reading.not(
-                    Why.DAMAGED, "its checksum does not fit its " + bytes.length + " bytes");
+            return SnapshotReadResult.not(
+                    RejectionReason.DAMAGED,
+                    "its checksum does not fit its " + bytes.length + " bytes");
         }
         int version = Integer.parseInt(head.substring(MAGIC.length()));
         if (version > VERSION) {
-            return Reading.not(
-                    Why.FOREIGN_VERSION,
+            return SnapshotReadResult.not(
+                    RejectionReason.FOREIGN_VERSION,
                     "version " + version + ", and this program reads " + VERSION);
         }
         int length = ByteBuffer.wrap(bytes).getInt(line + 1);
         if (length != end - line - 1 - Integer.BYTES) {
-            return Reading.not(
-                    Why.DAMAGED, "its length does not fit its " + bytes.length + " bytes");
+            return SnapshotReadResult.not(
+                    RejectionReason.DAMAGED,
+                    "its length does not fit its " + bytes.length + " bytes");
         }
         try (JsonParser in =
                 CBOR.createParser(Arrays.copyOfRange(bytes, line + 1 + Integer.BYTES, end))) {
             return new Fields(in).read();
         } catch (IOException | IllegalArgumentException e) {
-            return Reading.not(Why.DAMAGED, "can't be read: " + e.getMessage());
+            return SnapshotReadResult.not(
+                    RejectionReason.DAMAGED, "can't be read: " + e.getMessage());
         }
     }
 
     /** The fields as they come in. */
     private static final class Fields {
         private final JsonParser in;
-        private final Map<String, Remembered> values = new LinkedHashMap<>();
+        private final Map<String, LearnedValue> values = new LinkedHashMap<>();
         private final Map<String, Double> ran = new LinkedHashMap<>();
         private String name = "";
         private long life;
@@ -133,7 +137,7 @@
             this.in = in;
         }
 
-        Reading read() throws IOException {
+        SnapshotReadResult read() throws IOException {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IllegalArgumentException("no object");
             }
@@ -156,7 +160,7 @@
             if (name.isEmpty() || life < 1 || !Double.isFinite(savedAt)) {
                 throw new IllegalArgumentException("name, life or time is missing");
             }
-            return Reading.of(
+            return SnapshotReadResult.of(
                     new Snapshot(
                             name,
                             life,
@@ -180,7 +184,8 @@
                 }
                 in.nextToken();
                 values.put(
-                        key, new Remembered(numbers[0], numbers[1], numbers[2], in.getLongValue()));
+                        key,
+                        new LearnedValue(numbers[0], numbers[1], numbers[2], in.getLongValue()));
                 // A later version may say more of a value.
                 while (in.nextToken() != JsonToken.END_ARRAY) {
                     in.skipChildren();
--- a/src/main/java/tinroad/state/Reading.java
+++ b/src/main/java/tinroad/state/SnapshotReadResult.java
@@ -1,9 +1,9 @@
 package tinroad.state;
 
 /** What a file of state turned out to be: a snapshot, or why it is none that can be used. */
-public record Reading(Snapshot snapshot, Why why, String text) {
+public record SnapshotReadResult(Snapshot snapshot, RejectionReason reason, String text) {
     /** Why a file is set aside. */
-    public enum Why {
+    public enum RejectionReason {
         /** Cut short, changed, or never one of ours. */
         DAMAGED,
         /** Written by a later version, whose meaning is unknown. */
@@ -19,11 +19,11 @@
     }
 
     /** A snapshot that can be used. */
-    public static Reading of(Snapshot snapshot) {
-        return new Reading(snapshot, null, "");
+    public static SnapshotReadResult of(Snapshot snapshot) {
+        return new SnapshotReadResult(snapshot, null, "");
     }
 
-    static Reading not(Why why, String text) {
-        return new Reading(null, why, text);
+    static SnapshotReadResult not(RejectionReason why, String text) {
+        return new SnapshotReadResult(null, why, text);
     }
 }
--- a/src/main/java/tinroad/state/Recall.java
+++ b/src/main/java/tinroad/state/SnapshotSelector.java
@@ -4,19 +4,19 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import tinroad.state.Reading.Why;
+import tinroad.state.SnapshotReadResult.RejectionReason;
 
 /**
  * Which of the snapshots that were found is believed, and which life begins. The latest life's
  * latest snapshot counts, so that a process that was replaced, and wakes and writes, can't make
  * itself heard over the one that came after it.
  */
-public final class Recall {
+public final class SnapshotSelector {
     /** A clock may differ by this, in ms, from the one that a snapshot was saved by. */
     public static final double CLOCKS = 1000;
 
     /** A file and what it turned out to be. */
-    public record Candidate(String file, Reading reading) {}
+    public record Candidate(String file, SnapshotReadResult reading) {}
 
     /** What the new life begins with. */
     public enum Begin {
@@ -39,7 +39,7 @@
      */
     public record Decision(Begin begin, Snapshot snapshot, long lastLife, List<String> setAside) {}
 
-    private Recall() {}
+    private SnapshotSelector() {}
 
     /**
      * Decides.
@@ -54,7 +54,7 @@
     public static Decision decide(
             List<Candidate> found,
             String name,
-            double now,
+            double nowMillis,
             double oldest,
             long knownLife,
             long fenceLife) {
@@ -62,24 +62,27 @@
         List<Snapshot> good = new ArrayList<>();
         long last = Math.max(knownLife, fenceLife);
         for (Candidate c : found) {
-            Reading r = doubt(c.reading, name, now, oldest, fenceLife);
-            if (r.why() == null) {
+            SnapshotReadResult r = doubt(c.reading, name, nowMillis, oldest, fenceLife);
+            if (r.reason() == null) {
                 good.add(r.snapshot());
             } else {
                 setAside.add(
                         c.file
                                 + ": "
-                                + r.why().name().toLowerCase(Locale.ROOT).replace('_', ' ')
+                                + r.reason().name().toLowerCase(Locale.ROOT).replace('_', ' ')
                                 + ": "
                                 + r.text());
             }
             Snapshot any = c.reading.snapshot();
-            last = any != null && any.name().equals(name) ? Math.max(last, any.life()) : last;
+            last =
+                    any != null && any.name().equals(name)
+                            ? Math.max(last, any.incarnation())
+                            : last;
         }
         Snapshot best =
                 good.stream()
                         .max(
-                                Comparator.comparingLong(Snapshot::life)
+                                Comparator.comparingLong(Snapshot::incarnation)
                                         .thenComparingLong(Snapshot::generation))
                         .orElse(null);
         Begin begin =
@@ -87,29 +90,31 @@
         return new Decision(begin, best, last, List.copyOf(setAside));
     }
 
-    private static Reading doubt(
-            Reading r, String name, double now, double oldest, long fenceLife) {
+    private static SnapshotReadResult doubt(
+            SnapshotReadResult r, String name, double nowMillis, double oldest, long fenceLife) {
         Snapshot s = r.snapshot();
         if (s == null) {
             return r;
         }
         if (!s.name().equals(name)) {
-            return Reading.not(Why.ANOTHERS, "it is of " + s.name());
+            return SnapshotReadResult.not(RejectionReason.ANOTHERS, "it is of " + s.name());
         }
-        if (s.savedAt() > now + CLOCKS) {
-            return Reading.not(
-                    Why.FUTURE,
+        if (s.savedAtMillis() > nowMillis + CLOCKS) {
+            return SnapshotReadResult.not(
+                    RejectionReason.FUTURE,
                     "saved "
-                            + Math.round((s.savedAt() - now) / 1000)
+                            + Math.round((s.savedAtMillis() - nowMillis) / 1000)
                             + " s from now: did the clock go back?");
         }
-        if (now - s.savedAt() > oldest) {
-            return Reading.not(
-                    Why.TOO_OLD, "saved " + Math.round((now - s.savedAt()) / 1000) + " s ago");
+        if (nowMillis - s.savedAtMillis() > oldest) {
+            return SnapshotReadResult.not(
+                    RejectionReason.TOO_OLD,
+                    "saved " + Math.round((nowMillis - s.savedAtMillis()) / 1000) + " s ago");
         }
-        if (s.life() < fenceLife) {
-            return Reading.not(
-                    Why.ROLLED_BACK, "of life " + s.life() + ", and there was life " + fenceLife);
+        if (s.incarnation() < fenceLife) {
+            return SnapshotReadResult.not(
+                    RejectionReason.ROLLED_BACK,
+                    "of life " + s.incarnation() + ", and there was life " + fenceLife);
         }
         return r;
     }
--- a/src/main/java/tinroad/state/StateFolder.java
+++ b/src/main/java/tinroad/state/SnapshotStore.java
@@ -23,7 +23,7 @@
  * its own, created by one process only; a process that finds a marker above its own writes no more.
  * No lock: one that a stopped process held would stop the next one, too.
  */
-public final class StateFolder {
+public final class SnapshotStore {
     private static final Pattern SNAPSHOT = Pattern.compile("state-(\\d{19})-(\\d{19})");
     private static final Pattern MARKER = Pattern.compile("life-(\\d{19})");
     private static final String PART = ".part";
@@ -40,7 +40,7 @@
         void write(Path file, byte[] bytes) throws IOException;
     }
 
-    private Disk disk = StateFolder::force;
+    private Disk disk = SnapshotStore::force;
 
     /**
      * State in {@code folder}, which is made where it is not there.
@@ -49,7 +49,7 @@
      *     one is told; null for none
      * @param keep snapshots that are kept, at least 1
      */
-    public StateFolder(Path folder, Path fence, int keep) {
+    public SnapshotStore(Path folder, Path fence, int keep) {
         this.folder = folder;
         this.fence = fence;
         this.keep = Math.max(1, keep);
@@ -60,18 +60,18 @@
     }
 
     /** All snapshots that are there, whatever they are. */
-    public List<Recall.Candidate> candidates() throws IOException {
-        List<Recall.Candidate> found = new ArrayList<>();
+    public List<SnapshotSelector.Candidate> candidates() throws IOException {
+        List<SnapshotSelector.Candidate> found = new ArrayList<>();
         for (Path file : list(SNAPSHOT)) {
             try {
                 found.add(
-                        new Recall.Candidate(
+                        new SnapshotSelector.Candidate(
                                 file.getFileName().toString(),
-                                Files.size(file) > Encoding.LONGEST
-                                        ? Reading.not(
-                                                Reading.Why.DAMAGED,
-                                                "longer than " + Encoding.LONGEST + " bytes")
-                                        : Encoding.read(Files.readAllBytes(file))));
+                                Files.size(file) > SnapshotCodec.LONGEST
+                                        ? SnapshotReadResult.not(
+                                                SnapshotReadResult.RejectionReason.DAMAGED,
+                                                "longer than " + SnapshotCodec.LONGEST + " bytes")
+                                        : SnapshotCodec.read(Files.readAllBytes(file))));
             } catch (NoSuchFileException e) {
                 // Another process keeps fewer.
             }
@@ -159,12 +159,12 @@
      * to say any more.
      */
     public boolean save(Snapshot s) throws IOException {
-        if (knownLife() > life || s.life() != life) {
+        if (knownLife() > life || s.incarnation() != life) {
             return false;
         }
         replace(
-                folder.resolve(String.format("state-%019d-%019d", s.life(), s.generation())),
-                Encoding.write(s));
+                folder.resolve(String.format("state-%019d-%019d", s.incarnation(), s.generation())),
+                SnapshotCodec.write(s));
         List<Path> all = list(SNAPSHOT);
         for (Path old : all.subList(0, Math.max(0, all.size() - keep))) {
             Files.deleteIfExists(old);
--- a/src/main/java/tinroad/state/Saver.java
+++ b/src/main/java/tinroad/state/SnapshotWriter.java
@@ -13,11 +13,11 @@
  * disk leaves waiting only the latest is written. What goes wrong is told once, and once that it is
  * over.
  */
-public final class Saver implements AutoCloseable {
+public final class SnapshotWriter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("state");
     private static final long LAST_MS = 500;
 
-    private final StateFolder folder;
+    private final SnapshotStore folder;
     private final AtomicReference<Snapshot> waiting = new AtomicReference<>();
     private final ExecutorService thread =
             Executors.newSingleThreadExecutor(
@@ -31,7 +31,7 @@
     private boolean fenced;
 
     /** Saves into this folder. */
-    public Saver(StateFolder folder) {
+    public SnapshotWriter(SnapshotStore folder) {
         this.folder = folder;
     }
 
--- a/src/main/java/tinroad/state/package-info.java
+++ b/src/main/java/tinroad/state/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Knowledge that lasts over a restart. {@code Snapshot}, {@code Encoding}, {@code Recall} and
- * {@code Aged} decide and know no file, thread or clock; {@code StateFolder} alone touches files,
- * {@code Saver} alone has a thread.
+ * Knowledge that lasts over a restart. {@code Snapshot}, {@code SnapshotCodec}, {@code
+ * SnapshotSelector} and {@code DecayedValue} decide and know no file, thread or clock; {@code
+ * SnapshotStore} alone touches files, {@code SnapshotWriter} alone has a thread.
  */
 package tinroad.state;
--- a/src/test/java/tinroad/LayersTest.java
+++ b/src/test/java/tinroad/LayersTest.java
@@ -16,7 +16,7 @@
 class LayersTest {
     /** Packages of decisions and state: they know no clock, wire, file, socket or thread. */
     private static final String[] DECISIONS = {
-        "tinroad",
+        "tinroad.overload..",
         "tinroad.route..",
         "tinroad.translate..",
         "tinroad.expect..",
@@ -44,12 +44,12 @@
                         "tinroad.fastcgi..",
                         "tinroad.engine..",
                         "tinroad.upstream..",
-                        "tinroad.control..",
-                        "tinroad.roster..",
-                        "tinroad.drill..",
+                        "tinroad.admin..",
+                        "tinroad.discovery..",
+                        "tinroad.simulator..",
                         "tinroad.gossip..")
                 .layer("lab")
-                .definedBy("tinroad.lab..", "tinroad.model..")
+                .definedBy("tinroad.lab..", "tinroad.simulation..")
                 .layer("core")
                 .definedBy("tinroad.core..")
                 .layer("decisions")
@@ -67,7 +67,7 @@
                 .layer("log")
                 .definedBy("tinroad.log..")
                 .layer("module")
-                .definedBy("tinroad")
+                .definedBy("tinroad.overload..")
                 .whereLayer("cli")
                 .mayNotBeAccessedByAnyLayer()
                 .whereLayer("node")
@@ -124,11 +124,11 @@
     void theModuleKnowsNothingOfThisProgram() {
         classes()
                 .that()
-                .resideInAPackage("tinroad")
+                .resideInAPackage("tinroad.overload..")
                 .should()
                 .onlyDependOnClassesThat(
                         resideInAnyPackage(
-                                "tinroad",
+                                "tinroad.overload..",
                                 "java.lang..",
                                 "java.util",
                                 "java.util.function",
@@ -156,7 +156,7 @@
     void theEdgesDoNotKnowEachOther() {
         for (String edge :
                 new String[] {
-                    "fastcgi", "engine", "upstream", "control", "roster", "drill", "gossip"
+                    "fastcgi", "engine", "upstream", "admin", "discovery", "simulator", "gossip"
                 }) {
             noClasses()
                     .that()
@@ -167,9 +167,9 @@
                                             "tinroad.fastcgi..",
                                             "tinroad.engine..",
                                             "tinroad.upstream..",
-                                            "tinroad.control..",
-                                            "tinroad.roster..",
-                                            "tinroad.drill..",
+                                            "tinroad.admin..",
+                                            "tinroad.discovery..",
+                                            "tinroad.simulator..",
                                             "tinroad.gossip..")
                                     .and(not(resideInAPackage("tinroad." + edge + ".."))))
                     .allowEmptyShould(true)
--- a/src/test/java/tinroad/control/ControlServerTest.java
+++ b/src/test/java/tinroad/admin/ControlServerTest.java
@@ -1,4 +1,4 @@
-package tinroad.control;
+package tinroad.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,14 +14,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Known;
 import tinroad.Cuts;
-import tinroad.catalog.Change;
-import tinroad.catalog.Editor;
+import tinroad.catalog.CatalogBuilder;
+import tinroad.catalog.CatalogChange;
 import tinroad.core.Engine;
 import tinroad.core.Harness;
-import tinroad.core.Inbound;
-import tinroad.recovery.Memory;
+import tinroad.core.IncomingRequest;
+import tinroad.overload.Controller.Estimate;
+import tinroad.recovery.RestoredState;
 
 /**
  * What operators call, what they hear, and that whatever comes costs no more than its connection.
@@ -31,11 +31,11 @@
 
     /** Each test, and each try of a property, has a gateway that callers reach. */
     ControlServerTest() {
-        h.gateway.opened();
+        h.gateway.markListening();
     }
 
     private EmbeddedChannel connect() {
-        return new EmbeddedChannel(new ControlServer(h.gateway).handlers());
+        return new EmbeddedChannel(new AdminServer(h.gateway).handlers());
     }
 
     private static byte[] bytes(String text) {
@@ -56,8 +56,9 @@
     }
 
     private void ask(String id, String kind) {
-        h.gateway.request(
-                new Inbound(id, h.now, kind, "acme", 4, 20, 0.5, null, Unpooled.EMPTY_BUFFER),
+        h.gateway.handle(
+                new IncomingRequest(
+                        id, h.now, kind, "acme", 4, 20, 0.5, null, Unpooled.EMPTY_BUFFER),
                 a -> {});
     }
 
@@ -65,16 +66,16 @@
     void readinessFollowsTheEngineTheDrainAndTheEnd() {
         h = new Harness(0);
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
-        h.gateway.attached(true, 0);
+        h.gateway.onAttached(true, 0);
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
-        h.gateway.opened();
+        h.gateway.markListening();
         assertEquals("HTTP/1.1 200 OK\nready\n", call("GET /api/ready"));
         assertEquals("HTTP/1.1 200 OK\ndraining\n", call("POST /api/evacuate"));
         assertFalse(h.gateway.healthy());
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
         assertEquals("HTTP/1.1 200 OK\nback to work\n", call("POST /api/rejoin"));
         assertTrue(h.gateway.healthy());
-        h.gateway.drain(h.now, h.now + 500);
+        h.gateway.beginDraining(h.now, h.now + 500);
         assertEquals(
                 "HTTP/1.1 409 Conflict\nthis process is about to end\n", call("POST /api/rejoin"));
     }
@@ -86,9 +87,10 @@
         ask("0000000000000002", "read");
         ask("0000000000000002", "read");
         ask("0000000000000003", "order");
-        h.gateway.ended("0000000000000001", Engine.End.DONE, 5, Unpooled.EMPTY_BUFFER);
-        h.gateway.ended("0000000000000003", Engine.End.CRASHED, 5, Unpooled.EMPTY_BUFFER);
-        h.module.onRequest = r -> h.module.act.refuse(r.id(), 0, false);
+        h.gateway.onRunEnded("0000000000000001", Engine.RunOutcome.DONE, 5, Unpooled.EMPTY_BUFFER);
+        h.gateway.onRunEnded(
+                "0000000000000003", Engine.RunOutcome.CRASHED, 5, Unpooled.EMPTY_BUFFER);
+        h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         ask("0000000000000004", "order");
         assertEquals(
                 "HTTP/1.1 200 OK\n"
@@ -107,13 +109,14 @@
                         + "\",\"classes\":2,\"tenants\":1,\"since_ms\":250,"
                         + "\"lag\":0,\"longest_slice_ms\":0.0,\"refusal\":null,\"refused_ms\":null}",
                 call("GET /api/settings"));
-        Editor editor = new Editor(h.gateway.catalog());
-        Editor.Outcome.Taken taken =
-                (Editor.Outcome.Taken)
+        CatalogBuilder editor = new CatalogBuilder(h.gateway.catalog());
+        CatalogBuilder.Outcome.Taken taken =
+                (CatalogBuilder.Outcome.Taken)
                         editor.offer(
-                                new Change(0, 1, Map.of(), Set.of("order"), Map.of(), Set.of()));
-        h.gateway.change(taken.next(), taken.delta(), inForce -> {});
-        h.gateway.changeRefused("class \"x\": " + "y".repeat(1000));
+                                new CatalogChange(
+                                        0, 1, Map.of(), Set.of("order"), Map.of(), Set.of()));
+        h.gateway.applyChange(taken.next(), taken.delta(), inForce -> {});
+        h.gateway.changeRejected("class \"x\": " + "y".repeat(1000));
         assertTrue(
                 call("GET /api/settings")
                         .contains(
@@ -136,18 +139,20 @@
     @Test
     void recoveryTellsThePhaseAndWhatIsRememberedFromWhen() {
         h = new Harness(0);
-        h.gateway.remembers(
-                new Memory() {
+        h.gateway.restoreFrom(
+                new RestoredState() {
                     @Override
-                    public Map<String, Recalled> recall(Map<String, Known> priors, double now) {
-                        return Map.of("run.read", new Recalled(new Known(24, 4), 61_000, 3));
+                    public Map<String, RestoredValue> restore(
+                            Map<String, Estimate> priors, double nowMillis) {
+                        return Map.of(
+                                "run.read", new RestoredValue(new Estimate(24, 4), 61_000, 3));
                     }
 
                     @Override
-                    public void begun(Map<String, Known> values) {}
+                    public void started(Map<String, Estimate> values) {}
 
                     @Override
-                    public Map<String, Double> ran() {
+                    public Map<String, Double> executedIds() {
                         return Map.of(
                                 "00000000000000aa", h.now + 500, "00000000000000ab", h.now - 1);
                     }
@@ -158,7 +163,7 @@
                     }
 
                     @Override
-                    public long life() {
+                    public long incarnation() {
                         return 4;
                     }
 
@@ -173,7 +178,7 @@
                         "{\"phase\":\"starting\",\"since_ms\":0,\"why\":\"the engine was never"
                                 + " there\",\"shown_per_s\":null"),
                 starting);
-        h.gateway.attached(true, 0);
+        h.gateway.onAttached(true, 0);
         String cold = call("GET /api/recovery");
         assertTrue(
                 cold.contains("\"phase\":\"cold\"")
--- a/src/test/java/tinroad/catalog/CatalogMemory.java
+++ b/src/test/java/tinroad/catalog/CatalogMemory.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Tenant;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Tenant;
 
 /**
  * What a catalog costs: {@code CatalogMemory TENANTS ROUTES} from the command line prints heap by
@@ -30,7 +30,9 @@
         }
         List<RequestClass> specs = new ArrayList<>();
         for (int i = 0; i < routes; i++) {
-            specs.add(new RequestClass(0, 0, 1 + i % DIFFERENT, 1, 0, Semantics.FREE, 0, false, 0));
+            specs.add(
+                    new RequestClass(
+                            0, 0, 1 + i % DIFFERENT, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0));
         }
         say(
                 "tenant, catalog alone",
@@ -78,10 +80,10 @@
                                                         new RequestClass(
                                                                 0,
                                                                 0,
-                                                                s.deadline(),
+                                                                s.deadlineMillis(),
                                                                 1,
                                                                 0,
-                                                                Semantics.FREE,
+                                                                Idempotency.IDEMPOTENT,
                                                                 0,
                                                                 false,
                                                                 0))
@@ -93,7 +95,7 @@
                 "tenant, of a re-read that is equal",
                 tenants,
                 () -> {
-                    Whole same = new Whole(whole);
+                    FullSnapshotDiff same = new FullSnapshotDiff(whole);
                     for (int i = 0; i < tenants; i++) {
                         same.tenant(tenantNames.get(i), quotas.get(i));
                     }
--- a/src/test/java/tinroad/catalog/CatalogTest.java
+++ b/src/test/java/tinroad/catalog/CatalogTest.java
@@ -16,12 +16,12 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Tenant;
-import tinroad.catalog.Editor.Outcome;
-import tinroad.config.Faults;
-import tinroad.config.SettingsCheck;
+import tinroad.catalog.CatalogBuilder.Outcome;
+import tinroad.config.SettingsValidator;
+import tinroad.config.ValidationErrors;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Tenant;
 
 /**
  * What becomes of changes: in any order, with repeats, gaps and crashes, and of batches that can't
@@ -29,7 +29,7 @@
  */
 class CatalogTest {
     static RequestClass due(double deadline) {
-        return new RequestClass(0, 0, deadline, 1, 0, Semantics.FREE, 0, false, 0);
+        return new RequestClass(0, 0, deadline, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0);
     }
 
     static Catalog of(
@@ -46,18 +46,18 @@
                 List.copyOf(tenants.values()));
     }
 
-    private final Editor editor =
-            new Editor(of(1, 5, Map.of("a", due(10)), Map.of("t", new Tenant(3, 1))));
+    private final CatalogBuilder editor =
+            new CatalogBuilder(of(1, 5, Map.of("a", due(10)), Map.of("t", new Tenant(3, 1))));
 
-    private static Change put(long epoch, long number, Map<String, RequestClass> routes) {
-        return new Change(epoch, number, routes, Set.of(), Map.of(), Set.of());
+    private static CatalogChange put(long epoch, long number, Map<String, RequestClass> routes) {
+        return new CatalogChange(epoch, number, routes, Set.of(), Map.of(), Set.of());
     }
 
-    private static Change remove(long number, String... routes) {
-        return new Change(1, number, Map.of(), Set.of(routes), Map.of(), Set.of());
+    private static CatalogChange remove(long number, String... routes) {
+        return new CatalogChange(1, number, Map.of(), Set.of(routes), Map.of(), Set.of());
     }
 
-    private void refused(String fault, Change c) {
+    private void refused(String fault, CatalogChange c) {
         Catalog before = editor.current();
         assertEquals(new Outcome.Refused(List.of(fault)), editor.offer(c));
         assertSame(before, editor.current());
@@ -87,7 +87,7 @@
         assertEquals(
                 new Outcome.Diverged(now),
                 editor.offer(
-                        new Change(
+                        new CatalogChange(
                                 1,
                                 6,
                                 Map.of(),
@@ -100,7 +100,7 @@
         assertEquals(
                 new Outcome.Diverged(now),
                 editor.offer(
-                        new Change(
+                        new CatalogChange(
                                 1,
                                 7,
                                 Map.of("c", due(1)),
@@ -109,8 +109,9 @@
                                 Set.of(),
                                 before,
                                 null)));
-        Change next =
-                new Change(1, 7, Map.of("c", due(1)), Set.of(), Map.of(), Set.of(), now, before);
+        CatalogChange next =
+                new CatalogChange(
+                        1, 7, Map.of("c", due(1)), Set.of(), Map.of(), Set.of(), now, before);
         refused(
                 "it leads to content " + editor.current().hashAfter(next) + ", and says " + before,
                 next);
@@ -122,12 +123,13 @@
         refused("no class would be left", remove(6, "a"));
         refused(
                 "class a is both put and removed",
-                new Change(1, 6, Map.of("a", due(2)), Set.of("a"), Map.of(), Set.of()));
+                new CatalogChange(1, 6, Map.of("a", due(2)), Set.of("a"), Map.of(), Set.of()));
         refused("put of class has no name", put(1, 6, Map.of("", due(2))));
         refused(
                 "org t: share has to be from 0 to 1, not 2",
-                new Change(1, 6, Map.of(), Set.of(), Map.of("t", new Tenant(1, 2)), Set.of()));
-        String longest = "\u20ac".repeat(SettingsCheck.LONGEST_NAME / 3);
+                new CatalogChange(
+                        1, 6, Map.of(), Set.of(), Map.of("t", new Tenant(1, 2)), Set.of()));
+        String longest = "\u20ac".repeat(SettingsValidator.LONGEST_NAME / 3);
         refused(
                 "put of class: the name "
                         + longest.substring(0, 80)
@@ -147,25 +149,26 @@
         }
         refused(
                 "org t7007: share has to be from 0 to 1, not -1",
-                new Change(1, 6, Map.of(), Set.of(), quotas, Set.of()));
+                new CatalogChange(1, 6, Map.of(), Set.of(), quotas, Set.of()));
         quotas.replaceAll((name, t) -> new Tenant(-1, 0));
         List<String> faults =
                 ((Outcome.Refused)
                                 editor.offer(
-                                        new Change(1, 6, Map.of(), Set.of(), quotas, Set.of())))
+                                        new CatalogChange(
+                                                1, 6, Map.of(), Set.of(), quotas, Set.of())))
                         .faults();
-        assertEquals(Faults.TOLD + 1, faults.size());
-        assertEquals("and 9900 more", faults.get(Faults.TOLD));
+        assertEquals(ValidationErrors.TOLD + 1, faults.size());
+        assertEquals("and 9900 more", faults.get(ValidationErrors.TOLD));
         quotas.replaceAll((name, t) -> new Tenant(1, 0));
         assertInstanceOf(
                 Outcome.Taken.class,
-                editor.offer(new Change(1, 6, Map.of(), Set.of(), quotas, Set.of())));
+                editor.offer(new CatalogChange(1, 6, Map.of(), Set.of(), quotas, Set.of())));
     }
 
     @Test
     void tablesHaveBounds() {
         Map<String, RequestClass> many = new HashMap<>();
-        for (int i = 0; i < SettingsCheck.MOST_CLASSES; i++) {
+        for (int i = 0; i < SettingsValidator.MOST_CLASSES; i++) {
             many.put("r" + i, due(1));
         }
         List<String> faults = ((Outcome.Refused) editor.offer(put(1, 6, many))).faults();
@@ -183,7 +186,7 @@
                 "class: no place for 1 new ones before what still runs under 1 removed ones has"
                         + " ended",
                 put(1, 8, Map.of("x", due(1))));
-        for (int place = 0; place <= SettingsCheck.MOST_CLASSES; place++) {
+        for (int place = 0; place <= SettingsValidator.MOST_CLASSES; place++) {
             editor.routeFree(place);
         }
         assertInstanceOf(Outcome.Taken.class, editor.offer(put(1, 8, Map.of("x", due(1)))));
@@ -205,7 +208,7 @@
             routes.put("r" + i, due(i + 1));
         }
         editor.offer(put(1, 6, routes));
-        Whole same = new Whole(editor.current());
+        FullSnapshotDiff same = new FullSnapshotDiff(editor.current());
         routes.forEach(same::requestClass);
         assertTrue(same.tenant("t", new Tenant(3, 1)));
         assertEquals(0, same.change(1, 7).size());
@@ -214,13 +217,13 @@
         routes.remove("r3");
         routes.put("r4", due(9999));
         routes.put("new", due(1));
-        Whole other = new Whole(editor.current());
+        FullSnapshotDiff other = new FullSnapshotDiff(editor.current());
         routes.forEach((name, spec) -> assertTrue(other.requestClass(name, spec)));
         assertEquals(false, other.requestClass("new", due(1)));
         assertEquals(false, other.requestClass("r5", due(6)));
-        Change c = other.change(1, 7);
+        CatalogChange c = other.change(1, 7);
         assertEquals(
-                new Change(
+                new CatalogChange(
                         1,
                         7,
                         Map.of("r4", due(9999), "new", due(1)),
@@ -231,7 +234,7 @@
                         of(0, 0, routes, Map.of()).hash()),
                 c);
         // It stands for a version far ahead.
-        Change ahead = other.change(3, 40);
+        CatalogChange ahead = other.change(3, 40);
         assertEquals(new Outcome.Gap(1), editor.offer(ahead));
         assertInstanceOf(Outcome.Taken.class, editor.offerWhole(ahead));
         assertEquals(new Outcome.Repeated(), editor.offerWhole(ahead));
@@ -243,20 +246,21 @@
 
     @Test
     void theHashTellsEveryPartAndNoOrder() {
-        RequestClass c = new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 7);
+        RequestClass c = new RequestClass(1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, false, 7);
         List<RequestClass> others =
                 List.of(
                         c,
-                        new RequestClass(9, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 7),
-                        new RequestClass(1, 9, 3, 4, 0.5, Semantics.FREE, 6, false, 7),
-                        new RequestClass(1, 2, 9, 4, 0.5, Semantics.FREE, 6, false, 7),
-                        new RequestClass(1, 2, 3, 9, 0.5, Semantics.FREE, 6, false, 7),
-                        new RequestClass(1, 2, 3, 4, 0.9, Semantics.FREE, 6, false, 7),
-                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.GUARDED, 6, false, 7),
-                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 9, false, 7),
-                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.SINGLE_SHOT, 6, false, 7),
-                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, true, 7),
-                        new RequestClass(1, 2, 3, 4, 0.5, Semantics.FREE, 6, false, 9));
+                        new RequestClass(9, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, false, 7),
+                        new RequestClass(1, 9, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, false, 7),
+                        new RequestClass(1, 2, 9, 4, 0.5, Idempotency.IDEMPOTENT, 6, false, 7),
+                        new RequestClass(1, 2, 3, 9, 0.5, Idempotency.IDEMPOTENT, 6, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.9, Idempotency.IDEMPOTENT, 6, false, 7),
+                        new RequestClass(
+                                1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT_WITH_KEY, 6, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 9, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Idempotency.NON_IDEMPOTENT, 6, false, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, true, 7),
+                        new RequestClass(1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, false, 9));
         Set<String> hashes = new HashSet<>();
         others.forEach(spec -> hashes.add(of(0, 0, Map.of("a", spec), Map.of()).hash()));
         assertEquals(others.size(), hashes.size());
@@ -284,9 +288,9 @@
         Map<String, RequestClass> routes = new HashMap<>(Map.of("a", due(10)));
         Map<String, Tenant> tenants = new HashMap<>();
         List<Catalog> files = new ArrayList<>(List.of(of(1, 0, routes, tenants)));
-        List<Change> log = new ArrayList<>();
+        List<CatalogChange> log = new ArrayList<>();
         for (int n = 1; n <= 30; n++) {
-            Whole next = new Whole(files.get(n - 1));
+            FullSnapshotDiff next = new FullSnapshotDiff(files.get(n - 1));
             for (int k = random.nextInt(6); k > 0; k--) {
                 String name = "n" + random.nextInt(12);
                 if (random.nextBoolean()) {
@@ -299,11 +303,11 @@
             }
             routes.forEach(next::requestClass);
             tenants.forEach(next::tenant);
-            Change c = next.change(1, n);
+            CatalogChange c = next.change(1, n);
             log.add(
                     random.nextBoolean()
                             ? c
-                            : new Change(
+                            : new CatalogChange(
                                     1,
                                     n,
                                     c.putRoutes(),
@@ -312,18 +316,18 @@
                                     c.removedTenants()));
             files.add(of(1, n, routes, tenants));
         }
-        Editor e = new Editor(files.get(0));
+        CatalogBuilder e = new CatalogBuilder(files.get(0));
         Set<Integer> left = new HashSet<>();
         while (e.current().number() < log.size()) {
             int at = (int) e.current().number();
             switch (random.nextInt(8)) {
                 // The process ends, and begins with the file of then.
                 case 0 -> {
-                    e = new Editor(files.get(at));
+                    e = new CatalogBuilder(files.get(at));
                     left.clear();
                 }
                 case 1 -> {
-                    Editor same = e;
+                    CatalogBuilder same = e;
                     left.forEach(same::routeFree);
                     left.clear();
                 }
@@ -331,7 +335,7 @@
                         assertInstanceOf(
                                 Outcome.Refused.class,
                                 e.offer(
-                                        new Change(
+                                        new CatalogChange(
                                                 1,
                                                 at + 1,
                                                 Map.of("bad", due(-1)),
@@ -361,12 +365,12 @@
     /** No two entries at one place, and none at one that was left and is not free. */
     private static void assertPlaces(Outcome.Taken taken, Set<Integer> left) {
         Set<Integer> used = new HashSet<>();
-        taken.next().allRoutes().forEach(r -> assertTrue(used.add(r.place()), "place given twice"));
+        taken.next().allRoutes().forEach(r -> assertTrue(used.add(r.slot()), "place given twice"));
         left.forEach(
                 place -> assertTrue(!used.contains(place), "place given anew before it was free"));
         taken.delta().classes().stream()
                 .filter(c -> c.spec() == null)
-                .forEach(c -> left.add(c.place()));
+                .forEach(c -> left.add(c.slot()));
         assertEquals(taken.next().routes(), used.size());
     }
 }
--- a/src/test/java/tinroad/changelog/ChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/ChangeLogTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Tenant;
-import tinroad.catalog.Change;
-import tinroad.catalog.Editor;
-import tinroad.catalog.Whole;
+import tinroad.catalog.CatalogBuilder;
+import tinroad.catalog.CatalogChange;
+import tinroad.catalog.FullSnapshotDiff;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Tenant;
 
 /**
  * The files of a change log, and what a follower makes of whatever it finds: one line, and the last
@@ -37,18 +37,18 @@
 class ChangeLogTest {
     @TempDir private Path dir;
 
-    private final Editor writer = new Editor(base());
-    private final Editor reader = new Editor(base());
+    private final CatalogBuilder writer = new CatalogBuilder(base());
+    private final CatalogBuilder reader = new CatalogBuilder(base());
 
-    private ChangeFolder folder() {
-        return new ChangeFolder(dir.resolve("log"), 8);
+    private ChangeLogStore folder() {
+        return new ChangeLogStore(dir.resolve("log"), 8);
     }
 
-    private final LogFollower[] follower = new LogFollower[1];
+    private final ChangeLogFollower[] follower = new ChangeLogFollower[1];
 
     private String follow() {
         if (follower[0] == null) {
-            follower[0] = new LogFollower(folder(), "log", null);
+            follower[0] = new ChangeLogFollower(folder(), "log", null);
         }
         return KillLogWrites.follow(follower[0], reader);
     }
@@ -56,14 +56,14 @@
     private void write(long epoch, int count) throws IOException {
         for (int i = 0; i < count; i++) {
             long number = writer.current().epoch() == epoch ? writer.current().number() + 1 : 1;
-            Change c = quotas(writer.current(), epoch, number, 2);
+            CatalogChange c = quotas(writer.current(), epoch, number, 2);
             folder().append(c);
             writer.offer(c);
         }
     }
 
     private Path file(long epoch, long number) {
-        return dir.resolve("log").resolve(new Position(epoch, number).file());
+        return dir.resolve("log").resolve(new LogPosition(epoch, number).file());
     }
 
     private void assertSame() {
@@ -80,35 +80,34 @@
                         1e300,
                         Double.MIN_VALUE,
                         1 / 3.0,
-                        Semantics.GUARDED,
+                        Idempotency.IDEMPOTENT_WITH_KEY,
                         5,
                         true,
                         0.25);
-        Change c =
-                new Change(
+        CatalogChange c =
+                new CatalogChange(
                         3,
                         9,
                         Map.of(
                                 "\u20ac\ud83d\ude00\"\\",
                                 odd,
                                 "b",
-                                new RequestClass(0, 0, 7, 0, 0, Semantics.FREE, 0, false, 0)),
+                                new RequestClass(
+                                        0, 0, 7, 0, 0, Idempotency.IDEMPOTENT, 0, false, 0)),
                         Set.of("x", "y"),
                         Map.of("t", new Tenant(0.3, 0)),
                         Set.of("u"),
                         "before",
                         "after");
-        byte[] bytes = ChangeEncoding.write(c);
-        ChangeFolder.Batch read =
-                ChangeEncoding.read(new ByteArrayInputStream(bytes), new Position(3, 9));
+        byte[] bytes = ChangeCodec.write(c);
+        ChangeLogStore.Batch read =
+                ChangeCodec.read(new ByteArrayInputStream(bytes), new LogPosition(3, 9));
         assertEquals(c, read.change());
         assertTrue(read.faults().isEmpty(), read.faults().lines()::toString);
         assertEquals(
                 "before after",
-                c.before()
-                        + " "
-                        + ChangeEncoding.readHead(new ByteArrayInputStream(bytes)).after());
-        assertTrue(ChangeEncoding.write(quotas(base(), 1, 1, 1)).length < 2048);
+                c.before() + " " + ChangeCodec.readHead(new ByteArrayInputStream(bytes)).after());
+        assertTrue(ChangeCodec.write(quotas(base(), 1, 1, 1)).length < 2048);
     }
 
     @Test
@@ -125,29 +124,29 @@
                 follow());
         assertEquals("", follow());
         assertEquals(5, reader.current().number());
-        Whole now = whole(writer);
+        FullSnapshotDiff now = whole(writer);
         assertNull(follower[0].whole(reader, now).line());
         assertSame();
         write(2, 1);
         assertEquals("", follow());
         assertSame();
         assertEquals(2, reader.current().epoch());
-        assertEquals(new Position(2, 1), follower[0].newest());
+        assertEquals(new LogPosition(2, 1), follower[0].newest());
     }
 
     @Test
     void aFileThatWasBroughtBeforeItsChangeIsAtItsVersion() throws IOException {
-        Change c = quotas(base(), 1, 1, 2);
-        Editor brought = new Editor(base());
+        CatalogChange c = quotas(base(), 1, 1, 2);
+        CatalogBuilder brought = new CatalogBuilder(base());
         brought.offer(c);
-        Editor early = new Editor(brought.current().at(0, 0));
+        CatalogBuilder early = new CatalogBuilder(brought.current().at(0, 0));
         write(1, 2);
-        LogFollower f = new LogFollower(folder(), "log", null);
+        ChangeLogFollower f = new ChangeLogFollower(folder(), "log", null);
         assertEquals("", KillLogWrites.follow(f, early));
         assertEquals(writer.current().hash(), early.current().hash());
         // And one that fell behind with a content that is back again.
         write(1, 9);
-        Editor late = new Editor(writer.current().at(0, 0));
+        CatalogBuilder late = new CatalogBuilder(writer.current().at(0, 0));
         assertTrue(KillLogWrites.follow(f, late).contains("is missing"));
         assertEquals(0, f.whole(late, whole(late, late)).taken().delta().size());
         assertEquals(11, late.current().number());
@@ -155,12 +154,12 @@
     }
 
     /** An editor's content as a settings file. */
-    private Whole whole(Editor from) {
+    private FullSnapshotDiff whole(CatalogBuilder from) {
         return whole(from, reader);
     }
 
-    private static Whole whole(Editor from, Editor to) {
-        Whole file = new Whole(to.current());
+    private static FullSnapshotDiff whole(CatalogBuilder from, CatalogBuilder to) {
+        FullSnapshotDiff file = new FullSnapshotDiff(to.current());
         from.current().allRoutes().forEach(r -> file.requestClass(r.name(), r.spec()));
         from.current().allTenants().forEach(t -> file.tenant(t.name(), t.spec()));
         return file;
@@ -169,7 +168,7 @@
     @Test
     void aFileIsTakenOnlyAsAVersionOfTheLog() throws IOException {
         write(1, 3);
-        Editor old = new Editor(base());
+        CatalogBuilder old = new CatalogBuilder(base());
         assertEquals("", follow());
         assertEquals(
                 "settings file not taken: it is that of 1-0, and 1-3 serves",
@@ -191,30 +190,30 @@
 
     @Test
     void noByteOfABatchCanBeAnotherOne() throws IOException {
-        byte[] bytes = ChangeEncoding.write(quotas(base(), 1, 1, 2));
-        Position at = new Position(1, 1);
+        byte[] bytes = ChangeCodec.write(quotas(base(), 1, 1, 2));
+        LogPosition at = new LogPosition(1, 1);
         for (int i = 0; i < bytes.length; i++) {
             byte[] cut = Arrays.copyOf(bytes, i);
             assertThrows(
-                    DamagedException.class,
-                    () -> ChangeEncoding.read(new ByteArrayInputStream(cut), at),
+                    CorruptChangeException.class,
+                    () -> ChangeCodec.read(new ByteArrayInputStream(cut), at),
                     "cut at " + i);
             for (int bit = 0; bit < 8; bit++) {
                 byte[] other = bytes.clone();
                 other[i] ^= (byte) (1 << bit);
                 assertThrows(
-                        DamagedException.class,
-                        () -> ChangeEncoding.read(new ByteArrayInputStream(other), at),
+                        CorruptChangeException.class,
+                        () -> ChangeCodec.read(new ByteArrayInputStream(other), at),
                         i + " bit " + bit);
             }
         }
         assertThrows(
-                DamagedException.class,
-                () -> ChangeEncoding.read(new ByteArrayInputStream(bytes), new Position(1, 2)));
+                CorruptChangeException.class,
+                () -> ChangeCodec.read(new ByteArrayInputStream(bytes), new LogPosition(1, 2)));
         byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
         assertThrows(
-                DamagedException.class,
-                () -> ChangeEncoding.read(new ByteArrayInputStream(longer), at));
+                CorruptChangeException.class,
+                () -> ChangeCodec.read(new ByteArrayInputStream(longer), at));
     }
 
     @Test
@@ -223,7 +222,7 @@
         byte[] good = Files.readAllBytes(file(1, 2));
         Files.write(file(1, 2), Arrays.copyOf(good, good.length / 2));
         // A publisher's file that is not whole has another name.
-        Files.write(dir.resolve("log/" + new Position(1, 3).file() + "-x.part"), good);
+        Files.write(dir.resolve("log/" + new LogPosition(1, 3).file() + "-x.part"), good);
         String told = follow();
         assertTrue(told.startsWith("log: change 1-2 is damaged: it is not JSON at byte "), told);
         assertEquals("", follow() + follow());
@@ -239,19 +238,19 @@
     void aHigherEpochMendsALogThatIsDamagedOrRolledBack() throws IOException {
         write(1, 2);
         assertEquals("", follow());
-        Editor behind = new Editor(base());
+        CatalogBuilder behind = new CatalogBuilder(base());
         behind.offer(quotas(base(), 1, 1, 2));
         Files.writeString(file(1, 2), "x");
         String told = assertThrows(IOException.class, () -> write(1, 1)).getMessage();
         assertEquals("the newest change, 1-2, is damaged: no change, or cut short", told);
         // One gateway has the damaged change, the other has not; the publisher goes on from where
         // the second one is.
-        LogFollower second = new LogFollower(folder(), "log", null);
+        ChangeLogFollower second = new ChangeLogFollower(folder(), "log", null);
         assertTrue(KillLogWrites.follow(second, behind).contains("1-2 is damaged"));
-        Change mended = quotas(behind.current(), 2, 1, 3);
+        CatalogChange mended = quotas(behind.current(), 2, 1, 3);
         folder().append(mended);
         String lines = "";
-        for (int i = 0; i < LogFollower.ANYWAY; i++) {
+        for (int i = 0; i < ChangeLogFollower.ANYWAY; i++) {
             lines += KillLogWrites.follow(second, behind);
         }
         assertEquals("", lines);
@@ -267,11 +266,14 @@
     @Test
     void aBatchWithAFaultIsRefusedWhole() throws IOException {
         write(1, 1);
-        Change bad =
-                new Change(
+        CatalogChange bad =
+                new CatalogChange(
                         1,
                         2,
-                        Map.of("b", new RequestClass(0, 0, 0, 0, 0, Semantics.FREE, 0, false, 0)),
+                        Map.of(
+                                "b",
+                                new RequestClass(
+                                        0, 0, 0, 0, 0, Idempotency.IDEMPOTENT, 0, false, 0)),
                         Set.of(),
                         Map.of(),
                         Set.of(),
@@ -283,7 +285,7 @@
         // A word that a later version knows, in a file whose checksum fits.
         String text =
                 new String(
-                        ChangeEncoding.write(quotas(writer.current(), 1, 2, 1)),
+                        ChangeCodec.write(quotas(writer.current(), 1, 2, 1)),
                         StandardCharsets.UTF_8);
         String body =
                 text.substring(text.indexOf('\n') + 1)
@@ -322,8 +324,8 @@
         assertEquals("", follow());
         assertSame();
         // The same, seen by the next life, which knows what this one had.
-        LogFollower next = new LogFollower(folder(), "log", new Position(1, 3));
-        Editor began = new Editor(base());
+        ChangeLogFollower next = new ChangeLogFollower(folder(), "log", new LogPosition(1, 3));
+        CatalogBuilder began = new CatalogBuilder(base());
         assertEquals(
                 "log was rolled back: 1-3 was taken, and the newest is 1-1\n",
                 KillLogWrites.follow(next, began));
@@ -339,11 +341,11 @@
     @Test
     void anEarlierEpochIsNotTakenAfterItIsOver() throws IOException {
         write(1, 2);
-        Change late = quotas(writer.current(), 1, 3, 5);
+        CatalogChange late = quotas(writer.current(), 1, 3, 5);
         write(2, 1);
         assertEquals("", follow());
         assertThrows(IOException.class, () -> folder().append(late));
-        Files.write(file(1, 3), ChangeEncoding.write(late));
+        Files.write(file(1, 3), ChangeCodec.write(late));
         assertEquals(
                 "log: change 1-3 came after its epoch was over: not taken, 2 goes on\n", follow());
         assertSame();
@@ -373,13 +375,13 @@
                         .getMessage()
                         .contains("does not follow"));
         // One that writes past the checks: the reader tells.
-        Files.write(file(1, 2), ChangeEncoding.write(quotas(base(), 1, 2, 9)));
+        Files.write(file(1, 2), ChangeCodec.write(quotas(base(), 1, 2, 9)));
         assertTrue(
                 follow().startsWith(
                                 "change 1-2 belongs to another content than "
                                         + writer.current().hash()));
         Files.delete(file(1, 2));
-        Files.write(file(1, 1), ChangeEncoding.write(quotas(base(), 1, 1, 9)));
+        Files.write(file(1, 1), ChangeCodec.write(quotas(base(), 1, 1, 9)));
         Files.createFile(dir.resolve("log/touched"));
         assertTrue(follow().startsWith("change 1-1 belongs to another content than "));
         assertSame();
@@ -387,7 +389,7 @@
 
     @Test
     void ofTwoThatWriteAtOnceOneWritesEachChange() throws Exception {
-        ChangeFolder log = new ChangeFolder(dir.resolve("log"), 1000);
+        ChangeLogStore log = new ChangeLogStore(dir.resolve("log"), 1000);
         AtomicInteger written = new AtomicInteger();
         Thread[] both = new Thread[2];
         for (int w = 0; w < both.length; w++) {
@@ -395,8 +397,8 @@
             both[w] =
                     new Thread(
                             () -> {
-                                Editor mine = new Editor(base());
-                                LogFollower f = new LogFollower(log, "log", null);
+                                CatalogBuilder mine = new CatalogBuilder(base());
+                                ChangeLogFollower f = new ChangeLogFollower(log, "log", null);
                                 for (int tries = 0;
                                         tries < 1000 && mine.current().number() < 60;
                                         tries++) {
@@ -420,7 +422,7 @@
         for (Thread w : both) {
             w.join();
         }
-        follower[0] = new LogFollower(log, "log", null);
+        follower[0] = new ChangeLogFollower(log, "log", null);
         assertEquals("", follow());
         assertTrue(written.get() >= 60, "written " + written);
         assertEquals(written.get(), reader.current().number());
@@ -435,7 +437,7 @@
         write(1, 1);
         Path half =
                 Files.write(
-                        dir.resolve("log/" + new Position(1, 1).file() + "-killed.part"),
+                        dir.resolve("log/" + new LogPosition(1, 1).file() + "-killed.part"),
                         new byte[20]);
         write(1, 1);
         assertTrue(Files.notExists(half));
--- a/src/test/java/tinroad/changelog/KillLogWrites.java
+++ b/src/test/java/tinroad/changelog/KillLogWrites.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Tenant;
 import tinroad.catalog.Catalog;
-import tinroad.catalog.Change;
-import tinroad.catalog.Editor;
+import tinroad.catalog.CatalogBuilder;
+import tinroad.catalog.CatalogChange;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Tenant;
 import tinroad.state.KillWrites;
 
 /**
@@ -37,13 +37,14 @@
                     campaign(Path.of(args[0]), Integer.parseInt(args[1]), Long.parseLong(args[2])));
             return;
         }
-        ChangeFolder folder = new ChangeFolder(Path.of(args[0]), KEEP);
-        List<Position> there = Files.isDirectory(Path.of(args[0])) ? folder.positions() : List.of();
-        Editor editor =
-                new Editor(
+        ChangeLogStore folder = new ChangeLogStore(Path.of(args[0]), KEEP);
+        List<LogPosition> there =
+                Files.isDirectory(Path.of(args[0])) ? folder.positions() : List.of();
+        CatalogBuilder editor =
+                new CatalogBuilder(
                         there.isEmpty() ? base() : content(there.get(there.size() - 1).number()));
         for (long n = editor.current().number() + 1; ; n++) {
-            Change c = quotas(editor.current(), 1, n, ENTRIES);
+            CatalogChange c = quotas(editor.current(), 1, n, ENTRIES);
             folder.append(c);
             editor.offer(c);
             System.out.println(1 + " " + n);
@@ -55,7 +56,7 @@
                 0,
                 0,
                 List.of("a"),
-                List.of(new RequestClass(0, 0, 10, 1, 0, Semantics.FREE, 0, false, 0)),
+                List.of(new RequestClass(0, 0, 10, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0)),
                 List.of(),
                 List.of());
     }
@@ -75,13 +76,13 @@
     }
 
     /** The next change of the content: so many quotas, each of the change's number. */
-    static Change quotas(Catalog now, long epoch, long number, int entries) {
+    static CatalogChange quotas(Catalog now, long epoch, long number, int entries) {
         Map<String, Tenant> put = new HashMap<>();
         for (int i = 0; i < entries; i++) {
             put.put("t" + i, new Tenant(number, 0));
         }
-        Change c = new Change(epoch, number, Map.of(), Set.of(), put, Set.of());
-        return new Change(
+        CatalogChange c = new CatalogChange(epoch, number, Map.of(), Set.of(), put, Set.of());
+        return new CatalogChange(
                 epoch,
                 number,
                 c.putRoutes(),
@@ -93,11 +94,11 @@
     }
 
     /** Takes all that is there; returns the lines that were told. */
-    static String follow(LogFollower follower, Editor editor) {
+    static String follow(ChangeLogFollower follower, CatalogBuilder editor) {
         StringBuilder lines = new StringBuilder();
         // Twice more after the last: what is wrong with the folder is looked for then.
         for (int idle = 0; idle < 2; ) {
-            LogFollower.Step step = follower.step(editor);
+            ChangeLogFollower.Step step = follower.step(editor);
             idle = step.taken() == null ? idle + 1 : 0;
             lines.append(step.line() == null ? "" : step.line() + "\n");
         }
@@ -107,8 +108,9 @@
     static String campaign(Path folder, int kills, long seed)
             throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
-        LogFollower follower = new LogFollower(new ChangeFolder(folder, KEEP), "log", null);
-        Editor editor = new Editor(base());
+        ChangeLogFollower follower =
+                new ChangeLogFollower(new ChangeLogStore(folder, KEEP), "log", null);
+        CatalogBuilder editor = new CatalogBuilder(base());
         int damaged = 0;
         int lost = 0;
         for (int k = 0; k < kills; k++) {
@@ -135,12 +137,12 @@
 
     /** Follows while it is written. */
     private static final class Reader extends Thread {
-        private final LogFollower follower;
-        private final Editor editor;
+        private final ChangeLogFollower follower;
+        private final CatalogBuilder editor;
         private volatile boolean done;
         private int trouble;
 
-        Reader(LogFollower follower, Editor editor) {
+        Reader(ChangeLogFollower follower, CatalogBuilder editor) {
             this.follower = follower;
             this.editor = editor;
         }
@@ -149,7 +151,7 @@
         public void run() {
             boolean began = editor.current().number() > 0;
             while (!done) {
-                LogFollower.Step step = follower.step(editor);
+                ChangeLogFollower.Step step = follower.step(editor);
                 began |= step.taken() != null;
                 // The folder comes with the first change.
                 trouble += step.line() != null && began ? 1 : 0;
--- a/src/test/java/tinroad/changelog/StoredChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/StoredChangeLogTest.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import tinroad.catalog.Catalog;
-import tinroad.catalog.Editor;
+import tinroad.catalog.CatalogBuilder;
 import tinroad.config.GatewayConfig;
 import tinroad.config.Site;
 
@@ -15,10 +15,12 @@
 
     @Test
     void theReleasesChangeLogLeadsFromItsFirstConfigurationToItsLast() throws Exception {
-        Editor editor = new Editor(catalog("config.json"));
-        LogFollower follower =
-                new LogFollower(
-                        new ChangeFolder(FILES.resolve("changes"), ChangeFolder.KEEP), "log", null);
+        CatalogBuilder editor = new CatalogBuilder(catalog("config.json"));
+        ChangeLogFollower follower =
+                new ChangeLogFollower(
+                        new ChangeLogStore(FILES.resolve("changes"), ChangeLogStore.KEEP),
+                        "log",
+                        null);
         KillLogWrites.follow(follower, editor);
         assertEquals(2, editor.current().epoch());
         assertEquals(1, editor.current().number());
--- a/src/test/java/tinroad/cli/FollowedLogTest.java
+++ b/src/test/java/tinroad/cli/FollowedLogTest.java
@@ -26,17 +26,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Tenant;
 import tinroad.Program;
 import tinroad.catalog.Catalog;
-import tinroad.catalog.Change;
-import tinroad.catalog.Editor;
-import tinroad.changelog.ChangeFolder;
+import tinroad.catalog.CatalogBuilder;
+import tinroad.catalog.CatalogChange;
+import tinroad.changelog.ChangeLogStore;
 import tinroad.config.ConfigException;
 import tinroad.config.GatewayConfig;
 import tinroad.config.Site;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Tenant;
 
 /**
  * A process that follows a change log, killed, restarted, taken over, and the log damaged and put
@@ -45,7 +45,7 @@
 @Timeout(value = 900, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FollowedLogTest extends Crossing {
     private static final RequestClass PAY =
-            new RequestClass(20_000, 0, 60_000, 3, 0.2, Semantics.SINGLE_SHOT, 0, false, 0);
+            new RequestClass(20_000, 0, 60_000, 3, 0.2, Idempotency.NON_IDEMPOTENT, 0, false, 0);
 
     private Path log;
     private String control;
@@ -70,14 +70,14 @@
 
     /** Writes one change after the other, and knows what each leads to. */
     private static final class Publisher {
-        private final ChangeFolder folder;
-        private final Editor editor;
+        private final ChangeLogStore folder;
+        private final CatalogBuilder editor;
 
         Publisher(Path folder, Path file) throws ConfigException {
-            this.folder = new ChangeFolder(folder, ChangeFolder.KEEP);
+            this.folder = new ChangeLogStore(folder, ChangeLogStore.KEEP);
             Site site = GatewayConfig.read(file).site();
             editor =
-                    new Editor(
+                    new CatalogBuilder(
                             Catalog.of(
                                     0,
                                     0,
@@ -91,16 +91,16 @@
                 Map<String, RequestClass> put, Set<String> removed, Map<String, Tenant> tenants)
                 throws IOException {
             Catalog now = editor.current();
-            Change bare =
-                    new Change(
+            CatalogChange bare =
+                    new CatalogChange(
                             1,
                             now.epoch() == 0 ? 1 : now.number() + 1,
                             put,
                             removed,
                             tenants,
                             Set.of());
-            Change whole =
-                    new Change(
+            CatalogChange whole =
+                    new CatalogChange(
                             1,
                             bare.number(),
                             put,
@@ -110,7 +110,7 @@
                             now.hash(),
                             now.hashAfter(bare));
             folder.append(whole);
-            assertTrue(editor.offer(whole) instanceof Editor.Outcome.Taken);
+            assertTrue(editor.offer(whole) instanceof CatalogBuilder.Outcome.Taken);
             return editor.current().hash();
         }
     }
--- a/src/test/java/tinroad/cli/StoredFilesTest.java
+++ b/src/test/java/tinroad/cli/StoredFilesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tinroad.operator.Operator;
+import tinroad.operator.OperatorConfig;
 
 /**
  * Files written by the released program 0.2.0 (commit 8aa3729) are still read, with the same
@@ -58,7 +58,7 @@
 
     @Test
     void everySettingOfTheReleasesOperatorFileIsRead() throws Exception {
-        Operator operator = Operator.read(FILES.resolve("operator.conf"));
+        OperatorConfig operator = OperatorConfig.read(FILES.resolve("operator.conf"));
         Path folder = FILES.toAbsolutePath();
         assertEquals(
                 List.of(true, "warn", Map.of("engine", "debug", "io.netty", "error"), 64, 50.0),
--- a/src/test/java/tinroad/config/DifferencesTest.java
+++ b/src/test/java/tinroad/config/DifferencesTest.java
@@ -24,14 +24,14 @@
     @Test
     void onlyWhatDiffersIsNamedAsInTheFile() throws Exception {
         GatewayConfig before = read();
-        assertEquals(List.of(), Differences.between(before, read()));
+        assertEquals(List.of(), ConfigDiff.between(before, read()));
         assertEquals(
                 List.of(),
-                Differences.between(
+                ConfigDiff.between(
                         before, read(":4400", ":4401", "89.0", "5", "new-order", "pay")));
         assertEquals(
                 List.of("name", "listen", "control", "seed", "stop_ms", "limits"),
-                Differences.between(
+                ConfigDiff.between(
                         before,
                         read(
                                 "\"n3\"",
@@ -54,7 +54,7 @@
                         "settings.over_share_worth",
                         "settings.step",
                         "settings.worth_by"),
-                Differences.between(
+                ConfigDiff.between(
                         before,
                         read(
                                 "\"whole\": 0.4",
--- a/src/test/java/tinroad/config/GatewayConfigTest.java
+++ b/src/test/java/tinroad/config/GatewayConfigTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tinroad.Controller;
+import tinroad.overload.Controller;
 
 /**
  * The configuration, and the settings in it: every value lands where it belongs, the rest is
@@ -61,14 +61,14 @@
         Controller.Settings s = config.site().settings();
         assertEquals(
                 new Controller.RequestClass(
-                        1500, 0, 3700, 2, 0.2, Controller.Semantics.FREE, 0, false, 0),
+                        1500, 0, 3700, 2, 0.2, Controller.Idempotency.IDEMPOTENT, 0, false, 0),
                 s.classes().get(0));
         assertEquals(
                 new Controller.RequestClass(
-                        0, 0, 6000, 0, 0, Controller.Semantics.SINGLE_SHOT, 0, true, 0.5),
+                        0, 0, 6000, 0, 0, Controller.Idempotency.NON_IDEMPOTENT, 0, true, 0.5),
                 s.classes().get(1));
         assertEquals(List.of(new Controller.Tenant(89, 0.5)), s.tenants());
-        assertEquals(new Controller.Goal(0.4, 0.3, 0, 0), s.goal());
+        assertEquals(new Controller.ObjectiveWeights(0.4, 0.3, 0, 0), s.objectiveWeights());
         assertEquals(new Controller.Rules(100, 0.2, 16000, 2500, 8, 1500), s.rules());
         assertEquals(
                 "6 12 3 true false",
@@ -78,24 +78,24 @@
                         + " "
                         + s.callers()
                         + " "
-                        + s.cold()
+                        + s.coldStart()
                         + " "
-                        + s.passesDeadline());
+                        + s.requestsCarryDeadline());
         assertEquals(
                 "15000.0 9738.0 4.0 1000.0 true 0.1 5.0",
-                s.idle()
+                s.clientIdleMillis()
                         + " "
                         + s.memoryKb()
                         + " "
-                        + s.runFactor()
+                        + s.runMemoryFactor()
                         + " "
-                        + s.maxStayAway()
+                        + s.maxRetryAfterMillis()
                         + " "
-                        + s.passesStayAway()
+                        + s.sendsRetryAfter()
                         + " "
-                        + s.overShareWorth()
+                        + s.overQuotaWeight()
                         + " "
-                        + s.step());
+                        + s.clockStepMillis());
     }
 
     @Test
@@ -159,7 +159,7 @@
             assertEquals(whole.site().settings().classes(), List.copyOf(notes.classes.values()));
             assertEquals(
                     new Controller.RequestClass(
-                            0, 0, 6000, 0, 0, Controller.Semantics.SINGLE_SHOT, 0, true, 0.5),
+                            0, 0, 6000, 0, 0, Controller.Idempotency.NON_IDEMPOTENT, 0, true, 0.5),
                     notes.classes.get("order"));
             assertEquals(whole.site().settings().tenants(), List.copyOf(notes.tenants.values()));
             assertEquals(List.of(), passed.site().settings().classes());
--- a/src/test/java/tinroad/core/AnySettingsTest.java
+++ b/src/test/java/tinroad/core/AnySettingsTest.java
@@ -20,11 +20,11 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.lifecycle.BeforeTry;
 import org.slf4j.helpers.NOPLogger;
-import tinroad.Controller;
-import tinroad.Controller.Gauges;
-import tinroad.Controller.Semantics;
-import tinroad.OverloadController;
 import tinroad.config.Site;
+import tinroad.overload.Controller;
+import tinroad.overload.Controller.Gauges;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.OverloadController;
 
 /**
  * The whole gateway, module and table, on settings drawn at random: classes of every effect, their
@@ -44,7 +44,7 @@
         private final String token;
         private final double at;
         private final double due;
-        private final List<Answer.Kind> answers = new ArrayList<>();
+        private final List<Response.Kind> answers = new ArrayList<>();
         private double answeredAt;
         private double ranAt = Double.NaN;
 
@@ -92,7 +92,7 @@
         List<Controller.RequestClass> drawn = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
             double deadline = between(300, 9000);
-            Semantics semantics = one(List.of(Semantics.values()), random);
+            Idempotency semantics = one(List.of(Idempotency.values()), random);
             drawn.add(
                     new Controller.RequestClass(
                             deadline * between(0.2, 0.9),
@@ -101,7 +101,7 @@
                             between(0.5, 9),
                             between(0, 0.5),
                             semantics,
-                            semantics == Semantics.GUARDED ? between(200, 20_000) : 0,
+                            semantics == Idempotency.IDEMPOTENT_WITH_KEY ? between(200, 20_000) : 0,
                             false,
                             0));
         }
@@ -113,7 +113,7 @@
                                 .mapToObj(
                                         i -> new Controller.Tenant(between(1, 100), 1.0 / tenants))
                                 .toList(),
-                        new Controller.Goal(0.4, 0.3, 0.2, 0.1),
+                        new Controller.ObjectiveWeights(0.4, 0.3, 0.2, 0.1),
                         new Controller.Rules(
                                 between(20, 200),
                                 between(0.1, 1),
@@ -121,9 +121,9 @@
                                 between(100, 5000),
                                 between(2, 12),
                                 between(500, 3000)),
-                        new Controller.Dependency(Controller.Below.NONE, 0, 0, 0),
-                        one(List.of(Controller.Say.values()), random),
-                        Controller.Halt.NONE,
+                        new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
+                        one(List.of(Controller.LoadHint.values()), random),
+                        Controller.CancellationMode.NONE,
                         1 + random.nextInt(12),
                         1 + random.nextInt(40),
                         1 + random.nextInt(30),
@@ -157,10 +157,10 @@
             Asked asked = all.get(id);
             assertTrue(Double.isNaN(asked.ranAt), "ran twice");
             assertTrue(
-                    asked.at <= drainedAt + site.settings().rules().drainGrace(),
+                    asked.at <= drainedAt + site.settings().rules().drainGraceMillis(),
                     "ran after the grace");
             if (asked.token != null) {
-                double window = site.settings().classes().get(asked.cls).keyWindow();
+                double window = site.settings().classes().get(asked.cls).keyWindowMillis();
                 all.values().stream()
                         .filter(a -> a != asked && asked.token.equals(a.token) && a.ranAt > 0)
                         .forEach(
@@ -176,8 +176,8 @@
         }
 
         @Override
-        public boolean askGauges(String tag) {
-            gateway.gauges(
+        public boolean requestGauges(String tag) {
+            gateway.onGauges(
                     tag,
                     new Gauges(
                             Math.min(1, running.size() / (double) site.settings().cores()),
@@ -193,19 +193,20 @@
         Controller.RequestClass c = site.settings().classes().get(cls);
         String id = String.format("%016x", ++order);
         String token =
-                c.semantics() == Semantics.GUARDED
+                c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         ? String.format("%032x", cls * 1000 + random.nextInt(40))
                         : null;
         double wait =
-                site.settings().passesDeadline() && random.nextBoolean()
-                        ? between(0, c.deadline())
+                site.settings().requestsCarryDeadline() && random.nextBoolean()
+                        ? between(0, c.deadlineMillis())
                         : Double.NaN;
         double at = now - random.nextInt(60);
-        Asked asked = new Asked(cls, token, at, at + (Double.isNaN(wait) ? c.deadline() : wait));
+        Asked asked =
+                new Asked(cls, token, at, at + (Double.isNaN(wait) ? c.deadlineMillis() : wait));
         all.put(id, asked);
         List<String> tenants = site.tenantNames();
-        gateway.request(
-                new Inbound(
+        gateway.handle(
+                new IncomingRequest(
                         id,
                         at,
                         site.classNames().get(cls),
@@ -213,16 +214,16 @@
                         random.nextInt(site.settings().callers()),
                         between(1, 60),
                         random.nextDouble(),
-                        c.semantics() == Semantics.FREE ? "k" + random.nextInt(50) : null,
+                        c.idempotency() == Idempotency.IDEMPOTENT ? "k" + random.nextInt(50) : null,
                         token,
                         wait,
-                        site.settings().marksRetry() && random.nextInt(4) == 0,
+                        site.settings().requestsMarkRetries() && random.nextInt(4) == 0,
                         Unpooled.wrappedBuffer(new byte[] {(byte) cls})),
                 answer -> {
                     asked.answers.add(answer.kind());
                     asked.answeredAt = now;
                     assertTrue(
-                            answer.kind() != Answer.Kind.REFUSED || Double.isNaN(asked.ranAt),
+                            answer.kind() != Response.Kind.REJECTED || Double.isNaN(asked.ranAt),
                             "called unrun, and ran");
                 });
     }
@@ -240,7 +241,7 @@
                         new Cores(),
                         OverloadController::new,
                         NOPLogger.NOP_LOGGER);
-        gateway.attached(random.nextBoolean(), 0);
+        gateway.onAttached(random.nextBoolean(), 0);
         double begun = now;
         double load = site.settings().cores() * between(1, 12);
         double stop = between(1000, 6000);
@@ -262,11 +263,11 @@
                     .forEach(
                             id -> {
                                 running.remove(id);
-                                gateway.ended(
+                                gateway.onRunEnded(
                                         id,
                                         random.nextInt(20) == 0
-                                                ? Engine.End.CRASHED
-                                                : Engine.End.DONE,
+                                                ? Engine.RunOutcome.CRASHED
+                                                : Engine.RunOutcome.DONE,
                                         now - since.remove(id),
                                         Unpooled.wrappedBuffer(new byte[] {1}));
                             });
@@ -275,10 +276,10 @@
             }
             if (now >= begun + DAY && drainedAt == Double.POSITIVE_INFINITY) {
                 drainedAt = now;
-                gateway.drain(now, now + stop);
+                gateway.beginDraining(now, now + stop);
             }
         }
-        double slack = site.settings().rules().answerSlack();
+        double slack = site.settings().rules().answerSlackMillis();
         all.values()
                 .forEach(
                         a -> {
@@ -288,7 +289,7 @@
                                     () -> "late by " + (a.answeredAt - a.due));
                         });
         assertTrue(
-                all.values().stream().anyMatch(a -> a.answers.get(0) == Answer.Kind.SERVED),
+                all.values().stream().anyMatch(a -> a.answers.get(0) == Response.Kind.SERVED),
                 "nothing was served");
     }
 }
--- a/src/test/java/tinroad/core/ChangesTest.java
+++ b/src/test/java/tinroad/core/ChangesTest.java
@@ -15,12 +15,12 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Tenant;
 import tinroad.catalog.Catalog;
-import tinroad.catalog.Change;
-import tinroad.catalog.Editor;
+import tinroad.catalog.CatalogBuilder;
+import tinroad.catalog.CatalogChange;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Tenant;
 
 /** Classes and tenants that change while requests are held, run, and are repeated. */
 class ChangesTest {
@@ -28,7 +28,7 @@
 
     private Harness h = Harness.started();
     private final Harness.Answers answers = new Harness.Answers();
-    private Editor editor = new Editor(h.gateway.catalog());
+    private CatalogBuilder editor = new CatalogBuilder(h.gateway.catalog());
     private final List<Boolean> ends = new ArrayList<>();
     private final List<Integer> freeClasses = new ArrayList<>();
     private final List<Integer> freeTenants = new ArrayList<>();
@@ -36,8 +36,8 @@
 
     private void on(Harness other) {
         h = other;
-        editor = new Editor(h.gateway.catalog());
-        h.gateway.onFree(
+        editor = new CatalogBuilder(h.gateway.catalog());
+        h.gateway.onSlotsFree(
                 all -> Arrays.stream(all).forEach(freeClasses::add),
                 all -> Arrays.stream(all).forEach(freeTenants::add));
     }
@@ -46,7 +46,7 @@
         on(h);
     }
 
-    private static RequestClass spec(double deadline, Semantics semantics) {
+    private static RequestClass spec(double deadline, Idempotency semantics) {
         return new RequestClass(
                 deadline / 2,
                 0,
@@ -54,7 +54,7 @@
                 1,
                 0,
                 semantics,
-                semantics == Semantics.GUARDED ? 3000 : 0,
+                semantics == Idempotency.IDEMPOTENT_WITH_KEY ? 3000 : 0,
                 false,
                 0);
     }
@@ -65,17 +65,17 @@
             Map<String, Tenant> putTenants,
             Set<String> removedTenants) {
         Catalog now = editor.current();
-        Editor.Outcome outcome =
+        CatalogBuilder.Outcome outcome =
                 editor.offer(
-                        new Change(
+                        new CatalogChange(
                                 now.epoch(),
                                 now.number() + 1,
                                 put,
                                 removed,
                                 putTenants,
                                 removedTenants));
-        Editor.Outcome.Taken taken = (Editor.Outcome.Taken) outcome;
-        h.gateway.change(taken.next(), taken.delta(), ends::add);
+        CatalogBuilder.Outcome.Taken taken = (CatalogBuilder.Outcome.Taken) outcome;
+        h.gateway.applyChange(taken.next(), taken.delta(), ends::add);
     }
 
     private void put(String name, RequestClass spec) {
@@ -89,15 +89,15 @@
     private static Map<String, RequestClass> many(int n) {
         Map<String, RequestClass> all = new HashMap<>();
         for (int i = 0; i < n; i++) {
-            all.put("c" + i, spec(700, Semantics.SINGLE_SHOT));
+            all.put("c" + i, spec(700, Idempotency.NON_IDEMPOTENT));
         }
         return all;
     }
 
     private String ask(String kind, String owner, String token) {
         String id = String.format("%016x", ++ids);
-        h.gateway.request(
-                new Inbound(
+        h.gateway.handle(
+                new IncomingRequest(
                         id,
                         h.now,
                         kind,
@@ -119,9 +119,9 @@
     }
 
     private void done(String id) {
-        h.gateway.ended(
+        h.gateway.onRunEnded(
                 id,
-                Engine.End.DONE,
+                Engine.RunOutcome.DONE,
                 5,
                 Unpooled.copiedBuffer("result", StandardCharsets.ISO_8859_1));
     }
@@ -129,7 +129,7 @@
     @Test
     void aVersionCountsWholeAndAfterTheEventThatBringsIt() {
         change(
-                Map.of("pay", spec(500, Semantics.FREE)),
+                Map.of("pay", spec(500, Idempotency.IDEMPOTENT)),
                 Set.of("order"),
                 Map.of("globex", new Tenant(5, 0.1)),
                 Set.of());
@@ -148,32 +148,32 @@
                 answers.got);
         assertEquals(List.of(true), ends);
         assertEquals(1, h.gateway.catalog().number());
-        assertEquals(h.now, h.gateway.catalogSince());
-        assertEquals(2, h.module.last.classIndex());
-        assertEquals(1, h.module.last.tenant());
+        assertEquals(h.now, h.gateway.catalogSinceMillis());
+        assertEquals(2, h.module.last.classSlot());
+        assertEquals(1, h.module.last.tenantSlot());
         assertNull(h.module.classes.get(1));
     }
 
     @Test
     void aLargeChangeComesInBoundedSlicesWithOtherEventsBetweenAndCountsAtOneInstant() {
-        int n = 3 * Reconfiguration.SLICE + 1;
+        int n = 3 * CatalogRollout.SLICE + 1;
         change(many(n), Set.of(), Map.of(), Set.of());
-        h.module.onRequest = r -> h.module.act.refuse(r.id(), 0, false);
+        h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         // No time passes between the slices: what they do is counted, not how long it takes.
         while (h.module.commits == 0) {
             assertEquals(0, h.gateway.catalog().number());
-            assertEquals(1, h.gateway.catalogsWaiting());
+            assertEquals(1, h.gateway.pendingCatalogs());
             ask("c0");
             ask("read");
             assertTrue(h.step());
         }
         assertEquals(4, h.module.staged.size());
-        assertTrue(h.module.staged.stream().allMatch(entries -> entries <= Reconfiguration.SLICE));
+        assertTrue(h.module.staged.stream().allMatch(entries -> entries <= CatalogRollout.SLICE));
         assertEquals(n, h.module.staged.stream().mapToInt(Integer::intValue).sum());
-        assertEquals(0, h.gateway.catalogsWaiting());
+        assertEquals(0, h.gateway.pendingCatalogs());
         assertEquals("INVALID NOT_SENT", answers.got.get(6));
         ask("c" + (n - 1));
-        assertEquals("REFUSED NOT_SENT", answers.got.get(8));
+        assertEquals("REJECTED NOT_SENT", answers.got.get(8));
         h.pass(0);
         assertEquals(List.of(true), ends);
     }
@@ -190,10 +190,9 @@
         change(Map.of(), new HashSet<>(many(10_000).keySet()), Map.of(), Set.of());
         h.pass(0);
         assertEquals(
-                (10_000 + Reconfiguration.SLICE - 1) / Reconfiguration.SLICE,
-                h.module.staged.size());
+                (10_000 + CatalogRollout.SLICE - 1) / CatalogRollout.SLICE, h.module.staged.size());
         assertEquals(3, h.module.commits);
-        h.pass(PlacesInHand.GRACE + 2 * Gateway.GUARD_PERIOD * 10_000 / PlacesInHand.MOST_TOLD);
+        h.pass(SlotReferences.GRACE + 2 * Gateway.GUARD_PERIOD * 10_000 / SlotReferences.MOST_TOLD);
         assertEquals(10_000, new HashSet<>(freeClasses).size());
         assertEquals(10_000, freeClasses.size());
     }
@@ -201,20 +200,20 @@
     @Test
     void aSecondVersionWaitsItsTurn() {
         change(many(300), Set.of(), Map.of(), Set.of());
-        put("read", spec(100, Semantics.FREE));
-        assertEquals(2, h.gateway.catalogsWaiting());
+        put("read", spec(100, Idempotency.IDEMPOTENT));
+        assertEquals(2, h.gateway.pendingCatalogs());
         h.pass(0);
         assertEquals(List.of(256, 44, 1), h.module.staged);
         assertEquals(List.of(true, true), ends);
         assertSame(editor.current(), h.gateway.catalog());
-        assertEquals(0, h.gateway.catalogsWaiting());
+        assertEquals(0, h.gateway.pendingCatalogs());
     }
 
     @Test
     void whatIsHeldKeepsTheDueTimeItCameUnder() {
         ask("read");
         h.pass(500);
-        put("read", spec(200, Semantics.FREE));
+        put("read", spec(200, Idempotency.IDEMPOTENT));
         h.pass(400);
         assertEquals(List.of(), answers.got);
         ask("read");
@@ -226,11 +225,11 @@
 
     @Test
     void anArrivalIsNotTooFarOffForALongerDeadlineThatCameLater() {
-        put("slow", spec(10 * Gateway.FAR_OFF, Semantics.FREE));
+        put("slow", spec(10 * Gateway.FAR_OFF, Idempotency.IDEMPOTENT));
         h.pass(0);
         h.module.onRequest = r -> h.module.act.run(r.id());
-        h.gateway.request(
-                new Inbound(
+        h.gateway.handle(
+                new IncomingRequest(
                         "00000000000000aa",
                         h.now - 5 * Gateway.FAR_OFF,
                         "slow",
@@ -252,25 +251,25 @@
         h.module.act.run(running);
         change(Map.of(), Set.of("order"), Map.of(), Set.of("acme"));
         h.pass(100);
-        h.module.act.refuse(held, 0, false);
-        h.pass(PlacesInHand.GRACE * 4);
+        h.module.act.reject(held, 0, false);
+        h.pass(SlotReferences.GRACE * 4);
         // Its caller has its answer, and its run may still end.
-        assertEquals(List.of("REFUSED NOT_SENT", "FAILED SENT"), answers.got);
+        assertEquals(List.of("REJECTED NOT_SENT", "FAILED SENT"), answers.got);
         assertEquals(List.of(), freeClasses);
         done(running);
-        h.pass(PlacesInHand.GRACE - 1);
+        h.pass(SlotReferences.GRACE - 1);
         assertEquals(List.of(), freeClasses);
         h.pass(1 + Gateway.GUARD_PERIOD);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of(0), freeTenants);
-        h.pass(PlacesInHand.GRACE * 4);
+        h.pass(SlotReferences.GRACE * 4);
         assertEquals(List.of(1), freeClasses);
     }
 
     @Test
     void anOrderThatWaitsForTheLinkHoldsItsPlaceAndRunsUnderItsOwnName() {
         h.linkUp = false;
-        h.gateway.detached();
+        h.gateway.onDetached();
         String waiting = ask("order");
         h.module.act.run(waiting);
         remove("order");
@@ -278,10 +277,10 @@
         assertEquals(1, h.gateway.catalog().number());
         assertEquals(List.of(), freeClasses);
         h.linkUp = true;
-        h.gateway.attached(false, 1e6);
+        h.gateway.onAttached(false, 1e6);
         assertEquals(List.of("RUN " + waiting + " order body"), h.runs);
         done(waiting);
-        h.pass(PlacesInHand.GRACE + 2 * Gateway.GUARD_PERIOD);
+        h.pass(SlotReferences.GRACE + 2 * Gateway.GUARD_PERIOD);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of("SERVED RAN result"), answers.got);
     }
@@ -290,10 +289,10 @@
     void aClassThatIsRemovedAndPutBackWithinATickIsNewAndTheOldOneGoesOn() {
         String before = ask("order");
         remove("order");
-        put("order", spec(300, Semantics.SINGLE_SHOT));
+        put("order", spec(300, Idempotency.NON_IDEMPOTENT));
         h.pass(0);
         String after = ask("order");
-        assertEquals(2, h.module.last.classIndex());
+        assertEquals(2, h.module.last.classSlot());
         h.module.act.run(before);
         h.module.act.run(after);
         done(before);
@@ -301,25 +300,27 @@
         assertEquals(List.of("SERVED RAN result", "SERVED RAN result"), answers.got);
         assertEquals(
                 List.of("read", "order"),
-                h.gateway.figures().rows().stream().map(Figures.Row::name).toList());
-        assertEquals(2, h.gateway.figures().rows().get(1).served());
+                h.gateway.metrics().rows().stream().map(GatewayMetrics.Row::name).toList());
+        assertEquals(2, h.gateway.metrics().rows().get(1).served());
     }
 
     @Test
     void countsOfARemovedClassStayUntilItsPlaceIsGivenAnew() {
-        h.module.onRequest = r -> h.module.act.refuse(r.id(), 0, false);
+        h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         ask("order");
         remove("order");
-        h.pass(PlacesInHand.GRACE + 2 * Gateway.GUARD_PERIOD);
+        h.pass(SlotReferences.GRACE + 2 * Gateway.GUARD_PERIOD);
         freeClasses.forEach(editor::routeFree);
-        put("other", spec(500, Semantics.FREE));
+        put("other", spec(500, Idempotency.IDEMPOTENT));
         h.pass(0);
-        assertEquals(new Figures.Row("order", 0, 1, 0), h.gateway.figures().rows().get(1));
+        assertEquals(new GatewayMetrics.Row("order", 0, 1, 0), h.gateway.metrics().rows().get(1));
         ask("other");
-        assertEquals(1, h.module.last.classIndex());
+        assertEquals(1, h.module.last.classSlot());
         assertEquals(
-                List.of(new Figures.Row("read", 0, 0, 0), new Figures.Row("other", 0, 1, 0)),
-                h.gateway.figures().rows());
+                List.of(
+                        new GatewayMetrics.Row("read", 0, 0, 0),
+                        new GatewayMetrics.Row("other", 0, 1, 0)),
+                h.gateway.metrics().rows());
     }
 
     @Test
@@ -327,7 +328,7 @@
         on(Harness.keyed());
         h.module.onRequest = r -> h.module.act.run(r.id());
         done(ask("pay", "acme", TOKEN));
-        put("pay", spec(2000, Semantics.SINGLE_SHOT));
+        put("pay", spec(2000, Idempotency.NON_IDEMPOTENT));
         h.pass(0);
         ask("pay", "acme", TOKEN);
         remove("pay");
@@ -348,7 +349,7 @@
         assertEquals(List.of(true), ends);
         assertEquals(1, h.gateway.catalog().number());
         remove("c0");
-        h.gateway.attached(true, 0);
+        h.gateway.onAttached(true, 0);
         assertEquals(1, h.module.commits);
         assertEquals(new Tenant(7, 1), h.module.tenants.get(1));
         assertNull(h.module.classes.get(1));
@@ -366,7 +367,7 @@
             for (int i = 0; i < steps; i++) {
                 h.step();
             }
-            h.gateway.attached(true, 0);
+            h.gateway.onAttached(true, 0);
             h.pass(0);
             assertEquals(List.of(true), ends);
             assertEquals(1, h.gateway.catalog().number());
@@ -378,7 +379,7 @@
     @Test
     void aDrainHindersNoChange() {
         String held = ask("order");
-        h.gateway.drain(h.now, h.now + 3000);
+        h.gateway.beginDraining(h.now, h.now + 3000);
         change(many(300), Set.of("order"), Map.of(), Set.of());
         h.pass(0);
         assertEquals(List.of(true), ends);
@@ -397,7 +398,7 @@
         assertSame(before, h.gateway.catalog());
         assertEquals(0, h.module.commits);
         ask("order");
-        assertEquals(1, h.module.last.classIndex());
+        assertEquals(1, h.module.last.classSlot());
     }
 
     @Test
@@ -407,6 +408,6 @@
         h.module.onRequest = r -> h.module.act.run(r.id());
         done(ask("read", "whoever", null));
         assertEquals(List.of("SERVED RAN result"), answers.got);
-        assertEquals(0, h.module.last.tenant());
+        assertEquals(0, h.module.last.tenantSlot());
     }
 }
--- a/src/test/java/tinroad/core/ClockTest.java
+++ b/src/test/java/tinroad/core/ClockTest.java
@@ -18,8 +18,8 @@
     @Test
     void aStallBetweenTheReadingsDoesNotShiftIt() {
         Clock clock = Clock.anchored(this::unix, () -> nanos);
-        assertEquals(5_000 + nanos / 1e6, clock.now(), 0.01);
+        assertEquals(5_000 + nanos / 1e6, clock.nowMillis(), 0.01);
         nanos += 2_500_000;
-        assertEquals(5_000 + nanos / 1e6, clock.now(), 0.01);
+        assertEquals(5_000 + nanos / 1e6, clock.nowMillis(), 0.01);
     }
 }
--- a/src/test/java/tinroad/core/ColdFleetTest.java
+++ b/src/test/java/tinroad/core/ColdFleetTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.slf4j.helpers.NOPLogger;
-import tinroad.Controller;
-import tinroad.Controller.Gauges;
-import tinroad.OverloadController;
 import tinroad.config.Site;
+import tinroad.overload.Controller;
+import tinroad.overload.Controller.Gauges;
+import tinroad.overload.OverloadController;
 
 /**
  * Thirty gateways, each with the real module, before thirty engines that start cold under several
@@ -61,12 +61,14 @@
         double warmth() {
             return Math.min(
                     1,
-                    RULES.coldFrom()
-                            + (1 - RULES.coldFrom()) * (now - startedAt) / RULES.rampTime());
+                    RULES.coldStartSpeed()
+                            + (1 - RULES.coldStartSpeed())
+                                    * (now - startedAt)
+                                    / RULES.slowStartMillis());
         }
 
         double allowed() {
-            return (1 + (RULES.crowdPerCore() - 1) * warmth()) * CORES;
+            return (1 + (RULES.concurrencyPerCore() - 1) * warmth()) * CORES;
         }
 
         @Override
@@ -77,8 +79,8 @@
         }
 
         @Override
-        public boolean askGauges(String tag) {
-            gateway.gauges(
+        public boolean requestGauges(String tag) {
+            gateway.onGauges(
                     tag, new Gauges(Math.min(1, onCores() / (double) CORES), onCores(), 0.1, 10));
             return true;
         }
@@ -103,9 +105,9 @@
             }
             for (String id : over.stream().sorted().toList()) {
                 double since = running.remove(id)[1];
-                gateway.ended(id, End.DONE, now - since, Unpooled.EMPTY_BUFFER);
+                gateway.onRunEnded(id, RunOutcome.DONE, now - since, Unpooled.EMPTY_BUFFER);
             }
-            while (!came.isEmpty() && came.peek() <= now - RULES.crowdSpan()) {
+            while (!came.isEmpty() && came.peek() <= now - RULES.concurrencyWindowMillis()) {
                 came.poll();
             }
             worst = Math.max(worst, over(came.size(), allowed()));
@@ -127,16 +129,16 @@
                                         3700,
                                         1,
                                         0.2,
-                                        Controller.Semantics.FREE,
+                                        Controller.Idempotency.IDEMPOTENT,
                                         0,
                                         false,
                                         0)),
                         List.of(),
-                        new Controller.Goal(0.4, 0.3, 0.2, 0),
+                        new Controller.ObjectiveWeights(0.4, 0.3, 0.2, 0),
                         RULES,
-                        new Controller.Dependency(Controller.Below.NONE, 0, 0, 0),
-                        Controller.Say.NONE,
-                        Controller.Halt.NONE,
+                        new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
+                        Controller.LoadHint.NONE,
+                        Controller.CancellationMode.NONE,
                         CORES,
                         GATEWAYS,
                         10,
@@ -170,8 +172,8 @@
             for (ColdEngine engine : engines) {
                 if (random.nextDouble() < perSecond * STEP / 1000) {
                     String id = String.format("%016x", ++order);
-                    engine.gateway.request(
-                            new Inbound(
+                    engine.gateway.handle(
+                            new IncomingRequest(
                                     id,
                                     now - random.nextInt(50),
                                     "read",
@@ -218,11 +220,11 @@
             engines.add(engine);
         }
         if (engineAlone) {
-            engines.forEach(e -> e.gateway.attached(false, 1e6));
+            engines.forEach(e -> e.gateway.onAttached(false, 1e6));
             until(now + 20_000, 40, engines, random);
             engines.forEach(
                     e -> {
-                        e.gateway.detached();
+                        e.gateway.onDetached();
                         e.running.clear();
                         e.came.clear();
                         e.worst = 0;
@@ -231,11 +233,11 @@
         engines.forEach(
                 e -> {
                     e.startedAt = now;
-                    e.gateway.attached(true, 0);
-                    e.gateway.caughtUp();
+                    e.gateway.onAttached(true, 0);
+                    e.gateway.onCaughtUp();
                 });
         double allOver = 0;
-        for (double end = now + RULES.rampTime() + 4000; now < end; ) {
+        for (double end = now + RULES.slowStartMillis() + 4000; now < end; ) {
             until(now + 100, 60, engines, random);
             allOver =
                     Math.max(
--- a/src/test/java/tinroad/core/GatewayTest.java
+++ b/src/test/java/tinroad/core/GatewayTest.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Gauges;
+import tinroad.overload.Controller.Gauges;
 
 /** The life of a request: one answer, in time, and never a second run, whatever the parties do. */
 class GatewayTest {
@@ -28,8 +28,8 @@
 
     private void ask(Harness on, String id, String kind, double arrivedAt) {
         ByteBuf body = bytes("body");
-        on.gateway.request(
-                new Inbound(id, arrivedAt, kind, "acme", 4, 20, 0.5, "k", body), answers);
+        on.gateway.handle(
+                new IncomingRequest(id, arrivedAt, kind, "acme", 4, 20, 0.5, "k", body), answers);
         // The front's buffer is gone after the call.
         body.setZero(0, body.capacity()).release();
     }
@@ -39,7 +39,7 @@
     }
 
     private void done(Harness on, String id, String result) {
-        on.gateway.ended(id, Engine.End.DONE, 5, bytes(result));
+        on.gateway.onRunEnded(id, Engine.RunOutcome.DONE, 5, bytes(result));
     }
 
     @Test
@@ -62,9 +62,9 @@
 
     @Test
     void aRefusalGoesOutAtOnceAndASecondAnswerIsDropped() {
-        h.module.onRequest = r -> h.module.act.refuse(r.id(), 500, true);
+        h.module.onRequest = r -> h.module.act.reject(r.id(), 500, true);
         ask("read");
-        assertEquals(List.of("REFUSED NOT_SENT"), answers.got);
+        assertEquals(List.of("REJECTED NOT_SENT"), answers.got);
         h.module.act.fail(ID);
         h.pass(5000);
         assertEquals(1, answers.got.size());
@@ -74,7 +74,7 @@
     void whatWasSentToRunIsNeverRefused() {
         ask("order");
         h.module.act.run(ID);
-        h.module.act.refuse(ID, 500, false);
+        h.module.act.reject(ID, 500, false);
         done(h, ID, "late");
         assertEquals(List.of("FAILED SENT"), answers.got);
     }
@@ -84,8 +84,8 @@
         List<Boolean> told = new ArrayList<>();
         h.gateway.onHealth(told::add);
         h.gateway.evacuate();
-        h.module.act.health(false, true);
-        h.module.act.health(true, true);
+        h.module.act.setHealth(false, true);
+        h.module.act.setHealth(true, true);
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("order");
         done(h, ID, "result");
@@ -125,11 +125,11 @@
     @Test
     void timeIsCountedFromTheArrivalAndNeverNegative() {
         ask(h, ID, "read", h.now - 900);
-        assertEquals(900, h.module.last.age());
+        assertEquals(900, h.module.last.ageMillis());
         h.pass(100 + Gateway.GUARD_PERIOD);
         assertEquals(1, answers.got.size());
         ask(h, OTHER, "read", h.now + 5000);
-        assertEquals(0, h.module.last.age());
+        assertEquals(0, h.module.last.ageMillis());
         h.pass(1000 + Gateway.GUARD_PERIOD);
         assertEquals(2, answers.got.size());
     }
@@ -137,9 +137,9 @@
     @Test
     void everyEndOfARunIsToldAndOnlyDoneIsServed() {
         h.module.onRequest = r -> h.module.act.run(r.id());
-        for (Engine.End end : Engine.End.values()) {
+        for (Engine.RunOutcome end : Engine.RunOutcome.values()) {
             ask(h, "000000000000000" + end.ordinal(), "read", h.now);
-            h.gateway.ended("000000000000000" + end.ordinal(), end, 5, bytes("r"));
+            h.gateway.onRunEnded("000000000000000" + end.ordinal(), end, 5, bytes("r"));
         }
         assertEquals(
                 List.of(
@@ -160,8 +160,8 @@
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("order");
         h.linkUp = true;
-        h.gateway.attached(false, 0);
-        h.gateway.attached(false, 0);
+        h.gateway.onAttached(false, 0);
+        h.gateway.onAttached(false, 0);
         assertEquals(List.of("RUN " + ID + " order body"), h.runs);
         done(h, ID, "result");
         assertEquals(List.of("SERVED RAN result"), answers.got);
@@ -172,9 +172,9 @@
         h.linkUp = false;
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("order");
-        h.gateway.attached(false, 0);
+        h.gateway.onAttached(false, 0);
         h.linkUp = true;
-        h.gateway.attached(false, 0);
+        h.gateway.onAttached(false, 0);
         assertEquals(List.of("RUN " + ID + " order body"), h.runs);
     }
 
@@ -199,7 +199,7 @@
         ask("read");
         h.pass(1100);
         h.linkUp = true;
-        h.gateway.attached(false, 0);
+        h.gateway.onAttached(false, 0);
         assertEquals(List.of(), h.runs);
         assertEquals(List.of("FAILED NOT_SENT"), answers.got);
         assertEquals(List.of("ended " + ID + " IGNORED"), h.module.heard);
@@ -209,9 +209,9 @@
     void aRunLostWithItsLinkMayHaveRunAndFreesItsPlace() {
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("read");
-        h.gateway.detached();
-        h.gateway.attached(false, 0);
-        h.module.act.refuse(ID, 0, false);
+        h.gateway.onDetached();
+        h.gateway.onAttached(false, 0);
+        h.module.act.reject(ID, 0, false);
         assertEquals(List.of("FAILED SENT"), answers.got);
         h.pass(1000 + Gateway.LOST_RUN_KEPT + 2 * Gateway.GUARD_PERIOD);
         assertEquals(List.of("ended " + ID + " IGNORED"), h.module.heard);
@@ -223,15 +223,15 @@
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("order");
         ask(h, OTHER, "read", h.now);
-        h.gateway.detached();
-        h.gateway.attached(false, 0);
+        h.gateway.onDetached();
+        h.gateway.onAttached(false, 0);
         done(h, OTHER, "told again");
-        h.gateway.caughtUp();
-        h.gateway.caughtUp();
+        h.gateway.onCaughtUp();
+        h.gateway.onCaughtUp();
         String order = "RUN " + ID + " order body";
         assertEquals(List.of(order, "RUN " + OTHER + " read body", order), h.runs);
         done(h, ID, "result");
-        h.gateway.ended(ID, Engine.End.STALE, 0, bytes(""));
+        h.gateway.onRunEnded(ID, Engine.RunOutcome.STALE, 0, bytes(""));
         assertEquals(List.of("SERVED RAN told again", "SERVED RAN result"), answers.got);
         assertEquals(List.of("ended " + OTHER + " OK", "ended " + ID + " OK"), h.module.heard);
     }
@@ -241,9 +241,9 @@
         h.module.onRequest = r -> h.module.act.run(r.id());
         h.pass(5000);
         ask("order");
-        h.gateway.detached();
-        h.gateway.attached(true, 10);
-        h.gateway.caughtUp();
+        h.gateway.onDetached();
+        h.gateway.onAttached(true, 10);
+        h.gateway.onCaughtUp();
         assertEquals(1, h.runs.size());
         h.pass(2000 + Gateway.LOST_RUN_KEPT + 2 * Gateway.GUARD_PERIOD);
         assertEquals(List.of("FAILED SENT"), answers.got);
@@ -254,10 +254,10 @@
     void whatWasAnsweredWhileTheLinkWasDownIsNotOrderedAgain() {
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("order");
-        h.gateway.detached();
+        h.gateway.onDetached();
         h.module.act.fail(ID);
-        h.gateway.attached(false, 0);
-        h.gateway.caughtUp();
+        h.gateway.onAttached(false, 0);
+        h.gateway.onCaughtUp();
         assertEquals(1, h.runs.size());
     }
 
@@ -265,7 +265,7 @@
     void whatTheEngineDoesNotKnowTakesNoCallersId() {
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("read");
-        h.gateway.ended(ID, Engine.End.REJECTED, 0, bytes(""));
+        h.gateway.onRunEnded(ID, Engine.RunOutcome.REJECTED, 0, bytes(""));
         ask("read");
         done(h, ID, "result");
         assertEquals(List.of("FAILED NOT_SENT", "SERVED RAN result"), answers.got);
@@ -274,15 +274,15 @@
     @Test
     void whatIsHeldMayBeWithdrawnByItsRequesterAlone() {
         ask("read");
-        h.gateway.withdraw(ID, a -> {});
-        h.gateway.withdraw(OTHER, answers);
+        h.gateway.cancel(ID, a -> {});
+        h.gateway.cancel(OTHER, answers);
         assertEquals(List.of(), answers.got);
-        h.gateway.withdraw(ID, answers);
-        h.gateway.withdraw(ID, answers);
+        h.gateway.cancel(ID, answers);
+        h.gateway.cancel(ID, answers);
         assertEquals(List.of("FAILED NOT_SENT"), answers.got);
         ask(h, OTHER, "read", h.now);
         h.module.act.run(OTHER);
-        h.gateway.withdraw(OTHER, answers);
+        h.gateway.cancel(OTHER, answers);
         done(h, OTHER, "ran all the same");
         assertEquals("SERVED RAN ran all the same", answers.got.get(1));
         assertEquals(List.of("gone " + ID, "ended " + OTHER + " OK"), h.module.heard);
@@ -293,9 +293,9 @@
         h.linkUp = false;
         h.module.onRequest = r -> h.module.act.run(r.id());
         ask("order");
-        h.gateway.withdraw(ID, answers);
+        h.gateway.cancel(ID, answers);
         h.linkUp = true;
-        h.gateway.attached(false, 0);
+        h.gateway.onAttached(false, 0);
         assertEquals(List.of(), h.runs);
         assertEquals(List.of("ended " + ID + " IGNORED"), h.module.heard);
     }
@@ -306,23 +306,23 @@
         ask(h, ID, "read", h.now - Gateway.FAR_OFF - 1);
         ask(h, ID, "read", h.now + Gateway.FAR_OFF + 1);
         assertEquals(
-                List.of("REFUSED NOT_SENT", "INVALID NOT_SENT", "INVALID NOT_SENT"), answers.got);
+                List.of("REJECTED NOT_SENT", "INVALID NOT_SENT", "INVALID NOT_SENT"), answers.got);
         assertNull(h.module.last);
     }
 
     @Test
     void aTimerWaitsForItsGaugesButNotForLong() {
-        h.module.act.timer("tick", 20);
+        h.module.act.scheduleTimer("tick", 20);
         h.pass(20);
-        h.gateway.gauges(h.gaugesAsked.get(0), new Gauges(0.5, 3, 0.1, 9));
+        h.gateway.onGauges(h.gaugesAsked.get(0), new Gauges(0.5, 3, 0.1, 9));
         assertEquals(List.of("timer tick 3.0"), h.module.heard);
-        h.module.act.timer("late", 20);
+        h.module.act.scheduleTimer("late", 20);
         h.pass(20 + Gateway.GAUGES_WAIT);
         assertEquals("timer late 3.0", h.module.heard.get(1));
-        h.gateway.gauges(h.gaugesAsked.get(1), new Gauges(0.5, 4, 0.1, 9));
+        h.gateway.onGauges(h.gaugesAsked.get(1), new Gauges(0.5, 4, 0.1, 9));
         assertEquals(2, h.module.heard.size());
         h.linkUp = false;
-        h.module.act.timer("none", Gateway.GAUGES_VALID + 1);
+        h.module.act.scheduleTimer("none", Gateway.GAUGES_VALID + 1);
         h.pass(Gateway.GAUGES_VALID + 1);
         assertEquals("timer none NaN", h.module.heard.get(2));
     }
@@ -332,8 +332,8 @@
         Harness early = new Harness(0);
         assertFalse(early.gateway.healthy());
         ask(early, ID, "read", early.now);
-        assertEquals(List.of("REFUSED NOT_SENT"), answers.got);
-        early.gateway.attached(true, 10);
+        assertEquals(List.of("REJECTED NOT_SENT"), answers.got);
+        early.gateway.onAttached(true, 10);
         assertTrue(early.gateway.healthy());
     }
 
@@ -341,9 +341,9 @@
     void theNoticeToLeaveReachesTheModuleOnceAndHealthStaysBad() {
         List<Boolean> told = new ArrayList<>();
         h.gateway.onHealth(told::add);
-        h.gateway.drain(h.now - 40, h.now + 2960);
-        h.gateway.drain(h.now, h.now + 3000);
-        h.module.act.health(true, true);
+        h.gateway.beginDraining(h.now - 40, h.now + 2960);
+        h.gateway.beginDraining(h.now, h.now + 3000);
+        h.module.act.setHealth(true, true);
         assertEquals(List.of("drain 3000"), h.module.heard);
         assertEquals(List.of(false), told);
         assertFalse(h.gateway.healthy());
@@ -364,15 +364,15 @@
     @Test
     void whatBeganToArriveInTheGraceAndIsWholeAfterItCountsAsArrivedAfterIt() {
         double noticedAt = h.now;
-        h.gateway.drain(noticedAt, noticedAt + 5000);
+        h.gateway.beginDraining(noticedAt, noticedAt + 5000);
         h.pass(2490);
         ask(h, ID, "order", h.now - 300);
-        assertEquals(300, h.module.last.age());
+        assertEquals(300, h.module.last.ageMillis());
         h.pass(110);
         ask(h, OTHER, "order", h.now - 300);
         assertTrue(
-                h.now - h.module.last.age() > noticedAt + 2500,
-                "arrived " + (h.now - h.module.last.age() - noticedAt));
+                h.now - h.module.last.ageMillis() > noticedAt + 2500,
+                "arrived " + (h.now - h.module.last.ageMillis() - noticedAt));
         h.pass(1699);
         assertEquals(1, answers.got.size(), "the due time still counts from what the request said");
         h.pass(30);
@@ -385,17 +385,19 @@
         double before = h.now;
         h.now += 5000;
         h.pass(Gateway.GUARD_PERIOD / 2);
-        assertTrue(h.gateway.aliveAt() <= before, "a notice may have come during the stall");
-        assertTrue(h.gateway.aliveAt() >= before - 2 * Gateway.GUARD_PERIOD);
+        assertTrue(
+                h.gateway.lastSeenAliveMillis() <= before,
+                "a notice may have come during the stall");
+        assertTrue(h.gateway.lastSeenAliveMillis() >= before - 2 * Gateway.GUARD_PERIOD);
         h.pass(100);
-        assertTrue(h.gateway.aliveAt() >= h.now - 2 * Gateway.GUARD_PERIOD - 1);
+        assertTrue(h.gateway.lastSeenAliveMillis() >= h.now - 2 * Gateway.GUARD_PERIOD - 1);
     }
 
     @Test
     void aNoticeThatComesBeforeTheEngineIsToldToTheModuleToo() {
         Harness early = new Harness(0);
-        early.gateway.drain(early.now, early.now + 3000);
-        early.gateway.attached(true, 10);
+        early.gateway.beginDraining(early.now, early.now + 3000);
+        early.gateway.onAttached(true, 10);
         assertEquals(List.of("drain 3000"), early.module.heard);
         assertFalse(early.gateway.healthy());
     }
@@ -403,8 +405,9 @@
     @Test
     void unknownClassesAndTenantsAreInvalid() {
         ask("nothing");
-        h.gateway.request(
-                new Inbound(OTHER, h.now, "read", "nobody", 4, 20, 0.5, null, bytes("")), answers);
+        h.gateway.handle(
+                new IncomingRequest(OTHER, h.now, "read", "nobody", 4, 20, 0.5, null, bytes("")),
+                answers);
         assertEquals(List.of("INVALID NOT_SENT", "INVALID NOT_SENT"), answers.got);
         assertNull(h.module.last);
     }
@@ -426,13 +429,13 @@
     @Test
     void repeatsOfAKeptReadAreAnsweredAlikeWhileItIsFresh() {
         Harness fresh = new Harness(300);
-        fresh.gateway.attached(false, 0);
+        fresh.gateway.onAttached(false, 0);
         fresh.module.onRequest =
                 r -> {
-                    if (r.repeats() != null) {
-                        fresh.module.act.reuse(r.id());
+                    if (r.duplicateOf() != null) {
+                        fresh.module.act.replayResult(r.id());
                     } else {
-                        fresh.module.act.keep(r.id(), 2000);
+                        fresh.module.act.retainKey(r.id(), 2000);
                         fresh.module.act.run(r.id());
                     }
                 };
@@ -446,7 +449,7 @@
                 List.of("SERVED RAN shared", "SERVED RAN shared", "SERVED RAN shared"),
                 answers.got);
         assertEquals(2, fresh.runs.size());
-        fresh.gateway.ended("9b1f03aa5c7e2d44", Engine.End.CRASHED, 5, bytes(""));
+        fresh.gateway.onRunEnded("9b1f03aa5c7e2d44", Engine.RunOutcome.CRASHED, 5, bytes(""));
         assertEquals("FAILED RAN", answers.got.get(3));
     }
 }
--- a/src/test/java/tinroad/core/Harness.java
+++ b/src/test/java/tinroad/core/Harness.java
@@ -11,8 +11,8 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import org.slf4j.helpers.NOPLogger;
-import tinroad.Controller;
 import tinroad.config.Site;
+import tinroad.overload.Controller;
 
 /**
  * A gateway on a clock that the test moves, between an engine that records and a module that
@@ -68,7 +68,7 @@
     /** An attached gateway that is healthy. */
     public static Harness started() {
         Harness harness = new Harness(0);
-        harness.gateway.attached(false, 0);
+        harness.gateway.onAttached(false, 0);
         return harness;
     }
 
@@ -78,7 +78,7 @@
      */
     public static Harness keyed() {
         Harness harness = new Harness(site(0, true));
-        harness.gateway.attached(false, 0);
+        harness.gateway.onAttached(false, 0);
         return harness;
     }
 
@@ -87,18 +87,18 @@
                 new Controller.Settings(
                         keyed
                                 ? List.of(
-                                        cls(1000, Controller.Semantics.FREE),
-                                        cls(2000, Controller.Semantics.SINGLE_SHOT),
-                                        cls(2000, Controller.Semantics.GUARDED))
+                                        cls(1000, Controller.Idempotency.IDEMPOTENT),
+                                        cls(2000, Controller.Idempotency.NON_IDEMPOTENT),
+                                        cls(2000, Controller.Idempotency.IDEMPOTENT_WITH_KEY))
                                 : List.of(
-                                        cls(1000, Controller.Semantics.FREE),
-                                        cls(2000, Controller.Semantics.SINGLE_SHOT)),
+                                        cls(1000, Controller.Idempotency.IDEMPOTENT),
+                                        cls(2000, Controller.Idempotency.NON_IDEMPOTENT)),
                         List.of(new Controller.Tenant(100, 1)),
-                        new Controller.Goal(1, 0, 0, 0),
+                        new Controller.ObjectiveWeights(1, 0, 0, 0),
                         new Controller.Rules(100, 1, 0, 2500, 8, 1500),
-                        new Controller.Dependency(Controller.Below.NONE, 0, 0, 0),
-                        Controller.Say.NONE,
-                        Controller.Halt.NONE,
+                        new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
+                        Controller.LoadHint.NONE,
+                        Controller.CancellationMode.NONE,
                         2,
                         1,
                         1,
@@ -122,7 +122,7 @@
                 List.of("core_use", "on_cores", "heap_share", "links"));
     }
 
-    private static Controller.RequestClass cls(double deadline, Controller.Semantics semantics) {
+    private static Controller.RequestClass cls(double deadline, Controller.Idempotency semantics) {
         return new Controller.RequestClass(
                 deadline / 2,
                 0,
@@ -130,7 +130,7 @@
                 1,
                 0,
                 semantics,
-                semantics == Controller.Semantics.GUARDED ? WINDOW : 0,
+                semantics == Controller.Idempotency.IDEMPOTENT_WITH_KEY ? WINDOW : 0,
                 false,
                 0);
     }
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public double now() {
+    public double nowMillis() {
         return now;
     }
 
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public boolean askGauges(String tag) {
+    public boolean requestGauges(String tag) {
         gaugesAsked.add(tag);
         return linkUp;
     }
@@ -212,90 +212,91 @@
         public final Map<String, Double> restored = new HashMap<>();
 
         @Override
-        public Map<String, Known> learned() {
-            return Map.of("run.0", new Known(125, 2));
+        public Map<String, Estimate> learnedEstimates() {
+            return Map.of("run.0", new Estimate(125, 2));
         }
 
         @Override
-        public void restore(Map<String, Known> known, boolean cold) {
+        public void restore(Map<String, Estimate> known, boolean cold) {
             known.forEach((name, k) -> restored.put(name.replace("run.", ""), k.value()));
         }
 
         @Override
-        public void start(double now, long seed, Settings settings) {
-            act.health(true, true);
+        public void start(double nowMillis, long seed, Settings settings) {
+            act.setHealth(true, true);
             for (int i = 0; i < settings.classes().size(); i++) {
                 classes.put(i, settings.classes().get(i));
             }
         }
 
         @Override
-        public void stage(List<ClassAt> parts, List<TenantAt> quotas) {
+        public void stage(List<ClassSlot> parts, List<TenantSlot> quotas) {
             if (failsToStage) {
                 failsToStage = false;
                 throw new IllegalStateException("fails, as the test wants");
             }
             staged.add(parts.size() + quotas.size());
-            parts.forEach(c -> prepared.add(() -> classes.put(c.place(), c.spec())));
-            quotas.forEach(t -> prepared.add(() -> tenants.put(t.place(), t.spec())));
+            parts.forEach(c -> prepared.add(() -> classes.put(c.slot(), c.spec())));
+            quotas.forEach(t -> prepared.add(() -> tenants.put(t.slot(), t.spec())));
         }
 
         @Override
-        public void commit(double now) {
+        public void commit(double nowMillis) {
             commits++;
             prepared.forEach(Runnable::run);
             prepared.clear();
         }
 
         @Override
-        public void unstage() {
+        public void discardStaged() {
             prepared.clear();
         }
 
         @Override
-        public void request(double now, Request request) {
+        public void requestArrived(double nowMillis, Request request) {
             last = request;
             onRequest.accept(request);
         }
 
         @Override
-        public void ended(double now, String id, double elapsed, Outcome outcome) {
+        public void completed(double nowMillis, String id, double elapsed, Outcome outcome) {
             heard.add("ended " + id + " " + outcome);
         }
 
         @Override
-        public void needs(double now, String id) {
+        public void dependencyCallNeeded(double nowMillis, String id) {
             throw new AssertionError("nothing lies below");
         }
 
         @Override
-        public void called(double now, String id, double elapsed, Outcome outcome) {
+        public void dependencyCallCompleted(
+                double nowMillis, String id, double elapsed, Outcome outcome) {
             throw new AssertionError("nothing lies below");
         }
 
         @Override
-        public void gone(double now, String id) {
+        public void cancelled(double nowMillis, String id) {
             heard.add("gone " + id);
         }
 
         @Override
-        public void drain(double now, double leaveAt) {
-            heard.add("drain " + Math.round(leaveAt - now));
-            act.health(false, true);
+        public void beginDraining(double nowMillis, double leaveAt) {
+            heard.add("drain " + Math.round(leaveAt - nowMillis));
+            act.setHealth(false, true);
         }
 
         @Override
-        public void timer(double now, String token, Gauges gauges) {
-            heard.add("timer " + token + " " + gauges.onCores());
+        public void timerFired(double nowMillis, String token, Gauges gauges) {
+            heard.add("timer " + token + " " + gauges.runnable());
         }
     }
 
     /** A requester that notes each answer it gets as {@code KIND progress body}. */
-    public static final class Answers implements Requester {
+    public static final class Answers implements ResponseSink {
         public final List<String> got = new ArrayList<>();
 
         @Override
-        public void answer(Answer a) {
+        public void respond(Response a) {
             byte[] body = ByteBufUtil.getBytes(a.result());
             got.add(
                     (a.kind()
--- a/src/test/java/tinroad/core/KeyedTest.java
+++ b/src/test/java/tinroad/core/KeyedTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Request;
+import tinroad.overload.Controller.Request;
 
 /**
  * Keyed classes: whatever the tries of one request meet, one of them runs, and no other's answer is
@@ -24,7 +24,7 @@
  */
 class KeyedTest {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    private static final double LATER = Harness.WINDOW + Repeats.MARGIN + 1;
+    private static final double LATER = Harness.WINDOW + IdempotencyTable.MARGIN + 1;
 
     private Harness h;
     private final Harness.Answers first = new Harness.Answers();
@@ -38,10 +38,10 @@
     }
 
     private void runOnceAsTheModuleDoes(Request r) {
-        if (r.repeats() != null) {
-            h.module.act.reuse(r.id());
+        if (r.duplicateOf() != null) {
+            h.module.act.replayResult(r.id());
         } else {
-            h.module.act.keep(r.id(), Harness.WINDOW);
+            h.module.act.retainKey(r.id(), Harness.WINDOW);
             h.module.act.run(r.id());
         }
     }
@@ -54,9 +54,9 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private void ask(int n, String token, double arrivedAt, String body, Requester requester) {
-        h.gateway.request(
-                new Inbound(
+    private void ask(int n, String token, double arrivedAt, String body, ResponseSink requester) {
+        h.gateway.handle(
+                new IncomingRequest(
                         id(n),
                         arrivedAt,
                         "pay",
@@ -72,17 +72,17 @@
                 requester);
     }
 
-    private void ask(int n, Requester requester) {
+    private void ask(int n, ResponseSink requester) {
         ask(n, TOKEN, h.now, "body", requester);
     }
 
-    private void ended(int n, Engine.End end, String result) {
-        h.gateway.ended(id(n), end, 5, bytes(result));
+    private void ended(int n, Engine.RunOutcome end, String result) {
+        h.gateway.onRunEnded(id(n), end, 5, bytes(result));
     }
 
     private void served() {
         ask(1, first);
-        ended(1, Engine.End.DONE, "paid");
+        ended(1, Engine.RunOutcome.DONE, "paid");
     }
 
     @Test
@@ -90,7 +90,7 @@
         ask(1, first);
         ask(2, second);
         assertEquals(1, h.runs.size());
-        ended(1, Engine.End.DONE, "paid");
+        ended(1, Engine.RunOutcome.DONE, "paid");
         assertEquals(List.of("SERVED RAN paid"), first.got);
         assertEquals(List.of("SERVED RAN paid"), second.got);
     }
@@ -99,9 +99,9 @@
     void aRepeatInTheInstantInWhichTheFirstEndsIsAnsweredOnceAndNeverRun() {
         ask(1, first);
         // The answer is on its way out, and its caller asks again from within.
-        Requester again = answer -> ask(2, second);
-        h.gateway.request(
-                new Inbound(
+        ResponseSink again = answer -> ask(2, second);
+        h.gateway.handle(
+                new IncomingRequest(
                         id(3),
                         h.now,
                         "pay",
@@ -115,7 +115,7 @@
                         true,
                         bytes("body")),
                 again);
-        ended(1, Engine.End.DONE, "paid");
+        ended(1, Engine.RunOutcome.DONE, "paid");
         assertEquals(1, h.runs.size());
         assertEquals(List.of("SERVED RAN paid"), second.got);
     }
@@ -144,7 +144,7 @@
     @Test
     void theWindowCountsFromTheArrivalOfTheTryThatRanEvenWithACallersClockThatRunsAhead() {
         ask(1, TOKEN, h.now + 1500, "body", first);
-        ended(1, Engine.End.DONE, "paid");
+        ended(1, Engine.RunOutcome.DONE, "paid");
         h.pass(LATER);
         ask(2, second);
         assertEquals(1, h.runs.size());
@@ -170,7 +170,7 @@
     void aRepeatOfARunThatFailedFailsAndNeverRuns() {
         ask(1, first);
         ask(2, second);
-        ended(1, Engine.End.CRASHED, "");
+        ended(1, Engine.RunOutcome.CRASHED, "");
         Harness.Answers third = new Harness.Answers();
         ask(3, third);
         assertEquals(List.of("FAILED RAN"), first.got);
@@ -183,21 +183,21 @@
     void whatWasTurnedAwayUnrunMayRunAtItsNextTry() {
         h.module.onRequest =
                 r -> {
-                    h.module.act.keep(r.id(), Harness.WINDOW);
-                    h.module.act.refuse(r.id(), 0, false);
+                    h.module.act.retainKey(r.id(), Harness.WINDOW);
+                    h.module.act.reject(r.id(), 0, false);
                 };
         ask(1, first);
-        assertEquals(List.of("REFUSED NOT_SENT"), first.got);
+        assertEquals(List.of("REJECTED NOT_SENT"), first.got);
         h.module.onRequest = this::runOnceAsTheModuleDoes;
         ask(2, second);
-        assertNull(h.module.last.repeats());
+        assertNull(h.module.last.duplicateOf());
         assertEquals(1, h.runs.size());
     }
 
     @Test
     void whatTheEngineWouldNotTakeMayRunAtItsNextTry() {
         ask(1, first);
-        ended(1, Engine.End.REJECTED, "");
+        ended(1, Engine.RunOutcome.REJECTED, "");
         ask(2, second);
         assertEquals(2, h.runs.size());
     }
@@ -206,9 +206,9 @@
     void theRunOfACallerThatIsGoneStillAnswersTheRepeatThatWaitsForIt() {
         ask(1, first);
         ask(2, second);
-        h.gateway.withdraw(id(1), first);
+        h.gateway.cancel(id(1), first);
         h.pass(100);
-        ended(1, Engine.End.DONE, "paid");
+        ended(1, Engine.RunOutcome.DONE, "paid");
         assertEquals(List.of("SERVED RAN paid"), second.got);
     }
 
@@ -216,8 +216,8 @@
     void aRepeatLeavesWhileItWaitsAndTheRunIsNotDisturbed() {
         ask(1, first);
         ask(2, second);
-        h.gateway.withdraw(id(2), second);
-        ended(1, Engine.End.DONE, "paid");
+        h.gateway.cancel(id(2), second);
+        ended(1, Engine.RunOutcome.DONE, "paid");
         assertEquals(List.of("SERVED RAN paid"), first.got);
         assertEquals(List.of("FAILED NOT_SENT"), second.got);
     }
@@ -225,7 +225,7 @@
     @Test
     void noTryIsTurnedAwayAsUnrunOnceOneWasSentToRun() {
         ask(1, first);
-        h.module.onRequest = r -> h.module.act.refuse(r.id(), 0, false);
+        h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         ask(2, second);
         ask(3, TOKEN, h.now - 5000, "body", second);
         assertEquals(List.of("FAILED NOT_SENT", "FAILED SENT"), second.got);
@@ -247,39 +247,39 @@
         ask(1, first);
         ask(2, second);
         h.linkUp = true;
-        h.gateway.attached(false, 60_000);
+        h.gateway.onAttached(false, 60_000);
         assertEquals(1, h.runs.size());
-        ended(1, Engine.End.DONE, "paid");
+        ended(1, Engine.RunOutcome.DONE, "paid");
         assertEquals(List.of("SERVED RAN paid"), second.got);
     }
 
     @Test
     void aFullTableTurnsNewRequestsAwayAndForgetsNone() {
-        IntStream.range(0, Repeats.MOST_TOKENS)
+        IntStream.range(0, IdempotencyTable.MOST_TOKENS)
                 .forEach(
                         i -> {
                             ask(i, String.format("%032x", i), h.now, "b", first);
-                            ended(i, Engine.End.DONE, "");
+                            ended(i, Engine.RunOutcome.DONE, "");
                         });
         ask(70_000, String.format("%032x", 70_000), h.now, "b", second);
-        assertEquals(List.of("REFUSED NOT_SENT"), second.got);
+        assertEquals(List.of("REJECTED NOT_SENT"), second.got);
         ask(70_001, String.format("%032x", 0), h.now, "b", second);
         assertEquals("SERVED RAN", second.got.get(1));
-        assertEquals(Repeats.MOST_TOKENS, h.runs.size());
+        assertEquals(IdempotencyTable.MOST_TOKENS, h.runs.size());
         h.pass(LATER + 5000);
         ask(70_002, String.format("%032x", 70_002), h.now, "b", second);
-        assertEquals(Repeats.MOST_TOKENS + 1, h.runs.size());
+        assertEquals(IdempotencyTable.MOST_TOKENS + 1, h.runs.size());
     }
 
     @Test
     void theOldestResultIsLetGoFirstAndItsRepeatFailsWithoutARun() {
         String large = "r".repeat(4096);
-        int most = Repeats.MOST_RESULTS / 4096;
+        int most = IdempotencyTable.MOST_RESULTS / 4096;
         IntStream.rangeClosed(0, most)
                 .forEach(
                         i -> {
                             ask(i, String.format("%032x", i), h.now, "b", first);
-                            ended(i, Engine.End.DONE, large);
+                            ended(i, Engine.RunOutcome.DONE, large);
                         });
         ask(70_000, String.format("%032x", 0), h.now, "b", second);
         ask(70_001, String.format("%032x", 1), h.now, "b", second);
@@ -290,21 +290,21 @@
     @Test
     void theCallersWaitIsTheDueTimeAndALapsedOneIsTurnedAwayAtOnce() {
         h.module.onRequest = r -> {};
-        h.gateway.request(
-                new Inbound(
+        h.gateway.handle(
+                new IncomingRequest(
                         id(1), h.now, "read", "acme", 4, 20, 0.5, null, null, 300, false,
                         bytes("")),
                 first);
-        assertEquals(h.now + 300, h.module.last.due());
+        assertEquals(h.now + 300, h.module.last.deadlineAtMillis());
         h.pass(299);
         assertTrue(first.got.isEmpty());
         h.pass(30);
         assertEquals(List.of("FAILED NOT_SENT"), first.got);
-        h.gateway.request(
-                new Inbound(
+        h.gateway.handle(
+                new IncomingRequest(
                         id(2), h.now, "read", "acme", 4, 20, 0.5, null, null, 0, false, bytes("")),
                 second);
-        assertEquals(List.of("REFUSED NOT_SENT"), second.got);
+        assertEquals(List.of("REJECTED NOT_SENT"), second.got);
     }
 
     @Property(seed = "20261204", tries = 200)
@@ -316,7 +316,10 @@
             h.pass(random.nextInt(200));
             if (random.nextInt(3) == 0 && !running.isEmpty()) {
                 int end = running.remove(random.nextInt(running.size()));
-                ended(end, random.nextBoolean() ? Engine.End.DONE : Engine.End.CRASHED, "x");
+                ended(
+                        end,
+                        random.nextBoolean() ? Engine.RunOutcome.DONE : Engine.RunOutcome.CRASHED,
+                        "x");
             } else {
                 int token = random.nextInt(3);
                 int before = h.runs.size();
--- a/src/test/java/tinroad/roster/RosterReporterTest.java
+++ b/src/test/java/tinroad/discovery/RosterReporterTest.java
@@ -1,4 +1,4 @@
-package tinroad.roster;
+package tinroad.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -85,8 +85,8 @@
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             roster.setSoTimeout(HUNG_MS);
-            RosterReporter reporter =
-                    new RosterReporter(
+            LoadReporter reporter =
+                    new LoadReporter(
                             group.next(),
                             (InetSocketAddress) roster.getLocalSocketAddress(),
                             "n3",
@@ -127,8 +127,8 @@
                                 new Noting(selectors), DefaultSelectStrategyFactory.INSTANCE));
         try (DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             roster.setSoTimeout(HUNG_MS);
-            RosterReporter reporter =
-                    new RosterReporter(
+            LoadReporter reporter =
+                    new LoadReporter(
                             group.next(),
                             (InetSocketAddress) roster.getLocalSocketAddress(),
                             "n3",
--- a/src/test/java/tinroad/engine/EngineLinkTest.java
+++ b/src/test/java/tinroad/engine/EngineLinkTest.java
@@ -32,10 +32,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Gauges;
 import tinroad.Cuts;
 import tinroad.core.Engine;
 import tinroad.core.Progress;
+import tinroad.overload.Controller.Gauges;
 
 /**
  * The link against a scripted engine on an ephemeral loopback port; waits end by events, never by
@@ -80,22 +80,22 @@
 
     private class Heard implements Engine.Listener {
         @Override
-        public void attached(boolean fresh, double startedAgo) {
+        public void onAttached(boolean fresh, double startedAgo) {
             heard.add("attached " + fresh + " " + startedAgo);
         }
 
         @Override
-        public void caughtUp() {
+        public void onCaughtUp() {
             heard.add("caught up");
         }
 
         @Override
-        public void detached() {
+        public void onDetached() {
             heard.add("detached");
         }
 
         @Override
-        public void ended(String id, Engine.End end, double took, ByteBuf result) {
+        public void onRunEnded(String id, Engine.RunOutcome end, double took, ByteBuf result) {
             heard.add(
                     id
                             + " "
@@ -107,13 +107,13 @@
         }
 
         @Override
-        public void gauges(String tag, Gauges gauges) {
+        public void onGauges(String tag, Gauges gauges) {
             heard.add(
                     tag
                             + " "
-                            + gauges.coreUse()
+                            + gauges.coreUtilization()
                             + " "
-                            + gauges.onCores()
+                            + gauges.runnable()
                             + " "
                             + gauges.connections());
         }
@@ -152,13 +152,13 @@
     void nothingIsSentBeforeHelloHoweverLateItComes() throws Exception {
         assertEquals("{\"type\":\"ATTACH\",\"n\":0}", lines.readLine());
         assertEquals(Progress.NOT_SENT, run("0a"));
-        assertEquals(false, onLoop(() -> link.askGauges("1")));
+        assertEquals(false, onLoop(() -> link.requestGauges("1")));
         hello();
         assertEquals(Progress.SENT, run("0b"));
         assertEquals(
                 "{\"type\":\"RUN\",\"job\":\"0b\",\"kind\":\"read\",\"data\":\"AP9i\"}",
                 lines.readLine());
-        assertTrue(onLoop(() -> link.askGauges("7")));
+        assertTrue(onLoop(() -> link.requestGauges("7")));
         assertEquals("{\"type\":\"STAT\",\"ref\":\"7\"}", lines.readLine());
         tell("{\"type\":\"STATS\",\"ref\":\"7\",\"gauges\":[0.5,3,0.1,9,77]}\n");
         hears("7 0.5 3.0 9.0");
@@ -258,7 +258,8 @@
         cut.listen(
                 new Heard() {
                     @Override
-                    public void ended(String id, Engine.End end, double took, ByteBuf result) {
+                    public void onRunEnded(
+                            String id, Engine.RunOutcome end, double took, ByteBuf result) {
                         ended.add(
                                 id
                                         + " "
@@ -287,16 +288,16 @@
     @Property(seed = "20261203", tries = 500)
     void garbageIsSurvivedAndACutLineIsNoNotice(
             @ForAll @Size(max = 200) byte[] garbage, @ForAll long seed) {
-        Notice.read(Unpooled.wrappedBuffer(garbage), GAUGES);
+        EngineEvent.read(Unpooled.wrappedBuffer(garbage), GAUGES);
         byte[] line =
                 ("{\"type\":\"DONE\",\"n\":12,\"job\":\"0a\",\"state\":\"done\",\"took\":18.5,\"data\":\"cmVz\","
                      + "\"gauges\":[1,2,3,4],\"more\":{\"a\":[1]}}")
                         .getBytes(StandardCharsets.US_ASCII);
-        assertNotNull(Notice.read(Unpooled.wrappedBuffer(line), GAUGES));
+        assertNotNull(EngineEvent.read(Unpooled.wrappedBuffer(line), GAUGES));
         Random random = new Random(seed);
         int cut = random.nextInt(line.length);
-        assertNull(Notice.read(Unpooled.wrappedBuffer(line, 0, cut), GAUGES));
+        assertNull(EngineEvent.read(Unpooled.wrappedBuffer(line, 0, cut), GAUGES));
         line[cut] = (byte) random.nextInt(256);
-        Notice.read(Unpooled.wrappedBuffer(line), GAUGES);
+        EngineEvent.read(Unpooled.wrappedBuffer(line), GAUGES);
     }
 }
