--- a/src/test/java/tinroad/fastcgi/FrontConnectionTest.java
+++ b/src/test/java/tinroad/fastcgi/FrontConnectionTest.java
@@ -43,16 +43,16 @@
     private static final byte[] NONE = {};
 
     private Harness h;
-    private FastCgiFront front;
+    private FastCgiFrontend front;
     private EmbeddedChannel channel;
 
     @BeforeEach
     @BeforeTry
     void start() {
         h = Harness.started();
-        front = new FastCgiFront(h, h.gateway, 1024, 192);
+        front = new FastCgiFrontend(h, h.gateway, 1024, 192);
         channel = connect();
-        h.gateway.add(front);
+        h.gateway.addFrontend(front);
         h.module.onRequest = r -> h.module.act.run(r.id());
     }
 
@@ -73,9 +73,9 @@
     }
 
     private void done(int i, String result) {
-        h.gateway.ended(
+        h.gateway.onRunEnded(
                 id(i),
-                Engine.End.DONE,
+                Engine.RunOutcome.DONE,
                 5,
                 Unpooled.copiedBuffer(result, StandardCharsets.ISO_8859_1));
     }
@@ -112,7 +112,7 @@
     @Test
     void aLeavingGatewayClosesABusyConnectionAtTheFirstMomentWithNothingOpenOrHalfRead() {
         receive(Records.whole(1, Records.fields(id(1)), "body"));
-        front.leave();
+        front.closeGracefully();
         byte[] next = Records.whole(2, Records.fields(id(2)), "body");
         receive(Arrays.copyOf(next, 20));
         done(1, "one");
@@ -127,7 +127,7 @@
 
     @Test
     void twoProcessesKeepToHalfOfTheConnectionsEachAndLetTheLeastUsefulGo() {
-        front = new FastCgiFront(h, h.gateway, FastCgiFront.RESERVED + 4, 192);
+        front = new FastCgiFrontend(h, h.gateway, FastCgiFrontend.RESERVED + 4, 192);
         List<EmbeddedChannel> silent = IntStream.range(0, 3).mapToObj(i -> connect()).toList();
         channel = connect();
         receive(Records.whole(1, Records.fields(id(1)), "body"));
@@ -183,7 +183,7 @@
 
     @Test
     void aRefusalCarriesTheModulesAdvice() {
-        h.module.onRequest = r -> h.module.act.refuse(r.id(), 249.2, true);
+        h.module.onRequest = r -> h.module.act.reject(r.id(), 249.2, true);
         receive(Records.whole(1, Records.fields(id(1)), ""));
         assertEquals(
                 List.of(
@@ -265,22 +265,22 @@
     @Test
     void aMarkedTryAndItsCallersWaitReachTheModuleAndTheLevelGoesOutWithAnswersAndChecks() {
         h = Harness.keyed();
-        front = new FastCgiFront(h, h.gateway, 1024, 192);
+        front = new FastCgiFrontend(h, h.gateway, 1024, 192);
         channel = connect();
-        h.module.onRequest = r -> h.module.act.refuse(r.id(), 0, false);
+        h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         Map<String, String> fields = Records.fields(id(1));
         fields.put("HTTP_REQ_WAIT_MS", "480.5");
         fields.put("HTTP_REQ_RETRY", "1");
         receive(Records.whole(1, fields, "body"));
-        assertTrue(h.module.last.resent());
-        assertEquals(h.now + 480.5, h.module.last.due());
-        h.module.act.say(0.25);
+        assertTrue(h.module.last.retry());
+        assertEquals(h.now + 480.5, h.module.last.deadlineAtMillis());
+        h.module.act.advertiseLoad(0.25);
         receive(
                 Records.whole(2, Records.fields(id(2)), "body"),
                 Records.whole(3, Map.of("SCRIPT_NAME", "/healthz"), ""));
-        assertFalse(h.module.last.resent());
-        assertEquals(0, h.module.last.due(), "its caller did not tell");
-        h.module.act.say(1e-7);
+        assertFalse(h.module.last.retry());
+        assertEquals(0, h.module.last.deadlineAtMillis(), "its caller did not tell");
+        h.module.act.advertiseLoad(1e-7);
         receive(Records.whole(4, Map.of("SCRIPT_NAME", "/healthz"), ""));
         assertEquals(
                 List.of(
@@ -327,12 +327,12 @@
     void aHealthCheckTellsTheModulesHealth() {
         Map<String, String> check = Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/healthz");
         receive(Records.whole(1, check, ""));
-        h.module.act.health(false, true);
+        h.module.act.setHealth(false, true);
         receive(Records.whole(1, check, ""));
         assertEquals(
                 List.of("1: Status: 200 OK\r\n\r\n", "1: Status: 503 Service Unavailable\r\n\r\n"),
                 answers());
-        front.idleAfter(100);
+        front.setIdleTimeout(100);
         idle(1000);
         assertTrue(channel.isOpen(), "a checker's connection is no caller's");
     }
@@ -348,7 +348,7 @@
 
     @Test
     void onlyAnEmptyConnectionIsClosedAsIdle() {
-        front.idleAfter(100);
+        front.setIdleTimeout(100);
         byte[] request = Records.whole(1, Records.fields(id(1)), "body");
         receive(Arrays.copyOf(request, 5));
         idle(500);
@@ -366,7 +366,7 @@
 
     @Test
     void aRequestThatArrivedDuringAStallKeepsItsConnection() {
-        front.idleAfter(100);
+        front.setIdleTimeout(100);
         h.pass(500);
         front.pass();
         receive(Records.whole(1, Records.fields(id(1)), "body"));
@@ -392,7 +392,7 @@
         byte[] request = Records.whole(1, Records.fields(id(1)), "body");
         request[10] = 0;
         receive(request);
-        h.gateway.ended(id(1), Engine.End.CRASHED, 5, Unpooled.EMPTY_BUFFER);
+        h.gateway.onRunEnded(id(1), Engine.RunOutcome.CRASHED, 5, Unpooled.EMPTY_BUFFER);
         assertEquals(List.of("1: " + FAILED), answers());
         assertFalse(channel.isOpen());
     }
@@ -440,7 +440,7 @@
         EmbeddedChannel half = channel;
         channel = connect();
         receive(request, Records.begin(2, 1, 1));
-        idle(FastCgiFront.PATIENCE_MS);
+        idle(FastCgiFrontend.PATIENCE_MS);
         assertTrue(silent.isOpen() && half.isOpen() && channel.isOpen());
         idle(1);
         assertFalse(silent.isOpen());
@@ -457,7 +457,7 @@
         done(1, "r");
         h.pass(60_000);
         receive(Records.begin(1, 1, 1), Records.record(4, 1, NONE, 0));
-        idle(FastCgiFront.PATIENCE_MS);
+        idle(FastCgiFrontend.PATIENCE_MS);
         assertTrue(channel.isOpen());
         assertEquals(List.of("1: " + SERVED + "r"), answers());
     }
@@ -480,7 +480,7 @@
 
     @Test
     void partialRequestsAreBoundedOverAllConnections() {
-        assertTrue(front.reserve(FastCgiFront.MOST_PARTIAL - 100));
+        assertTrue(front.reserve(FastCgiFrontend.MOST_PARTIAL - 100));
         byte[] part = Records.record(4, 1, new byte[101], 0);
         receive(Records.begin(1, 1, 1), part);
         assertEquals(List.of("1: " + INVALID), answers());
@@ -489,7 +489,7 @@
 
     @Test
     void aFullTableTurnsAConnectionAwayUnread() {
-        front = new FastCgiFront(h, h.gateway, FastCgiFront.RESERVED + 2, 192);
+        front = new FastCgiFrontend(h, h.gateway, FastCgiFrontend.RESERVED + 2, 192);
         assertEquals(2, front.mostConnections());
         EmbeddedChannel first = connect();
         first.writeInbound(Unpooled.wrappedBuffer(Records.whole(1, Records.fields(id(1)), "")));
@@ -515,7 +515,8 @@
         List<Socket> sockets = new ArrayList<>();
         try {
             // The clock stands still: none is given up on for its silence.
-            FastCgiFront real = new FastCgiFront(h, h.gateway, FastCgiFront.RESERVED + most, 192);
+            FastCgiFrontend real =
+                    new FastCgiFrontend(h, h.gateway, FastCgiFrontend.RESERVED + most, 192);
             InetSocketAddress address =
                     (InetSocketAddress)
                             real.listen(
--- a/src/test/java/tinroad/fastcgi/FrontCrossingTest.java
+++ b/src/test/java/tinroad/fastcgi/FrontCrossingTest.java
@@ -50,7 +50,7 @@
     private final EventLoop loop = group.next();
     private final List<Socket> callers = new ArrayList<>();
     private Harness h;
-    private FastCgiFront front;
+    private FastCgiFrontend front;
     private InetSocketAddress address;
 
     @BeforeEach
@@ -63,17 +63,17 @@
                             h.module.onRequest =
                                     r -> {
                                         h.module.act.run(r.id());
-                                        h.gateway.ended(
+                                        h.gateway.onRunEnded(
                                                 r.id(),
-                                                Engine.End.DONE,
+                                                Engine.RunOutcome.DONE,
                                                 1,
                                                 Unpooled.copiedBuffer(
                                                         "r" + r.id(), StandardCharsets.ISO_8859_1));
                                     };
                             front =
-                                    new FastCgiFront(
-                                            h, h.gateway, FastCgiFront.RESERVED + ROOM, 192);
-                            h.gateway.add(front);
+                                    new FastCgiFrontend(
+                                            h, h.gateway, FastCgiFrontend.RESERVED + ROOM, 192);
+                            h.gateway.addFrontend(front);
                         })
                 .sync();
         address =
@@ -190,7 +190,7 @@
                         write(late.get(n - 1), n);
                     }
                 },
-                front::leave);
+                front::closeGracefully);
         for (int n = 1; n <= ROOM; n++) {
             assertEquals(n + ": " + SERVED + "r" + id(n), answer(late.get(n - 1)));
             assertEquals(-1, late.get(n - 1).getInputStream().read());
@@ -222,7 +222,7 @@
         crossing(
                 () -> write(resting, 2),
                 () -> {
-                    front.idleAfter(500);
+                    front.setIdleTimeout(500);
                     h.now += 501;
                     front.pass();
                     front.pass();
@@ -237,7 +237,7 @@
         served(2);
         loop.submit(
                         () -> {
-                            h.now += FastCgiFront.PATIENCE_MS + 1;
+                            h.now += FastCgiFrontend.PATIENCE_MS + 1;
                             front.pass();
                         })
                 .sync();
@@ -246,7 +246,7 @@
                         silent.getOutputStream()
                                 .write(
                                         Records.whole(
-                                                3, fields(3, FastCgiFront.PATIENCE_MS), "body")),
+                                                3, fields(3, FastCgiFrontend.PATIENCE_MS), "body")),
                 front::pass);
         assertEquals("3: " + SERVED + "r" + id(3), answer(silent));
     }
@@ -258,7 +258,7 @@
         crossing(
                 () -> write(resting, 2),
                 () -> {
-                    front.leave();
+                    front.closeGracefully();
                     front.pass();
                     front.pass();
                 });
@@ -276,7 +276,7 @@
         crossing(
                 () -> caller.getOutputStream().write(request, request.length - 5, 5),
                 () -> {
-                    front.leave();
+                    front.closeGracefully();
                     front.pass();
                     front.pass();
                 });
@@ -291,9 +291,9 @@
         served(2);
         loop.submit(
                         () -> {
-                            front.leave();
+                            front.closeGracefully();
                             front.pass();
-                            h.now += FastCgiFront.LEAVING_PATIENCE_MS + 1;
+                            h.now += FastCgiFrontend.LEAVING_PATIENCE_MS + 1;
                             front.pass();
                             front.pass();
                         })
@@ -323,7 +323,7 @@
     private static final class SlowChannel extends EmbeddedChannel {
         private boolean takes;
 
-        SlowChannel(FastCgiFront front) {
+        SlowChannel(FastCgiFrontend front) {
             super(false, false);
             pipeline().addLast(front.handlers());
         }
@@ -339,13 +339,13 @@
     @Test
     void theLastAnswersOfACallerThatReadsVerySlowlyOutliveTheEndOfItsConnection() throws Exception {
         Harness slow = Harness.started();
-        FastCgiFront its = new FastCgiFront(slow, slow.gateway, 1024, 192);
+        FastCgiFrontend its = new FastCgiFrontend(slow, slow.gateway, 1024, 192);
         slow.module.onRequest =
                 r -> {
                     slow.module.act.run(r.id());
-                    slow.gateway.ended(
+                    slow.gateway.onRunEnded(
                             r.id(),
-                            Engine.End.DONE,
+                            Engine.RunOutcome.DONE,
                             1,
                             Unpooled.copiedBuffer("fine", StandardCharsets.ISO_8859_1));
                 };
@@ -355,7 +355,7 @@
                 Unpooled.wrappedBuffer(Records.whole(1, Records.fields(id(1)), "body")));
         // Then it breaks the protocol, and is given up on.
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {9, 9, 9, 9, 9, 9, 9, 9}));
-        slow.now += FastCgiFront.LINGER_MS + 1;
+        slow.now += FastCgiFrontend.LINGER_MS + 1;
         its.pass();
         its.pass();
         assertTrue(channel.isOpen(), "closed with an answer unsent");
@@ -370,7 +370,7 @@
         assertEquals(
                 List.of("1: " + SERVED + "fine"),
                 Records.answers(Cuts.join(sent.toArray(byte[][]::new))));
-        slow.now += FastCgiFront.LINGER_MS + 1;
+        slow.now += FastCgiFrontend.LINGER_MS + 1;
         its.pass();
         channel.runPendingTasks();
         assertTrue(!channel.isOpen());
--- a/src/test/java/tinroad/fleet/ClaimTest.java
+++ b/src/test/java/tinroad/fleet/ClaimTest.java
@@ -20,19 +20,19 @@
  */
 class ClaimTest {
     @Provide
-    Arbitrary<List<Claim>> claims() {
+    Arbitrary<List<MemberUpdate>> claims() {
         return Combinators.combine(
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.integers().between(0, 3),
-                        Arbitraries.of(Status.class))
+                        Arbitraries.of(MemberStatus.class))
                 .as(
                         (life, era, incarnation, status) ->
-                                new Claim(
+                                new MemberUpdate(
                                         "a",
                                         "x",
                                         "z",
-                                        new Version(life, era, incarnation),
+                                        new Incarnation(life, era, incarnation),
                                         status,
                                         "b"))
                 .list()
@@ -40,15 +40,15 @@
                 .ofMaxSize(12);
     }
 
-    private static Claim join(List<Claim> all) {
-        Claim held = null;
-        for (Claim c : all) {
+    private static MemberUpdate join(List<MemberUpdate> all) {
+        MemberUpdate held = null;
+        for (MemberUpdate c : all) {
             held = c.overrides(held) ? c : held;
         }
         return held;
     }
 
-    private static String meaning(Claim c) {
+    private static String meaning(MemberUpdate c) {
         // Of a stay that is over the incarnation means nothing any more.
         return c.version().life()
                 + "."
@@ -59,18 +59,19 @@
     }
 
     @Property(tries = 2000, seed = "41")
-    void orderAndRepetitionDoNotMatter(@ForAll("claims") List<Claim> claims, @ForAll long seed) {
-        List<Claim> other = new java.util.ArrayList<>(claims);
+    void orderAndRepetitionDoNotMatter(
+            @ForAll("claims") List<MemberUpdate> claims, @ForAll long seed) {
+        List<MemberUpdate> other = new java.util.ArrayList<>(claims);
         other.addAll(claims.subList(0, claims.size() / 2));
         Collections.shuffle(other, new Random(seed));
         assertEquals(meaning(join(claims)), meaning(join(other)));
     }
 
     @Property(tries = 2000, seed = "42")
-    void noWordOverridesItselfNorBothEachOther(@ForAll("claims") List<Claim> claims) {
-        for (Claim a : claims) {
+    void noWordOverridesItselfNorBothEachOther(@ForAll("claims") List<MemberUpdate> claims) {
+        for (MemberUpdate a : claims) {
             assertFalse(a.overrides(a));
-            for (Claim b : claims) {
+            for (MemberUpdate b : claims) {
                 assertFalse(a.overrides(b) && b.overrides(a), a + " " + b);
             }
         }
@@ -78,14 +79,19 @@
 
     @Test
     void aStayThatIsOverNeverComesBackAndAnotherDoes() {
-        Claim dead = new Claim("a", "x", "z", new Version(4, 0, 0), Status.DEAD, "b");
+        MemberUpdate dead =
+                new MemberUpdate("a", "x", "z", new Incarnation(4, 0, 0), MemberStatus.DEAD, "b");
         assertFalse(
-                new Claim("a", "x", "z", new Version(4, 0, 9), Status.ALIVE, "a").overrides(dead));
+                new MemberUpdate("a", "x", "z", new Incarnation(4, 0, 9), MemberStatus.ALIVE, "a")
+                        .overrides(dead));
         assertFalse(
-                new Claim("a", "x", "z", new Version(3, 7, 9), Status.ALIVE, "a").overrides(dead));
+                new MemberUpdate("a", "x", "z", new Incarnation(3, 7, 9), MemberStatus.ALIVE, "a")
+                        .overrides(dead));
         assertTrue(
-                new Claim("a", "x", "z", new Version(4, 1, 0), Status.ALIVE, "a").overrides(dead));
+                new MemberUpdate("a", "x", "z", new Incarnation(4, 1, 0), MemberStatus.ALIVE, "a")
+                        .overrides(dead));
         assertTrue(
-                new Claim("a", "x", "z", new Version(5, 0, 0), Status.ALIVE, "a").overrides(dead));
+                new MemberUpdate("a", "x", "z", new Incarnation(5, 0, 0), MemberStatus.ALIVE, "a")
+                        .overrides(dead));
     }
 }
--- a/src/test/java/tinroad/fleet/ViewTest.java
+++ b/src/test/java/tinroad/fleet/ViewTest.java
@@ -16,12 +16,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
-import tinroad.fleet.Digest.Kind;
+import tinroad.fleet.LoadDigest.Kind;
 
 /** What is known of others, and how old it is. */
 class ViewTest {
     @Provide
-    Arbitrary<List<Digest>> digests() {
+    Arbitrary<List<LoadDigest>> digests() {
         return Combinators.combine(
                         Arbitraries.of("a", "b", "c"),
                         Arbitraries.longs().between(1, 2),
@@ -30,9 +30,9 @@
                         Arbitraries.doubles().between(0, 5000))
                 .as(
                         (name, life, era, number, age) ->
-                                new Digest(
+                                new LoadDigest(
                                         name,
-                                        new Version(life, era, 0),
+                                        new Incarnation(life, era, 0),
                                         number,
                                         age,
                                         Map.of(Kind.ASKED, 1.0 * number)))
@@ -41,17 +41,18 @@
                 .ofMaxSize(15);
     }
 
-    private static View merged(List<Digest> all) {
-        View v = View.EMPTY;
-        for (Digest d : all) {
+    private static MembershipView merged(List<LoadDigest> all) {
+        MembershipView v = MembershipView.EMPTY;
+        for (LoadDigest d : all) {
             v = v.merge(10_000, d);
         }
         return v;
     }
 
     @Property(tries = 1000, seed = "51")
-    void orderAndRepetitionDoNotMatter(@ForAll("digests") List<Digest> digests, @ForAll long seed) {
-        List<Digest> other = new ArrayList<>(digests);
+    void orderAndRepetitionDoNotMatter(
+            @ForAll("digests") List<LoadDigest> digests, @ForAll long seed) {
+        List<LoadDigest> other = new ArrayList<>(digests);
         other.addAll(digests);
         Collections.shuffle(other, new Random(seed));
         assertTrue(merged(digests).knowsTheSame(merged(other)));
@@ -59,38 +60,38 @@
 
     @Property(tries = 500, seed = "52")
     void nothingIsReadBeyondItsAgeHoweverOftenItIsPassedOn(
-            @ForAll("digests") List<Digest> digests, @ForAll long seed) {
+            @ForAll("digests") List<LoadDigest> digests, @ForAll long seed) {
         Random random = new Random(seed);
-        double now = 10_000;
-        View v = merged(digests);
+        double nowMillis = 10_000;
+        MembershipView v = merged(digests);
         for (int hop = 0; hop < 5; hop++) {
-            now += random.nextInt(1000);
-            View next = View.EMPTY;
-            for (Digest d : v.digests(now).values()) {
-                next = next.merge(now, d);
+            nowMillis += random.nextInt(1000);
+            MembershipView next = MembershipView.EMPTY;
+            for (LoadDigest d : v.digests(nowMillis).values()) {
+                next = next.merge(nowMillis, d);
             }
             v = next;
         }
-        for (Digest d : digests) {
-            View.Fresh f = v.fresh(now, d.name(), Kind.ASKED, 3000);
+        for (LoadDigest d : digests) {
+            MembershipView.Fresh f = v.fresh(nowMillis, d.name(), Kind.ASKED, 3000);
             assertTrue(
-                    f == null || (f.age() <= 3000 && f.age() >= now - 10_000 - 1e-6),
+                    f == null || (f.age() <= 3000 && f.age() >= nowMillis - 10_000 - 1e-6),
                     String.valueOf(f));
         }
     }
 
     @Test
     void aReaderGetsAValueWithItsAgeOrNothing() {
-        View v =
-                View.EMPTY.merge(
+        MembershipView v =
+                MembershipView.EMPTY.merge(
                         1000,
-                        new Digest(
+                        new LoadDigest(
                                 "a",
-                                new Version(1, 0, 0),
+                                new Incarnation(1, 0, 0),
                                 1,
                                 200,
                                 Map.of(Kind.CORES, 4.0, Kind.CUT, Double.NaN)));
-        assertEquals(new View.Fresh("a", 4, 700), v.fresh(1500, "a", Kind.CORES, 1000));
+        assertEquals(new MembershipView.Fresh("a", 4, 700), v.fresh(1500, "a", Kind.CORES, 1000));
         assertNull(v.fresh(1900, "a", Kind.CORES, 1000));
         assertNull(v.fresh(1500, "a", Kind.CUT, 1000));
         assertNull(v.fresh(1500, "b", Kind.CORES, 1000));
@@ -99,21 +100,37 @@
 
     @Test
     void whatADeadLifeSaidIsOverriddenByTheNextAndAMaliciousFloodIsBounded() {
-        View v =
-                View.EMPTY.merge(
-                        0, new Digest("a", new Version(2, 0, 0), 1, 0, Map.of(Kind.CORES, 8.0)));
+        MembershipView v =
+                MembershipView.EMPTY.merge(
+                        0,
+                        new LoadDigest(
+                                "a", new Incarnation(2, 0, 0), 1, 0, Map.of(Kind.CORES, 8.0)));
         assertEquals(
                 8,
-                v.merge(0, new Digest("a", new Version(1, 9, 9), 999, 0, Map.of(Kind.CORES, 1.0)))
+                v.merge(
+                                0,
+                                new LoadDigest(
+                                        "a",
+                                        new Incarnation(1, 9, 9),
+                                        999,
+                                        0,
+                                        Map.of(Kind.CORES, 1.0)))
                         .fresh(0, "a", Kind.CORES, 1)
                         .value());
         for (int i = 0; i < 10_000; i++) {
-            v = v.merge(0, new Digest("x" + i, new Version(1, 0, 0), 1, 0, Map.of()));
+            v = v.merge(0, new LoadDigest("x" + i, new Incarnation(1, 0, 0), 1, 0, Map.of()));
         }
         assertEquals(2000, v.size());
         assertEquals(
                 1,
-                v.merge(0, new Digest("a", new Version(3, 0, 0), 0, 0, Map.of(Kind.CORES, 1.0)))
+                v.merge(
+                                0,
+                                new LoadDigest(
+                                        "a",
+                                        new Incarnation(3, 0, 0),
+                                        0,
+                                        0,
+                                        Map.of(Kind.CORES, 1.0)))
                         .fresh(0, "a", Kind.CORES, 1)
                         .value());
     }
--- a/src/test/java/tinroad/gossip/DatagramsTest.java
+++ b/src/test/java/tinroad/gossip/DatagramsTest.java
@@ -13,27 +13,27 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import tinroad.fleet.Claim;
+import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberStatus;
+import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Message;
-import tinroad.fleet.Status;
-import tinroad.fleet.Version;
 
 /** What is written is read, and nothing else is. */
 class DatagramsTest {
     private static final byte[] KEY = "sixteen bytes...".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NEXT = "another sixteen.".getBytes(StandardCharsets.US_ASCII);
-    private final Datagrams datagrams = new Datagrams(List.of(KEY));
+    private final MessageCodec datagrams = new MessageCodec(List.of(KEY));
 
-    private static List<Claim> claims(int n) {
+    private static List<MemberUpdate> claims(int n) {
         return IntStream.range(0, n)
                 .mapToObj(
                         i ->
-                                new Claim(
+                                new MemberUpdate(
                                         "gateway-" + i,
                                         "127.0.0.1:" + (9000 + i),
                                         "z" + i % 3,
-                                        new Version(i, i % 2, 3),
-                                        Status.values()[i % 4],
+                                        new Incarnation(i, i % 2, 3),
+                                        MemberStatus.values()[i % 4],
                                         "gateway-7"))
                 .toList();
     }
@@ -56,9 +56,9 @@
     void noDatagramIsLongerThanAllowedAndWhatFindsNoRoomIsLeftOut() {
         byte[] all = datagrams.write(new Message.Sync(false, claims(200)));
         assertTrue(
-                all.length <= Datagrams.LONGEST && all.length > Datagrams.LONGEST / 2,
+                all.length <= MessageCodec.LONGEST && all.length > MessageCodec.LONGEST / 2,
                 "" + all.length);
-        List<Claim> read = datagrams.read(all).claims();
+        List<MemberUpdate> read = datagrams.read(all).claims();
         assertEquals(claims(200).subList(0, read.size()), read);
     }
 
@@ -78,8 +78,8 @@
 
     @Test
     void whileAKeyIsExchangedBothAreHeardAndWithoutItNeither() {
-        Datagrams both = new Datagrams(List.of(NEXT, KEY));
-        Datagrams next = new Datagrams(List.of(NEXT));
+        MessageCodec both = new MessageCodec(List.of(NEXT, KEY));
+        MessageCodec next = new MessageCodec(List.of(NEXT));
         Message m = new Message.Ping(5, List.of());
         assertNotNull(both.read(datagrams.write(m)));
         assertNotNull(next.read(both.write(m)));
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.fake.World.Mutant;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.stand.World.Mutant;
-import tinroad.lab.truth.Ledger;
-import tinroad.lab.truth.Rules;
-import tinroad.lab.truth.Rules.Rule;
+import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.Rules.Rule;
 
 /** Real processes with faults between them: the rules only, no figure that hangs on the clock. */
 @Timeout(240)
--- a/src/test/java/tinroad/lab/RememberingTest.java
+++ b/src/test/java/tinroad/lab/RememberingTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.fake.World.Mutant;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.stand.World.Mutant;
 
 /** Real processes whose state lasts, is lost, and is rolled back under them. */
 @Timeout(240)
--- a/src/test/java/tinroad/lab/capacity/CapacityPageTest.java
+++ b/src/test/java/tinroad/lab/capacity/CapacityPageTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
+import tinroad.operator.ValidationError;
 
 /**
  * No figure without a run behind it, and no page out of step with its results: this repository's
@@ -102,13 +102,13 @@
     }
 
     private void fails(String text) {
-        List<Fault> faults =
+        List<ValidationError> faults =
                 assertThrows(OperatorException.class, () -> CapacityPage.write(page)).faults();
         assertTrue(faults.stream().anyMatch(f -> f.toString().contains(text)), faults::toString);
     }
 
     private void outOfStep(String text) throws Exception {
-        List<Fault> faults = CapacityPage.check(page);
+        List<ValidationError> faults = CapacityPage.check(page);
         assertTrue(faults.stream().anyMatch(f -> f.toString().contains(text)), faults::toString);
     }
 
--- a/src/test/java/tinroad/lab/capacity/SharingTest.java
+++ b/src/test/java/tinroad/lab/capacity/SharingTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller;
-import tinroad.OverloadController;
+import tinroad.overload.Controller;
+import tinroad.overload.OverloadController;
 
 /**
  * What a verdict by a count of its own is worth, at the ends where that is known without a
@@ -93,16 +93,16 @@
                                         4000,
                                         1,
                                         0,
-                                        Controller.Semantics.FREE,
+                                        Controller.Idempotency.IDEMPOTENT,
                                         0,
                                         false,
                                         0)),
                         List.of(new Controller.Tenant(quota, 0), new Controller.Tenant(1e6, 0)),
-                        new Controller.Goal(0.5, 0.2, 0.2, 0.1),
+                        new Controller.ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
                         new Controller.Rules(60, 0.25, 10000, 2000, 5, 1500),
-                        new Controller.Dependency(Controller.Below.NONE, 0, 0, 0),
-                        Controller.Say.MIN_RANK,
-                        Controller.Halt.NONE,
+                        new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
+                        Controller.LoadHint.MIN_RANK,
+                        Controller.CancellationMode.NONE,
                         1,
                         places,
                         3,
@@ -120,15 +120,15 @@
                         5,
                         false));
         for (int i = 0; i < 200; i++) {
-            module.request(now, request("calm" + i, 1, 0));
-            module.ended(++now, "calm" + i, 1, Controller.Outcome.OK);
+            module.requestArrived(now, request("calm" + i, 1, 0));
+            module.completed(++now, "calm" + i, 1, Controller.Outcome.OK);
         }
-        module.request(now, request("runs", 1, 0));
+        module.requestArrived(now, request("runs", 1, 0));
         for (int i = 0; i < 30; i++) {
             // More work than its aim: it is missed, and the cut rises by a step at the next tick.
-            module.request(now, request("late" + i, 1, 5000));
+            module.requestArrived(now, request("late" + i, 1, 5000));
             now += 0.1;
-            module.timer(now, "tick", new Controller.Gauges(1, 1, 0, 1));
+            module.timerFired(now, "tick", new Controller.Gauges(1, 1, 0, 1));
         }
         // It says its cut anew by steps of 0.05.
         assertEquals(
@@ -141,7 +141,7 @@
                 0.05);
         said.clear();
         for (int i = 0; i < 400; i++) {
-            module.request(now, request("asked" + i, 0, 0));
+            module.requestArrived(now, request("asked" + i, 0, 0));
         }
         return 400 - said.stream().filter(line -> line.startsWith("refuse ")).count();
     }
--- a/src/test/java/tinroad/lab/stand/CallersTest.java
+++ b/src/test/java/tinroad/lab/fake/CallersTest.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,10 +8,10 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tinroad.lab.plan.Draw;
+import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script.Callers;
 import tinroad.lab.script.Script.Choice;
-import tinroad.lab.truth.Try.End;
+import tinroad.lab.verification.Try.End;
 
 /** What a client proxy decides: where, whether and when; and what the roster lists. */
 class CallersTest {
--- a/src/test/java/tinroad/lab/stand/CoresTest.java
+++ b/src/test/java/tinroad/lab/fake/CoresTest.java
@@ -1,4 +1,4 @@
-package tinroad.lab.stand;
+package tinroad.lab.fake;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/tinroad/lab/scale/ScaleReaderTest.java
+++ b/src/test/java/tinroad/lab/scale/ScaleReaderTest.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
+import tinroad.operator.ValidationError;
 
 /** What a scale script says, and what is said of one that can't be played. */
 class ScaleReaderTest {
@@ -70,7 +70,7 @@
         Path file = dir.resolve("scale-s.conf");
         for (Map.Entry<String, String> mistake : MISTAKES.entrySet()) {
             Files.writeString(file, mistake.getKey());
-            Fault fault =
+            ValidationError fault =
                     assertThrows(
                                     OperatorException.class,
                                     () -> ScaleReader.read(file),
--- a/src/test/java/tinroad/lab/plan/PlanTest.java
+++ b/src/test/java/tinroad/lab/schedule/PlanTest.java
@@ -1,4 +1,4 @@
-package tinroad.lab.plan;
+package tinroad.lab.schedule;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/src/test/java/tinroad/lab/script/ScriptTest.java
+++ b/src/test/java/tinroad/lab/script/ScriptTest.java
@@ -11,8 +11,8 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tinroad.operator.Fault;
 import tinroad.operator.OperatorException;
+import tinroad.operator.ValidationError;
 
 /** What a script says, and what is said of one that can't be played. */
 class ScriptTest {
@@ -150,7 +150,7 @@
         Path file = dir.resolve("s.conf");
         for (Map.Entry<String, String> mistake : MISTAKES.entrySet()) {
             Files.writeString(file, mistake.getKey());
-            Fault fault =
+            ValidationError fault =
                     assertThrows(
                                     OperatorException.class,
                                     () -> ScriptReader.read(file),
@@ -174,7 +174,7 @@
                 assertThrows(OperatorException.class, () -> ScriptReader.read(file))
                         .faults()
                         .stream()
-                        .map(Fault::line)
+                        .map(ValidationError::line)
                         .toList());
     }
 
--- a/src/test/java/tinroad/lab/truth/MeasuresTest.java
+++ b/src/test/java/tinroad/lab/verification/MeasuresTest.java
@@ -1,4 +1,4 @@
-package tinroad.lab.truth;
+package tinroad.lab.verification;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,9 +6,9 @@
 
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import tinroad.lab.plan.Draw;
-import tinroad.lab.plan.Hit;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.schedule.Draw;
+import tinroad.lab.schedule.Hit;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.ScriptReader;
 
 /** Figures of days that were made up, so that they are known beforehand. */
--- a/src/test/java/tinroad/lab/truth/RulesTest.java
+++ b/src/test/java/tinroad/lab/verification/RulesTest.java
@@ -1,4 +1,4 @@
-package tinroad.lab.truth;
+package tinroad.lab.verification;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.truth.Ledger.Excuse;
-import tinroad.lab.truth.Rules.Rule;
+import tinroad.lab.verification.Ledger.Excuse;
+import tinroad.lab.verification.Rules.Rule;
 
 /** Each rule: a ledger that keeps it, and one that breaks it. */
 class RulesTest {
--- a/src/test/java/tinroad/node/RehearsalTest.java
+++ b/src/test/java/tinroad/node/RehearsalTest.java
@@ -8,21 +8,21 @@
 import java.util.Collections;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Settings;
-import tinroad.Controller.Tenant;
 import tinroad.config.ConfigException;
 import tinroad.config.GatewayConfig;
 import tinroad.config.Site;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Settings;
+import tinroad.overload.Controller.Tenant;
 
 /** The rehearsal: what it asks for gets its answers, and it plays the same every time. */
 class RehearsalTest {
     @Test
     void nearlyAllRequestsAreAnsweredAndThePlayIsTheSameEveryTime() throws ConfigException {
         Site site = GatewayConfig.read(Path.of("deploy/example.json")).site();
-        int answered = new Rehearsal(site).play();
+        int answered = new JitWarmup(site).play();
         assertTrue(answered > 450 && answered <= 600, "answered: " + answered);
-        assertEquals(answered, new Rehearsal(site).play());
+        assertEquals(answered, new JitWarmup(site).play());
     }
 
     /**
@@ -35,11 +35,11 @@
         RequestClass spec = site.settings().classes().get(0);
         Site large = large(site, spec, 5000);
         assertEquals(
-                new Rehearsal(large(site, spec, Rehearsal.SAMPLE)).play(),
-                new Rehearsal(large).play());
-        assertEquals(Rehearsal.SAMPLE, large.first(Rehearsal.SAMPLE).settings().classes().size());
-        assertEquals(Rehearsal.SAMPLE, large.first(Rehearsal.SAMPLE).tenantNames().size());
-        assertSame(site, site.first(Rehearsal.SAMPLE));
+                new JitWarmup(large(site, spec, JitWarmup.SAMPLE)).play(),
+                new JitWarmup(large).play());
+        assertEquals(JitWarmup.SAMPLE, large.first(JitWarmup.SAMPLE).settings().classes().size());
+        assertEquals(JitWarmup.SAMPLE, large.first(JitWarmup.SAMPLE).tenantNames().size());
+        assertSame(site, site.first(JitWarmup.SAMPLE));
     }
 
     private static Site large(Site site, RequestClass spec, int n) {
@@ -48,27 +48,27 @@
                 new Settings(
                         Collections.nCopies(n, spec),
                         Collections.nCopies(n, new Tenant(100, 0.5)),
-                        s.goal(),
+                        s.objectiveWeights(),
                         s.rules(),
-                        s.below(),
-                        s.say(),
-                        s.halt(),
+                        s.dependency(),
+                        s.loadHint(),
+                        s.cancellationMode(),
                         s.cores(),
                         s.servers(),
                         s.callers(),
-                        s.cold(),
-                        s.passesDeadline(),
-                        s.idle(),
+                        s.coldStart(),
+                        s.requestsCarryDeadline(),
+                        s.clientIdleMillis(),
                         s.memoryKb(),
-                        s.runFactor(),
+                        s.runMemoryFactor(),
                         s.keyKb(),
-                        s.freshFor(),
-                        s.maxStayAway(),
-                        s.passesStayAway(),
-                        s.marksRetry(),
-                        s.overShareWorth(),
-                        s.step(),
-                        s.worthByWork());
+                        s.resultFreshMillis(),
+                        s.maxRetryAfterMillis(),
+                        s.sendsRetryAfter(),
+                        s.requestsMarkRetries(),
+                        s.overQuotaWeight(),
+                        s.clockStepMillis(),
+                        s.weightByWork());
         return new Site(
                 more,
                 IntStream.range(0, n).mapToObj(i -> "class-" + i).toList(),
--- a/src/test/java/tinroad/node/ServerTest.java
+++ b/src/test/java/tinroad/node/ServerTest.java
@@ -18,11 +18,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tinroad.Controller;
 import tinroad.config.GatewayConfig;
 import tinroad.config.Site;
 import tinroad.operator.FleetSettings;
 import tinroad.operator.StateSettings;
+import tinroad.overload.Controller;
 
 /** The whole program on ephemeral loopback ports: it starts, serves its health, drains and ends. */
 @Timeout(180)
@@ -48,16 +48,16 @@
                                         1000,
                                         1,
                                         0,
-                                        Controller.Semantics.FREE,
+                                        Controller.Idempotency.IDEMPOTENT,
                                         0,
                                         false,
                                         0)),
                         List.of(),
-                        new Controller.Goal(1, 0, 0, 0),
+                        new Controller.ObjectiveWeights(1, 0, 0, 0),
                         new Controller.Rules(100, 1, 0, 2500, 8, 1500),
-                        new Controller.Dependency(Controller.Below.NONE, 0, 0, 0),
-                        Controller.Say.NONE,
-                        Controller.Halt.NONE,
+                        new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
+                        Controller.LoadHint.NONE,
+                        Controller.CancellationMode.NONE,
                         2,
                         1,
                         1,
@@ -118,8 +118,8 @@
     void itServesOnceTheEngineIsThereAndEndsWhenItIsToldTo() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
                 DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                Server server =
-                        new Server(
+                GatewayNode server =
+                        new GatewayNode(
                                 config(engine, roster),
                                 null,
                                 StateSettings.NONE,
@@ -165,7 +165,8 @@
                             1024,
                             192,
                             free.site());
-            try (Server server = new Server(taken, null, StateSettings.NONE, FleetSettings.NONE)) {
+            try (GatewayNode server =
+                    new GatewayNode(taken, null, StateSettings.NONE, FleetSettings.NONE)) {
                 String message = assertThrows(IOException.class, server::start).getMessage();
                 assertTrue(message.startsWith("can't listen on "), message);
             }
--- a/src/test/java/tinroad/node/SettingsCost.java
+++ b/src/test/java/tinroad/node/SettingsCost.java
@@ -23,14 +23,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import tinroad.Controller.Tenant;
 import tinroad.catalog.Catalog;
-import tinroad.catalog.Change;
-import tinroad.catalog.Editor;
-import tinroad.changelog.ChangeFolder;
+import tinroad.catalog.CatalogBuilder;
+import tinroad.catalog.CatalogChange;
+import tinroad.changelog.ChangeLogStore;
 import tinroad.config.ConfigException;
 import tinroad.config.GatewayConfig;
 import tinroad.config.Site;
+import tinroad.overload.Controller.Tenant;
 
 /**
  * What the size of the settings costs one gateway, started as the platform's {@code run} does: time
@@ -315,8 +315,8 @@
      */
     private void follow() throws Exception {
         double rest = rest("rest_with_log");
-        ChangeFolder log = new ChangeFolder(folder.resolve("changes"), ChangeFolder.KEEP);
-        Editor editor = new Editor(read());
+        ChangeLogStore log = new ChangeLogStore(folder.resolve("changes"), ChangeLogStore.KEEP);
+        CatalogBuilder editor = new CatalogBuilder(read());
         List<Double> inForce = new ArrayList<>();
         long cpu = cpu();
         long bytes = number("io", "rchar");
@@ -393,22 +393,22 @@
                 site.settings().tenants());
     }
 
-    private void publish(ChangeFolder log, Editor editor, int i) throws IOException {
+    private void publish(ChangeLogStore log, CatalogBuilder editor, int i) throws IOException {
         Catalog now = editor.current();
         Map<String, Tenant> put =
                 Map.of(
                         String.format("tenant-%05d", i % tenants),
                         new Tenant(100 + now.number() % 1000, 1.0 / tenants));
-        Change bare =
-                new Change(
+        CatalogChange bare =
+                new CatalogChange(
                         1,
                         now.epoch() == 0 ? 1 : now.number() + 1,
                         Map.of(),
                         Set.of(),
                         put,
                         Set.of());
-        Change whole =
-                new Change(
+        CatalogChange whole =
+                new CatalogChange(
                         1,
                         bare.number(),
                         Map.of(),
--- a/src/test/java/tinroad/operator/OperatorTest.java
+++ b/src/test/java/tinroad/operator/OperatorTest.java
@@ -27,17 +27,17 @@
     @Test
     void whatIsLeftOutHasItsDefault() throws Exception {
         assertEquals(
-                new Operator(DEFAULTS, NOTHING_LASTS, FleetSettings.NONE),
-                Operator.read(file("log {}")));
+                new OperatorConfig(DEFAULTS, NOTHING_LASTS, FleetSettings.NONE),
+                OperatorConfig.read(file("log {}")));
         assertEquals(
-                new Operator(DEFAULTS, NOTHING_LASTS, FleetSettings.NONE),
-                Operator.read(Path.of("deploy/operator.conf")));
+                new OperatorConfig(DEFAULTS, NOTHING_LASTS, FleetSettings.NONE),
+                OperatorConfig.read(Path.of("deploy/operator.conf")));
     }
 
     @Test
     void settingsAreReadWithTheirUnits() throws Exception {
         assertEquals(
-                new Operator(
+                new OperatorConfig(
                         new LogSettings(
                                 true,
                                 "warn",
@@ -46,7 +46,7 @@
                                 1500),
                         NOTHING_LASTS,
                         FleetSettings.NONE),
-                Operator.read(
+                OperatorConfig.read(
                         file(
                                 "\ufefflog { format = json, level = warn, queue = 64, flush = 1.5"
                                         + " seconds\r\n"
@@ -55,8 +55,9 @@
 
     @Test
     void foldersAreBesideTheFileUnlessTheyAreAbsolute() throws Exception {
-        Operator o =
-                Operator.read(file("state { folder = kept, fence = /var/fence, oldest = 2h }"));
+        OperatorConfig o =
+                OperatorConfig.read(
+                        file("state { folder = kept, fence = /var/fence, oldest = 2h }"));
         assertEquals(
                 new StateSettings(
                         dir.resolve("kept"), Path.of("/var/fence"), 5000, 3, 7_200_000, 600_000),
@@ -65,10 +66,11 @@
 
     @Test
     void howTheCatalogChangesIsReadAndWithoutAFileItIsWhatTheDefaultsSay() throws Exception {
-        assertEquals(CatalogSettings.DEFAULT, Operator.read(file("log {}")).catalog());
+        assertEquals(CatalogSettings.DEFAULT, OperatorConfig.read(file("log {}")).catalog());
         assertEquals(
                 new CatalogSettings(true, dir.resolve("changes"), 50),
-                Operator.read(file("catalog { apply = on-reload, log = changes, poll = 50ms }"))
+                OperatorConfig.read(
+                                file("catalog { apply = on-reload, log = changes, poll = 50ms }"))
                         .catalog());
     }
 
@@ -79,7 +81,7 @@
         String text =
                 "fleet { listen = \"127.0.0.1:7001\", seeds = [\"127.0.0.2:7001\"], zone = west,"
                         + " key-file = keys }";
-        FleetSettings fleet = Operator.read(file(text)).fleet();
+        FleetSettings fleet = OperatorConfig.read(file(text)).fleet();
         assertEquals(
                 "another sixteen.",
                 new String(fleet.keys().get(0), java.nio.charset.StandardCharsets.US_ASCII));
@@ -88,16 +90,16 @@
         Path path = file(text);
         assertEquals(
                 List.of(
-                        new Fault(
+                        new ValidationError(
                                 dir.resolve("keys").toString(),
                                 2,
                                 "",
                                 "must be Base64 of 16 bytes or more")),
-                assertThrows(OperatorException.class, () -> Operator.read(path)).faults());
+                assertThrows(OperatorException.class, () -> OperatorConfig.read(path)).faults());
         Path keyless = file("fleet {\n listen = \"127.0.0.1:7001\"\n}");
         assertEquals(
                 "fleet.key-file",
-                assertThrows(OperatorException.class, () -> Operator.read(keyless))
+                assertThrows(OperatorException.class, () -> OperatorConfig.read(keyless))
                         .faults()
                         .get(0)
                         .key());
@@ -108,7 +110,7 @@
         Files.writeString(dir.resolve("base.conf"), "log { level = error, queue = 99 }");
         assertEquals(
                 new LogSettings(false, "warn", Map.of(), 99, 500),
-                Operator.read(file("include \"base.conf\"\nlog { level = warn }")).log());
+                OperatorConfig.read(file("include \"base.conf\"\nlog { level = warn }")).log());
     }
 
     @Test
@@ -118,10 +120,10 @@
         Path path = dir.resolve("operator.conf");
         for (Mistakes.Mistake mistake : all) {
             mistake.into(path);
-            Fault fault =
+            ValidationError fault =
                     assertThrows(
                                     OperatorException.class,
-                                    () -> Operator.read(path),
+                                    () -> OperatorConfig.read(path),
                                     mistake.words())
                             .faults()
                             .get(0);
@@ -144,8 +146,10 @@
                                 + "}\n"
                                 + "extra = 1\n"
                                 + "include \"absent.conf\"\n");
-        OperatorException e = assertThrows(OperatorException.class, () -> Operator.read(path));
-        assertEquals(List.of(2, 3, 4, 6, 7), e.faults().stream().map(Fault::line).toList());
+        OperatorException e =
+                assertThrows(OperatorException.class, () -> OperatorConfig.read(path));
+        assertEquals(
+                List.of(2, 3, 4, 6, 7), e.faults().stream().map(ValidationError::line).toList());
         assertTrue(e.getMessage().endsWith("(and 4 more)"), e.getMessage());
         assertEquals(1, e.getMessage().lines().count());
     }
@@ -153,10 +157,10 @@
     @Test
     void aMistakeInAnIncludedFileIsToldWhereItStands() throws Exception {
         Path base = Files.writeString(dir.resolve("base.conf"), "\n\nlog { level = loud }");
-        Fault fault =
+        ValidationError fault =
                 assertThrows(
                                 OperatorException.class,
-                                () -> Operator.read(file("include \"base.conf\"")))
+                                () -> OperatorConfig.read(file("include \"base.conf\"")))
                         .faults()
                         .get(0);
         assertEquals(base + ":3", fault.file() + ":" + fault.line());
@@ -166,7 +170,7 @@
     void anAbsentFileIsOneFault() {
         Path path = dir.resolve("absent.conf");
         assertEquals(
-                List.of(new Fault(path.toString(), 1, "", "can't be read: no such file")),
-                assertThrows(OperatorException.class, () -> Operator.read(path)).faults());
+                List.of(new ValidationError(path.toString(), 1, "", "can't be read: no such file")),
+                assertThrows(OperatorException.class, () -> OperatorConfig.read(path)).faults());
     }
 }
--- a/src/test/java/tinroad/ChangesTest.java
+++ b/src/test/java/tinroad/overload/ChangesTest.java
@@ -1,11 +1,11 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinroad.Fixture.FREE;
-import static tinroad.Fixture.GUARDED;
-import static tinroad.Fixture.ONCE;
+import static tinroad.overload.Fixture.FREE;
+import static tinroad.overload.Fixture.GUARDED;
+import static tinroad.overload.Fixture.ONCE;
 
 import java.lang.reflect.Field;
 import java.util.ArrayList;
@@ -18,38 +18,38 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Below;
-import tinroad.Controller.ClassAt;
-import tinroad.Controller.Dependency;
-import tinroad.Controller.Gauges;
-import tinroad.Controller.Goal;
-import tinroad.Controller.Halt;
-import tinroad.Controller.Known;
-import tinroad.Controller.Outcome;
-import tinroad.Controller.Request;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Rules;
-import tinroad.Controller.Say;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Settings;
-import tinroad.Controller.Tenant;
-import tinroad.Controller.TenantAt;
+import tinroad.overload.Controller.CancellationMode;
+import tinroad.overload.Controller.ClassSlot;
+import tinroad.overload.Controller.Dependency;
+import tinroad.overload.Controller.DependencyKind;
+import tinroad.overload.Controller.Estimate;
+import tinroad.overload.Controller.Gauges;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.LoadHint;
+import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.Outcome;
+import tinroad.overload.Controller.Request;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Rules;
+import tinroad.overload.Controller.Settings;
+import tinroad.overload.Controller.Tenant;
+import tinroad.overload.Controller.TenantSlot;
 
 /** Classes and tenants that change while the module serves. */
 class ChangesTest {
     private static final RequestClass PATIENT =
-            new RequestClass(3900, 0, 4000, 1, 0, Semantics.FREE, 0, false, 0);
+            new RequestClass(3900, 0, 4000, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0);
     private static final RequestClass HASTY =
-            new RequestClass(400, 0, 500, 1, 0, Semantics.FREE, 0, false, 0);
+            new RequestClass(400, 0, 500, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0);
     private static final RequestClass KEYED =
-            new RequestClass(1000, 0, 4000, 2, 0.2, Semantics.GUARDED, 9000, true, 0);
+            new RequestClass(1000, 0, 4000, 2, 0.2, Idempotency.IDEMPOTENT_WITH_KEY, 9000, true, 0);
 
     private static final Gauges FULL = new Gauges(1, 2, 0.1, 50);
 
     private final Fixture f = new Fixture();
 
     private void change(int place, RequestClass spec) {
-        f.controller.stage(List.of(new ClassAt(place, spec)), List.of());
+        f.controller.stage(List.of(new ClassSlot(place, spec)), List.of());
         f.controller.commit(f.now);
     }
 
@@ -101,7 +101,10 @@
     void aRepeatOfWhatIsKeptOfAClassThatWasChangedStillGetsItsResult() {
         f.begin();
         f.request("first", GUARDED);
-        change(GUARDED, new RequestClass(500, 0, 1000, 1, 0, Semantics.GUARDED, 100, true, 0));
+        change(
+                GUARDED,
+                new RequestClass(
+                        500, 0, 1000, 1, 0, Idempotency.IDEMPOTENT_WITH_KEY, 100, true, 0));
         f.recorder.take();
         f.request("again", GUARDED, "first");
         assertEquals(List.of("reuse again"), f.recorder.take("reuse"));
@@ -125,7 +128,7 @@
     @Test
     void aClassTakenOutNoLongerHoldsTheOthersBack() {
         f.begin();
-        Classes classes = (Classes) field(f.controller, "classes");
+        ClassTable classes = (ClassTable) field(f.controller, "classes");
         for (int i = 0; i < 30; i++) {
             f.request("f" + i, FREE);
             f.after(20);
@@ -133,7 +136,7 @@
             f.request("o" + i, ONCE);
             f.ended("o" + i, Outcome.FAILED);
         }
-        ClassStats free = classes.ask(FREE);
+        ClassStatistics free = classes.ask(FREE);
         double behind = classes.lagShare(free);
         change(ONCE, null);
         assertTrue(behind < 0.01, "" + behind);
@@ -144,10 +147,10 @@
 
     @Test
     void howHighTheCutRisesHangsOnHowManyClassesThereAreNow() {
-        f.say = Say.MIN_RANK;
+        f.say = LoadHint.MIN_RANK;
         f.begin();
         f.controller.stage(
-                IntStream.range(3, 20).mapToObj(i -> new ClassAt(i, KEYED)).toList(), List.of());
+                IntStream.range(3, 20).mapToObj(i -> new ClassSlot(i, KEYED)).toList(), List.of());
         f.controller.commit(f.now);
         f.serveCalmly("s", FREE, 20, 300);
         assertEquals("say 0.10", lastSaidUnderPressure("a"));
@@ -155,7 +158,7 @@
         f.ended("a", Outcome.OK);
         f.ended("aa", Outcome.OK);
         f.controller.stage(
-                IntStream.range(3, 20).mapToObj(i -> new ClassAt(i, null)).toList(), List.of());
+                IntStream.range(3, 20).mapToObj(i -> new ClassSlot(i, null)).toList(), List.of());
         f.controller.commit(f.now);
         assertEquals("say 0.65", lastSaidUnderPressure("b"));
     }
@@ -177,32 +180,33 @@
     void withinOneChangeItIsTheSameClassWithWhatItLearned() {
         f.begin();
         f.serveCalmly("g", GUARDED, 30, 40);
-        Known before = f.controller.learned().get("run." + GUARDED);
-        f.controller.stage(List.of(new ClassAt(GUARDED, null)), List.of());
-        f.controller.stage(List.of(new ClassAt(GUARDED, KEYED)), List.of());
+        Estimate before = f.controller.learnedEstimates().get("run." + GUARDED);
+        f.controller.stage(List.of(new ClassSlot(GUARDED, null)), List.of());
+        f.controller.stage(List.of(new ClassSlot(GUARDED, KEYED)), List.of());
         f.controller.commit(f.now);
-        assertEquals(before, f.controller.learned().get("run." + GUARDED));
+        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
     }
 
     @Test
     void withinATickButByTwoChangesItBeginsAnewAndUntilThenWhatItLearnedCanBeRead() {
         f.begin();
         f.serveCalmly("g", GUARDED, 30, 40);
-        Known before = f.controller.learned().get("run." + GUARDED);
+        Estimate before = f.controller.learnedEstimates().get("run." + GUARDED);
         change(GUARDED, null);
-        assertEquals(before, f.controller.learned().get("run." + GUARDED));
-        f.controller.stage(List.of(new ClassAt(GUARDED, KEYED)), List.of());
-        f.controller.unstage();
-        assertEquals(before, f.controller.learned().get("run." + GUARDED));
+        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
+        f.controller.stage(List.of(new ClassSlot(GUARDED, KEYED)), List.of());
+        f.controller.discardStaged();
+        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
         change(GUARDED, null);
-        assertEquals(before, f.controller.learned().get("run." + GUARDED));
+        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
         change(GUARDED, KEYED);
-        assertEquals(null, f.controller.learned().get("run." + GUARDED));
+        assertEquals(null, f.controller.learnedEstimates().get("run." + GUARDED));
         f.request("new", GUARDED);
         f.ended("new", Outcome.OK);
         // The assumed 250 ms weigh two samples, and this one took a ms.
         assertEquals(
-                new Known(250 + (1 - 250) / 3.0, 3), f.controller.learned().get("run." + GUARDED));
+                new Estimate(250 + (1 - 250) / 3.0, 3),
+                f.controller.learnedEstimates().get("run." + GUARDED));
     }
 
     @Test
@@ -216,8 +220,8 @@
         change(GUARDED, KEYED);
         f.after(200);
         f.ended("old", Outcome.OK);
-        assertEquals(null, f.controller.learned().get("run." + GUARDED));
-        assertEquals(1, ((Classes) field(f.controller, "classes")).slowdown());
+        assertEquals(null, f.controller.learnedEstimates().get("run." + GUARDED));
+        assertEquals(1, ((ClassTable) field(f.controller, "classes")).slowdown());
     }
 
     // --- a class is changed ---
@@ -251,13 +255,13 @@
     void whatWasOnlyAssumedFollowsTheNewAimAndWhatWasLearnedStays() {
         f.begin();
         f.serveCalmly("f", FREE, 30, 40);
-        Known learned = f.controller.learned().get("run." + FREE);
+        Estimate learned = f.controller.learnedEstimates().get("run." + FREE);
         f.request("o", ONCE);
         change(FREE, PATIENT);
         change(ONCE, HASTY);
-        assertEquals(learned, f.controller.learned().get("run." + FREE));
-        Classes classes = (Classes) field(f.controller, "classes");
-        double calm = f.controller.learned().get("calm." + FREE).value();
+        assertEquals(learned, f.controller.learnedEstimates().get("run." + FREE));
+        ClassTable classes = (ClassTable) field(f.controller, "classes");
+        double calm = f.controller.learnedEstimates().get("calm." + FREE).value();
         assertEquals((learned.value() + 250 + 100) / (calm + 250 + 100), classes.slowdown(), 1e-12);
     }
 
@@ -265,7 +269,7 @@
     void aChangeDuringADrainLeavesTheDrainAsItIs() {
         f.begin();
         f.request("a", FREE);
-        f.controller.drain(f.now, f.now + 5000);
+        f.controller.beginDraining(f.now, f.now + 5000);
         f.after(1000);
         f.recorder.take();
         change(FREE, PATIENT);
@@ -283,7 +287,7 @@
     @Test
     void aTenantsRateStaysWhenItsQuotaChangesAndIsNothingAtAPlacePutAnew() {
         f.begin();
-        Tenants tenants = (Tenants) field(f.controller, "tenants");
+        TenantTable tenants = (TenantTable) field(f.controller, "tenants");
         for (int i = 0; i < 20; i++) {
             f.request("r" + i, FREE, 1, 0.5, null, 0, false);
         }
@@ -292,13 +296,13 @@
         f.controller.stage(
                 List.of(),
                 List.of(
-                        new TenantAt(1, new Tenant(3, 0.1)),
-                        new TenantAt(700, new Tenant(1, 0.1))));
+                        new TenantSlot(1, new Tenant(3, 0.1)),
+                        new TenantSlot(700, new Tenant(1, 0.1))));
         f.controller.commit(f.now);
         assertEquals(rate, tenants.rate(1, f.now));
-        f.controller.stage(List.of(), List.of(new TenantAt(1, null)));
+        f.controller.stage(List.of(), List.of(new TenantSlot(1, null)));
         f.controller.commit(f.now);
-        f.controller.stage(List.of(), List.of(new TenantAt(1, new Tenant(3, 0.1))));
+        f.controller.stage(List.of(), List.of(new TenantSlot(1, new Tenant(3, 0.1))));
         f.controller.commit(f.now);
         assertEquals(0, tenants.rate(1, f.now));
         assertEquals(new Tenant(1, 0.1), tenants.at(700));
@@ -329,16 +333,16 @@
             Runnable each) {
         Random rnd = new Random(seed);
         recorder.take();
-        double now = start;
-        double tick = now;
+        double nowMillis = start;
+        double tick = nowMillis;
         List<String> all = new ArrayList<>();
         ArrayList<String> running = new ArrayList<>();
         for (int i = 0; i < 4000; i++) {
-            now += 10 * rnd.nextDouble();
-            if (now >= tick) {
-                tick = now + 20;
-                controller.timer(
-                        now,
+            nowMillis += 10 * rnd.nextDouble();
+            if (nowMillis >= tick) {
+                tick = nowMillis + 20;
+                controller.timerFired(
+                        nowMillis,
                         "tick",
                         new Gauges(
                                 0.5 + rnd.nextDouble() / 2,
@@ -346,17 +350,17 @@
                                 0.5,
                                 40 + rnd.nextInt(9)));
             } else if (rnd.nextInt(5) < 2 && !running.isEmpty()) {
-                controller.ended(
-                        now,
+                controller.completed(
+                        nowMillis,
                         running.remove(rnd.nextInt(running.size())),
                         50,
                         rnd.nextInt(30) == 0 ? Outcome.FAILED : Outcome.OK);
             } else {
                 int cls = (int) (classes.size() * rnd.nextDouble() * rnd.nextDouble());
                 int tenant = (int) (tenants.size() * rnd.nextDouble() * rnd.nextDouble());
-                double due = now + classes.get(cls).deadline();
-                controller.request(
-                        now,
+                double due = nowMillis + classes.get(cls).deadlineMillis();
+                controller.requestArrived(
+                        nowMillis,
                         new Request(
                                 "r" + i,
                                 places[cls],
@@ -388,11 +392,11 @@
         return new Settings(
                 classes,
                 tenants,
-                new Goal(0.5, 0.2, 0.2, 0.1),
+                new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
                 new Rules(60, 0.25, 10000, 2000, 5, 1500),
-                new Dependency(Below.NONE, 0, 0, 0),
-                Say.MIN_RANK,
-                Halt.PAUSE,
+                new Dependency(DependencyKind.NONE, 0, 0, 0),
+                LoadHint.MIN_RANK,
+                CancellationMode.PAUSE,
                 2,
                 4,
                 3,
@@ -420,7 +424,7 @@
                 2000 + rnd.nextInt(2000),
                 1 + 5 * rnd.nextDouble(),
                 rnd.nextInt(2) * 0.2,
-                Semantics.values()[rnd.nextInt(3)],
+                Idempotency.values()[rnd.nextInt(3)],
                 4000,
                 false,
                 0);
@@ -463,7 +467,7 @@
                 (controller, rnd) -> {
                     for (int i = 0; i < 5; i++) {
                         controller.stage(
-                                List.of(), List.of(new TenantAt(i % 3, TENANTS.get(i % 3))));
+                                List.of(), List.of(new TenantSlot(i % 3, TENANTS.get(i % 3))));
                         controller.commit(0);
                     }
                 });
@@ -478,14 +482,14 @@
                                 module.stage(
                                         List.of(),
                                         List.of(
-                                                new TenantAt(
+                                                new TenantSlot(
                                                         3 + rnd.nextInt(500),
                                                         new Tenant(rnd.nextInt(99), 0.1)),
-                                                new TenantAt(700, new Tenant(i, 0.1))));
+                                                new TenantSlot(700, new Tenant(i, 0.1))));
                                 module.commit(0);
                             }
                         });
-        assertEquals(new Tenant(5, 0.1), ((Tenants) field(controller, "tenants")).at(700));
+        assertEquals(new Tenant(5, 0.1), ((TenantTable) field(controller, "tenants")).at(700));
     }
 
     @Test
@@ -493,7 +497,7 @@
         decidesNothing(
                 (controller, rnd) -> {
                     int place = rnd.nextInt(CLASSES.size());
-                    controller.stage(List.of(new ClassAt(place, CLASSES.get(place))), List.of());
+                    controller.stage(List.of(new ClassSlot(place, CLASSES.get(place))), List.of());
                     controller.commit(0);
                 });
     }
@@ -504,23 +508,23 @@
                 decidesNothing(
                         (module, rnd) -> {
                             if (rnd.nextInt(10) == 0) {
-                                module.unstage();
+                                module.discardStaged();
                                 module.commit(0);
                             }
                             module.stage(
                                     List.of(
-                                            new ClassAt(
+                                            new ClassSlot(
                                                     rnd.nextInt(40),
                                                     rnd.nextBoolean() ? null : spec(rnd))),
                                     List.of(
-                                            new TenantAt(
+                                            new TenantSlot(
                                                     rnd.nextInt(9),
                                                     rnd.nextBoolean()
                                                             ? null
                                                             : new Tenant(rnd.nextInt(9), 0.1))));
                         });
         controller.commit(0);
-        assertNotEquals(CLASSES.size(), ((Classes) field(controller, "classes")).size());
+        assertNotEquals(CLASSES.size(), ((ClassTable) field(controller, "classes")).size());
     }
 
     // --- large changes ---
@@ -533,9 +537,9 @@
         for (int part : new int[] {100, 1}) {
             Controller controller = new OverloadController(new Recorder());
             controller.start(1000, 7, settings(before, TENANTS));
-            Classes classes = (Classes) field(controller, "classes");
+            ClassTable classes = (ClassTable) field(controller, "classes");
             for (int i = 0; i < 1000; i += part) {
-                controller.stage(List.of(new ClassAt(i, after.get(i))), List.of());
+                controller.stage(List.of(new ClassSlot(i, after.get(i))), List.of());
                 assertEquals(before.get(i), classes.at(i));
             }
             controller.commit(1000);
@@ -563,22 +567,22 @@
             Tenant quota = new Tenant(1 + rnd.nextInt(60), 0.2);
             int tenant = rnd.nextInt(2);
             controller.stage(
-                    List.of(new ClassAt(place, put)), List.of(new TenantAt(tenant, quota)));
+                    List.of(new ClassSlot(place, put)), List.of(new TenantSlot(tenant, quota)));
             if (rnd.nextInt(5) == 0) {
-                controller.unstage();
+                controller.discardStaged();
                 continue;
             }
             if (rnd.nextInt(5) == 0) {
                 // Within one change the last word on a place counts.
                 put = spec(rnd);
-                controller.stage(List.of(new ClassAt(place, put)), List.of());
+                controller.stage(List.of(new ClassSlot(place, put)), List.of());
             }
             controller.commit(1000 + i);
             classes.put(place, put);
             tenants.set(tenant, quota);
         }
         classes.put(0, HASTY);
-        controller.stage(List.of(new ClassAt(0, HASTY)), List.of());
+        controller.stage(List.of(new ClassSlot(0, HASTY)), List.of());
         controller.commit(1900);
         classes.values().removeIf(c -> c == null);
         List<RequestClass> last = List.copyOf(classes.values());
@@ -606,18 +610,29 @@
         controller.start(1000, 7, settings(classes, tenants));
         List<Long> reads = new ArrayList<>(List.of(reads(controller)));
         for (int i = 1; i <= 200; i++) {
-            controller.timer(1000 + 20 * i, "tick", Fixture.CALM);
+            controller.timerFired(1000 + 20 * i, "tick", Fixture.CALM);
         }
         reads.add(reads(controller));
         for (int i = 0; i < 200; i++) {
-            double now = 6000 + 20 * i;
-            controller.request(
-                    now,
+            double nowMillis = 6000 + 20 * i;
+            controller.requestArrived(
+                    nowMillis,
                     new Request(
-                            "c" + i, i % 2, i % 4, 1, 20, now + 500, 0, 0.5, 0, null, null, false,
+                            "c" + i,
+                            i % 2,
+                            i % 4,
+                            1,
+                            20,
+                            nowMillis + 500,
+                            0,
+                            0.5,
+                            0,
+                            null,
+                            null,
+                            false,
                             false));
-            controller.timer(now + 5, "tick", Fixture.CALM);
-            controller.ended(now + 10, "c" + i, 10, Outcome.OK);
+            controller.timerFired(nowMillis + 5, "tick", Fixture.CALM);
+            controller.completed(nowMillis + 10, "c" + i, 10, Outcome.OK);
         }
         reads.add(reads(controller));
         day(
@@ -631,10 +646,10 @@
                 () -> {});
         reads.add(reads(controller));
         controller.stage(
-                List.of(new ClassAt(1, PATIENT)), List.of(new TenantAt(1, new Tenant(8, 0.1))));
+                List.of(new ClassSlot(1, PATIENT)), List.of(new TenantSlot(1, new Tenant(8, 0.1))));
         controller.commit(90_000);
         reads.add(reads(controller));
-        assertEquals(5, controller.learned().size());
+        assertEquals(5, controller.learnedEstimates().size());
         reads.add(reads(controller));
         return IntStream.range(1, reads.size())
                 .mapToLong(i -> reads.get(i) - reads.get(i - 1))
@@ -642,8 +657,8 @@
     }
 
     private static long reads(Controller controller) {
-        return ((Classes) field(controller, "classes")).reads()
-                + ((Tenants) field(controller, "tenants")).reads();
+        return ((ClassTable) field(controller, "classes")).reads()
+                + ((TenantTable) field(controller, "tenants")).reads();
     }
 
     @Test
--- a/src/test/java/tinroad/ClassesTest.java
+++ b/src/test/java/tinroad/overload/ClassesTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,9 +11,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.ClassAt;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
+import tinroad.overload.Controller.ClassSlot;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
 
 /** The sums over the classes, against walks over all of them. */
 class ClassesTest {
@@ -41,11 +41,11 @@
         }
 
         double run(int i) {
-            return of.get(i)[2] == 0 ? 0.25 * specs.get(i).aim() : of.get(i)[2];
+            return of.get(i)[2] == 0 ? 0.25 * specs.get(i).objectiveMillis() : of.get(i)[2];
         }
 
         double calm(int i) {
-            return of.get(i)[3] == 0 ? 0.25 * specs.get(i).aim() : of.get(i)[3];
+            return of.get(i)[3] == 0 ? 0.25 * specs.get(i).objectiveMillis() : of.get(i)[3];
         }
 
         double asked() {
@@ -54,7 +54,11 @@
 
         double worth(boolean byWork) {
             return live().stream()
-                    .mapToDouble(i -> of.get(i)[0] * specs.get(i).worth() * (byWork ? run(i) : 1))
+                    .mapToDouble(
+                            i ->
+                                    of.get(i)[0]
+                                            * specs.get(i).priorityWeight()
+                                            * (byWork ? run(i) : 1))
                     .sum();
         }
 
@@ -83,13 +87,13 @@
                 4000,
                 1 + random.nextInt(9),
                 0,
-                Semantics.FREE,
+                Idempotency.IDEMPOTENT,
                 0,
                 false,
                 0);
     }
 
-    private final Learned learned = new Learned(0.25, 2);
+    private final LearnedStatistics learned = new LearnedStatistics(0.25, 2);
 
     private static void same(double walked, double kept, String what) {
         assertEquals(walked, kept, 1e-9 * Math.max(1e-3, walked), what);
@@ -105,17 +109,17 @@
             walked.put(i, begin.get(i));
         }
         boolean byWork = random.nextBoolean();
-        Classes classes = new Classes(begin, learned, SPAN, ClassesTest::behind, byWork, 0);
-        double now = 0;
-        List<ClassAt> staged = new ArrayList<>();
+        ClassTable classes = new ClassTable(begin, learned, SPAN, ClassesTest::behind, byWork, 0);
+        double nowMillis = 0;
+        List<ClassSlot> staged = new ArrayList<>();
         double[] peaks = new double[2];
         for (int step = 0; step < 2000; step++) {
             double passed =
                     random.nextInt(200) == 0
                             ? 30_000 * random.nextDouble()
                             : 20 * random.nextDouble();
-            now += passed;
-            classes.advance(now);
+            nowMillis += passed;
+            classes.advance(nowMillis);
             walked.of.forEach(
                     s -> {
                         if (s != null) {
@@ -128,7 +132,7 @@
             if (dice < 70 && !live.isEmpty()) {
                 int place =
                         live.get((int) (live.size() * random.nextDouble() * random.nextDouble()));
-                ClassStats s = classes.ask(place);
+                ClassStatistics s = classes.ask(place);
                 walked.of.get(place)[0]++;
                 if (random.nextInt(3) > 0) {
                     classes.serve(s);
@@ -148,13 +152,14 @@
                 }
             } else if (dice < 85) {
                 int place = random.nextInt(walked.specs.size() + 3);
-                ClassAt change = new ClassAt(place, random.nextInt(3) == 0 ? null : spec(random));
+                ClassSlot change =
+                        new ClassSlot(place, random.nextInt(3) == 0 ? null : spec(random));
                 classes.stage(List.of(change));
                 staged.add(change);
             } else if (dice < 90) {
                 classes.commit();
                 Map<Integer, RequestClass> last = new TreeMap<>();
-                staged.forEach(c -> last.put(c.place(), c.spec()));
+                staged.forEach(c -> last.put(c.slot(), c.spec()));
                 last.forEach(walked::put);
                 staged.clear();
             } else if (dice < 92) {
@@ -172,7 +177,7 @@
         }
     }
 
-    private static void check(Walked walked, Classes classes) {
+    private static void check(Walked walked, ClassTable classes) {
         List<Integer> live = walked.live();
         assertEquals(live.size(), classes.size());
         if (!live.isEmpty()) {
@@ -183,7 +188,7 @@
                     "slowdown");
         }
         for (int place : live) {
-            ClassStats[] s = new ClassStats[1];
+            ClassStatistics[] s = new ClassStatistics[1];
             if (walked.of.get(place)[0] > 0) {
                 classes.change(place, (of, c) -> s[0] = of);
                 // Whether a class tells is decided at one request; on the very edge either is
@@ -202,8 +207,8 @@
         for (int i = 0; i < 50; i++) {
             specs.add(spec(random));
         }
-        Classes classes = new Classes(specs, learned, SPAN, ClassesTest::behind, true, 0);
-        ClassStats[] of = new ClassStats[50];
+        ClassTable classes = new ClassTable(specs, learned, SPAN, ClassesTest::behind, true, 0);
+        ClassStatistics[] of = new ClassStatistics[50];
         for (int i = 0; i < 10_000_000; i++) {
             int place = i % 50;
             if (i % 3 == 0) {
@@ -236,7 +241,7 @@
         double worth = 0;
         for (int i = 0; i < 50; i++) {
             asked += classes.asked(of[i]);
-            worth += classes.asked(of[i]) * specs.get(i).worth() * 3;
+            worth += classes.asked(of[i]) * specs.get(i).priorityWeight() * 3;
         }
         assertEquals(1.5, classes.slowdown(), 1e-12);
         assertEquals(asked, classes.asked(), 1e-9 * asked);
--- a/src/test/java/tinroad/EmbeddingExampleTest.java
+++ b/src/test/java/tinroad/overload/EmbeddingExampleTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -17,11 +17,13 @@
                         3000, /* worth, late share */
                         1,
                         0,
-                        Controller.Semantics.FREE, /* key window */
+                        Controller.Idempotency.IDEMPOTENT, /* key window */
                         0, /* calls, skip worth */
                         false,
                         0);
-        var goal = new Controller.Goal(/* whole */ 1, /* worst window, class, tenant */ 0, 0, 0);
+        var goal =
+                new Controller.ObjectiveWeights(
+                        /* whole */ 1, /* worst window, class, tenant */ 0, 0, 0);
         var rules =
                 new Controller.Rules(
                         /* answer slack */ 50, /* cold from, ramp */
@@ -30,7 +32,7 @@
                         /* drain grace */ 2000, /* crowd a core, its span */
                         4,
                         1500);
-        var nothingBelow = new Controller.Dependency(Controller.Below.NONE, 0, 0, 0);
+        var nothingBelow = new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0);
         int cores = 8;
         int servers = 12;
         int callers = 4;
@@ -46,8 +48,8 @@
                         goal,
                         rules,
                         nothingBelow,
-                        Controller.Say.NONE,
-                        Controller.Halt.NONE,
+                        Controller.LoadHint.NONE,
+                        Controller.CancellationMode.NONE,
                         cores,
                         servers,
                         callers,
@@ -67,7 +69,7 @@
         Recorder actions = new Recorder(); // your implementation of Controller.Actions
         Controller controller = new OverloadController(actions);
         controller.start(0, /* seed */ 42, settings);
-        controller.request(
+        controller.requestArrived(
                 5,
                 new Controller.Request(
                         "r1", /* class, tenant, caller */
@@ -83,7 +85,7 @@
                         null,
                         /* resent, write */ false,
                         false));
-        controller.ended(60, "r1", /* elapsed */ 55, Controller.Outcome.OK);
+        controller.completed(60, "r1", /* elapsed */ 55, Controller.Outcome.OK);
         // README:end
         assertEquals(List.of("run r1"), actions.take("run"));
     }
--- a/src/test/java/tinroad/ExpiringTest.java
+++ b/src/test/java/tinroad/overload/ExpiringTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 
 /** Names that are kept for a time. */
 class ExpiringTest {
-    private final Expiring kept = new Expiring();
+    private final ExpiringSet kept = new ExpiringSet();
 
     @Test
     void eachGoesOnceAndOnlyWhenItsTimeIsPast() {
--- a/src/test/java/tinroad/FadingRatesTest.java
+++ b/src/test/java/tinroad/overload/FadingRatesTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,28 +11,28 @@
 class FadingRatesTest {
     @Property(tries = 100, seed = "31")
     void aRateIsThatOfFadingAllAtEachStep(@ForAll long seed) {
-        FadingRates rates = new FadingRates(3000);
+        DecayingRates rates = new DecayingRates(3000);
         Random random = new Random(seed);
         double[] walked = new double[600];
-        double now = 0;
+        double nowMillis = 0;
         for (int i = 0; i < 2000; i++) {
             double passed = random.nextInt(3) * random.nextDouble() * 100;
-            now += passed;
+            nowMillis += passed;
             for (int place = 0; place < walked.length; place++) {
                 walked[place] *= Math.exp(-passed / 3000);
             }
             int place = random.nextInt(walked.length);
             walked[place]++;
-            rates.add(place, 1, now);
+            rates.add(place, 1, nowMillis);
         }
         for (int place = 0; place < walked.length; place++) {
-            assertEquals(walked[place], rates.at(place, now), 1e-12 * (1 + walked[place]));
+            assertEquals(walked[place], rates.at(place, nowMillis), 1e-12 * (1 + walked[place]));
         }
     }
 
     @Test
     void whatWasNeverAskedOrIsClearedHasNoRateAndTheNeighboursKeepTheirs() {
-        FadingRates rates = new FadingRates(3000);
+        DecayingRates rates = new DecayingRates(3000);
         rates.clear(9);
         rates.add(300, 2, 10);
         rates.add(301, 4, 10);
--- a/src/test/java/tinroad/Fixture.java
+++ b/src/test/java/tinroad/overload/Fixture.java
@@ -1,19 +1,19 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.List;
-import tinroad.Controller.Below;
-import tinroad.Controller.Dependency;
-import tinroad.Controller.Gauges;
-import tinroad.Controller.Goal;
-import tinroad.Controller.Halt;
-import tinroad.Controller.Outcome;
-import tinroad.Controller.Request;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Rules;
-import tinroad.Controller.Say;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Settings;
-import tinroad.Controller.Tenant;
+import tinroad.overload.Controller.CancellationMode;
+import tinroad.overload.Controller.Dependency;
+import tinroad.overload.Controller.DependencyKind;
+import tinroad.overload.Controller.Gauges;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.LoadHint;
+import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.Outcome;
+import tinroad.overload.Controller.Request;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Rules;
+import tinroad.overload.Controller.Settings;
+import tinroad.overload.Controller.Tenant;
 
 /**
  * One controller on two cores with three classes: free, guarded and single-shot, and two tenants.
@@ -29,8 +29,8 @@
     double now = 1000;
 
     // settings that a test may change before begin()
-    Say say = Say.NONE;
-    Halt halt = Halt.PAUSE;
+    LoadHint say = LoadHint.NONE;
+    CancellationMode halt = CancellationMode.PAUSE;
     boolean cold;
     double callersIdle = 30000;
     boolean marksRetry = true;
@@ -38,7 +38,7 @@
     boolean worthByWork;
     double memoryKb = 10000;
     double freshFor;
-    Dependency below = new Dependency(Below.NONE, 0, 0, 0);
+    Dependency below = new Dependency(DependencyKind.NONE, 0, 0, 0);
     double skipWorth;
     double coldFrom = 0.25;
     List<Tenant> tenants = List.of(new Tenant(100, 0.5), new Tenant(100, 0.5));
@@ -46,18 +46,35 @@
     Fixture begin() {
         List<RequestClass> classes =
                 List.of(
-                        new RequestClass(1000, 0, 4000, 1, 0, Semantics.FREE, 0, true, skipWorth),
                         new RequestClass(
-                                1000, 0, 4000, 2, 0.2, Semantics.GUARDED, 9000, true, skipWorth),
+                                1000, 0, 4000, 1, 0, Idempotency.IDEMPOTENT, 0, true, skipWorth),
                         new RequestClass(
-                                1000, 0, 4000, 2, 0, Semantics.SINGLE_SHOT, 0, true, skipWorth));
+                                1000,
+                                0,
+                                4000,
+                                2,
+                                0.2,
+                                Idempotency.IDEMPOTENT_WITH_KEY,
+                                9000,
+                                true,
+                                skipWorth),
+                        new RequestClass(
+                                1000,
+                                0,
+                                4000,
+                                2,
+                                0,
+                                Idempotency.NON_IDEMPOTENT,
+                                0,
+                                true,
+                                skipWorth));
         controller.start(
                 now,
                 7,
                 new Settings(
                         classes,
                         tenants,
-                        new Goal(0.5, 0.2, 0.2, 0.1),
+                        new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
                         new Rules(60, coldFrom, 10000, 2000, 5, 1500),
                         below,
                         say,
@@ -94,7 +111,7 @@
     }
 
     void requestBy(String id, int caller, double age) {
-        controller.request(
+        controller.requestArrived(
                 now,
                 new Request(
                         id,
@@ -113,7 +130,7 @@
     }
 
     void requestOfWork(String id, double work) {
-        controller.request(
+        controller.requestArrived(
                 now,
                 new Request(
                         id, FREE, 0, 1, 20, now + 4000, 0, 0.9, work, null, null, false, false));
@@ -128,7 +145,7 @@
             double age,
             boolean resent) {
         double due = passesDeadline ? now - age + 4000 : 0;
-        controller.request(
+        controller.requestArrived(
                 now,
                 new Request(
                         id,
@@ -147,7 +164,7 @@
     }
 
     void ended(String id, Outcome outcome) {
-        controller.ended(now, id, 100, outcome);
+        controller.completed(now, id, 100, outcome);
     }
 
     /** Serves so many requests of a class alone, each in so many ms: the class's calm baseline. */
@@ -168,7 +185,7 @@
         double end = now + ms;
         while (now + 20 <= end) {
             now += 20;
-            controller.timer(now, "tick", gauges);
+            controller.timerFired(now, "tick", gauges);
         }
         now = end;
     }
--- a/src/test/java/tinroad/FourRulesTest.java
+++ b/src/test/java/tinroad/overload/FourRulesTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,21 +9,21 @@
 import java.util.Random;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Below;
-import tinroad.Controller.ClassAt;
-import tinroad.Controller.Dependency;
-import tinroad.Controller.Gauges;
-import tinroad.Controller.Goal;
-import tinroad.Controller.Halt;
-import tinroad.Controller.Outcome;
-import tinroad.Controller.Request;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Rules;
-import tinroad.Controller.Say;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Settings;
-import tinroad.Controller.Tenant;
-import tinroad.Controller.TenantAt;
+import tinroad.overload.Controller.CancellationMode;
+import tinroad.overload.Controller.ClassSlot;
+import tinroad.overload.Controller.Dependency;
+import tinroad.overload.Controller.DependencyKind;
+import tinroad.overload.Controller.Gauges;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.LoadHint;
+import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.Outcome;
+import tinroad.overload.Controller.Request;
+import tinroad.overload.Controller.RequestClass;
+import tinroad.overload.Controller.Rules;
+import tinroad.overload.Controller.Settings;
+import tinroad.overload.Controller.Tenant;
+import tinroad.overload.Controller.TenantSlot;
 
 /**
  * Seeded random events over varied settings: the controller breaks no rule, and a broken one is
@@ -33,20 +33,21 @@
     private static Settings settings(Random rnd) {
         boolean calls = rnd.nextBoolean();
         List<RequestClass> classes = new ArrayList<>();
-        for (Semantics kind : Semantics.values()) {
+        for (Idempotency kind : Idempotency.values()) {
             classes.add(spec(rnd, kind, calls));
         }
         List<Tenant> tenants =
                 rnd.nextBoolean() ? List.of() : List.of(new Tenant(20, 0.5), new Tenant(20, 0.5));
-        Below below = calls ? Below.values()[1 + rnd.nextInt(2)] : Below.NONE;
+        DependencyKind below =
+                calls ? DependencyKind.values()[1 + rnd.nextInt(2)] : DependencyKind.NONE;
         return new Settings(
                 classes,
                 tenants,
-                new Goal(0.5, 0.2, 0.2, 0.1),
+                new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
                 new Rules(60, 0.2 + rnd.nextDouble() * 0.5, 5000, 1000, 3 + rnd.nextInt(5), 1500),
                 new Dependency(below, rnd.nextDouble() * 4, 1000, 200),
-                Say.values()[rnd.nextInt(4)],
-                Halt.values()[rnd.nextInt(3)],
+                LoadHint.values()[rnd.nextInt(4)],
+                CancellationMode.values()[rnd.nextInt(3)],
                 1 + rnd.nextInt(8),
                 5,
                 3,
@@ -65,7 +66,7 @@
                 rnd.nextBoolean());
     }
 
-    private static RequestClass spec(Random rnd, Semantics kind, boolean calls) {
+    private static RequestClass spec(Random rnd, Idempotency kind, boolean calls) {
         return new RequestClass(
                 500 + rnd.nextInt(1000),
                 rnd.nextInt(2),
@@ -104,7 +105,7 @@
             if (!draining && server.now > 6000) {
                 draining = true;
                 server.drainedAt = server.now;
-                c.drain(server.now, leaveAt);
+                c.beginDraining(server.now, leaveAt);
             }
             if (edits.nextInt(100) < changes) {
                 change(edits, set, server, next, c);
@@ -117,7 +118,7 @@
             }
             if (server.now >= nextTick) {
                 nextTick = server.now + 20;
-                c.timer(
+                c.timerFired(
                         server.now,
                         "tick",
                         new Gauges(rnd.nextDouble(), rnd.nextInt(10), 0.5, rnd.nextInt(200)));
@@ -140,18 +141,23 @@
         boolean inUse = place < server.classes.size() && server.classes.get(place) != null;
         boolean named =
                 server.seen.values().stream()
-                                .anyMatch(s -> s.request.classIndex() == place && !s.over)
+                                .anyMatch(s -> s.request.classSlot() == place && !s.over)
                         || server.kept.keySet().stream()
-                                .anyMatch(id -> server.seen.get(id).request.classIndex() == place);
+                                .anyMatch(id -> server.seen.get(id).request.classSlot() == place);
         if (rnd.nextInt(3) == 0) {
             next.set(place, null);
-            c.stage(List.of(new ClassAt(place, null)), List.of());
+            c.stage(List.of(new ClassSlot(place, null)), List.of());
         } else if (inUse || !named) {
-            next.set(place, spec(rnd, Semantics.values()[place % 3], set.classes().get(0).calls()));
+            next.set(
+                    place,
+                    spec(
+                            rnd,
+                            Idempotency.values()[place % 3],
+                            set.classes().get(0).callsDependency()));
             c.stage(
-                    List.of(new ClassAt(place, next.get(place))),
+                    List.of(new ClassSlot(place, next.get(place))),
                     List.of(
-                            new TenantAt(
+                            new TenantSlot(
                                     rnd.nextInt(2),
                                     rnd.nextInt(4) == 0
                                             ? null
@@ -166,7 +172,7 @@
                 server.classes.addAll(next);
             }
             case 1 -> {
-                c.unstage();
+                c.discardStaged();
                 next.clear();
                 next.addAll(server.classes);
             }
@@ -181,9 +187,9 @@
         }
         String key = cls + "-" + rnd.nextInt(40);
         double age = rnd.nextInt(30);
-        double due = set.passesDeadline() ? server.now - age + 300 + rnd.nextInt(2500) : 0;
+        double due = set.requestsCarryDeadline() ? server.now - age + 300 + rnd.nextInt(2500) : 0;
         String repeats =
-                cls % 3 == 2 || (cls % 3 == 0 && set.freshFor() == 0)
+                cls % 3 == 2 || (cls % 3 == 0 && set.resultFreshMillis() == 0)
                         ? null
                         : server.repeatOf(key, server.now - age);
         Request r =
@@ -202,7 +208,7 @@
                         rnd.nextBoolean(),
                         cls % 3 > 0);
         server.arrive(r);
-        c.request(server.now, r);
+        c.requestArrived(server.now, r);
     }
 
     private static void step(Random rnd, RuleChecker server, Controller c, RuleChecker.Seen s) {
@@ -214,11 +220,13 @@
                             ? Outcome.CANCELED
                             : rnd.nextInt(4) == 0 ? Outcome.FAILED : Outcome.OK;
             server.end(id, outcome);
-            c.ended(server.now, id, 50, outcome);
-        } else if (s.running && dice < 15 && server.settings.below().kind() != Below.NONE) {
+            c.completed(server.now, id, 50, outcome);
+        } else if (s.running
+                && dice < 15
+                && server.settings.dependency().kind() != DependencyKind.NONE) {
             s.running = false;
             s.atCall = true;
-            c.needs(server.now, id);
+            c.dependencyCallNeeded(server.now, id);
         } else if (s.atCall && dice < 12 && (s.calling || s.answers > 0)) {
             Outcome outcome = s.answers > 0 ? Outcome.CANCELED : Outcome.values()[rnd.nextInt(6)];
             if (s.calling) {
@@ -226,16 +234,16 @@
             }
             if (outcome == Outcome.CANCELED) {
                 server.end(id, outcome);
-                c.ended(server.now, id, 50, outcome);
+                c.completed(server.now, id, 50, outcome);
             } else {
-                c.called(server.now, id, 50, outcome);
+                c.dependencyCallCompleted(server.now, id, 50, outcome);
             }
         } else if (s.joined != null && !s.over && server.seen.get(s.joined).over) {
             server.end(id, Outcome.OK);
-            c.ended(server.now, id, 50, Outcome.OK);
+            c.completed(server.now, id, 50, Outcome.OK);
         } else if (s.running && dice == 399 && s.answers == 0) {
             s.answers = 1;
-            c.gone(server.now, id);
+            c.cancelled(server.now, id);
         }
     }
 
@@ -254,7 +262,7 @@
             assertEquals(List.of(), server.broken, "seed " + seed);
             answered +=
                     server.seen.values().stream()
-                            .filter(s -> s.ran && s.request.classIndex() > 2)
+                            .filter(s -> s.ran && s.request.classSlot() > 2)
                             .count();
         }
         assertTrue(answered > 1000, "ran at places put anew: " + answered);
--- a/src/test/java/tinroad/LearnedTest.java
+++ b/src/test/java/tinroad/overload/LearnedTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,20 +9,20 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Known;
-import tinroad.Controller.RequestClass;
-import tinroad.Controller.Semantics;
+import tinroad.overload.Controller.Estimate;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.RequestClass;
 
 /** What one life of the module leaves to the next. */
 class LearnedTest {
     private static final List<RequestClass> CLASSES =
             List.of(
-                    new RequestClass(1000, 0, 2000, 1, 0, Semantics.FREE, 0, false, 0),
-                    new RequestClass(2000, 0, 4000, 3, 0, Semantics.SINGLE_SHOT, 0, false, 0));
+                    new RequestClass(1000, 0, 2000, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0),
+                    new RequestClass(2000, 0, 4000, 3, 0, Idempotency.NON_IDEMPOTENT, 0, false, 0));
 
-    private final Learned learned = new Learned(0.25, 2);
-    private final Classes classes =
-            new Classes(
+    private final LearnedStatistics learned = new LearnedStatistics(0.25, 2);
+    private final ClassTable classes =
+            new ClassTable(
                     CLASSES,
                     learned,
                     20_000,
@@ -34,8 +34,8 @@
         return learned.run(stats(place), CLASSES.get(place));
     }
 
-    private ClassStats stats(int place) {
-        ClassStats[] found = new ClassStats[1];
+    private ClassStatistics stats(int place) {
+        ClassStatistics[] found = new ClassStatistics[1];
         classes.change(place, (s, c) -> found[0] = s);
         return found[0];
     }
@@ -61,7 +61,9 @@
     @Test
     void onAColdEngineRunsAreExpectedToTakeAsMuchLongerAndNeverLongerThanWithoutAnyMemory() {
         learned.restore(
-                Map.of("run.0", new Known(24, 9), "run.1", new Known(30_000, 9)), 0.2, classes);
+                Map.of("run.0", new Estimate(24, 9), "run.1", new Estimate(30_000, 9)),
+                0.2,
+                classes);
         assertEquals(120, run(0));
         assertEquals(500, run(1));
         // No slowdown is seen in what is only cold, or was slow on another day.
@@ -71,15 +73,15 @@
 
     @Test
     void untilTheFirstRequestAllIsToldAndThenOnlyWhatHasSamplesOrAMemory() {
-        Map<String, Known> assumed = learned.export(classes);
+        Map<String, Estimate> assumed = learned.export(classes);
         assertEquals(Set.of("run.0", "calm.0", "run.1", "calm.1", "returning"), assumed.keySet());
-        assertEquals(new Known(500, 2), assumed.get("calm.1"));
+        assertEquals(new Estimate(500, 2), assumed.get("calm.1"));
         classes.ask(0);
         assertEquals(Set.of("returning"), learned.export(classes).keySet());
-        learned.restore(Map.of("calm.1", new Known(400, 9)), 1, classes);
+        learned.restore(Map.of("calm.1", new Estimate(400, 9)), 1, classes);
         // A memory of it stays told, so that it is left to the next life as it was found.
         assertEquals(Set.of("run.1", "calm.1", "returning"), learned.export(classes).keySet());
-        assertEquals(new Known(500, 2), learned.export(classes).get("calm.1"));
+        assertEquals(new Estimate(500, 2), learned.export(classes).get("calm.1"));
     }
 
     @Test
@@ -87,17 +89,17 @@
         learned.restore(
                 Map.of(
                         "run.-1",
-                        new Known(1, 1),
+                        new Estimate(1, 1),
                         "run.",
-                        new Known(1, 1),
+                        new Estimate(1, 1),
                         "calm.99999999999",
-                        new Known(1, 1),
+                        new Estimate(1, 1),
                         "0",
-                        new Known(1, 1),
+                        new Estimate(1, 1),
                         "run.2",
-                        new Known(1, 1),
+                        new Estimate(1, 1),
                         "runs.0",
-                        new Known(1, 1)),
+                        new Estimate(1, 1)),
                 1,
                 classes);
         classes.ask(0);
@@ -111,15 +113,15 @@
         after.learned.restore(
                 Map.of(
                         "run.0",
-                        new Known(run, weight),
+                        new Estimate(run, weight),
                         "calm.0",
-                        new Known(calm, weight),
+                        new Estimate(calm, weight),
                         "run.9",
-                        new Known(run, 1),
+                        new Estimate(run, 1),
                         "returning",
-                        new Known(back, 1),
+                        new Estimate(back, 1),
                         "unheard.of",
-                        new Known(1, 1)),
+                        new Estimate(1, 1)),
                 0.2,
                 after.classes);
         for (int i = 0; i < CLASSES.size(); i++) {
--- a/src/test/java/tinroad/ModuleShapeTest.java
+++ b/src/test/java/tinroad/overload/ModuleShapeTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,14 +21,14 @@
  * wire and thread.
  */
 class ModuleShapeTest {
-    private static final Path SOURCES = Path.of("src/main/java/tinroad");
+    private static final Path SOURCES = Path.of("src/main/java/tinroad/overload");
     private static final Path CONTROLLER = SOURCES.resolve("OverloadController.java");
 
     /**
      * Uses a {@code HashMap} that it never iterates over, so the order of its entries decides
      * nothing.
      */
-    private static final Set<String> UNORDERED_LOOKUP_ONLY = Set.of("Expiring.java");
+    private static final Set<String> UNORDERED_LOOKUP_ONLY = Set.of("ExpiringSet.java");
 
     private static List<Path> decisionClasses() throws IOException {
         try (Stream<Path> files = Files.list(SOURCES)) {
--- a/src/test/java/tinroad/OverloadControllerTest.java
+++ b/src/test/java/tinroad/overload/OverloadControllerTest.java
@@ -1,23 +1,23 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinroad.Fixture.FREE;
-import static tinroad.Fixture.GUARDED;
-import static tinroad.Fixture.ONCE;
+import static tinroad.overload.Fixture.FREE;
+import static tinroad.overload.Fixture.GUARDED;
+import static tinroad.overload.Fixture.ONCE;
 
 import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller.Below;
-import tinroad.Controller.Dependency;
-import tinroad.Controller.Gauges;
-import tinroad.Controller.Halt;
-import tinroad.Controller.Outcome;
-import tinroad.Controller.Say;
+import tinroad.overload.Controller.CancellationMode;
+import tinroad.overload.Controller.Dependency;
+import tinroad.overload.Controller.DependencyKind;
+import tinroad.overload.Controller.Gauges;
+import tinroad.overload.Controller.LoadHint;
+import tinroad.overload.Controller.Outcome;
 
 /** The module against a recording {@code Actions}: each part of the design and each guard. */
 class OverloadControllerTest {
@@ -126,7 +126,7 @@
     void neverClosesSoonerThanTheActionAllows() {
         f.callersIdle = 20;
         f.begin();
-        f.controller.drain(f.now, f.now + 3000);
+        f.controller.beginDraining(f.now, f.now + 3000);
         assertEquals(List.of("idle 20", "idle 20"), f.recorder.take("idle"));
     }
 
@@ -146,7 +146,7 @@
                             ? m.size()
                             : value instanceof List<?> l
                                     ? l.size()
-                                    : value instanceof Expiring e ? e.size() : 0;
+                                    : value instanceof ExpiringSet e ? e.size() : 0;
             assertTrue(size <= 60, field.getName() + " holds " + size);
         }
     }
@@ -295,8 +295,8 @@
         f.after(40);
         List<String> lines = take();
         assertTrue(lines.contains("fail a") && lines.contains("halt a"), lines.toString());
-        f.controller.ended(f.now, "a", 1040, Outcome.CANCELED);
-        f.controller.ended(f.now, "b", 1040, Outcome.CANCELED);
+        f.controller.completed(f.now, "a", 1040, Outcome.CANCELED);
+        f.controller.completed(f.now, "b", 1040, Outcome.CANCELED);
         f.request("alone", FREE);
         take();
         f.after(1200);
@@ -329,7 +329,7 @@
         take();
         f.request("fresh", FREE, 0, 0.9, null, 0, false);
         assertEquals(List.of(), f.recorder.take("refuse"));
-        f.controller.gone(f.now, "fresh");
+        f.controller.cancelled(f.now, "fresh");
         f.request("retry", FREE, 0, 0.9, null, 0, true);
         assertEquals(1, f.recorder.take("refuse").size());
     }
@@ -349,7 +349,7 @@
 
     @Test
     void theCutRisesUnderPressureTurnsAwayLowRankAndLetsGo() {
-        f.say = Say.MIN_RANK;
+        f.say = LoadHint.MIN_RANK;
         f.begin();
         f.serveCalmly("s", FREE, 20, 300);
         f.request("r0", FREE);
@@ -443,14 +443,14 @@
     void aWaitLongerThanUsualTellsThatTheAimIsSpent() {
         f.begin();
         for (int i = 0; i < 15; i++) {
-            f.controller.request(f.now, wait("s" + i, 2000));
+            f.controller.requestArrived(f.now, wait("s" + i, 2000));
             f.after(100);
             f.ended("s" + i, Outcome.OK);
         }
         f.request("busy", FREE);
         take();
-        f.controller.request(f.now, wait("fresh", 2000));
-        f.controller.request(f.now, wait("spent", 2700));
+        f.controller.requestArrived(f.now, wait("fresh", 2000));
+        f.controller.requestArrived(f.now, wait("spent", 2700));
         List<String> lines = take();
         assertTrue(lines.contains("run fresh"), lines.toString());
         assertTrue(lines.stream().anyMatch(l -> l.startsWith("refuse spent ")), lines.toString());
@@ -460,14 +460,14 @@
     void usualWaitsAreLearntOverManyCallersEachSeenOnce() {
         f.begin();
         for (int i = 0; i < 30; i++) {
-            f.controller.request(f.now, wait("s" + i, i, i % 3 == 0 ? 2400 : 2000));
+            f.controller.requestArrived(f.now, wait("s" + i, i, i % 3 == 0 ? 2400 : 2000));
             f.after(100);
             f.ended("s" + i, Outcome.OK);
         }
         f.request("busy", FREE);
         take();
-        f.controller.request(f.now, wait("one", 50, 2400));
-        f.controller.request(f.now, wait("last", 51, 3000));
+        f.controller.requestArrived(f.now, wait("one", 50, 2400));
+        f.controller.requestArrived(f.now, wait("last", 51, 3000));
         List<String> lines = take();
         assertTrue(lines.contains("run one"), lines.toString());
         assertTrue(lines.stream().anyMatch(l -> l.startsWith("refuse last ")), lines.toString());
@@ -706,11 +706,11 @@
 
     @Test
     void neverHaltsWhereNothingCanBeStopped() {
-        f.halt = Halt.NONE;
+        f.halt = CancellationMode.NONE;
         f.begin();
         f.request("a", FREE);
         f.after(4000);
-        f.controller.gone(f.now, "a");
+        f.controller.cancelled(f.now, "a");
         assertTrue(take().stream().noneMatch(l -> l.startsWith("halt")));
     }
 
@@ -759,7 +759,7 @@
         f.request("a", FREE);
         f.request("b", FREE);
         f.request("c", GUARDED);
-        f.controller.gone(f.now, "c");
+        f.controller.cancelled(f.now, "c");
         assertTrue(take().contains("forget c"));
     }
 
@@ -792,7 +792,7 @@
     void afterTheGraceNothingNewRunsAndAllIsAnsweredBeforeTheStop() {
         f.begin();
         f.request("old", FREE);
-        f.controller.drain(f.now, f.now + 3000);
+        f.controller.beginDraining(f.now, f.now + 3000);
         List<String> lines = take();
         assertTrue(
                 lines.contains("health false true") && lines.contains("idle 1000"),
@@ -810,16 +810,16 @@
         f.begin();
         take();
         f.ended("nobody", Outcome.OK);
-        f.controller.needs(f.now, "nobody");
-        f.controller.called(f.now, "nobody", 5, Outcome.OK);
-        f.controller.gone(f.now, "nobody");
+        f.controller.dependencyCallNeeded(f.now, "nobody");
+        f.controller.dependencyCallCompleted(f.now, "nobody", 5, Outcome.OK);
+        f.controller.cancelled(f.now, "nobody");
         assertEquals(List.of(), take());
     }
 
     // --- calls below ---
 
     private Fixture withDependency() {
-        f.below = new Dependency(Below.COMMON, 1.5, 1000, 200);
+        f.below = new Dependency(DependencyKind.SHARED, 1.5, 1000, 200);
         return f.begin();
     }
 
@@ -828,31 +828,31 @@
         withDependency();
         f.request("a", FREE);
         f.request("b", FREE);
-        f.controller.needs(f.now, "a");
-        f.controller.needs(f.now, "b");
+        f.controller.dependencyCallNeeded(f.now, "a");
+        f.controller.dependencyCallNeeded(f.now, "b");
         assertEquals(List.of("call a 3970"), f.recorder.take("call"));
         f.after(100);
-        f.controller.called(f.now, "a", 100, Outcome.OK);
+        f.controller.dependencyCallCompleted(f.now, "a", 100, Outcome.OK);
         assertEquals(List.of("call b 3870"), f.recorder.take("call"));
     }
 
     private void needsCall(String id) {
         f.request(id, FREE);
-        f.controller.needs(f.now, id);
+        f.controller.dependencyCallNeeded(f.now, id);
     }
 
     private void calledIn(String id, double ms, Outcome outcome) {
         f.after(ms);
-        f.controller.called(f.now, id, ms, outcome);
+        f.controller.dependencyCallCompleted(f.now, id, ms, outcome);
     }
 
     @Test
     void callsGivenUpCountUntilTheDependencyHasLetGoOfThem() {
-        f.below = new Dependency(Below.COMMON, 2.5, 5000, 200);
+        f.below = new Dependency(DependencyKind.SHARED, 2.5, 5000, 200);
         f.begin();
         needsCall("a");
         needsCall("b");
-        f.controller.called(f.now, "a", 500, Outcome.TIMED_OUT);
+        f.controller.dependencyCallCompleted(f.now, "a", 500, Outcome.TIMED_OUT);
         assertEquals(2, f.recorder.take("call").size());
         f.after(180);
         assertEquals(0, f.recorder.take("call").size());
@@ -862,7 +862,7 @@
 
     @Test
     void aShareBelowOneIsPaidByTimeAndTheRestGoesOnWithoutTheCall() {
-        f.below = new Dependency(Below.COMMON, 0.5, 5000, 200);
+        f.below = new Dependency(DependencyKind.SHARED, 0.5, 5000, 200);
         f.skipWorth = 0.5;
         f.begin();
         double[] inHand = new double[30];
@@ -888,7 +888,7 @@
 
     @Test
     void aSlowDependencyGetsFewerCallsAtOnceAndAllAgainWhenQuick() {
-        f.below = new Dependency(Below.COMMON, 20, 5000, 200);
+        f.below = new Dependency(DependencyKind.SHARED, 20, 5000, 200);
         f.skipWorth = 0.5;
         f.begin();
         assertEquals(3, callsOfThree("calm", 20));
@@ -914,7 +914,7 @@
         int calls = f.recorder.take("call").size();
         f.after(ms);
         for (int i = 0; i < 3; i++) {
-            f.controller.called(f.now, prefix + i, ms, Outcome.OK);
+            f.controller.dependencyCallCompleted(f.now, prefix + i, ms, Outcome.OK);
             f.ended(prefix + i, Outcome.OK);
         }
         return calls;
@@ -922,7 +922,7 @@
 
     @Test
     void timeSpentAtCallsIsNotThisServersOwnSlowness() {
-        f.below = new Dependency(Below.COMMON, 20, 5000, 200);
+        f.below = new Dependency(DependencyKind.SHARED, 20, 5000, 200);
         f.begin();
         f.serveCalmly("s", FREE, 40, 100);
         f.after(4000);
@@ -930,7 +930,7 @@
         for (int i = 0; i < 20; i++) {
             f.request("r" + i, FREE);
             f.after(60);
-            f.controller.needs(f.now, "r" + i);
+            f.controller.dependencyCallNeeded(f.now, "r" + i);
             calledIn("r" + i, 700, Outcome.OK);
             f.after(40);
             f.ended("r" + i, Outcome.OK);
@@ -943,7 +943,7 @@
         withDependency();
         for (int i = 0; i < 8; i++) {
             f.request("a" + i, FREE);
-            f.controller.needs(f.now, "a" + i);
+            f.controller.dependencyCallNeeded(f.now, "a" + i);
         }
         assertEquals(6, f.recorder.take("run").size());
     }
@@ -960,11 +960,11 @@
     void aGuardedCallIsMadeAgainOnlyWhenItProvablyNeverRan() {
         withDependency();
         f.request("a", GUARDED);
-        f.controller.needs(f.now, "a");
-        f.controller.called(f.now, "a", 10, Outcome.QUEUE_FULL);
+        f.controller.dependencyCallNeeded(f.now, "a");
+        f.controller.dependencyCallCompleted(f.now, "a", 10, Outcome.QUEUE_FULL);
         f.after(20);
         assertEquals(2, f.recorder.take("call").size());
-        f.controller.called(f.now, "a", 10, Outcome.TIMED_OUT);
+        f.controller.dependencyCallCompleted(f.now, "a", 10, Outcome.TIMED_OUT);
         f.after(20);
         List<String> lines = take();
         assertTrue(lines.contains("fail a"), lines.toString());
@@ -976,8 +976,8 @@
         f.skipWorth = 0.5;
         withDependency();
         f.request("a", FREE);
-        f.controller.needs(f.now, "a");
-        f.controller.called(f.now, "a", 10, Outcome.FAILED);
+        f.controller.dependencyCallNeeded(f.now, "a");
+        f.controller.dependencyCallCompleted(f.now, "a", 10, Outcome.FAILED);
         assertTrue(take().contains("skip a"));
     }
 }
--- a/src/test/java/tinroad/PlacesTest.java
+++ b/src/test/java/tinroad/overload/PlacesTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -18,12 +18,12 @@
 class PlacesTest {
     @Test
     void aVersionKeepsItsValuesWhateverTheNextOnesSet() {
-        Places<Integer> first = Places.of(IntStream.range(0, 1000).boxed().toList());
-        Places<Integer> second = first.next();
+        SlotTable<Integer> first = SlotTable.of(IntStream.range(0, 1000).boxed().toList());
+        SlotTable<Integer> second = first.next();
         second.set(300, -1);
         second.set(301, null);
         second.set(5000, 7);
-        Places<Integer> third = second.next();
+        SlotTable<Integer> third = second.next();
         third.set(300, -2);
         assertEquals(
                 List.of(300, 301, 1000), List.of(first.get(300), first.get(301), first.size()));
@@ -38,20 +38,20 @@
 
     @Test
     void noPlaceIsOutsideAndAnImpossibleOneIsNotSet() {
-        Places<String> empty = new Places<>();
+        SlotTable<String> empty = new SlotTable<>();
         assertNull(empty.get(-1));
         assertNull(empty.get(Integer.MAX_VALUE));
         assertThrows(IllegalArgumentException.class, () -> empty.set(-1, "x"));
-        assertThrows(IllegalArgumentException.class, () -> empty.set(Places.MOST, "x"));
+        assertThrows(IllegalArgumentException.class, () -> empty.set(SlotTable.MOST, "x"));
         assertEquals(0, empty.size());
     }
 
     @Property(tries = 100, seed = "30")
     void everyVersionIsTheMapThatItWasWhenTheNextBegan(@ForAll long seed) {
         Random random = new Random(seed);
-        Places<Integer> places = new Places<>();
+        SlotTable<Integer> places = new SlotTable<>();
         Map<Integer, Integer> model = new TreeMap<>();
-        List<Places<Integer>> versions = new ArrayList<>();
+        List<SlotTable<Integer>> versions = new ArrayList<>();
         List<Map<Integer, Integer>> models = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             int place = random.nextInt(1 + random.nextInt(3000));
--- a/src/test/java/tinroad/Recorder.java
+++ b/src/test/java/tinroad/overload/Recorder.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void refuse(String id, double stayAway, boolean last) {
+    public void reject(String id, double stayAway, boolean last) {
         add("refuse %s %.0f %s", id, stayAway, last);
     }
 
@@ -40,52 +40,52 @@
     }
 
     @Override
-    public void halt(String id) {
+    public void cancel(String id) {
         add("halt %s", id);
     }
 
     @Override
-    public void call(String id, double within) {
+    public void callDependency(String id, double within) {
         add("call %s %.0f", id, within);
     }
 
     @Override
-    public void skip(String id) {
+    public void skipDependency(String id) {
         add("skip %s", id);
     }
 
     @Override
-    public void keep(String id, double duration) {
+    public void retainKey(String id, double duration) {
         add("keep %s %.0f", id, duration);
     }
 
     @Override
-    public void forget(String id) {
+    public void releaseKey(String id) {
         add("forget %s", id);
     }
 
     @Override
-    public void reuse(String id) {
+    public void replayResult(String id) {
         add("reuse %s", id);
     }
 
     @Override
-    public void health(boolean good, boolean stored) {
+    public void setHealth(boolean good, boolean stored) {
         add("health %s %s", good, stored);
     }
 
     @Override
-    public void say(double value) {
+    public void advertiseLoad(double value) {
         add("say %.2f", value);
     }
 
     @Override
-    public void idle(double after) {
+    public void setIdleTimeout(double after) {
         add("idle %.0f", after);
     }
 
     @Override
-    public void timer(String token, double delay) {
+    public void scheduleTimer(String token, double delay) {
         add("timer %s %.0f", token, delay);
     }
 
--- a/src/test/java/tinroad/ReturnsTest.java
+++ b/src/test/java/tinroad/overload/ReturnsTest.java
@@ -1,4 +1,4 @@
-package tinroad;
+package tinroad.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,7 +16,7 @@
 
     @Test
     void aCallerIsToldTheSameSlotUntilItHasCome() {
-        Returns returns = new Returns();
+        RetryAfterSchedule returns = new RetryAfterSchedule();
         double slot = returns.tell(1, 0, 400, MOST);
         assertEquals(slot - 40, returns.tell(1, 40, 800, MOST), 1e-9);
         assertEquals(1, returns.tell(1, slot - 1, 800, MOST), 1e-9);
@@ -25,7 +25,7 @@
 
     @Test
     void slotsAreSpreadEvenly() {
-        Returns returns = new Returns();
+        RetryAfterSchedule returns = new RetryAfterSchedule();
         double[] told = new double[64];
         for (int caller = 0; caller < told.length; caller++) {
             told[caller] = returns.tell(caller, 0, 500, MOST);
@@ -43,18 +43,18 @@
             @ForAll @IntRange(min = 0, max = 100_000) int caller,
             @ForAll @DoubleRange(min = 0, max = 5000) double mean,
             @ForAll @DoubleRange(min = 0, max = 5000) double gap) {
-        Returns returns = new Returns();
-        double now = 0;
+        RetryAfterSchedule returns = new RetryAfterSchedule();
+        double nowMillis = 0;
         for (int i = 0; i < 200; i++) {
-            double away = returns.tell((caller + 31 * i) % 97, now, mean, MOST);
+            double away = returns.tell((caller + 31 * i) % 97, nowMillis, mean, MOST);
             assertTrue(away >= 0 && away <= MOST + 1e-6, "" + away);
-            now += gap / 7;
+            nowMillis += gap / 7;
         }
     }
 
     @Test
     void theTableIsBounded() {
-        Returns returns = new Returns();
+        RetryAfterSchedule returns = new RetryAfterSchedule();
         for (int caller = 0; caller < 100_000; caller++) {
             returns.tell(caller, 0, MOST, MOST);
         }
--- a/src/test/java/tinroad/RuleChecker.java
+++ b/src/test/java/tinroad/overload/RuleChecker.java
@@ -1,13 +1,13 @@
-package tinroad;
+package tinroad.overload;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tinroad.Controller.Outcome;
-import tinroad.Controller.Request;
-import tinroad.Controller.Semantics;
-import tinroad.Controller.Settings;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.Outcome;
+import tinroad.overload.Controller.Request;
+import tinroad.overload.Controller.Settings;
 
 /**
  * A small server that obeys a controller's actions and notes where one of the four rules is broken.
@@ -60,9 +60,12 @@
     }
 
     void arrive(Request r) {
-        double arrived = now - r.age();
-        Controller.RequestClass spec = classes.get(r.classIndex());
-        double due = settings.passesDeadline() ? r.due() : arrived + spec.deadline();
+        double arrived = now - r.ageMillis();
+        Controller.RequestClass spec = classes.get(r.classSlot());
+        double due =
+                settings.requestsCarryDeadline()
+                        ? r.deadlineAtMillis()
+                        : arrived + spec.deadlineMillis();
         seen.put(r.id(), new Seen(r, spec, arrived, due));
     }
 
@@ -72,7 +75,7 @@
      */
     String repeatOf(String key, double arrived) {
         for (Map.Entry<String, Double> e : kept.entrySet()) {
-            if (e.getValue() >= arrived && key.equals(seen.get(e.getKey()).request.key())) {
+            if (e.getValue() >= arrived && key.equals(seen.get(e.getKey()).request.resultKey())) {
                 return e.getKey();
             }
         }
@@ -88,9 +91,9 @@
                     !inMemory
                             ? 0
                             : s.request.memoryKb()
-                                    * (s.running || s.atCall ? settings.runFactor() : 1);
+                                    * (s.running || s.atCall ? settings.runMemoryFactor() : 1);
             if (s.answers == 0
-                    && now > Math.max(s.due, s.arrived) + settings.rules().answerSlack()) {
+                    && now > Math.max(s.due, s.arrived) + settings.rules().answerSlackMillis()) {
                 s.answers = 1;
                 broken.add("lost " + s.request.id());
             }
@@ -104,7 +107,7 @@
             broken.add("fall-over: memory");
         }
         long crowd = seen.values().stream().filter(s -> s.running).count();
-        if (crowd > settings.cores() * settings.rules().crowdPerCore()) {
+        if (crowd > settings.cores() * settings.rules().concurrencyPerCore()) {
             broken.add("fall-over: crowd");
         }
     }
@@ -131,21 +134,21 @@
     @Override
     public void run(String id) {
         Seen s = seen.get(id);
-        Semantics kind = s.spec.semantics();
+        Idempotency kind = s.spec.idempotency();
         if (s.over) {
             return;
         }
-        if (kind != Semantics.FREE && s.ran) {
+        if (kind != Idempotency.IDEMPOTENT && s.ran) {
             broken.add("duplicate " + id);
         }
-        if (kind == Semantics.GUARDED) {
-            Double until = ranKeys.get(s.request.key());
+        if (kind == Idempotency.IDEMPOTENT_WITH_KEY) {
+            Double until = ranKeys.get(s.request.resultKey());
             if (until != null && s.arrived <= until) {
-                broken.add("duplicate key " + s.request.key());
+                broken.add("duplicate key " + s.request.resultKey());
             }
-            ranKeys.put(s.request.key(), s.arrived + s.spec.keyWindow());
+            ranKeys.put(s.request.resultKey(), s.arrived + s.spec.keyWindowMillis());
         }
-        if (s.arrived > drainedAt + settings.rules().drainGrace()) {
+        if (s.arrived > drainedAt + settings.rules().drainGraceMillis()) {
             broken.add("drain: ran " + id);
         }
         s.ran = true;
@@ -153,9 +156,9 @@
     }
 
     @Override
-    public void refuse(String id, double stayAway, boolean last) {
+    public void reject(String id, double stayAway, boolean last) {
         Seen s = seen.get(id);
-        boolean effect = s.spec.semantics() != Semantics.FREE;
+        boolean effect = s.spec.idempotency() != Idempotency.IDEMPOTENT;
         if (effect && (s.ran || s.joined != null)) {
             broken.add("duplicate: refused after a run " + id);
         }
@@ -171,19 +174,21 @@
     }
 
     @Override
-    public void halt(String id) {
-        if (settings.halt() == Controller.Halt.NONE) {
+    public void cancel(String id) {
+        if (settings.cancellationMode() == Controller.CancellationMode.NONE) {
             broken.add("fault: halt");
         }
     }
 
     @Override
-    public void call(String id, double within) {
+    public void callDependency(String id, double within) {
         seen.get(id).calling = true;
         lingering.removeIf(until -> until <= now);
         long inHand = seen.values().stream().filter(s -> s.calling).count() + lingering.size();
-        double share = settings.below().callShare();
-        if (settings.below().kind() == Controller.Below.COMMON && share >= 2 && inHand > share) {
+        double share = settings.dependency().concurrentCallQuota();
+        if (settings.dependency().kind() == Controller.DependencyKind.SHARED
+                && share >= 2
+                && inHand > share) {
             broken.add("fall-over: calls below");
         }
     }
@@ -192,7 +197,7 @@
     void callEnds(Seen s, Outcome outcome) {
         s.calling = false;
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELED) {
-            lingering.add(now + settings.below().lingers());
+            lingering.add(now + settings.dependency().lingerMillis());
         }
         if (outcome == Outcome.OK) {
             s.atCall = false;
@@ -201,9 +206,9 @@
     }
 
     @Override
-    public void skip(String id) {
+    public void skipDependency(String id) {
         Seen s = seen.get(id);
-        if (s.spec.skipWorth() == 0) {
+        if (s.spec.degradedWeightShare() == 0) {
             broken.add("fault: skip");
         }
         s.atCall = false;
@@ -211,43 +216,43 @@
     }
 
     @Override
-    public void keep(String id, double duration) {
+    public void retainKey(String id, double duration) {
         kept.put(id, now + duration);
     }
 
     @Override
-    public void forget(String id) {
+    public void releaseKey(String id) {
         kept.remove(id);
     }
 
     @Override
-    public void reuse(String id) {
+    public void replayResult(String id) {
         Seen s = seen.get(id);
-        if (s.request.repeats() == null) {
+        if (s.request.duplicateOf() == null) {
             broken.add("fault: reuse");
         }
-        s.joined = s.request.repeats();
+        s.joined = s.request.duplicateOf();
     }
 
     @Override
-    public void health(boolean good, boolean stored) {}
+    public void setHealth(boolean good, boolean stored) {}
 
     @Override
-    public void say(double value) {
-        if (settings.say() == Controller.Say.NONE) {
+    public void advertiseLoad(double value) {
+        if (settings.loadHint() == Controller.LoadHint.NONE) {
             broken.add("fault: say");
         }
     }
 
     @Override
-    public void idle(double after) {
-        if (after < 10 || after > settings.idle()) {
+    public void setIdleTimeout(double after) {
+        if (after < 10 || after > settings.clientIdleMillis()) {
             broken.add("fault: idle");
         }
     }
 
     @Override
-    public void timer(String token, double delay) {}
+    public void scheduleTimer(String token, double delay) {}
 
     @Override
     public void log(String text) {}
--- a/src/test/java/tinroad/recovery/ComebackTest.java
+++ b/src/test/java/tinroad/recovery/ComebackTest.java
@@ -4,28 +4,28 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import tinroad.recovery.Comeback.Phase;
+import tinroad.recovery.RecoveryPhaseTracker.Phase;
 
 /** The phases of a life. */
 class ComebackTest {
-    private static Comeback life(boolean distrusts) {
-        return new Comeback(0, 2, 375, distrusts);
+    private static RecoveryPhaseTracker life(boolean distrusts) {
+        return new RecoveryPhaseTracker(0, 2, 375, distrusts);
     }
 
     /** Quick runs, few of them: the demand stays under the bound. */
-    private static void calm(Comeback c, double from, double to) {
-        for (double now = from; now < to; now += 20) {
-            if (now % 100 == 0) {
+    private static void calm(RecoveryPhaseTracker c, double from, double to) {
+        for (double nowMillis = from; nowMillis < to; nowMillis += 20) {
+            if (nowMillis % 100 == 0) {
                 c.asked(true);
-                c.ended(now, 30, 375);
+                c.ended(nowMillis, 30, 375);
             }
-            c.tick(now);
+            c.tick(nowMillis);
         }
     }
 
     @Test
     void fromTheStartOverColdAndRampingToFull() {
-        Comeback c = life(false);
+        RecoveryPhaseTracker c = life(false);
         assertEquals(Phase.STARTING, c.phase());
         c.engine(5000, true);
         assertEquals(Phase.COLD, c.phase());
@@ -43,11 +43,11 @@
 
     @Test
     void anEngineThatWasUpAllTheTimeIsTakenAtItsWordUnlessTheMemoryIsDoubted() {
-        Comeback trusted = life(false);
+        RecoveryPhaseTracker trusted = life(false);
         trusted.engine(100, false);
         assertEquals(Phase.FULL, trusted.phase());
         assertEquals(0, trusted.fullAfter());
-        Comeback doubted = life(true);
+        RecoveryPhaseTracker doubted = life(true);
         doubted.engine(100, false);
         assertEquals(Phase.COLD, doubted.phase());
         assertEquals("what was remembered is not believed", doubted.why());
@@ -55,7 +55,7 @@
 
     @Test
     void anEngineThatIsStartedAnewIsWatchedAnewAndALinkThatBreaksIsNot() {
-        Comeback c = life(false);
+        RecoveryPhaseTracker c = life(false);
         c.engine(100, false);
         c.engine(200, false);
         assertEquals(Phase.FULL, c.phase());
@@ -68,7 +68,7 @@
 
     @Test
     void aNoticeToLeaveIsTheLastPhase() {
-        Comeback c = life(false);
+        RecoveryPhaseTracker c = life(false);
         c.engine(0, true);
         c.draining(50);
         c.engine(60, true);
--- a/src/test/java/tinroad/recovery/RampTest.java
+++ b/src/test/java/tinroad/recovery/RampTest.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import tinroad.lab.fake.Cores;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Law;
-import tinroad.lab.stand.Cores;
-import tinroad.recovery.Ramp.Phase;
+import tinroad.recovery.SlowStart.Phase;
 
 /** The ramp against the lab's model of cores, on virtual time. */
 class RampTest {
@@ -21,7 +21,7 @@
      * What came of a start: when it served all that was asked for, when the ramp was over, the
      * largest crowd on a core.
      */
-    private record Start(double allAt, double fullAt, double crowd, Ramp ramp) {}
+    private record Start(double allAt, double fullAt, double crowd, SlowStart ramp) {}
 
     /**
      * The module's way to keep a bound: a tenth of a second's at once, and never less than one for
@@ -31,14 +31,14 @@
         private double room = CORES;
         private double at;
 
-        boolean take(double now, double rate) {
+        boolean take(double nowMillis, double rate) {
             room =
                     Math.min(
                             Math.max(CORES, rate / 10),
                             rate == Double.POSITIVE_INFINITY
                                     ? CORES
-                                    : room + (now - at) * rate / 1000);
-            at = now;
+                                    : room + (nowMillis - at) * rate / 1000);
+            at = nowMillis;
             boolean fits = room >= 1;
             room -= fits ? 1 : 0;
             return fits;
@@ -58,7 +58,7 @@
                         true);
         cores.pause(dead > 0);
         SplittableRandom random = new SplittableRandom(5);
-        Ramp ramp = new Ramp(0, CORES, 375);
+        SlowStart ramp = new SlowStart(0, CORES, 375);
         Bucket bucket = new Bucket();
         Map<String, Double> begun = new HashMap<>();
         double perMs = load * CORES / WORK;
@@ -67,25 +67,25 @@
         double fullAt = Double.POSITIVE_INFINITY;
         double crowd = 0;
         int n = 0;
-        for (double now = 1; now < length; now++) {
-            cores.pause(now < dead);
-            for (String id : cores.advance(now)) {
-                ramp.ended(now, now - begun.remove(id), WORK);
+        for (double nowMillis = 1; nowMillis < length; nowMillis++) {
+            cores.pause(nowMillis < dead);
+            for (String id : cores.advance(nowMillis)) {
+                ramp.ended(nowMillis, nowMillis - begun.remove(id), WORK);
             }
-            for (; next < now; next -= Math.log(1 - random.nextDouble()) / perMs) {
-                boolean in = !bounded || bucket.take(now, ramp.bound());
+            for (; next < nowMillis; next -= Math.log(1 - random.nextDouble()) / perMs) {
+                boolean in = !bounded || bucket.take(nowMillis, ramp.bound());
                 ramp.asked(in);
                 if (in) {
                     String id = "r" + n++;
-                    begun.put(id, now);
+                    begun.put(id, nowMillis);
                     cores.start(id, WORK * Math.exp(0.5 * gauss(random) - 0.125));
                 } else {
-                    lastAway = now;
+                    lastAway = nowMillis;
                 }
             }
-            ramp.tick(now);
+            ramp.tick(nowMillis);
             crowd = Math.max(crowd, (double) cores.present() / CORES);
-            fullAt = ramp.phase() == Phase.FULL ? Math.min(fullAt, now) : fullAt;
+            fullAt = ramp.phase() == Phase.FULL ? Math.min(fullAt, nowMillis) : fullAt;
         }
         return new Start(lastAway, fullAt, crowd, ramp);
     }
@@ -136,10 +136,10 @@
 
     @Test
     void theClockAloneRaisesNothing() {
-        Ramp ramp = new Ramp(0, CORES, 375);
+        SlowStart ramp = new SlowStart(0, CORES, 375);
         double before = ramp.bound();
-        for (double now = 0; now < 60_000; now += 20) {
-            ramp.tick(now);
+        for (double nowMillis = 0; nowMillis < 60_000; nowMillis += 20) {
+            ramp.tick(nowMillis);
         }
         assertEquals(before, ramp.bound());
         assertEquals(Phase.COLD, ramp.phase());
--- a/src/test/java/tinroad/recovery/ReconnectsTest.java
+++ b/src/test/java/tinroad/recovery/ReconnectsTest.java
@@ -29,9 +29,9 @@
         PriorityQueue<Attempt> next =
                 new PriorityQueue<>(
                         Comparator.comparingDouble(Attempt::at).thenComparingInt(Attempt::gateway));
-        Reconnects[] fleet = new Reconnects[FLEET];
+        DecorrelatedJitterBackoff[] fleet = new DecorrelatedJitterBackoff[FLEET];
         for (int g = 0; g < FLEET; g++) {
-            fleet[g] = new Reconnects("g" + g, seed, FIRST, CAP);
+            fleet[g] = new DecorrelatedJitterBackoff("g" + g, seed, FIRST, CAP);
             next.add(new Attempt(fleet[g].next(), g));
         }
         List<Attempt> made = new ArrayList<>();
@@ -69,7 +69,8 @@
     @Property(tries = 200, seed = "1")
     void gapsStayWithinTheirBounds(
             @ForAll long seed, @ForAll @DoubleRange(min = 1, max = 100) double first) {
-        Reconnects reconnects = new Reconnects("n3", seed, first, 10 * first);
+        DecorrelatedJitterBackoff reconnects =
+                new DecorrelatedJitterBackoff("n3", seed, first, 10 * first);
         double before = first;
         for (int i = 0; i < 100; i++) {
             double gap = reconnects.next();
@@ -85,18 +86,21 @@
     @Test
     void nameAndSeedEachTellGatewaysApart() {
         assertNotEquals(
-                new Reconnects("a", 1, 1, 1000).next(), new Reconnects("b", 1, 1, 1000).next());
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next(),
+                new DecorrelatedJitterBackoff("b", 1, 1, 1000).next());
         assertNotEquals(
-                new Reconnects("a", 1, 1, 1000).next(), new Reconnects("a", 2, 1, 1000).next());
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next(),
+                new DecorrelatedJitterBackoff("a", 2, 1, 1000).next());
         assertEquals(
-                new Reconnects("a", 1, 1, 1000).next(), new Reconnects("a", 1, 1, 1000).next());
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next(),
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next());
     }
 
     @Test
     void aFleetThatStartsInOneMomentReportsAtAnEvenPace() {
         int[] bins = new int[2000];
         for (int g = 0; g < FLEET; g++) {
-            Pace pace = new Pace("g" + g, 7, 250, 0.2);
+            JitteredInterval pace = new JitteredInterval("g" + g, 7, 250, 0.2);
             for (double at = 0; at < 50_000; at += pace.next()) {
                 bins[(int) (at / 25)]++;
             }
--- a/src/test/java/tinroad/recovery/RereadsTest.java
+++ b/src/test/java/tinroad/recovery/RereadsTest.java
@@ -13,11 +13,11 @@
     private static final double LOOK = 250;
 
     private static List<Double> readings(long seed, double from, double to) {
-        Rereads rereads = new Rereads("n3", seed);
+        ConfigReloadBackoff rereads = new ConfigReloadBackoff("n3", seed);
         List<Double> at = new ArrayList<>();
-        for (double now = from; now < to; now += LOOK) {
-            if (rereads.due(now, false)) {
-                at.add(now);
+        for (double nowMillis = from; nowMillis < to; nowMillis += LOOK) {
+            if (rereads.due(nowMillis, false)) {
+                at.add(nowMillis);
             }
         }
         return at;
@@ -25,9 +25,9 @@
 
     @Test
     void aLinkThatComesBackWithinASecondCausesNone() {
-        Rereads rereads = new Rereads("n3", 1);
-        for (double now = 0; now < 60_000; now += LOOK) {
-            assertFalse(rereads.due(now, now % 1000 == 0), "at " + now);
+        ConfigReloadBackoff rereads = new ConfigReloadBackoff("n3", 1);
+        for (double nowMillis = 0; nowMillis < 60_000; nowMillis += LOOK) {
+            assertFalse(rereads.due(nowMillis, nowMillis % 1000 == 0), "at " + nowMillis);
         }
     }
 
@@ -36,13 +36,16 @@
         for (long seed = 0; seed < 500; seed++) {
             List<Double> at = readings(seed, 0, 600_000);
             assertTrue(
-                    at.get(0) >= Rereads.FIRST
-                            && at.get(0) <= Rereads.FIRST + Rereads.SPREAD + LOOK,
+                    at.get(0) >= ConfigReloadBackoff.FIRST
+                            && at.get(0)
+                                    <= ConfigReloadBackoff.FIRST
+                                            + ConfigReloadBackoff.SPREAD
+                                            + LOOK,
                     "seed " + seed);
             for (int i = 1; i < at.size(); i++) {
                 double gap = at.get(i) - at.get(i - 1);
                 assertTrue(
-                        gap >= Rereads.FIRST && gap <= Rereads.CAP + LOOK,
+                        gap >= ConfigReloadBackoff.FIRST && gap <= ConfigReloadBackoff.CAP + LOOK,
                         "seed " + seed + " at " + at.get(i));
             }
         }
@@ -58,14 +61,14 @@
         for (long seed = 0; seed < 200; seed++) {
             readings(seed, 0, 60_000).forEach(at -> each[(int) (at / LOOK)]++);
         }
-        for (int look = (int) (2 * Rereads.CAP / LOOK); look < each.length; look++) {
+        for (int look = (int) (2 * ConfigReloadBackoff.CAP / LOOK); look < each.length; look++) {
             assertTrue(each[look] <= 30, each[look] + " at " + look * LOOK);
         }
     }
 
     @Test
     void theEnginesReturnStartsItAnew() {
-        Rereads rereads = new Rereads("n3", 3);
+        ConfigReloadBackoff rereads = new ConfigReloadBackoff("n3", 3);
         assertFalse(rereads.due(0, false));
         assertTrue(rereads.due(2000, false));
         assertFalse(rereads.due(2500, true));
--- a/src/test/java/tinroad/model/FleetModelTest.java
+++ b/src/test/java/tinroad/simulation/FleetModelTest.java
@@ -1,4 +1,4 @@
-package tinroad.model;
+package tinroad.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.lab.Report;
-import tinroad.lab.plan.Plan;
+import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.ScriptReader;
 
 /** Whole gateways on virtual time: figures may be asserted here, as they hang on no machine. */
--- a/src/test/java/tinroad/model/MembersModelTest.java
+++ b/src/test/java/tinroad/simulation/MembersModelTest.java
@@ -1,4 +1,4 @@
-package tinroad.model;
+package tinroad.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import tinroad.fleet.Status;
-import tinroad.fleet.Tuning;
+import tinroad.fleet.MemberStatus;
+import tinroad.fleet.MembershipConfig;
 
 /**
  * Membership over a network that fails, on virtual time; invariants are checked at every change.
@@ -16,7 +16,7 @@
     private MembersModel m;
 
     private MembersModel joined(int members, long seed) {
-        m = new MembersModel(members, 2, Tuning.DEFAULT, seed);
+        m = new MembersModel(members, 2, MembershipConfig.DEFAULT, seed);
         double took = m.untilWhole(30_000);
         assertTrue(took < 30_000, "not whole: " + members);
         m.pass(2000);
@@ -33,7 +33,7 @@
     void allKnowADeathWithinThreeSecondsAndNobodyElseIsTakenForDead() {
         for (int seed = 1; seed <= 3; seed++) {
             joined(100, seed).kill(17);
-            assertTrue(m.until(17, Status.DEAD, 10_000) <= 3500, "seed " + seed);
+            assertTrue(m.until(17, MemberStatus.DEAD, 10_000) <= 3500, "seed " + seed);
             m.pass(5000);
             assertEquals(0, m.falseDeaths());
         }
@@ -77,7 +77,7 @@
     @Test
     void oneThatStoodStillForTwentySecondsIsDeadAndComesBackInAnotherEra() {
         joined(30, 5).stop(9, true);
-        assertTrue(m.until(9, Status.DEAD, 10_000) < 10_000);
+        assertTrue(m.until(9, MemberStatus.DEAD, 10_000) < 10_000);
         m.pass(15_000);
         m.stop(9, false);
         assertTrue(m.untilWhole(6000) < 6000);
@@ -125,7 +125,7 @@
     @Test
     void whoLeavesIsNotSuspected() {
         joined(30, 10).leave(4);
-        assertTrue(m.until(4, Status.LEFT, 5000) < 3000);
+        assertTrue(m.until(4, MemberStatus.LEFT, 5000) < 3000);
         assertEquals(0, m.falseSuspicions());
     }
 }
--- a/src/test/java/tinroad/drill/DrillTest.java
+++ b/src/test/java/tinroad/simulator/DrillTest.java
@@ -1,4 +1,4 @@
-package tinroad.drill;
+package tinroad.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
-import tinroad.Controller;
-import tinroad.OverloadController;
+import tinroad.overload.Controller;
+import tinroad.overload.OverloadController;
 
 /** The adapter: lines in, exact lines out; bad input; instances apart and together. */
 class DrillTest {
@@ -57,7 +57,7 @@
     private String play(Function<Controller.Actions, Controller> factory, String input)
             throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(
+        new SimulatorAdapter(
                         factory,
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         out,
@@ -103,19 +103,19 @@
                                         new Class<?>[] {Controller.class},
                                         (p, m, args) -> {
                                             actions.run("a");
-                                            actions.refuse("b", 0, false);
-                                            actions.refuse("c", 250, true);
+                                            actions.reject("b", 0, false);
+                                            actions.reject("c", 250, true);
                                             actions.fail("d");
-                                            actions.halt("e");
-                                            actions.call("f", 80);
-                                            actions.skip("g");
-                                            actions.keep("h", 8000);
-                                            actions.forget("i");
-                                            actions.reuse("j");
-                                            actions.health(false, true);
-                                            actions.say(0.25);
-                                            actions.idle(2000);
-                                            actions.timer("sweep", 500);
+                                            actions.cancel("e");
+                                            actions.callDependency("f", 80);
+                                            actions.skipDependency("g");
+                                            actions.retainKey("h", 8000);
+                                            actions.releaseKey("i");
+                                            actions.replayResult("j");
+                                            actions.setHealth(false, true);
+                                            actions.advertiseLoad(0.25);
+                                            actions.setIdleTimeout(2000);
+                                            actions.scheduleTimer("sweep", 500);
                                             actions.log("two \"servers\"");
                                             return null;
                                         });
@@ -189,8 +189,8 @@
 
     private void bad(String reason, String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Drill drill =
-                new Drill(
+        SimulatorAdapter drill =
+                new SimulatorAdapter(
                         OverloadController::new,
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         out,
@@ -212,6 +212,6 @@
                 out.startsWith(
                         "{\"t\":\"crash\",\"server_id\":1,\"reason_text\":\"java.lang.IllegalStateExc"),
                 out);
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("at tinroad.drill.DrillTest"));
+        assertTrue(err.toString(StandardCharsets.UTF_8).contains("at tinroad.simulator.DrillTest"));
     }
 }
--- a/src/test/java/tinroad/state/KillWrites.java
+++ b/src/test/java/tinroad/state/KillWrites.java
@@ -23,10 +23,11 @@
                     campaign(Path.of(args[0]), Integer.parseInt(args[1]), Long.parseLong(args[2])));
             return;
         }
-        StateFolder f = new StateFolder(Path.of(args[0]), null, 3);
+        SnapshotStore f = new SnapshotStore(Path.of(args[0]), null, 3);
         long life =
                 f.claim(
-                        Recall.decide(f.candidates(), "n3", NOW, 600_000, f.knownLife(), 0)
+                        SnapshotSelector.decide(
+                                        f.candidates(), "n3", NOW, 600_000, f.knownLife(), 0)
                                 .lastLife());
         for (long g = 1; ; g++) {
             f.save(StateTest.snapshot(life, g, NOW));
@@ -41,14 +42,15 @@
         int lost = 0;
         for (int k = 0; k < kills; k++) {
             String last = lastSaid(KillWrites.class, folder, random);
-            StateFolder f = new StateFolder(folder, null, 3);
-            Recall.Decision d = Recall.decide(f.candidates(), "n3", NOW, 600_000, f.knownLife(), 0);
+            SnapshotStore f = new SnapshotStore(folder, null, 3);
+            SnapshotSelector.Decision d =
+                    SnapshotSelector.decide(f.candidates(), "n3", NOW, 600_000, f.knownLife(), 0);
             damaged += d.setAside().isEmpty() ? 0 : 1;
             String[] words = last.split(" ");
             Snapshot s = d.snapshot();
             boolean kept =
                     s != null
-                            && s.life() == Long.parseLong(words[0])
+                            && s.incarnation() == Long.parseLong(words[0])
                             && s.generation() >= Long.parseLong(words[1]);
             lost += kept ? 0 : 1;
         }
--- a/src/test/java/tinroad/state/StateFolderTest.java
+++ b/src/test/java/tinroad/state/StateFolderTest.java
@@ -22,20 +22,23 @@
 
     @TempDir private Path dir;
 
-    private StateFolder folder() {
-        return new StateFolder(dir.resolve("state"), dir.resolve("fence"), 3);
+    private SnapshotStore folder() {
+        return new SnapshotStore(dir.resolve("state"), dir.resolve("fence"), 3);
     }
 
-    private Recall.Decision recall(StateFolder f) throws IOException {
-        return Recall.decide(f.candidates(), "n3", NOW, 600_000, f.knownLife(), f.fenceLife());
+    private SnapshotSelector.Decision recall(SnapshotStore f) throws IOException {
+        return SnapshotSelector.decide(
+                f.candidates(), "n3", NOW, 600_000, f.knownLife(), f.fenceLife());
     }
 
     @Test
     void lifeAfterLifeKeepsTheLatestFew() throws Exception {
         for (long life = 1; life <= 3; life++) {
-            StateFolder f = folder();
-            Recall.Decision d = recall(f);
-            assertEquals(life == 1 ? Recall.Begin.FIRST : Recall.Begin.WARM, d.begin());
+            SnapshotStore f = folder();
+            SnapshotSelector.Decision d = recall(f);
+            assertEquals(
+                    life == 1 ? SnapshotSelector.Begin.FIRST : SnapshotSelector.Begin.WARM,
+                    d.begin());
             assertEquals(life, f.claim(d.lastLife()));
             for (int g = 1; g <= 5; g++) {
                 assertTrue(f.save(StateTest.snapshot(life, g, NOW)));
@@ -54,49 +57,51 @@
 
     @Test
     void twoThatBeginAtOnceGetTwoLivesAndTheEarlierOneIsFenced() throws Exception {
-        StateFolder first = folder();
-        StateFolder second = folder();
+        SnapshotStore first = folder();
+        SnapshotStore second = folder();
         assertEquals(1, first.claim(0));
         assertEquals(2, second.claim(0));
         assertTrue(second.save(StateTest.snapshot(2, 1, NOW)));
         // The first one was stopped, and wakes: it has nothing to say any more.
         assertFalse(first.save(StateTest.snapshot(1, 900, NOW)));
-        assertEquals(2, recall(folder()).snapshot().life());
+        assertEquals(2, recall(folder()).snapshot().incarnation());
         // Even if its look came before the second one's marker, and its rename after.
         Files.write(
                 dir.resolve("state/state-0000000000000000001-0000000000000000900"),
-                Encoding.write(StateTest.snapshot(1, 900, NOW)));
-        assertEquals(2, recall(folder()).snapshot().life());
+                SnapshotCodec.write(StateTest.snapshot(1, 900, NOW)));
+        assertEquals(2, recall(folder()).snapshot().incarnation());
     }
 
     @Test
     void aFolderRolledBackOrLostIsTold() throws Exception {
-        StateFolder f = folder();
+        SnapshotStore f = folder();
         f.claim(0);
         f.save(StateTest.snapshot(1, 1, NOW));
         byte[] older =
                 Files.readAllBytes(
                         dir.resolve("state/state-0000000000000000001-0000000000000000001"));
-        StateFolder next = folder();
+        SnapshotStore next = folder();
         next.claim(1);
         next.save(StateTest.snapshot(2, 1, NOW));
         try (Stream<Path> files = Files.list(dir.resolve("state"))) {
             files.forEach(p -> p.toFile().delete());
         }
-        assertEquals(new Recall.Decision(Recall.Begin.COLD, null, 2, List.of()), recall(folder()));
+        assertEquals(
+                new SnapshotSelector.Decision(SnapshotSelector.Begin.COLD, null, 2, List.of()),
+                recall(folder()));
         Files.write(dir.resolve("state/state-0000000000000000001-0000000000000000001"), older);
-        Recall.Decision d = recall(folder());
-        assertEquals(Recall.Begin.COLD, d.begin());
+        SnapshotSelector.Decision d = recall(folder());
+        assertEquals(SnapshotSelector.Begin.COLD, d.begin());
         assertTrue(d.setAside().get(0).contains("rolled back"), d::toString);
         assertEquals(3, folder().claim(d.lastLife()));
     }
 
     @Test
     void aWriteThatFailsLeavesWhatWasThere() throws Exception {
-        StateFolder f = folder();
+        SnapshotStore f = folder();
         f.claim(0);
         f.save(StateTest.snapshot(1, 1, NOW));
-        byte[] next = Encoding.write(StateTest.snapshot(1, 2, NOW));
+        byte[] next = SnapshotCodec.write(StateTest.snapshot(1, 2, NOW));
         for (int n = 0; n <= next.length; n += 7) {
             int most = n;
             f.disk(
@@ -119,13 +124,13 @@
     @Test
     void aFolderThatCanNotBeWrittenCostsALineAndNoMore() throws Exception {
         Path file = Files.writeString(dir.resolve("plain"), "no folder");
-        assertThrows(IOException.class, () -> new StateFolder(file, null, 3).claim(0));
-        assertEquals(List.of(), new StateFolder(dir.resolve("absent"), null, 3).candidates());
+        assertThrows(IOException.class, () -> new SnapshotStore(file, null, 3).claim(0));
+        assertEquals(List.of(), new SnapshotStore(dir.resolve("absent"), null, 3).candidates());
     }
 
     @Test
     void whoOffersNeverWaitsForASlowDiskAndTheLatestIsSaved() throws Exception {
-        StateFolder f = folder();
+        SnapshotStore f = folder();
         f.claim(0);
         CountDownLatch writing = new CountDownLatch(1);
         CountDownLatch slow = new CountDownLatch(1);
@@ -139,7 +144,7 @@
                     }
                     Files.write(file, bytes);
                 });
-        try (Saver saver = new Saver(f)) {
+        try (SnapshotWriter saver = new SnapshotWriter(f)) {
             saver.offer(StateTest.snapshot(1, 1, NOW));
             writing.await();
             for (int g = 2; g <= 1000; g++) {
--- a/src/test/java/tinroad/state/StateTest.java
+++ b/src/test/java/tinroad/state/StateTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import tinroad.recovery.Remembrance;
-import tinroad.state.Reading.Why;
-import tinroad.state.Recall.Begin;
-import tinroad.state.Recall.Candidate;
+import tinroad.recovery.StateRestorer;
+import tinroad.state.SnapshotReadResult.RejectionReason;
+import tinroad.state.SnapshotSelector.Begin;
+import tinroad.state.SnapshotSelector.Candidate;
 
 /** What is decided about state, without a file. */
 class StateTest {
@@ -30,23 +30,24 @@
                 generation,
                 savedAt,
                 true,
-                Map.of("run.order-status", new Remembered(24.5, 80, savedAt - 10, life)),
+                Map.of("run.order-status", new LearnedValue(24.5, 80, savedAt - 10, life)),
                 Map.of("9b1f03aa5c7e2d41", savedAt + 3000));
     }
 
     private static Candidate file(Snapshot s) {
         return new Candidate(
-                "f" + s.life() + "." + s.generation(), Encoding.read(Encoding.write(s)));
+                "f" + s.incarnation() + "." + s.generation(),
+                SnapshotCodec.read(SnapshotCodec.write(s)));
     }
 
-    private static Recall.Decision decide(long fence, Candidate... found) {
-        return Recall.decide(List.of(found), "n3", NOW, OLDEST, 0, fence);
+    private static SnapshotSelector.Decision decide(long fence, Candidate... found) {
+        return SnapshotSelector.decide(List.of(found), "n3", NOW, OLDEST, 0, fence);
     }
 
     @Test
     void whatIsWrittenIsRead() {
         Snapshot s = snapshot(3, 7, NOW);
-        assertEquals(s, Encoding.read(Encoding.write(s)).snapshot());
+        assertEquals(s, SnapshotCodec.read(SnapshotCodec.write(s)).snapshot());
     }
 
     /** Written by the program that knew no catalog yet. */
@@ -58,15 +59,16 @@
 
     @Test
     void aFileOfTheProgramBeforeIsReadAndTellsNoCatalog() {
-        assertEquals(snapshot(3, 7, NOW), Encoding.read(HexFormat.of().parseHex(OLDER)).snapshot());
+        assertEquals(
+                snapshot(3, 7, NOW), SnapshotCodec.read(HexFormat.of().parseHex(OLDER)).snapshot());
         assertEquals(0, snapshot(3, 7, NOW).epoch());
     }
 
     @Test
     void theCatalogThatWasInForceIsRemembered() {
         Snapshot s = new Snapshot("n3", 1, 1, NOW, false, Map.of(), Map.of(), 1L << 40, 24_000);
-        assertEquals(s, Encoding.read(Encoding.write(s)).snapshot());
-        Remembrance next = new Remembrance("n3", decide(0, file(s)), 2, OLDEST, 1000);
+        assertEquals(s, SnapshotCodec.read(SnapshotCodec.write(s)).snapshot());
+        StateRestorer next = new StateRestorer("n3", decide(0, file(s)), 2, OLDEST, 1000);
         assertEquals(1L << 40, next.epoch());
         assertEquals(24_000, next.number());
         assertEquals(
@@ -76,37 +78,41 @@
 
     @Test
     void aFileCutShortAtAnyByteIsDamaged() {
-        byte[] whole = Encoding.write(snapshot(3, 7, NOW));
+        byte[] whole = SnapshotCodec.write(snapshot(3, 7, NOW));
         for (int n = 0; n < whole.length; n++) {
-            assertEquals(Why.DAMAGED, Encoding.read(Arrays.copyOf(whole, n)).why(), "cut at " + n);
+            assertEquals(
+                    RejectionReason.DAMAGED,
+                    SnapshotCodec.read(Arrays.copyOf(whole, n)).reason(),
+                    "cut at " + n);
         }
     }
 
     @Test
     void noBitCanFlipUnnoticed() {
-        byte[] whole = Encoding.write(snapshot(3, 7, NOW));
+        byte[] whole = SnapshotCodec.write(snapshot(3, 7, NOW));
         for (int bit = 0; bit < 8 * whole.length; bit++) {
             byte[] flipped = whole.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
-            assertNull(Encoding.read(flipped).snapshot(), "bit " + bit);
+            assertNull(SnapshotCodec.read(flipped).snapshot(), "bit " + bit);
         }
     }
 
     @Property(tries = 500, seed = "1")
     void garbageIsSetAside(@ForAll @Size(max = 300) byte[] garbage) {
-        assertEquals(Why.DAMAGED, Encoding.read(garbage).why());
+        assertEquals(RejectionReason.DAMAGED, SnapshotCodec.read(garbage).reason());
     }
 
     @Test
     void aLaterVersionIsNotRead() {
         assertEquals(
-                Why.FOREIGN_VERSION, Encoding.read(Encoding.write(snapshot(1, 1, NOW), 2)).why());
+                RejectionReason.FOREIGN_VERSION,
+                SnapshotCodec.read(SnapshotCodec.write(snapshot(1, 1, NOW), 2)).reason());
     }
 
     @Test
     void theLatestSnapshotOfTheLatestLifeIsBelieved() {
         // A replaced process that woke up has written a higher generation of its own, lower life.
-        Recall.Decision d =
+        SnapshotSelector.Decision d =
                 decide(
                         0,
                         file(snapshot(2, 900, NOW - 10)),
@@ -123,9 +129,10 @@
         Candidate torn =
                 new Candidate(
                         "torn",
-                        Encoding.read(Arrays.copyOf(Encoding.write(snapshot(4, 9, NOW)), 50)));
-        Recall.Decision d = decide(0, file(snapshot(3, 2, NOW - 300)), torn);
-        assertEquals(3, d.snapshot().life());
+                        SnapshotCodec.read(
+                                Arrays.copyOf(SnapshotCodec.write(snapshot(4, 9, NOW)), 50)));
+        SnapshotSelector.Decision d = decide(0, file(snapshot(3, 2, NOW - 300)), torn);
+        assertEquals(3, d.snapshot().incarnation());
         assertTrue(
                 d.setAside().get(0).startsWith("torn: damaged: its checksum does not fit"),
                 d::toString);
@@ -142,7 +149,7 @@
         wrong.put(file(snapshot(3, 1, NOW)), "f3.1: rolled back: of life 3, and there was life 5");
         wrong.forEach(
                 (c, text) -> {
-                    Recall.Decision d = decide(text.contains("rolled") ? 5 : 0, c);
+                    SnapshotSelector.Decision d = decide(text.contains("rolled") ? 5 : 0, c);
                     assertEquals(Begin.COLD, d.begin());
                     assertNull(d.snapshot());
                     assertTrue(d.setAside().get(0).startsWith(text), d::toString);
@@ -152,8 +159,9 @@
     @Test
     void anEmptyFolderIsAFirstStartUnlessSomethingTellsOfALifeBefore() {
         assertEquals(Begin.FIRST, decide(0).begin());
-        assertEquals(new Recall.Decision(Begin.COLD, null, 5, List.of()), decide(5));
-        assertEquals(Begin.COLD, Recall.decide(List.of(), "n3", NOW, OLDEST, 2, 0).begin());
+        assertEquals(new SnapshotSelector.Decision(Begin.COLD, null, 5, List.of()), decide(5));
+        assertEquals(
+                Begin.COLD, SnapshotSelector.decide(List.of(), "n3", NOW, OLDEST, 2, 0).begin());
     }
 
     /** No decision may use a value beyond its age, whatever is asked for. */
@@ -163,36 +171,43 @@
             @ForAll double weight,
             @ForAll int learnedAgo,
             @ForAll int oldest) {
-        Aged aged =
-                Aged.of(new Remembered(value, weight, NOW - learnedAgo, 3), NOW, 10, 1000, oldest);
+        DecayedValue aged =
+                DecayedValue.of(
+                        new LearnedValue(value, weight, NOW - learnedAgo, 3),
+                        NOW,
+                        10,
+                        1000,
+                        oldest);
         assertTrue(
                 aged == null
                         || (aged.age() <= oldest
                                 && aged.age() >= 0
                                 && Double.isFinite(aged.value())
                                 && aged.weight() >= 0));
-        assertTrue(aged == null || learnedAgo >= -Recall.CLOCKS);
+        assertTrue(aged == null || learnedAgo >= -SnapshotSelector.CLOCKS);
     }
 
     @Test
     void aValueFadesTowardThePrior() {
-        Remembered r = new Remembered(100, 80, NOW - 2000, 3);
-        assertEquals(new Aged(55, 40, 2000, 3), Aged.of(r, NOW, 10, 2000, OLDEST));
-        assertEquals(new Aged(32.5, 20, 4000, 3), Aged.of(r, NOW + 2000, 10, 2000, OLDEST));
-        assertNull(Aged.of(r, NOW, 10, 2000, 1999));
-        assertNull(Aged.of(r, NOW - 3001, 10, 2000, OLDEST));
+        LearnedValue r = new LearnedValue(100, 80, NOW - 2000, 3);
+        assertEquals(new DecayedValue(55, 40, 2000, 3), DecayedValue.of(r, NOW, 10, 2000, OLDEST));
+        assertEquals(
+                new DecayedValue(32.5, 20, 4000, 3),
+                DecayedValue.of(r, NOW + 2000, 10, 2000, OLDEST));
+        assertNull(DecayedValue.of(r, NOW, 10, 2000, 1999));
+        assertNull(DecayedValue.of(r, NOW - 3001, 10, 2000, OLDEST));
     }
 
     @Test
     void aLargeStateStaysWithinItsBound() {
-        Map<String, Remembered> values = new LinkedHashMap<>();
+        Map<String, LearnedValue> values = new LinkedHashMap<>();
         Map<String, Double> ran = new LinkedHashMap<>();
         for (int i = 0; i < 50_000; i++) {
-            values.put("caller." + i, new Remembered(i, 1, NOW, 1));
+            values.put("caller." + i, new LearnedValue(i, 1, NOW, 1));
             ran.put(String.format("%016x", i * 7919L), NOW + i);
         }
-        byte[] bytes = Encoding.write(new Snapshot("n3", 1, 1, NOW, false, values, ran));
+        byte[] bytes = SnapshotCodec.write(new Snapshot("n3", 1, 1, NOW, false, values, ran));
         assertTrue(bytes.length < 4_500_000, "" + bytes.length);
-        assertEquals(50_000, Encoding.read(bytes).snapshot().values().size());
+        assertEquals(50_000, SnapshotCodec.read(bytes).snapshot().values().size());
     }
 }
