--- a/src/main/java/tinroad/admin/AdminRequestHandler.java
+++ b/src/main/java/tinroad/admin/AdminRequestHandler.java
@@ -163,11 +163,11 @@
                 json -> {
                     json.writeStringField("phase", c.phase().name().toLowerCase(Locale.ROOT));
                     json.writeNumberField("since_ms", Math.round(gateway.nowMillis() - c.since()));
-                    json.writeStringField("why", c.why());
-                    number(json, "shown_per_s", c.shown());
-                    number(json, "full_after_ms", c.fullAfter());
+                    json.writeStringField("why", c.reason());
+                    number(json, "shown_per_s", c.demonstratedRatePerSecond());
+                    number(json, "full_after_ms", c.fullAfterMillis());
                     json.writeNumberField("life", gateway.restoredState().incarnation());
-                    json.writeStringField("began", gateway.restoredState().begins());
+                    json.writeStringField("began", gateway.restoredState().startMode());
                     json.writeArrayFieldStart("remembered");
                     for (Map.Entry<String, RestoredState.RestoredValue> e :
                             gateway.restoredValues().entrySet()) {
@@ -191,9 +191,9 @@
                 json -> {
                     json.writeNumberField("epoch", c.epoch());
                     json.writeNumberField("number", c.number());
-                    json.writeStringField("hash", c.hash());
-                    json.writeNumberField("classes", c.routes());
-                    json.writeNumberField("tenants", c.tenants());
+                    json.writeStringField("hash", c.contentHash());
+                    json.writeNumberField("classes", c.classCount());
+                    json.writeNumberField("tenants", c.tenantCount());
                     json.writeNumberField(
                             "since_ms",
                             Math.round(gateway.nowMillis() - gateway.catalogSinceMillis()));
@@ -215,19 +215,19 @@
     private FullHttpResponse members() {
         return object(
                 json -> {
-                    json.writeBooleanField("cut", fleet.get().cut());
-                    json.writeNumberField("doubts", fleet.get().health());
+                    json.writeBooleanField("cut", fleet.get().suspectsPartition());
+                    json.writeNumberField("doubts", fleet.get().healthPenalty());
                     json.writeArrayFieldStart("members");
-                    for (Membership.Line l : fleet.get().lines(gateway.nowMillis())) {
+                    for (Membership.MemberEntry l : fleet.get().entries(gateway.nowMillis())) {
                         json.writeStartObject();
-                        json.writeStringField("name", l.claim().name());
+                        json.writeStringField("name", l.update().name());
                         json.writeStringField(
-                                "status", l.claim().status().name().toLowerCase(Locale.ROOT));
-                        json.writeStringField("zone", l.claim().zone());
-                        json.writeStringField("address", l.claim().address());
-                        json.writeNumberField("life", l.claim().version().life());
-                        json.writeNumberField("since_ms", Math.round(l.since()));
-                        json.writeStringField("by", l.claim().by());
+                                "status", l.update().status().name().toLowerCase(Locale.ROOT));
+                        json.writeStringField("zone", l.update().zone());
+                        json.writeStringField("address", l.update().address());
+                        json.writeNumberField("life", l.update().incarnation().process());
+                        json.writeNumberField("since_ms", Math.round(l.sinceMillis()));
+                        json.writeStringField("by", l.update().by());
                         json.writeEndObject();
                     }
                     json.writeEndArray();
--- a/src/main/java/tinroad/catalog/Catalog.java
+++ b/src/main/java/tinroad/catalog/Catalog.java
@@ -12,8 +12,8 @@
 public final class Catalog {
     private final long epoch;
     private final long number;
-    private final EntryTable<RequestClass, ClassEntry> routes;
-    private final EntryTable<Tenant, TenantEntry> tenants;
+    private final EntryTable<RequestClass, ClassEntry> classCount;
+    private final EntryTable<Tenant, TenantEntry> tenantCount;
 
     /** A route: a class of requests, at the place by which the module knows it. */
     public record ClassEntry(String name, int slot, RequestClass spec)
@@ -29,8 +29,8 @@
             EntryTable<Tenant, TenantEntry> tenants) {
         this.epoch = epoch;
         this.number = number;
-        this.routes = routes;
-        this.tenants = tenants;
+        this.classCount = routes;
+        this.tenantCount = tenants;
     }
 
     /** The catalog of settings read whole: the places are those of the lists. */
@@ -49,8 +49,8 @@
     }
 
     /** The same content, known to be that of another version. */
-    public Catalog at(long otherEpoch, long otherNumber) {
-        return new Catalog(otherEpoch, otherNumber, routes, tenants);
+    public Catalog withVersion(long otherEpoch, long otherNumber) {
+        return new Catalog(otherEpoch, otherNumber, classCount, tenantCount);
     }
 
     /** The publisher's epoch. */
@@ -67,60 +67,61 @@
      * What is in it, as a hash: two catalogs with the same routes and tenants, whatever their
      * places, have the same one.
      */
-    public String hash() {
-        return routes.hash().plus(tenants.hash()).toString();
+    public String contentHash() {
+        return classCount.hash().plus(tenantCount.hash()).toString();
     }
 
     /** The hash of what a change, which may not have been checked, would lead to. */
     public String hashAfter(CatalogChange c) {
-        return routes.after(c.putRoutes(), c.removedRoutes())
-                .plus(tenants.after(c.putTenants(), c.removedTenants()))
+        return classCount
+                .after(c.putClasses(), c.removedClasses())
+                .plus(tenantCount.after(c.putTenants(), c.removedTenants()))
                 .toString();
     }
 
     /** Whether it holds already what a change leads to. */
     boolean holds(CatalogChange c) {
-        return c.after() != null
-                ? c.after().equals(hash())
-                : routes.has(c.putRoutes(), c.removedRoutes())
-                        && tenants.has(c.putTenants(), c.removedTenants());
+        return c.hashAfter() != null
+                ? c.hashAfter().equals(contentHash())
+                : classCount.has(c.putClasses(), c.removedClasses())
+                        && tenantCount.has(c.putTenants(), c.removedTenants());
     }
 
     /** How many routes there are. */
-    public int routes() {
-        return routes.size();
+    public int classCount() {
+        return classCount.size();
     }
 
     /** How many tenants there are. */
-    public int tenants() {
-        return tenants.size();
+    public int tenantCount() {
+        return tenantCount.size();
     }
 
     /** The route of this name, or null. */
-    public ClassEntry route(String name) {
-        return routes.get(name);
+    public ClassEntry classEntry(String name) {
+        return classCount.get(name);
     }
 
     /** The tenant of this name, or null. */
-    public TenantEntry tenant(String name) {
-        return tenants.get(name);
+    public TenantEntry tenantEntry(String name) {
+        return tenantCount.get(name);
     }
 
     /** All routes, by name. */
-    public Collection<ClassEntry> allRoutes() {
-        return routes.entries().values();
+    public Collection<ClassEntry> classEntries() {
+        return classCount.entries().values();
     }
 
     /** All tenants, by name. */
-    public Collection<TenantEntry> allTenants() {
-        return tenants.entries().values();
+    public Collection<TenantEntry> tenantEntries() {
+        return tenantCount.entries().values();
     }
 
-    EntryTable<RequestClass, ClassEntry> routeTable() {
-        return routes;
+    EntryTable<RequestClass, ClassEntry> classTable() {
+        return classCount;
     }
 
     EntryTable<Tenant, TenantEntry> tenantTable() {
-        return tenants;
+        return tenantCount;
     }
 }
--- a/src/main/java/tinroad/catalog/CatalogBuilder.java
+++ b/src/main/java/tinroad/catalog/CatalogBuilder.java
@@ -16,8 +16,8 @@
 
 /**
  * Makes one version of the catalog from the one before it, and gives out places. Used by one thread
- * at a time, beside the event loop. A place is given anew only after {@link #routeFree} or {@link
- * #tenantFree}: the loop says so once nothing in hand names it.
+ * at a time, beside the event loop. A place is given anew only after {@link #releaseClassSlot} or
+ * {@link #tenantFree}: the loop says so once nothing in hand names it.
  */
 public final class CatalogBuilder {
     private final Side<RequestClass, Catalog.ClassEntry> routes;
@@ -25,28 +25,28 @@
     private Catalog current;
 
     /** What became of a change. */
-    public sealed interface Outcome {
+    public sealed interface ChangeResult {
         /** The next version, and what it changes. */
-        record Taken(Catalog next, CatalogDelta delta) implements Outcome {}
+        record Applied(Catalog next, CatalogDelta delta) implements ChangeResult {}
 
         /** Nothing of it counts; a line for each fault. */
-        record Refused(List<String> faults) implements Outcome {}
+        record Rejected(List<String> errors) implements ChangeResult {}
 
         /** It was taken before: nothing changes. */
-        record Repeated() implements Outcome {}
+        record AlreadyApplied() implements ChangeResult {}
 
         /** Its publisher's epoch is over. */
-        record Fenced(long epoch) implements Outcome {}
+        record Fenced(long epoch) implements ChangeResult {}
 
         /** Versions before it are missing, from this number on. */
-        record Gap(long missing) implements Outcome {}
+        record Gap(long missing) implements ChangeResult {}
 
         /**
          * It follows another content than the one that serves, or is another change under a number
          * that was taken: two publish with one epoch, or the log and the settings file don't belong
          * together. {@code known} is the hash of what serves.
          */
-        record Diverged(String known) implements Outcome {}
+        record Diverged(String known) implements ChangeResult {}
     }
 
     /**
@@ -57,11 +57,11 @@
         routes =
                 new Side<>(
                         new SlotAllocator(
-                                first.routeTable().places(), SettingsValidator.MOST_CLASSES));
+                                first.classTable().places(), SettingsValidator.MAX_CLASSES));
         tenants =
                 new Side<>(
                         new SlotAllocator(
-                                first.tenantTable().places(), SettingsValidator.MOST_TENANTS));
+                                first.tenantTable().places(), SettingsValidator.MAX_TENANTS));
     }
 
     /** The version that was made last. */
@@ -70,63 +70,64 @@
     }
 
     /** Nothing in hand names this place any more. */
-    public void routeFree(int place) {
+    public void releaseClassSlot(int place) {
         routes.places.free(place);
     }
 
     /** The same of a tenant's place. */
-    public void tenantFree(int place) {
+    public void releaseTenantSlot(int place) {
         tenants.places.free(place);
     }
 
     /** Takes the change that comes next, or says why not. */
-    public Outcome offer(CatalogChange c) {
+    public ChangeResult apply(CatalogChange c) {
         if (c.epoch() == current.epoch() && c.number() > current.number() + 1) {
-            return new Outcome.Gap(current.number() + 1);
+            return new ChangeResult.Gap(current.number() + 1);
         }
         if (c.epoch() > current.epoch() && c.number() != 1) {
-            return new Outcome.Gap(1);
+            return new ChangeResult.Gap(1);
         }
-        return offerWhole(c);
+        return applyFullSnapshot(c);
     }
 
     /**
      * Takes a change that leads from the current version to a file read whole, as {@link
      * FullSnapshotDiff} makes it: it may leave out numbers, and begin a higher epoch with any.
      */
-    public Outcome offerWhole(CatalogChange c) {
+    public ChangeResult applyFullSnapshot(CatalogChange c) {
         if (c.epoch() < current.epoch()) {
-            return new Outcome.Fenced(current.epoch());
+            return new ChangeResult.Fenced(current.epoch());
         }
         if (c.epoch() == current.epoch() && c.number() <= current.number()) {
             return c.number() < current.number() || current.holds(c)
-                    ? new Outcome.Repeated()
-                    : new Outcome.Diverged(current.hash());
+                    ? new ChangeResult.AlreadyApplied()
+                    : new ChangeResult.Diverged(current.contentHash());
         }
-        if (c.after() != null && c.after().equals(current.hash())) {
+        if (c.hashAfter() != null && c.hashAfter().equals(current.contentHash())) {
             // A file that was brought first: what it leads to serves already.
-            current = current.at(c.epoch(), c.number());
-            return new Outcome.Taken(current, new CatalogDelta(List.of(), List.of()));
+            current = current.withVersion(c.epoch(), c.number());
+            return new ChangeResult.Applied(current, new CatalogDelta(List.of(), List.of()));
         }
-        if (c.before() != null && !c.before().equals(current.hash())) {
-            return new Outcome.Diverged(current.hash());
+        if (c.hashBefore() != null && !c.hashBefore().equals(current.contentHash())) {
+            return new ChangeResult.Diverged(current.contentHash());
         }
         ValidationErrors faults = new ValidationErrors();
-        int classes = routes.check(current.routeTable(), c.putRoutes(), c.removedRoutes(), faults);
+        int classes =
+                routes.check(current.classTable(), c.putClasses(), c.removedClasses(), faults);
         int orgs = tenants.check(current.tenantTable(), c.putTenants(), c.removedTenants(), faults);
         SettingsValidator.counts(classes, orgs, faults);
         if (classes == 0) {
             faults.add("no class would be left");
         }
         String after = current.hashAfter(c);
-        if (faults.isEmpty() && c.after() != null && !c.after().equals(after)) {
-            faults.add("it leads to content " + after + ", and says " + c.after());
+        if (faults.isEmpty() && c.hashAfter() != null && !c.hashAfter().equals(after)) {
+            faults.add("it leads to content " + after + ", and says " + c.hashAfter());
         }
         if (!faults.isEmpty()) {
-            return new Outcome.Refused(faults.lines());
+            return new ChangeResult.Rejected(faults.lines());
         }
         List<ClassSlot> changedClasses =
-                new ArrayList<>(c.putRoutes().size() + c.removedRoutes().size());
+                new ArrayList<>(c.putClasses().size() + c.removedClasses().size());
         List<TenantSlot> changedTenants =
                 new ArrayList<>(c.putTenants().size() + c.removedTenants().size());
         current =
@@ -134,16 +135,16 @@
                         c.epoch(),
                         c.number(),
                         routes.take(
-                                current.routeTable(),
-                                c.putRoutes(),
-                                c.removedRoutes(),
+                                current.classTable(),
+                                c.putClasses(),
+                                c.removedClasses(),
                                 (at, spec) -> changedClasses.add(new ClassSlot(at, spec))),
                         tenants.take(
                                 current.tenantTable(),
                                 c.putTenants(),
                                 c.removedTenants(),
                                 (at, spec) -> changedTenants.add(new TenantSlot(at, spec))));
-        return new Outcome.Taken(current, new CatalogDelta(changedClasses, changedTenants));
+        return new ChangeResult.Applied(current, new CatalogDelta(changedClasses, changedTenants));
     }
 
     /** One of the two tables: its places, and the specs that it shares. */
--- a/src/main/java/tinroad/catalog/CatalogChange.java
+++ b/src/main/java/tinroad/catalog/CatalogChange.java
@@ -16,12 +16,12 @@
 public record CatalogChange(
         long epoch,
         long number,
-        Map<String, RequestClass> putRoutes,
-        Set<String> removedRoutes,
+        Map<String, RequestClass> putClasses,
+        Set<String> removedClasses,
         Map<String, Tenant> putTenants,
         Set<String> removedTenants,
-        String before,
-        String after) {
+        String hashBefore,
+        String hashAfter) {
 
     /** One that does not tell what it follows and leads to. */
     public CatalogChange(
@@ -36,6 +36,9 @@
 
     /** How many entries it puts or removes. */
     public int size() {
-        return putRoutes.size() + removedRoutes.size() + putTenants.size() + removedTenants.size();
+        return putClasses.size()
+                + removedClasses.size()
+                + putTenants.size()
+                + removedTenants.size();
     }
 }
--- a/src/main/java/tinroad/catalog/FullSnapshotDiff.java
+++ b/src/main/java/tinroad/catalog/FullSnapshotDiff.java
@@ -22,7 +22,7 @@
     /** Against this catalog, which stays what it is. */
     public FullSnapshotDiff(Catalog base) {
         this.base = base;
-        routes = new Seen<>(base.routeTable());
+        routes = new Seen<>(base.classTable());
         tenants = new Seen<>(base.tenantTable());
     }
 
@@ -49,11 +49,11 @@
         return new CatalogChange(
                 epoch,
                 number,
-                c.putRoutes(),
-                c.removedRoutes(),
+                c.putClasses(),
+                c.removedClasses(),
                 c.putTenants(),
                 c.removedTenants(),
-                base.hash(),
+                base.contentHash(),
                 base.hashAfter(c));
     }
 
--- a/src/main/java/tinroad/changelog/ChangeCodec.java
+++ b/src/main/java/tinroad/changelog/ChangeCodec.java
@@ -59,14 +59,14 @@
             out.writeStartObject();
             out.writeNumberField("epoch", c.epoch());
             out.writeNumberField("number", c.number());
-            out.writeStringField("before", c.before());
-            out.writeStringField("after", c.after());
+            out.writeStringField("before", c.hashBefore());
+            out.writeStringField("after", c.hashAfter());
             out.writeObjectFieldStart("remove");
-            names(out, "classes", c.removedRoutes());
+            names(out, "classes", c.removedClasses());
             names(out, "orgs", c.removedTenants());
             out.writeEndObject();
             out.writeFieldName("put");
-            SiteWriter.write(out, c.putRoutes(), c.putTenants());
+            SiteWriter.write(out, c.putClasses(), c.putTenants());
             out.writeEndObject();
         }
         if (body.size() > LONGEST - LONGEST_HEAD) {
@@ -103,7 +103,7 @@
      * Reads what its name says is the change at this position; a {@link CorruptChangeException}
      * where it is none.
      */
-    static ChangeLogStore.Batch read(InputStream in, LogPosition at) throws IOException {
+    static ChangeLogStore.ChangeReadResult read(InputStream in, LogPosition at) throws IOException {
         Matcher head = head(in);
         CheckedInputStream body =
                 new CheckedInputStream(in, checksum(Integer.parseInt(head.group(1))));
@@ -210,8 +210,8 @@
             return tenants.put(name, spec) == null;
         }
 
-        ChangeLogStore.Batch batch() {
-            return new ChangeLogStore.Batch(
+        ChangeLogStore.ChangeReadResult batch() {
+            return new ChangeLogStore.ChangeReadResult(
                     new CatalogChange(
                             epoch, number, classes, noClasses, tenants, noTenants, before, after),
                     faults);
--- a/src/main/java/tinroad/changelog/ChangeLogFollower.java
+++ b/src/main/java/tinroad/changelog/ChangeLogFollower.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import tinroad.catalog.Catalog;
 import tinroad.catalog.CatalogBuilder;
-import tinroad.catalog.CatalogBuilder.Outcome;
+import tinroad.catalog.CatalogBuilder.ChangeResult;
 import tinroad.catalog.CatalogChange;
 import tinroad.catalog.FullSnapshotDiff;
 
@@ -52,8 +52,8 @@
     }
 
     /** What one look led to; both null: nothing new. {@code line} is one for the operators' log. */
-    public record Step(Outcome.Taken taken, String line) {
-        static final Step NOTHING = new Step(null, null);
+    public record PollResult(ChangeResult.Applied applied, String logLine) {
+        static final PollResult NOTHING = new PollResult(null, null);
     }
 
     /** What can't be followed; the message is the line. */
@@ -71,8 +71,8 @@
      */
     public Catalog locate(Catalog read) {
         try {
-            LogPosition at = folder.locate(read.hash());
-            return at == null ? read : read.at(at.epoch(), at.number());
+            LogPosition at = folder.locate(read.contentHash());
+            return at == null ? read : read.withVersion(at.epoch(), at.number());
         } catch (IOException e) {
             // Told by the first step.
             return read;
@@ -85,12 +85,12 @@
     }
 
     /** Why the log can't be followed; null where it can. */
-    public String trouble() {
+    public String lastProblem() {
         return told;
     }
 
     /** Takes the next change into the editor, if it is there and can be taken. */
-    public Step step(CatalogBuilder editor) {
+    public PollResult poll(CatalogBuilder editor) {
         looks++;
         try {
             return look(editor);
@@ -103,15 +103,15 @@
         }
     }
 
-    private Step tell(String line) {
+    private PollResult tell(String line) {
         if (line.equals(told)) {
-            return Step.NOTHING;
+            return PollResult.NOTHING;
         }
         told = line;
-        return new Step(null, line);
+        return new PollResult(null, line);
     }
 
-    private Step look(CatalogBuilder editor) throws IOException, TroubleException {
+    private PollResult look(CatalogBuilder editor) throws IOException, TroubleException {
         LogPosition at = position(editor.current());
         LogPosition next = at.next();
         Object stamp = folder.stamp(next);
@@ -129,7 +129,7 @@
         List<Object> seen = List.of(String.valueOf(folder.stamp()), at);
         boolean same = seen.equals(listed);
         if (same && settled && looks % ANYWAY != 0) {
-            return Step.NOTHING;
+            return PollResult.NOTHING;
         }
         // Once more after each change: what comes within one tick of the folder's time leaves no
         // trace in it.
@@ -138,7 +138,8 @@
         return list(editor, at);
     }
 
-    private Step list(CatalogBuilder editor, LogPosition at) throws IOException, TroubleException {
+    private PollResult list(CatalogBuilder editor, LogPosition at)
+            throws IOException, TroubleException {
         List<LogPosition> there = folder.positions();
         LogPosition last = there.isEmpty() ? null : there.get(there.size() - 1);
         newest = last;
@@ -156,8 +157,9 @@
                             + following
                             + ": the settings file as it is now has to be read, by SIGHUP");
         }
-        if (there.contains(at) && !editor.current().hash().equals(folder.head(at).after())) {
-            throw new TroubleException(diverged(at, editor.current().hash()));
+        if (there.contains(at)
+                && !editor.current().contentHash().equals(folder.head(at).hashAfter())) {
+            throw new TroubleException(diverged(at, editor.current().contentHash()));
         }
         for (LogPosition p : there) {
             if (over != null && p.epoch() < at.epoch() && p.compareTo(over) > 0) {
@@ -182,9 +184,9 @@
         least = null;
         if (told != null) {
             told = null;
-            return new Step(null, name + " is followed again from " + at);
+            return new PollResult(null, name + " is followed again from " + at);
         }
-        return Step.NOTHING;
+        return PollResult.NOTHING;
     }
 
     /**
@@ -195,7 +197,7 @@
         for (LogPosition p : folder.positions()) {
             if (p.epoch() > now.epoch() && p.number() == 1) {
                 try {
-                    if (now.hash().equals(folder.head(p).before())) {
+                    if (now.contentHash().equals(folder.head(p).hashBefore())) {
                         return p;
                     }
                 } catch (CorruptChangeException e) {
@@ -206,14 +208,14 @@
         return null;
     }
 
-    private Step take(CatalogBuilder editor, LogPosition p, Object stamp)
+    private PollResult take(CatalogBuilder editor, LogPosition p, Object stamp)
             throws IOException, TroubleException {
-        List<Object> attempt = List.of(p, String.valueOf(stamp), editor.current().hash());
+        List<Object> attempt = List.of(p, String.valueOf(stamp), editor.current().contentHash());
         if (attempt.equals(tried) && looks % ANYWAY != 0) {
-            return Step.NOTHING;
+            return PollResult.NOTHING;
         }
         tried = attempt;
-        ChangeLogStore.Batch batch;
+        ChangeLogStore.ChangeReadResult batch;
         try {
             batch = folder.read(p);
         } catch (CorruptChangeException e) {
@@ -221,21 +223,21 @@
         } catch (NoSuchFileException e) {
             // Pruned in this moment; the next look finds what is left.
             tried = List.of();
-            return Step.NOTHING;
+            return PollResult.NOTHING;
         }
-        if (!batch.faults().isEmpty()) {
-            throw new TroubleException(refused(p, batch.faults().lines()));
+        if (!batch.errors().isEmpty()) {
+            throw new TroubleException(refused(p, batch.errors().lines()));
         }
         // Asked before: once the editor has taken it, nothing may fail any more.
         LogPosition end = lastBefore(p.epoch(), position(editor.current()));
-        Outcome outcome = editor.offer(batch.change());
-        if (!(outcome instanceof Outcome.Taken taken)) {
-            throw new TroubleException(line(batch.change(), outcome));
+        ChangeResult outcome = editor.apply(batch.change());
+        if (!(outcome instanceof ChangeResult.Applied taken)) {
+            throw new TroubleException(describe(batch.change(), outcome));
         }
         over = end;
         newest = newest == null || newest.compareTo(p) < 0 ? p : newest;
         told = null;
-        return new Step(taken, null);
+        return new PollResult(taken, null);
     }
 
     /** What {@link #over} is once this epoch serves. */
@@ -252,24 +254,24 @@
      * serves only one is taken whose content the log knows as a later one, or any while the log is
      * empty.
      */
-    public Step whole(CatalogBuilder editor, FullSnapshotDiff file) {
+    public PollResult applyFile(CatalogBuilder editor, FullSnapshotDiff file) {
         LogPosition at = position(editor.current());
         CatalogChange next = file.change(at.epoch(), at.number() + 1);
         try {
-            LogPosition known = folder.locate(next.after());
+            LogPosition known = folder.locate(next.hashAfter());
             if (next.size() == 0 && (known == null || known.compareTo(at) <= 0)) {
-                return Step.NOTHING;
+                return PollResult.NOTHING;
             }
             if (known == null && !folder.positions().isEmpty()) {
-                return new Step(
+                return new PollResult(
                         null,
                         "settings file not taken: "
                                 + name
                                 + " knows no change to its content, "
-                                + next.after());
+                                + next.hashAfter());
             }
             if (known != null && known.compareTo(at) <= 0) {
-                return new Step(
+                return new PollResult(
                         null,
                         "settings file not taken: it is that of "
                                 + known
@@ -280,14 +282,16 @@
             CatalogChange change =
                     known == null ? next : file.change(known.epoch(), known.number());
             LogPosition end = lastBefore(change.epoch(), at);
-            Outcome outcome = editor.offerWhole(change);
-            if (!(outcome instanceof Outcome.Taken taken)) {
-                return new Step(null, "settings file not taken: " + line(change, outcome));
+            ChangeResult outcome = editor.applyFullSnapshot(change);
+            if (!(outcome instanceof ChangeResult.Applied taken)) {
+                return new PollResult(
+                        null, "settings file not taken: " + describe(change, outcome));
             }
             over = end;
-            return new Step(taken, null);
+            return new PollResult(taken, null);
         } catch (IOException e) {
-            return new Step(null, "settings file not taken: " + name + " can't be read: " + e);
+            return new PollResult(
+                    null, "settings file not taken: " + name + " can't be read: " + e);
         }
     }
 
@@ -313,18 +317,20 @@
     }
 
     /** What became of a change, in one line. */
-    public static String line(CatalogChange c, Outcome outcome) {
+    public static String describe(CatalogChange c, ChangeResult outcome) {
         LogPosition p = new LogPosition(c.epoch(), c.number());
         // No switch over patterns in Java 17.
-        if (outcome instanceof Outcome.Refused refused) {
-            return refused(p, refused.faults());
-        } else if (outcome instanceof Outcome.Fenced fenced) {
+        if (outcome instanceof ChangeResult.Rejected refused) {
+            return refused(p, refused.errors());
+        } else if (outcome instanceof ChangeResult.Fenced fenced) {
             return "change " + p + " refused: its epoch is over, " + fenced.epoch() + " goes on";
-        } else if (outcome instanceof Outcome.Gap gap) {
+        } else if (outcome instanceof ChangeResult.Gap gap) {
             return "change " + p + " refused: " + gap.missing() + " is missing before it";
-        } else if (outcome instanceof Outcome.Diverged diverged) {
+        } else if (outcome instanceof ChangeResult.Diverged diverged) {
             return diverged(p, diverged.known());
         }
-        return "change " + p + (outcome instanceof Outcome.Taken ? " taken" : " was taken before");
+        return "change "
+                + p
+                + (outcome instanceof ChangeResult.Applied ? " taken" : " was taken before");
     }
 }
--- a/src/main/java/tinroad/changelog/ChangeLogStore.java
+++ b/src/main/java/tinroad/changelog/ChangeLogStore.java
@@ -27,7 +27,7 @@
  */
 public final class ChangeLogStore {
     /** Batches that are kept unless told otherwise: some hours at 2,400 a day. */
-    public static final int KEEP = 512;
+    public static final int DEFAULT_KEPT_CHANGES = 512;
 
     private static final String PART = ".part";
 
@@ -41,7 +41,7 @@
     }
 
     /** A batch that was read: what can't be meant of it stands in the faults. */
-    public record Batch(CatalogChange change, ValidationErrors faults) {}
+    public record ChangeReadResult(CatalogChange change, ValidationErrors errors) {}
 
     /** All positions that there are, in order. */
     public List<LogPosition> positions() throws IOException {
@@ -61,7 +61,7 @@
     }
 
     /** The change at this position; a {@link CorruptChangeException} where the file holds none. */
-    public Batch read(LogPosition at) throws IOException {
+    public ChangeReadResult read(LogPosition at) throws IOException {
         try (InputStream in = open(at)) {
             return ChangeCodec.read(in, at);
         }
@@ -86,10 +86,10 @@
             LogPosition at = there.get(i);
             try {
                 CatalogChange c = head(at);
-                if (hash.equals(c.after())) {
+                if (hash.equals(c.hashAfter())) {
                     return at;
                 }
-                if (hash.equals(c.before())) {
+                if (hash.equals(c.hashBefore())) {
                     return new LogPosition(at.epoch(), at.number() - 1);
                 }
             } catch (CorruptChangeException | NoSuchFileException e) {
@@ -149,13 +149,13 @@
             }
             // A higher epoch may go on from another content: that is how a log that was damaged or
             // rolled back is mended.
-            String after = at.epoch() > newest.epoch() ? c.before() : after(newest);
-            if (!after.equals(c.before())) {
+            String after = at.epoch() > newest.epoch() ? c.hashBefore() : after(newest);
+            if (!after.equals(c.hashBefore())) {
                 throw new IOException(
                         "change "
                                 + at
                                 + " leads on from content "
-                                + c.before()
+                                + c.hashBefore()
                                 + ", and the newest, "
                                 + newest
                                 + ", led to "
@@ -168,7 +168,7 @@
 
     private String after(LogPosition newest) throws IOException {
         try {
-            return read(newest).change().after();
+            return read(newest).change().hashAfter();
         } catch (CorruptChangeException e) {
             throw new IOException(
                     "the newest change, " + newest + ", is damaged: " + e.getMessage());
--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -19,7 +19,7 @@
 import org.kohsuke.args4j.Option;
 import tinroad.catalog.Catalog;
 import tinroad.catalog.CatalogBuilder;
-import tinroad.catalog.CatalogBuilder.Outcome;
+import tinroad.catalog.CatalogBuilder.ChangeResult;
 import tinroad.catalog.CatalogChange;
 import tinroad.catalog.CatalogEntry;
 import tinroad.catalog.FullSnapshotDiff;
@@ -87,7 +87,7 @@
             name = "--keep",
             metaVar = "N",
             usage = "publish: newest changes that stay in the folder")
-    private int keep = ChangeLogStore.KEEP;
+    private int keep = ChangeLogStore.DEFAULT_KEPT_CHANGES;
 
     @Override
     About about() {
@@ -122,11 +122,11 @@
                     Catalog c = read(paths.get(0));
                     out.println(
                             "ok: "
-                                    + c.routes()
+                                    + c.classCount()
                                     + " classes, "
-                                    + c.tenants()
+                                    + c.tenantCount()
                                     + " orgs, content "
-                                    + c.hash());
+                                    + c.contentHash());
                 }
                 default -> publish(out);
             }
@@ -165,9 +165,9 @@
         output.print(
                 List.of("what", "value"),
                 List.of(
-                        List.of("classes", c.routes()),
-                        List.of("orgs", c.tenants()),
-                        List.of("content", c.hash()),
+                        List.of("classes", c.classCount()),
+                        List.of("orgs", c.tenantCount()),
+                        List.of("content", c.contentHash()),
                         List.of("bytes", Files.size(Path.of(paths.get(0))))),
                 out);
     }
@@ -176,8 +176,14 @@
         Catalog old = read(paths.get(0));
         CatalogChange c = change(old, paths.get(1), new LogPosition(0, 1));
         List<List<Object>> rows = new ArrayList<>();
-        rows("class", c.putRoutes(), c.removedRoutes(), old::route, CatalogCommand::fields, rows);
-        rows("org", c.putTenants(), c.removedTenants(), old::tenant, SiteWriter::fields, rows);
+        rows(
+                "class",
+                c.putClasses(),
+                c.removedClasses(),
+                old::classEntry,
+                CatalogCommand::fields,
+                rows);
+        rows("org", c.putTenants(), c.removedTenants(), old::tenantEntry, SiteWriter::fields, rows);
         int more = rows.size() - ENTRIES;
         if (more > 0) {
             rows.subList(ENTRIES, rows.size()).clear();
@@ -235,27 +241,27 @@
             String is = "good";
             int size = 0;
             try {
-                ChangeLogStore.Batch batch = folder.read(at);
+                ChangeLogStore.ChangeReadResult batch = folder.read(at);
                 CatalogChange c = batch.change();
                 size = c.size();
-                if (!batch.faults().isEmpty()) {
-                    is = String.join("; ", batch.faults().lines());
+                if (!batch.errors().isEmpty()) {
+                    is = String.join("; ", batch.errors().lines());
                 } else if (last != null && !at.follows(last)) {
                     is = "does not follow " + last;
                 } else if (content != null
-                        && !content.equals(c.before())
+                        && !content.equals(c.hashBefore())
                         && at.epoch() > last.epoch()) {
-                    is = "good, from another content: " + c.before();
-                } else if (content != null && !content.equals(c.before())) {
+                    is = "good, from another content: " + c.hashBefore();
+                } else if (content != null && !content.equals(c.hashBefore())) {
                     is =
                             "leads on from content "
-                                    + c.before()
+                                    + c.hashBefore()
                                     + ", and "
                                     + last
                                     + " led to "
                                     + content;
                 }
-                content = c.after();
+                content = c.hashAfter();
             } catch (IOException e) {
                 is = "damaged: " + e.getMessage();
                 content = null;
@@ -280,20 +286,21 @@
                 epoch == null || epoch == newest.epoch()
                         ? newest.next()
                         : new LogPosition(epoch, 1);
-        Catalog old = read(paths.get(0)).at(newest.epoch(), newest.number());
+        Catalog old = read(paths.get(0)).withVersion(newest.epoch(), newest.number());
         CatalogChange c = change(old, paths.get(1), next);
         if (c.size() == 0) {
             out.println("nothing differs: no change written");
             return;
         }
         // As a gateway would take it: what it would refuse is not written.
-        Outcome outcome = new CatalogBuilder(old).offer(c);
-        if (outcome instanceof Outcome.Refused refused) {
-            throw new ConfigException(String.join("\n", refused.faults()));
-        } else if (!(outcome instanceof Outcome.Taken)) {
-            throw new IOException(ChangeLogFollower.line(c, outcome));
+        ChangeResult outcome = new CatalogBuilder(old).apply(c);
+        if (outcome instanceof ChangeResult.Rejected refused) {
+            throw new ConfigException(String.join("\n", refused.errors()));
+        } else if (!(outcome instanceof ChangeResult.Applied)) {
+            throw new IOException(ChangeLogFollower.describe(c, outcome));
         }
         log.append(c);
-        out.println("change " + next + " written: " + c.size() + " entries, content " + c.after());
+        out.println(
+                "change " + next + " written: " + c.size() + " entries, content " + c.hashAfter());
     }
 }
--- a/src/main/java/tinroad/cli/CheckCommand.java
+++ b/src/main/java/tinroad/cli/CheckCommand.java
@@ -42,9 +42,9 @@
             }
             try (GatewayNode server =
                     new GatewayNode(config, null, StateSettings.NONE, FleetSettings.NONE)) {
-                server.rehearse();
+                server.warmUpJit();
                 server.start();
-                server.leave();
+                server.shutDownGracefully();
             }
         }
         out.println("ok: " + config.name() + " with classes " + config.site().classNames());
--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -295,7 +295,8 @@
                 rows.add(
                         MembersSweep.row(
                                 "lifeguard", MembershipConfig.DEFAULT, size, loss, range()));
-                rows.add(MembersSweep.row("plain", MembershipConfig.PLAIN, size, loss, range()));
+                rows.add(
+                        MembersSweep.row("plain", MembershipConfig.SWIM_2002, size, loss, range()));
             }
         }
         output.print(MembersSweep.NAMES, rows, out);
--- a/src/main/java/tinroad/cli/LogSink.java
+++ b/src/main/java/tinroad/cli/LogSink.java
@@ -33,7 +33,7 @@
 
     void set(LogSettings log) {
         if (format != null) {
-            format.set(log.json(), log.level(), log.levels(), log.queue(), (int) log.flush());
+            format.set(log.json(), log.level(), log.levels(), log.queue(), (int) log.flushMillis());
         }
     }
 
--- a/src/main/java/tinroad/cli/ServeCommand.java
+++ b/src/main/java/tinroad/cli/ServeCommand.java
@@ -61,7 +61,7 @@
                                 + " it anew",
                         unused);
             }
-            server.rehearse();
+            server.warmUpJit();
             if (server.start() != null) {
                 server.awaitEnd(source);
             }
@@ -80,7 +80,7 @@
                     .addShutdownHook(
                             new Thread(
                                     () -> {
-                                        server.leave();
+                                        server.shutDownGracefully();
                                         sink.end();
                                     },
                                     "leave"));
--- a/src/main/java/tinroad/cli/StateCommand.java
+++ b/src/main/java/tinroad/cli/StateCommand.java
@@ -65,7 +65,7 @@
             } else {
                 show(found, out);
             }
-            return found.stream().allMatch(c -> c.reading().reason() == null) ? FINE : FAILED;
+            return found.stream().allMatch(c -> c.readResult().reason() == null) ? FINE : FAILED;
         } catch (IOException e) {
             err.println("tinroad: " + folder + ": can't be read: " + e.getMessage());
             return FAILED;
@@ -75,7 +75,7 @@
     private void verify(List<SnapshotSelector.Candidate> found, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
         for (SnapshotSelector.Candidate c : found) {
-            SnapshotReadResult r = c.reading();
+            SnapshotReadResult r = c.readResult();
             Snapshot s = r.snapshot();
             rows.add(
                     s == null
@@ -102,7 +102,7 @@
     private void show(List<SnapshotSelector.Candidate> found, PrintStream out) {
         double nowMillis = System.currentTimeMillis();
         Snapshot s =
-                SnapshotSelector.decide(found, name(found), nowMillis, Double.MAX_VALUE, 0, 0)
+                SnapshotSelector.select(found, name(found), nowMillis, Double.MAX_VALUE, 0, 0)
                         .snapshot();
         List<List<Object>> rows = new ArrayList<>();
         if (s != null) {
@@ -123,8 +123,8 @@
                                 e.getKey(),
                                 r.value(),
                                 r.weight(),
-                                Math.round((nowMillis - r.learnedAt()) / 1000),
-                                r.life()));
+                                Math.round((nowMillis - r.learnedAtMillis()) / 1000),
+                                r.incarnation()));
             }
         }
         output.print(List.of("what", "value", "weight", "age_s", "life"), rows, out);
@@ -132,8 +132,8 @@
 
     private static String name(List<SnapshotSelector.Candidate> found) {
         return found.stream()
-                .filter(c -> c.reading().snapshot() != null)
-                .map(c -> c.reading().snapshot().name())
+                .filter(c -> c.readResult().snapshot() != null)
+                .map(c -> c.readResult().snapshot().name())
                 .reduce("", (a, b) -> b);
     }
 }
--- a/src/main/java/tinroad/config/SettingsValidator.java
+++ b/src/main/java/tinroad/config/SettingsValidator.java
@@ -9,13 +9,13 @@
  */
 public final class SettingsValidator {
     /** Classes of requests in one table. */
-    public static final int MOST_CLASSES = 65_536;
+    public static final int MAX_CLASSES = 65_536;
 
     /** Tenants in one table. */
-    public static final int MOST_TENANTS = 131_072;
+    public static final int MAX_TENANTS = 131_072;
 
     /** Bytes of a name in UTF-8. */
-    public static final int LONGEST_NAME = 4096;
+    public static final int MAX_NAME_BYTES = 4096;
 
     private static final int SHOWN = 80;
 
@@ -27,20 +27,20 @@
      */
     public static void name(
             String list, int index, String name, boolean taken, ValidationErrors faults) {
-        if (!name.isEmpty() && name.length() <= LONGEST_NAME / 3 && !taken) {
+        if (!name.isEmpty() && name.length() <= MAX_NAME_BYTES / 3 && !taken) {
             return;
         }
         String where = index < 0 ? list : list + "[" + index + "]";
         int bytes = bytes(name);
         if (name.isEmpty()) {
             faults.add(where + " has no name");
-        } else if (bytes > LONGEST_NAME) {
+        } else if (bytes > MAX_NAME_BYTES) {
             faults.add(
                     where
                             + ": the name "
                             + shown(name)
                             + " is longer than "
-                            + LONGEST_NAME
+                            + MAX_NAME_BYTES
                             + " bytes");
         } else if (taken) {
             faults.add(where + ": the name " + shown(name) + " is taken");
@@ -60,11 +60,11 @@
 
     /** How many there are. */
     public static void counts(int classes, int tenants, ValidationErrors faults) {
-        if (classes > MOST_CLASSES) {
-            faults.add("classes: " + classes + " are more than " + MOST_CLASSES);
+        if (classes > MAX_CLASSES) {
+            faults.add("classes: " + classes + " are more than " + MAX_CLASSES);
         }
-        if (tenants > MOST_TENANTS) {
-            faults.add("orgs: " + tenants + " are more than " + MOST_TENANTS);
+        if (tenants > MAX_TENANTS) {
+            faults.add("orgs: " + tenants + " are more than " + MAX_TENANTS);
         }
     }
 
--- a/src/main/java/tinroad/config/ValidationErrors.java
+++ b/src/main/java/tinroad/config/ValidationErrors.java
@@ -9,14 +9,14 @@
  */
 public final class ValidationErrors {
     /** Lines that are told. */
-    public static final int TOLD = 100;
+    public static final int MAX_REPORTED = 100;
 
     private final List<String> lines = new ArrayList<>();
     private int more;
 
     /** One more fault. */
     public void add(String line) {
-        if (lines.size() < TOLD) {
+        if (lines.size() < MAX_REPORTED) {
             lines.add(line);
         } else {
             more++;
--- a/src/main/java/tinroad/core/Gateway.java
+++ b/src/main/java/tinroad/core/Gateway.java
@@ -332,7 +332,7 @@
         }
         int place = Integer.parseInt(name.substring(dot + 1));
         String lasting = place < classNames.size() ? classNames.get(place) : null;
-        Catalog.ClassEntry route = lasting == null ? null : catalog.route(lasting);
+        Catalog.ClassEntry route = lasting == null ? null : catalog.classEntry(lasting);
         return route != null && route.slot() == place
                 ? name.substring(0, dot + 1) + route.name()
                 : null;
@@ -517,7 +517,7 @@
     /** A request was read; the requester gets exactly one answer, perhaps within this call. */
     public void handle(IncomingRequest in, ResponseSink requester) {
         double nowMillis = clock.nowMillis();
-        Catalog.ClassEntry route = catalog.route(in.className());
+        Catalog.ClassEntry route = catalog.classEntry(in.className());
         if (route == null) {
             // Guards the promise of an invalid one: its class is gone, and another try of it has
             // run.
@@ -595,7 +595,7 @@
                                         in.retry(),
                                         c.idempotency() != Idempotency.IDEMPOTENT)));
         request.ownBody();
-        recoveryPhase.asked(
+        recoveryPhase.requestArrived(
                 !request.answered
                         || request.progress != Progress.NOT_SENT
                         || request.repeats != null);
@@ -616,10 +616,10 @@
      * none of them.
      */
     private int tenantPlace(String owner) {
-        if (catalog.tenants() == 0) {
+        if (catalog.tenantCount() == 0) {
             return 0;
         }
-        Catalog.TenantEntry account = catalog.tenant(owner);
+        Catalog.TenantEntry account = catalog.tenantEntry(owner);
         return account == null ? -1 : account.slot();
     }
 
@@ -684,7 +684,7 @@
                     fresh ? "fresh" : "seasoned",
                     Math.round(startedAgo));
             timers.after(GUARD_PERIOD, this::guard);
-            recoveryPhase.engine(clock.nowMillis(), fresh);
+            recoveryPhase.engineAttached(clock.nowMillis(), fresh);
             tell(
                     () -> {
                         controller.start(clock.nowMillis(), seed, settings);
@@ -709,7 +709,7 @@
         log.info(
                 "engine attached again{}",
                 anotherEngine ? ": another one, up for " + Math.round(startedAgo) + " ms" : "");
-        recoveryPhase.engine(clock.nowMillis(), anotherEngine);
+        recoveryPhase.engineAttached(clock.nowMillis(), anotherEngine);
         doubtRuns();
         // A copy: guards against turning round here while the link breaks anew, which puts each one
         // back.
@@ -764,7 +764,8 @@
                         : Response.failed(r.progress));
         letGo(r);
         if (end == Engine.RunOutcome.DONE) {
-            recoveryPhase.ended(clock.nowMillis(), took, USUAL_RUN * r.spec().objectiveMillis());
+            recoveryPhase.runCompleted(
+                    clock.nowMillis(), took, USUAL_RUN * r.spec().objectiveMillis());
         }
         // Guards a caller's id against others that name it first, with what the engine does not
         // know.
@@ -806,7 +807,7 @@
         draining = true;
         drainedAt = noticedAt;
         leaveAt = leavingAt;
-        recoveryPhase.draining(noticedAt);
+        recoveryPhase.drainingBegan(noticedAt);
         log.info(
                 "draining: {} requests in hand, {} ms left",
                 requests.size(),
@@ -1007,7 +1008,7 @@
             }
             catalog = next;
             catalogSinceMillis = clock.nowMillis();
-            recoveryPhase.usualRun(usualRun());
+            recoveryPhase.setExpectedRunMillis(usualRun());
             return true;
         }
 
--- a/src/main/java/tinroad/discovery/LoadReporter.java
+++ b/src/main/java/tinroad/discovery/LoadReporter.java
@@ -31,7 +31,7 @@
     private final EventLoop loop;
     private final String name;
     private InetSocketAddress roster;
-    private final JitteredInterval pace;
+    private final JitteredInterval reportInterval;
     private Channel channel;
     private boolean reporting;
     private boolean on;
@@ -39,14 +39,14 @@
 
     /** Reports {@code name} to {@code roster}. */
     public LoadReporter(EventLoop loop, InetSocketAddress roster, String name, long seed) {
-        pace = pace(name, seed);
+        reportInterval = reportInterval(name, seed);
         this.loop = loop;
         this.roster = roster;
         this.name = name;
     }
 
     /** The pace at which a gateway of this name and seed reports. */
-    public static JitteredInterval pace(String name, long seed) {
+    public static JitteredInterval reportInterval(String name, long seed) {
         return new JitteredInterval(name, seed, PERIOD_MS, SPREAD);
     }
 
@@ -93,12 +93,12 @@
                     }
                     send();
                 },
-                (long) (pace.next() * 1e6),
+                (long) (reportInterval.nextMillis() * 1e6),
                 TimeUnit.NANOSECONDS);
     }
 
     /** Reports to another address from now on. */
-    public void move(InetSocketAddress to) {
+    public void switchEndpoint(InetSocketAddress to) {
         if (!to.equals(roster)) {
             roster = to;
             send();
@@ -106,7 +106,7 @@
     }
 
     /** Reports nothing more: another process speaks for this gateway now. */
-    public void silence() {
+    public void stopReporting() {
         silent = true;
     }
 
--- a/src/main/java/tinroad/engine/EngineLink.java
+++ b/src/main/java/tinroad/engine/EngineLink.java
@@ -75,7 +75,7 @@
     /**
      * Attached or, before the first time, connected: the engine may come up long after the gateway.
      */
-    private volatile boolean reached;
+    private volatile boolean engineReachable;
 
     private boolean attachedOnce;
     private long lastNotice;
@@ -112,13 +112,13 @@
      * Moves to another address. Commands wait until the engine answers there; the link to the old
      * address is read until then, so that no notice is missed.
      */
-    public void move(InetSocketAddress to) {
+    public void switchEndpoint(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
         address = to;
         Keys.with(LOG.atInfo(), "engine", to).log("moving to {}", to);
-        reconnects.alive();
+        reconnects.reset();
         leaveLink();
         connect();
     }
@@ -131,7 +131,7 @@
         if (link != null) {
             ChannelHandlerContext old = link;
             link = null;
-            reached = false;
+            engineReachable = false;
             loop.schedule(() -> closeOnceReplaced(old), HAND_OVER_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -152,8 +152,8 @@
     }
 
     /** Whether the engine is where it is looked for; any thread may ask. */
-    public boolean reached() {
-        return reached;
+    public boolean engineReachable() {
+        return engineReachable;
     }
 
     private void connect() {
@@ -196,7 +196,7 @@
                             connect();
                         }
                     },
-                    (long) (reconnects.next() * 1e6),
+                    (long) (reconnects.nextMillis() * 1e6),
                     TimeUnit.NANOSECONDS);
         }
     }
@@ -274,7 +274,7 @@
                 ctx.close();
                 return;
             }
-            reached |= !attachedOnce;
+            engineReachable |= !attachedOnce;
             send(
                     ctx,
                     json -> {
@@ -308,8 +308,8 @@
                     if (attempt == attempts) {
                         link = context;
                         attachedOnce = true;
-                        reached = true;
-                        reconnects.alive();
+                        engineReachable = true;
+                        reconnects.reset();
                         requestGauges(CATCH_UP);
                         listener.onAttached(notice.state().equals("fresh"), notice.took());
                     }
@@ -341,7 +341,7 @@
                 listener.onDetached();
             }
             if (link == null) {
-                reached = false;
+                engineReachable = false;
             }
             reconnect(attempt);
         }
--- a/src/main/java/tinroad/fleet/LoadDigest.java
+++ b/src/main/java/tinroad/fleet/LoadDigest.java
@@ -14,7 +14,11 @@
  * @param values each in the unit that its kind names
  */
 public record LoadDigest(
-        String name, Incarnation version, long number, double age, Map<Kind, Double> values) {
+        String name,
+        MemberIncarnation incarnation,
+        long number,
+        double ageMillis,
+        Map<Kind, Double> values) {
     /** Kinds of what is said. */
     public enum Kind {
         /** Of its comeback: 0 starting, 1 cold, 2 ramping, 3 full, 4 draining. */
@@ -45,8 +49,8 @@
 
     boolean laterThan(LoadDigest other) {
         return other == null
-                || (version.sameStay(other.version)
+                || (incarnation.sameMembership(other.incarnation)
                         ? number > other.number
-                        : version.compareTo(other.version) > 0);
+                        : incarnation.compareTo(other.incarnation) > 0);
     }
 }
--- a/src/main/java/tinroad/fleet/MemberStatus.java
+++ b/src/main/java/tinroad/fleet/MemberStatus.java
@@ -12,7 +12,7 @@
     LEFT;
 
     /** Whether this stay in the fleet is over, whatever comes. */
-    public boolean over() {
+    public boolean isTerminal() {
         return this == DEAD || this == LEFT;
     }
 }
--- a/src/main/java/tinroad/fleet/MemberUpdate.java
+++ b/src/main/java/tinroad/fleet/MemberUpdate.java
@@ -14,7 +14,7 @@
         String name,
         String address,
         String zone,
-        Incarnation version,
+        MemberIncarnation incarnation,
         MemberStatus status,
         String by) {
 
@@ -26,18 +26,18 @@
         if (held == null) {
             return true;
         }
-        if (!version.sameStay(held.version)) {
-            return version.compareTo(held.version) > 0;
+        if (!incarnation.sameMembership(held.incarnation)) {
+            return incarnation.compareTo(held.incarnation) > 0;
         }
         // What is over stays over, whatever incarnation is claimed: only another stay comes back.
-        if (status.over() || held.status.over()) {
+        if (status.isTerminal() || held.status.isTerminal()) {
             return status.compareTo(held.status) > 0;
         }
-        int order = version.compareTo(held.version);
+        int order = incarnation.compareTo(held.incarnation);
         return order > 0 || (order == 0 && status.compareTo(held.status) > 0);
     }
 
     MemberUpdate as(MemberStatus other, String claimant) {
-        return new MemberUpdate(name, address, zone, version, other, claimant);
+        return new MemberUpdate(name, address, zone, incarnation, other, claimant);
     }
 }
--- a/src/main/java/tinroad/fleet/Membership.java
+++ b/src/main/java/tinroad/fleet/Membership.java
@@ -20,12 +20,12 @@
  */
 public final class Membership {
     /** Where messages and news go. */
-    public interface Out {
+    public interface Transport {
         /** Sends to an address; may be lost. */
         void send(String address, Message message);
 
         /** What is held of a member has changed; {@code before} is null where it was unknown. */
-        void changed(double nowMillis, MemberUpdate before, MemberUpdate after);
+        void memberChanged(double nowMillis, MemberUpdate before, MemberUpdate after);
     }
 
     /** Members that are told of in one part of a sync: a datagram of 1,200 bytes holds them. */
@@ -82,10 +82,10 @@
 
     private final MembershipConfig tuning;
     private final SplittableRandom random;
-    private final Out out;
+    private final Transport out;
     private final List<String> seeds;
     private final Map<String, Held> members = new LinkedHashMap<>();
-    private final Map<String, Riding> riding = new LinkedHashMap<>();
+    private final Map<String, Riding> piggybackQueueSize = new LinkedHashMap<>();
     private final Map<Long, Behalf> behalf = new LinkedHashMap<>();
     private final List<String> round = new ArrayList<>();
     private final Set<String> suspects = new LinkedHashSet<>();
@@ -97,7 +97,7 @@
     private MemberUpdate self;
     private Probe probe;
     private long numbers;
-    private int health;
+    private int healthPenalty;
     private double nextProbe;
     private double nextSync;
     private double nextNews;
@@ -105,11 +105,15 @@
     private double lastTick;
     private double selfSince;
     private boolean left;
-    private long walked;
+    private long visitedEntries;
 
     /** A member that stands as {@code self} says, and knows these addresses to begin with. */
     public Membership(
-            MemberUpdate self, List<String> seeds, MembershipConfig tuning, long seed, Out out) {
+            MemberUpdate self,
+            List<String> seeds,
+            MembershipConfig tuning,
+            long seed,
+            Transport out) {
         this.self = self;
         this.seeds = seeds.stream().filter(a -> !a.equals(self.address())).toList();
         this.tuning = tuning;
@@ -124,8 +128,8 @@
     public void start(double nowMillis) {
         selfSince = nowMillis;
         lastTick = nowMillis;
-        nextProbe = nowMillis + random.nextDouble() * tuning.period();
-        nextSync = nowMillis + random.nextDouble() * tuning.period();
+        nextProbe = nowMillis + random.nextDouble() * tuning.probePeriodMillis();
+        nextSync = nowMillis + random.nextDouble() * tuning.probePeriodMillis();
     }
 
     // --- time ---
@@ -134,7 +138,7 @@
     public void tick(double nowMillis) {
         double late = nowMillis - lastTick;
         lastTick = nowMillis;
-        if (late > tuning.period() * STOOD_STILL) {
+        if (late > tuning.probePeriodMillis() * STOOD_STILL) {
             stoodStill(nowMillis, late);
         }
         if (left) {
@@ -144,31 +148,37 @@
         behalf.values()
                 .removeIf(
                         b -> {
-                            if (nowMillis >= b.nackAt && tuning.health() > 0) {
+                            if (nowMillis >= b.nackAt && tuning.maxHealthPenalty() > 0) {
                                 out.send(b.forAddress, new Message.Nack(b.theirNumber, ride()));
                             }
                             return nowMillis >= b.nackAt;
                         });
         judgeSuspects(nowMillis);
         if (nowMillis >= nextProbe && probe == null) {
-            nextProbe = nowMillis + tuning.period() * (1 + health);
+            nextProbe = nowMillis + tuning.probePeriodMillis() * (1 + healthPenalty);
             probe(nowMillis);
         }
         if (news && nowMillis >= nextNews) {
             news = false;
-            nextNews = nowMillis + tuning.pause();
-            pick(tuning.spread(), "", true)
+            nextNews = nowMillis + tuning.gossipPauseMillis();
+            pick(tuning.gossipFanout(), "", true)
                     .forEach(h -> out.send(h.claim.address(), new Message.Sync(false, ride())));
         }
         if (nowMillis >= nextSync) {
             // While something is not clear, more often: after a cut there is much to be put right.
             nextSync =
                     nowMillis
-                            + (suspects.isEmpty() ? tuning.sync() : tuning.period())
+                            + (suspects.isEmpty()
+                                            ? tuning.syncPeriodMillis()
+                                            : tuning.probePeriodMillis())
                                     * random.nextDouble(0.75, 1.25);
-            walked += members.size();
+            visitedEntries += members.size();
             members.values()
-                    .removeIf(h -> h.claim.status().over() && nowMillis - h.since > tuning.kept());
+                    .removeIf(
+                            h ->
+                                    h.claim.status().isTerminal()
+                                            && nowMillis - h.since
+                                                    > tuning.terminalRetentionMillis());
             sync();
         }
     }
@@ -178,15 +188,15 @@
      * can't hold against them.
      */
     private void stoodStill(double nowMillis, double late) {
-        if (tuning.health() == 0) {
+        if (tuning.maxHealthPenalty() == 0) {
             return;
         }
-        health = tuning.health();
+        healthPenalty = tuning.maxHealthPenalty();
         probe = null;
         for (Held h : members.values()) {
             h.suspectUntil += late;
         }
-        nextProbe = nowMillis + tuning.period() * random.nextDouble();
+        nextProbe = nowMillis + tuning.probePeriodMillis() * random.nextDouble();
         nextSync = nowMillis;
     }
 
@@ -199,13 +209,13 @@
         if (suspects.isEmpty()) {
             return;
         }
-        boolean cut = cut();
+        boolean cut = suspectsPartition();
         for (String name : List.copyOf(suspects)) {
             Held h = members.get(name);
-            if (cut && nowMillis < h.suspectedAt + tuning.cutKept()) {
+            if (cut && nowMillis < h.suspectedAt + tuning.partitionWaitMillis()) {
                 // Once it is healed, each has its time to speak for itself: the last ones must not
                 // fall as the others are cleared.
-                h.suspectUntil = Math.max(h.suspectUntil, nowMillis + tuning.suspicionLeast());
+                h.suspectUntil = Math.max(h.suspectUntil, nowMillis + tuning.minSuspicionMillis());
             } else if (nowMillis >= h.suspectUntil) {
                 hear(nowMillis, h.claim.as(MemberStatus.DEAD, self.name()));
             }
@@ -213,9 +223,9 @@
     }
 
     /** Whether so many are silent together that it is taken for a cut, or for this member's own. */
-    public boolean cut() {
-        return suspects.size() >= tuning.cutLeast()
-                && suspects.size() >= tuning.cutPart() * (alive + suspects.size());
+    public boolean suspectsPartition() {
+        return suspects.size() >= tuning.partitionMinMembers()
+                && suspects.size() >= tuning.partitionShare() * (alive + suspects.size());
     }
 
     private void judgeProbe(double nowMillis) {
@@ -223,7 +233,7 @@
             return;
         }
         Held h = members.get(probe.name);
-        if (h == null || h.claim.status().over()) {
+        if (h == null || h.claim.status().isTerminal()) {
             probe = null;
         } else if (nowMillis >= probe.until) {
             // Who asked others, and hears not even that they have no answer, is itself the one that
@@ -235,18 +245,19 @@
             probe = null;
             hear(nowMillis, h.claim.as(MemberStatus.SUSPECT, self.name()));
         } else if (nowMillis >= probe.directUntil && probe.asked == 0) {
-            List<Held> others = pick(tuning.indirect(), probe.name, false);
+            List<Held> others = pick(tuning.indirectProbes(), probe.name, false);
             probe.asked = others.size();
             others.forEach(
                     o ->
                             out.send(
                                     o.claim.address(),
-                                    new Message.Ask(probe.number, h.claim.address(), ride())));
+                                    new Message.PingRequest(
+                                            probe.number, h.claim.address(), ride())));
         }
     }
 
     private void worsen(int by) {
-        health = Math.min(tuning.health(), health + by);
+        healthPenalty = Math.min(tuning.maxHealthPenalty(), healthPenalty + by);
     }
 
     private void probe(double nowMillis) {
@@ -257,13 +268,13 @@
             return;
         }
         long number = ++numbers;
-        double scale = 1 + health;
+        double scale = 1 + healthPenalty;
         probe =
                 new Probe(
                         h.claim.name(),
                         number,
-                        nowMillis + tuning.timeout() * scale,
-                        nowMillis + 0.9 * tuning.period() * scale);
+                        nowMillis + tuning.probeTimeoutMillis() * scale,
+                        nowMillis + 0.9 * tuning.probePeriodMillis() * scale);
         out.send(h.claim.address(), new Message.Ping(number, rideWith(h.claim)));
     }
 
@@ -280,14 +291,14 @@
         for (int tries = 0; tries < 2; tries++) {
             while (!round.isEmpty()) {
                 Held h = members.get(round.remove(round.size() - 1));
-                if (h != null && !h.claim.status().over()) {
+                if (h != null && !h.claim.status().isTerminal()) {
                     return h;
                 }
             }
-            walked += members.size();
+            visitedEntries += members.size();
             members.forEach(
                     (name, h) -> {
-                        if (!h.claim.status().over()) {
+                        if (!h.claim.status().isTerminal()) {
                             round.add(name);
                         }
                     });
@@ -304,7 +315,7 @@
 
     /** A few others, drawn: those that answer, or, {@code suspected}, also those that may. */
     private List<Held> pick(int most, String except, boolean suspected) {
-        walked += members.size();
+        visitedEntries += members.size();
         List<Held> all =
                 new ArrayList<>(
                         members.values().stream()
@@ -332,9 +343,9 @@
         List<Held> there = pick(1, "", true);
         Map<String, List<MemberUpdate>> gone = new LinkedHashMap<>();
         Set<String> known = new HashSet<>();
-        walked += 2L * members.size();
+        visitedEntries += 2L * members.size();
         members.values().stream()
-                .filter(h -> !h.claim.status().over())
+                .filter(h -> !h.claim.status().isTerminal())
                 .forEach(h -> known.add(h.claim.address()));
         seeds.stream().filter(a -> !known.contains(a)).forEach(a -> gone.put(a, List.of(self)));
         // Who is held dead, and lives, must hear of it: only another stay brings it back.
@@ -362,7 +373,7 @@
      * the fleet.
      */
     private void tell(String address, int parts, boolean wants) {
-        walked += members.size();
+        visitedEntries += members.size();
         List<Held> all = new ArrayList<>(members.values());
         for (int part = 0;
                 part < parts && (part == 0 || part * (SYNC_PART - 1) < all.size());
@@ -384,7 +395,7 @@
         if (left) {
             return;
         }
-        message.claims().forEach(c -> hear(nowMillis, c));
+        message.updates().forEach(c -> hear(nowMillis, c));
         if (message instanceof Message.Ping ping) {
             out.send(from, new Message.Ack(ping.number(), ride()));
         } else if (message instanceof Message.Ack ack) {
@@ -394,12 +405,15 @@
                 probe.nacks++;
             }
         } else if (message instanceof Message.Sync sync) {
-            if (sync.wants()) {
+            if (sync.replyWanted()) {
                 tell(from, SYNC_PARTS, false);
             }
-        } else if (message instanceof Message.Ask ask && behalf.size() < tuning.most()) {
+        } else if (message instanceof Message.PingRequest ask
+                && behalf.size() < tuning.maxMembers()) {
             long number = ++numbers;
-            behalf.put(number, new Behalf(from, ask.number(), nowMillis + tuning.timeout()));
+            behalf.put(
+                    number,
+                    new Behalf(from, ask.number(), nowMillis + tuning.probeTimeoutMillis()));
             out.send(ask.address(), new Message.Ping(number, ride()));
         }
     }
@@ -410,7 +424,7 @@
             out.send(b.forAddress, new Message.Ack(b.theirNumber, ride()));
         } else if (probe != null && probe.number == number) {
             probe = null;
-            health = Math.max(0, health - 1);
+            healthPenalty = Math.max(0, healthPenalty - 1);
         }
     }
 
@@ -426,13 +440,13 @@
         if (!claim.overrides(before)) {
             if (before.status() == MemberStatus.SUSPECT
                     && claim.status() == MemberStatus.SUSPECT
-                    && claim.version().equals(before.version())) {
+                    && claim.incarnation().equals(before.incarnation())) {
                 confirm(h, claim);
             }
             return;
         }
         if (h == null) {
-            if (members.size() >= tuning.most() || claim.status().over()) {
+            if (members.size() >= tuning.maxMembers() || claim.status().isTerminal()) {
                 return;
             }
             h = new Held();
@@ -447,11 +461,11 @@
         if (claim.status() == MemberStatus.SUSPECT) {
             h.suspectedAt = nowMillis;
             h.suspectedBy.add(claim.by());
-            h.suspectUntil = nowMillis + tuning.suspicionMost();
+            h.suspectUntil = nowMillis + tuning.maxSuspicionMillis();
         }
-        riding.put(claim.name(), new Riding(claim));
+        piggybackQueueSize.put(claim.name(), new Riding(claim));
         news = true;
-        out.changed(nowMillis, before, claim);
+        out.memberChanged(nowMillis, before, claim);
     }
 
     private void count(MemberUpdate claim, int by) {
@@ -472,32 +486,33 @@
             double part = Math.log(h.suspectedBy.size()) / Math.log(tuning.confirmations() + 1);
             double time =
                     Math.max(
-                            tuning.suspicionLeast(),
-                            tuning.suspicionMost()
-                                    - (tuning.suspicionMost() - tuning.suspicionLeast()) * part);
+                            tuning.minSuspicionMillis(),
+                            tuning.maxSuspicionMillis()
+                                    - (tuning.maxSuspicionMillis() - tuning.minSuspicionMillis())
+                                            * part);
             h.suspectUntil = Math.min(h.suspectUntil, h.suspectedAt + time);
-            riding.put(claim.name(), new Riding(claim));
+            piggybackQueueSize.put(claim.name(), new Riding(claim));
         }
     }
 
     private void ofMyself(double nowMillis, MemberUpdate claim) {
-        boolean mine = claim.version().sameStay(self.version());
-        if (mine && claim.status().over()) {
+        boolean mine = claim.incarnation().sameMembership(self.incarnation());
+        if (mine && claim.status().isTerminal()) {
             // Declared dead, and alive: that stay is over, another begins.
-            rise(nowMillis, self.version().rising(claim.version().era()));
+            rise(nowMillis, self.incarnation().rising(claim.incarnation().restart()));
             worsen(1);
         } else if (mine
                 && claim.status() == MemberStatus.SUSPECT
-                && claim.version().incarnation() >= self.version().incarnation()) {
-            rise(nowMillis, self.version().refuting(claim.version().incarnation()));
+                && claim.incarnation().refutation() >= self.incarnation().refutation()) {
+            rise(nowMillis, self.incarnation().refuting(claim.incarnation().refutation()));
             worsen(1);
-        } else if (claim.version().life() == self.version().life()
-                && claim.version().era() > self.version().era()) {
-            rise(nowMillis, self.version().rising(claim.version().era()));
+        } else if (claim.incarnation().process() == self.incarnation().process()
+                && claim.incarnation().restart() > self.incarnation().restart()) {
+            rise(nowMillis, self.incarnation().rising(claim.incarnation().restart()));
         }
     }
 
-    private void rise(double nowMillis, Incarnation version) {
+    private void rise(double nowMillis, MemberIncarnation version) {
         MemberUpdate before = self;
         self =
                 new MemberUpdate(
@@ -508,9 +523,9 @@
                         MemberStatus.ALIVE,
                         self.name());
         selfSince = nowMillis;
-        riding.put(self.name(), new Riding(self));
+        piggybackQueueSize.put(self.name(), new Riding(self));
         news = true;
-        out.changed(nowMillis, before, self);
+        out.memberChanged(nowMillis, before, self);
     }
 
     private List<MemberUpdate> ride() {
@@ -522,21 +537,22 @@
      * itself.
      */
     private List<MemberUpdate> rideWith(MemberUpdate first) {
-        int most = tuning.repeats() * (int) Math.ceil(Math.log(members.size() + 2) / LN2);
+        int most =
+                tuning.retransmitMultiplier() * (int) Math.ceil(Math.log(members.size() + 2) / LN2);
         List<MemberUpdate> picked = new ArrayList<>();
         if (first != null && first.status() == MemberStatus.SUSPECT) {
             picked.add(first);
         }
-        walked += 2L * riding.size();
-        riding.values().stream()
+        visitedEntries += 2L * piggybackQueueSize.size();
+        piggybackQueueSize.values().stream()
                 .sorted(Comparator.comparingInt(r -> r.sent))
-                .limit(tuning.riding())
+                .limit(tuning.maxPiggybackedUpdates())
                 .forEach(
                         r -> {
                             r.sent++;
                             picked.add(r.claim);
                         });
-        riding.values().removeIf(r -> r.sent >= most);
+        piggybackQueueSize.values().removeIf(r -> r.sent >= most);
         return picked;
     }
 
@@ -546,23 +562,23 @@
     public void leave(double nowMillis) {
         MemberUpdate before = self;
         self = self.as(MemberStatus.LEFT, self.name());
-        riding.put(self.name(), new Riding(self));
-        for (Held h : pick(2 * tuning.indirect(), "", false)) {
+        piggybackQueueSize.put(self.name(), new Riding(self));
+        for (Held h : pick(2 * tuning.indirectProbes(), "", false)) {
             out.send(h.claim.address(), new Message.Ping(++numbers, ride()));
         }
         left = true;
-        out.changed(nowMillis, before, self);
+        out.memberChanged(nowMillis, before, self);
     }
 
     /** What is held of a member, and for how long, in ms. */
-    public record Line(MemberUpdate claim, double since) {}
+    public record MemberEntry(MemberUpdate update, double sinceMillis) {}
 
     /** All that is held, itself first, the others by name. */
-    public List<Line> lines(double nowMillis) {
-        List<Line> lines = new ArrayList<>();
-        members.values().forEach(h -> lines.add(new Line(h.claim, nowMillis - h.since)));
-        lines.sort(Comparator.comparing(l -> l.claim.name()));
-        lines.add(0, new Line(self, nowMillis - selfSince));
+    public List<MemberEntry> entries(double nowMillis) {
+        List<MemberEntry> lines = new ArrayList<>();
+        members.values().forEach(h -> lines.add(new MemberEntry(h.claim, nowMillis - h.since)));
+        lines.sort(Comparator.comparing(l -> l.update.name()));
+        lines.add(0, new MemberEntry(self, nowMillis - selfSince));
         return lines;
     }
 
@@ -577,7 +593,7 @@
     }
 
     /** What is held of a member, or null. */
-    public MemberUpdate of(String name) {
+    public MemberUpdate member(String name) {
         Held h = members.get(name);
         return h == null ? null : h.claim;
     }
@@ -586,29 +602,29 @@
      * Entries that were walked so far, of what is held and of what is told on: what the size of a
      * fleet costs, counted.
      */
-    public long walked() {
-        return walked;
+    public long visitedEntries() {
+        return visitedEntries;
     }
 
     /**
      * Claims that it still tells on: none in a fleet at rest, one for each member in a fleet that
      * has just met.
      */
-    public int riding() {
-        return riding.size();
+    public int piggybackQueueSize() {
+        return piggybackQueueSize.size();
     }
 
     /** How far this member doubts itself: 0 is not at all. */
-    public int health() {
-        return health;
+    public int healthPenalty() {
+        return healthPenalty;
     }
 
     /** Names of those that are held to be there, in no order. */
-    public Set<String> there() {
+    public Set<String> presentMembers() {
         Set<String> names = new LinkedHashSet<>();
         members.forEach(
                 (name, h) -> {
-                    if (!h.claim.status().over()) {
+                    if (!h.claim.status().isTerminal()) {
                         names.add(name);
                     }
                 });
--- a/src/main/java/tinroad/fleet/MembershipConfig.java
+++ b/src/main/java/tinroad/fleet/MembershipConfig.java
@@ -23,23 +23,23 @@
  * @param most members that are known at most
  */
 public record MembershipConfig(
-        double period,
-        double timeout,
-        int indirect,
-        double suspicionLeast,
-        double suspicionMost,
+        double probePeriodMillis,
+        double probeTimeoutMillis,
+        int indirectProbes,
+        double minSuspicionMillis,
+        double maxSuspicionMillis,
         int confirmations,
-        int health,
-        int spread,
-        double pause,
-        int repeats,
-        int riding,
-        double sync,
-        double cutPart,
-        int cutLeast,
-        double cutKept,
-        double kept,
-        int most) {
+        int maxHealthPenalty,
+        int gossipFanout,
+        double gossipPauseMillis,
+        int retransmitMultiplier,
+        int maxPiggybackedUpdates,
+        double syncPeriodMillis,
+        double partitionShare,
+        int partitionMinMembers,
+        double partitionWaitMillis,
+        double terminalRetentionMillis,
+        int maxMembers) {
     /**
      * Probes four times a second; a member may stand still for two seconds and is not taken for
      * dead.
@@ -50,7 +50,7 @@
                     2000);
 
     /** SWIM as of 2002: fixed suspicion, no own health, no negative answers. */
-    public static final MembershipConfig PLAIN =
+    public static final MembershipConfig SWIM_2002 =
             new MembershipConfig(
                     250, 90, 4, 2300, 2300, 2, 0, 3, 100, 2, 18, 1000, 2, 3, 0, 60_000, 2000);
 }
--- a/src/main/java/tinroad/fleet/MembershipView.java
+++ b/src/main/java/tinroad/fleet/MembershipView.java
@@ -15,7 +15,7 @@
  */
 public final class MembershipView {
     /** A value, and how old it is. */
-    public record Fresh(String name, double value, double age) {}
+    public record FreshValue(String name, double value, double ageMillis) {}
 
     private record Held(LoadDigest digest, double saidAt) {}
 
@@ -39,7 +39,9 @@
         }
         // Never from the future: an age that somebody made up makes it no younger than it can be.
         return new MembershipView(
-                held.plus(digest.name(), new Held(digest, nowMillis - Math.max(0, digest.age()))),
+                held.plus(
+                        digest.name(),
+                        new Held(digest, nowMillis - Math.max(0, digest.ageMillis()))),
                 most);
     }
 
@@ -52,18 +54,18 @@
      * What this member said of this kind, where that is no older than {@code maxAge}; else null,
      * and the reader goes on alone.
      */
-    public Fresh fresh(double nowMillis, String name, LoadDigest.Kind kind, double maxAge) {
+    public FreshValue fresh(double nowMillis, String name, LoadDigest.Kind kind, double maxAge) {
         Held h = held.get(name);
         Double value = h == null ? null : h.digest.values().get(kind);
         double age = h == null ? 0 : Math.max(0, nowMillis - h.saidAt);
-        return value == null || age > maxAge ? null : new Fresh(name, value, age);
+        return value == null || age > maxAge ? null : new FreshValue(name, value, age);
     }
 
     /** The same of all members, those left out of whom nothing so young is known. */
-    public List<Fresh> fresh(double nowMillis, LoadDigest.Kind kind, double maxAge) {
-        List<Fresh> all = new ArrayList<>();
+    public List<FreshValue> fresh(double nowMillis, LoadDigest.Kind kind, double maxAge) {
+        List<FreshValue> all = new ArrayList<>();
         for (String name : held.keySet()) {
-            Fresh f = fresh(nowMillis, name, kind, maxAge);
+            FreshValue f = fresh(nowMillis, name, kind, maxAge);
             if (f != null) {
                 all.add(f);
             }
@@ -72,13 +74,13 @@
     }
 
     /** A digest to pass on, with its age as it is now; null where nothing is known. */
-    public LoadDigest pass(double nowMillis, String name) {
+    public LoadDigest relayDigest(double nowMillis, String name) {
         Held h = held.get(name);
         return h == null
                 ? null
                 : new LoadDigest(
                         name,
-                        h.digest.version(),
+                        h.digest.incarnation(),
                         h.digest.number(),
                         Math.max(0, nowMillis - h.saidAt),
                         h.digest.values());
@@ -98,8 +100,9 @@
                                     Held o = other.held.get(e.getKey());
                                     return o != null
                                             && o.digest
-                                                    .version()
-                                                    .sameStay(e.getValue().digest.version())
+                                                    .incarnation()
+                                                    .sameMembership(
+                                                            e.getValue().digest.incarnation())
                                             && o.digest.number() == e.getValue().digest.number();
                                 });
     }
@@ -107,7 +110,7 @@
     /** All that is held, by name, for operators. */
     public Map<String, LoadDigest> digests(double nowMillis) {
         Map<String, LoadDigest> all = new TreeMap<>();
-        held.keySet().forEach(name -> all.put(name, pass(nowMillis, name)));
+        held.keySet().forEach(name -> all.put(name, relayDigest(nowMillis, name)));
         return all;
     }
 }
--- a/src/main/java/tinroad/gossip/MessageCodec.java
+++ b/src/main/java/tinroad/gossip/MessageCodec.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberIncarnation;
 import tinroad.fleet.MemberStatus;
 import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Message;
@@ -27,7 +27,7 @@
  */
 public final class MessageCodec {
     /** Longest datagram, in bytes: fits any path without being split. */
-    public static final int LONGEST = 1200;
+    public static final int MAX_DATAGRAM_BYTES = 1200;
 
     private static final byte FORMAT = 1;
     private static final int MAC = 16;
@@ -59,9 +59,9 @@
      * again.
      */
     public byte[] write(Message message) {
-        int claims = message.claims().size();
+        int claims = message.updates().size();
         byte[] all = write(message, claims);
-        while (all.length > LONGEST && claims > 0) {
+        while (all.length > MAX_DATAGRAM_BYTES && claims > 0) {
             claims -= Math.max(1, claims / 8);
             all = write(message, claims);
         }
@@ -79,20 +79,20 @@
                 head(to, "ack", a.number(), null);
             } else if (message instanceof Message.Nack n) {
                 head(to, "nack", n.number(), null);
-            } else if (message instanceof Message.Ask a) {
+            } else if (message instanceof Message.PingRequest a) {
                 head(to, "ask", a.number(), a.address());
             } else if (message instanceof Message.Sync s) {
-                head(to, s.wants() ? "sync?" : "sync", 0, null);
+                head(to, s.replyWanted() ? "sync?" : "sync", 0, null);
             }
             to.writeStartArray();
-            for (MemberUpdate c : message.claims().subList(0, claims)) {
+            for (MemberUpdate c : message.updates().subList(0, claims)) {
                 to.writeStartArray();
                 to.writeString(c.name());
                 to.writeString(c.address());
                 to.writeString(c.zone());
-                to.writeNumber(c.version().life());
-                to.writeNumber(c.version().era());
-                to.writeNumber(c.version().incarnation());
+                to.writeNumber(c.incarnation().process());
+                to.writeNumber(c.incarnation().restart());
+                to.writeNumber(c.incarnation().refutation());
                 to.writeNumber(c.status().ordinal());
                 to.writeString(c.by());
                 to.writeEndArray();
@@ -122,7 +122,10 @@
      */
     public Message read(byte[] all) {
         int length = all.length - MAC;
-        if (length < 2 || all.length > LONGEST || all[0] != FORMAT || !signed(all, length)) {
+        if (length < 2
+                || all.length > MAX_DATAGRAM_BYTES
+                || all[0] != FORMAT
+                || !signed(all, length)) {
             return null;
         }
         try (JsonParser in = CBOR.createParser(all, 1, length - 1)) {
@@ -154,7 +157,7 @@
             String name = text(in);
             String at = text(in);
             String zone = text(in);
-            Incarnation version = new Incarnation(number(in), small(in), small(in));
+            MemberIncarnation version = new MemberIncarnation(number(in), small(in), small(in));
             int status = small(in);
             String by = text(in);
             // A later version may say more of a claim, or know a status that this one does not:
@@ -172,7 +175,7 @@
             case "ping" -> new Message.Ping(number, claims);
             case "ack" -> new Message.Ack(number, claims);
             case "nack" -> new Message.Nack(number, claims);
-            case "ask" -> new Message.Ask(number, address, claims);
+            case "ask" -> new Message.PingRequest(number, address, claims);
             case "sync" -> new Message.Sync(false, claims);
             case "sync?" -> new Message.Sync(true, claims);
             default -> null;
--- a/src/main/java/tinroad/gossip/UdpTransport.java
+++ b/src/main/java/tinroad/gossip/UdpTransport.java
@@ -23,7 +23,7 @@
 import java.util.function.DoubleSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberIncarnation;
 import tinroad.fleet.MemberStatus;
 import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Membership;
@@ -34,7 +34,7 @@
  * Brings a membership's messages over UDP, on the event loop; bounded in what it sends and reads,
  * whatever comes in.
  */
-public final class UdpTransport implements Membership.Out {
+public final class UdpTransport implements Membership.Transport {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
     private static final long TICK_MS = 20;
 
@@ -109,7 +109,7 @@
                                         name,
                                         text((InetSocketAddress) channel.localAddress()),
                                         zone,
-                                        new Incarnation(life, 0, 0),
+                                        new MemberIncarnation(life, 0, 0),
                                         MemberStatus.ALIVE,
                                         name);
                         membership =
@@ -148,9 +148,9 @@
         }
         guarded(() -> membership.tick(nowMillis));
         // Told at most every few seconds: at the edge of it both follow each other quickly.
-        if (membership.cut() != cut && nowMillis - cutToldAt >= CUT_TOLD) {
+        if (membership.suspectsPartition() != cut && nowMillis - cutToldAt >= CUT_TOLD) {
             cutToldAt = nowMillis;
-            cut = membership.cut();
+            cut = membership.suspectsPartition();
             LOG.warn(
                     cut
                             ? "many are silent together: a cut, or a restart of many"
@@ -162,7 +162,7 @@
         // Guards the loop: what comes beyond this is not even checked.
         if (membership == null
                 || ++read > MOST_READ
-                || packet.content().readableBytes() > MessageCodec.LONGEST) {
+                || packet.content().readableBytes() > MessageCodec.MAX_DATAGRAM_BYTES) {
             return;
         }
         Message message = datagrams.read(ByteBufUtil.getBytes(packet.content()));
@@ -214,19 +214,19 @@
     }
 
     @Override
-    public void changed(double nowMillis, MemberUpdate before, MemberUpdate after) {
+    public void memberChanged(double nowMillis, MemberUpdate before, MemberUpdate after) {
         if (after.name().equals(membership.self().name())) {
-            LOG.debug("of itself: {} {}", after.status(), after.version());
-        } else if (after.status().over()) {
+            LOG.debug("of itself: {} {}", after.status(), after.incarnation());
+        } else if (after.status().isTerminal()) {
             LOG.info(
                     "{} {}, says {}",
                     after.name(),
                     after.status() == MemberStatus.LEFT ? "left" : "is dead",
                     after.by());
         } else if (before == null) {
-            LOG.info("{} joined, life {}", after.name(), after.version().life());
-        } else if (!after.version().sameStay(before.version())) {
-            LOG.info("{} is back, life {}", after.name(), after.version().life());
+            LOG.info("{} joined, life {}", after.name(), after.incarnation().process());
+        } else if (!after.incarnation().sameMembership(before.incarnation())) {
+            LOG.info("{} is back, life {}", after.name(), after.incarnation().process());
         } else {
             LOG.debug("{} {} by {}", after.name(), after.status(), after.by());
         }
--- a/src/main/java/tinroad/lab/scale/Hollow.java
+++ b/src/main/java/tinroad/lab/scale/Hollow.java
@@ -114,7 +114,7 @@
 
     /** Looks whether to read its settings again, as it does four times a second; off the loop. */
     void watch() {
-        if (rereads.due(clock.nowMillis(), engine == null || engine.reached())) {
+        if (rereads.due(clock.nowMillis(), engine == null || engine.engineReachable())) {
             reread(took -> {});
         }
     }
@@ -139,35 +139,36 @@
     /** What of the settings comes in force in a gateway's control side. */
     private void apply(GatewayConfig next) {
         config = next;
-        roster.move(next.roster());
+        roster.switchEndpoint(next.roster());
         if (engine != null) {
-            engine.move(next.engine());
+            engine.switchEndpoint(next.engine());
         }
     }
 
     /** It falls silent for good. */
     void die() {
         wire.mute();
-        roster.silence();
+        roster.stopReporting();
     }
 
     boolean holdsDead(String name) {
-        MemberUpdate claim = carrier.membership() == null ? null : carrier.membership().of(name);
-        return claim != null && claim.status().over();
+        MemberUpdate claim =
+                carrier.membership() == null ? null : carrier.membership().member(name);
+        return claim != null && claim.status().isTerminal();
     }
 
     /** How many others it holds to be there. */
     int known() {
-        return carrier.membership() == null ? 0 : carrier.membership().there().size();
+        return carrier.membership() == null ? 0 : carrier.membership().presentMembers().size();
     }
 
     long walked() {
-        return carrier.membership() == null ? 0 : carrier.membership().walked();
+        return carrier.membership() == null ? 0 : carrier.membership().visitedEntries();
     }
 
     /** Claims that it still tells on. */
     int riding() {
-        return carrier.membership() == null ? 0 : carrier.membership().riding();
+        return carrier.membership() == null ? 0 : carrier.membership().piggybackQueueSize();
     }
 
     ZoneWire wire() {
--- a/src/main/java/tinroad/node/CatalogUpdater.java
+++ b/src/main/java/tinroad/node/CatalogUpdater.java
@@ -69,8 +69,8 @@
         loop.execute(
                 () ->
                         gateway.onSlotsFree(
-                                places -> free(places, editor::routeFree),
-                                places -> free(places, editor::tenantFree)));
+                                places -> free(places, editor::releaseClassSlot),
+                                places -> free(places, editor::releaseTenantSlot)));
     }
 
     /** Begins to look into the log, and does again {@code poll} ms after each look. */
@@ -83,13 +83,13 @@
         try {
             boolean more = true;
             while (more) {
-                ChangeLogFollower.Step step = follower.step(editor);
-                if (follower.trouble() != null) {
-                    tell(step.line());
-                } else if (step.line() != null) {
-                    LOG.info("{}", step.line());
+                ChangeLogFollower.PollResult step = follower.poll(editor);
+                if (follower.lastProblem() != null) {
+                    tell(step.logLine());
+                } else if (step.logLine() != null) {
+                    LOG.info("{}", step.logLine());
                 }
-                more = step.taken() != null && bring(step.taken());
+                more = step.applied() != null && bring(step.applied());
             }
         } catch (RuntimeException e) {
             // Guards the looks to come, which an exception would end.
@@ -138,11 +138,11 @@
                 () -> {
                     FullSnapshotDiff whole = new FullSnapshotDiff(editor.current());
                     GatewayConfig config = source.read(whole);
-                    CatalogBuilder.Outcome.Taken taken;
+                    CatalogBuilder.ChangeResult.Applied taken;
                     if (follower != null) {
-                        ChangeLogFollower.Step step = follower.whole(editor, whole);
-                        tell(asked ? step.line() : null);
-                        taken = step.taken();
+                        ChangeLogFollower.PollResult step = follower.applyFile(editor, whole);
+                        tell(asked ? step.logLine() : null);
+                        taken = step.applied();
                     } else {
                         taken = offer(change(whole));
                     }
@@ -154,18 +154,18 @@
     }
 
     /** Null where nothing differs. */
-    private CatalogBuilder.Outcome.Taken offer(CatalogChange change) throws ConfigException {
+    private CatalogBuilder.ChangeResult.Applied offer(CatalogChange change) throws ConfigException {
         if (change.size() == 0) {
             return null;
         }
-        CatalogBuilder.Outcome outcome = editor.offerWhole(change);
-        if (outcome instanceof CatalogBuilder.Outcome.Taken taken) {
+        CatalogBuilder.ChangeResult outcome = editor.applyFullSnapshot(change);
+        if (outcome instanceof CatalogBuilder.ChangeResult.Applied taken) {
             return taken;
         }
         throw new ConfigException(
-                outcome instanceof CatalogBuilder.Outcome.Refused refused
-                        ? String.join("\n", refused.faults())
-                        : ChangeLogFollower.line(change, outcome));
+                outcome instanceof CatalogBuilder.ChangeResult.Rejected refused
+                        ? String.join("\n", refused.errors())
+                        : ChangeLogFollower.describe(change, outcome));
     }
 
     private CatalogChange change(FullSnapshotDiff whole) {
@@ -191,7 +191,7 @@
     }
 
     /** Hands the gateway a version, and waits until it is in force; false where it never is. */
-    private boolean bring(CatalogBuilder.Outcome.Taken taken) {
+    private boolean bring(CatalogBuilder.ChangeResult.Applied taken) {
         Catalog next = taken.next();
         CatalogDelta delta = taken.delta();
         CompletableFuture<Boolean> end = new CompletableFuture<>();
--- a/src/main/java/tinroad/node/GatewayNode.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -142,10 +142,10 @@
             CatalogSettings catalogSettings) {
         this.config = config;
         remembering =
-                state.lasts()
+                state.enabled()
                         ? StatePersistence.open(state, config.name(), clock.nowMillis())
                         : null;
-        saveEvery = state.every();
+        saveEvery = state.savePeriodMillis();
         engineAt = config.engine();
         rosterAt = config.roster();
         succession = new ListenerHandover(directory, config.name());
@@ -183,7 +183,7 @@
         gateway.addFrontend(front);
         this.fleetSettings = fleetSettings;
         fleet =
-                fleetSettings.speaks()
+                fleetSettings.enabled()
                         ? new UdpTransport(
                                 loop,
                                 fleetSettings.listen(),
@@ -207,9 +207,11 @@
         }
         RestoredState memory = remembering == null ? RestoredState.NONE : remembering.memory();
         return new ChangeLogFollower(
-                new ChangeLogStore(set.log(), ChangeLogStore.KEEP),
+                new ChangeLogStore(set.log(), ChangeLogStore.DEFAULT_KEPT_CHANGES),
                 "change log " + set.log(),
-                memory.epoch() > 0 ? new LogPosition(memory.epoch(), memory.number()) : null);
+                memory.catalogEpoch() > 0
+                        ? new LogPosition(memory.catalogEpoch(), memory.catalogNumber())
+                        : null);
     }
 
     private void save() {
@@ -230,7 +232,7 @@
     }
 
     /** Has the virtual machine see its work before any caller does; blocks until then. */
-    public void rehearse() throws InterruptedException {
+    public void warmUpJit() throws InterruptedException {
         LOG.debug("rehearsing");
         loop.submit(() -> new JitWarmup(config.site()).play()).await();
     }
@@ -247,7 +249,7 @@
                     config.control());
         }
         if (follower != null) {
-            updates().follow(catalogSettings.poll());
+            updates().follow(catalogSettings.pollMillis());
         }
         // Guards the requests that come while a new version starts: until it takes work, all go to
         // the old one.
@@ -370,8 +372,8 @@
                                     "configuration read again: engine {}, roster {}",
                                     next.engine(),
                                     next.roster());
-                    engine.move(next.engine());
-                    roster.move(next.roster());
+                    engine.switchEndpoint(next.engine());
+                    roster.switchEndpoint(next.roster());
                 });
     }
 
@@ -379,7 +381,7 @@
      * Leaves: answers all that was read, then ends. Blocks its caller, the thread that the notice
      * comes on. A process that was replaced leaves at once, and quietly: the gateway itself stays.
      */
-    public void leave() {
+    public void shutDownGracefully() {
         double noticedAt = Math.min(clock.nowMillis(), gateway.lastSeenAliveMillis());
         if (begun.compareAndSet(Begun.NEITHER, Begun.LEAVING)) {
             // Guards against a wait for the rehearsal, or for the engine: nobody has asked for
@@ -394,7 +396,7 @@
                     if (replaced) {
                         LOG.info("replaced by another process");
                         gateway.markReplaced();
-                        roster.silence();
+                        roster.stopReporting();
                         front.closeGracefully();
                         endOnceEmpty();
                     }
@@ -458,7 +460,7 @@
 
     private void watch(ConfigSource source) {
         share(succession.shared());
-        if (rereads.due(clock.nowMillis(), engine.reached()) && source.changed()) {
+        if (rereads.due(clock.nowMillis(), engine.engineReachable()) && source.changed()) {
             try {
                 CatalogUpdater.Reread next = reread(source, false);
                 boolean moved =
--- a/src/main/java/tinroad/node/StatePersistence.java
+++ b/src/main/java/tinroad/node/StatePersistence.java
@@ -35,21 +35,21 @@
      * nothing lasts.
      */
     static StatePersistence open(StateSettings set, String name, double nowMillis) {
-        SnapshotStore folder = new SnapshotStore(set.folder(), set.fence(), set.keep());
+        SnapshotStore folder = new SnapshotStore(set.folder(), set.fence(), set.keptSnapshots());
         try {
             SnapshotSelector.Decision d =
-                    SnapshotSelector.decide(
+                    SnapshotSelector.select(
                             folder.candidates(),
                             name,
                             nowMillis,
-                            set.oldest(),
-                            folder.knownLife(),
-                            folder.fenceLife());
-            long life = folder.claim(d.lastLife());
-            d.setAside().forEach(text -> LOG.warn("set aside: {}", text));
+                            set.maxAgeMillis(),
+                            folder.latestMarkedIncarnation(),
+                            folder.fencedIncarnation());
+            long life = folder.claimIncarnation(d.lastIncarnation());
+            d.rejectedFiles().forEach(text -> LOG.warn("set aside: {}", text));
             LOG.info("life {} begins {}", life, words(d, nowMillis));
             return new StatePersistence(
-                    new StateRestorer(name, d, life, set.oldest(), set.halfLife()),
+                    new StateRestorer(name, d, life, set.maxAgeMillis(), set.halfLifeMillis()),
                     new SnapshotWriter(folder));
         } catch (IOException e) {
             LOG.warn("state can't be used, nothing lasts: {}", e.toString());
@@ -59,7 +59,7 @@
 
     private static String words(SnapshotSelector.Decision d, double nowMillis) {
         Snapshot s = d.snapshot();
-        return switch (d.begin()) {
+        return switch (d.startMode()) {
             case WARM ->
                     "with life "
                             + s.incarnation()
@@ -81,7 +81,7 @@
         // Before its engine was there it knows nothing, and what an earlier life left stays.
         if (saver != null && !values.isEmpty()) {
             saver.offer(
-                    remembrance.leaves(
+                    remembrance.toSnapshot(
                             gateway.nowMillis(),
                             values,
                             gateway.executedIds(),
--- a/src/main/java/tinroad/operator/CatalogSettings.java
+++ b/src/main/java/tinroad/operator/CatalogSettings.java
@@ -10,7 +10,7 @@
  * @param log folder of a change log that is followed, or null
  * @param poll ms between two looks into it
  */
-public record CatalogSettings(boolean onReload, Path log, double poll) {
+public record CatalogSettings(boolean onReload, Path log, double pollMillis) {
     /**
      * What holds without an operator file; {@code defaults.conf} says the same to one that leaves
      * it out.
--- a/src/main/java/tinroad/operator/FleetSettings.java
+++ b/src/main/java/tinroad/operator/FleetSettings.java
@@ -26,7 +26,7 @@
     private static final int MOST = 2;
 
     /** Whether it speaks with others. */
-    public boolean speaks() {
+    public boolean enabled() {
         return listen != null;
     }
 
--- a/src/main/java/tinroad/operator/LogSettings.java
+++ b/src/main/java/tinroad/operator/LogSettings.java
@@ -13,4 +13,4 @@
  * @param flush ms that the last lines are given at the end
  */
 public record LogSettings(
-        boolean json, String level, Map<String, String> levels, int queue, double flush) {}
+        boolean json, String level, Map<String, String> levels, int queue, double flushMillis) {}
--- a/src/main/java/tinroad/operator/StateSettings.java
+++ b/src/main/java/tinroad/operator/StateSettings.java
@@ -14,12 +14,17 @@
  * @param halfLife ms in which half of what was learned fades
  */
 public record StateSettings(
-        Path folder, Path fence, double every, int keep, double oldest, double halfLife) {
+        Path folder,
+        Path fence,
+        double savePeriodMillis,
+        int keptSnapshots,
+        double maxAgeMillis,
+        double halfLifeMillis) {
     /** Nothing lasts: what holds without an operator file. */
     public static final StateSettings NONE = new StateSettings(null, null, 0, 0, 0, 0);
 
     /** Whether anything lasts. */
-    public boolean lasts() {
+    public boolean enabled() {
         return folder != null;
     }
 }
--- a/src/main/java/tinroad/recovery/ConfigReloadBackoff.java
+++ b/src/main/java/tinroad/recovery/ConfigReloadBackoff.java
@@ -14,13 +14,13 @@
      * So long, in ms, the engine is away before the first reading: links break and come back all
      * the time.
      */
-    public static final double FIRST = 1000;
+    public static final double FIRST_MILLIS = 1000;
 
     /** The first reading is spread over this time, in ms. */
-    public static final double SPREAD = 500;
+    public static final double SPREAD_MILLIS = 500;
 
     /** The longest time between two readings, in ms. */
-    public static final double CAP = 8000;
+    public static final double CAP_MILLIS = 8000;
 
     private final SplittableRandom random;
     private final DecorrelatedJitterBackoff gaps;
@@ -30,7 +30,7 @@
     /** Readings out of step with those of any other name or seed. */
     public ConfigReloadBackoff(String name, long seed) {
         random = SeededRandom.of(name, seed);
-        gaps = new DecorrelatedJitterBackoff(name, seed, FIRST, CAP);
+        gaps = new DecorrelatedJitterBackoff(name, seed, FIRST_MILLIS, CAP_MILLIS);
     }
 
     /**
@@ -44,13 +44,13 @@
         }
         if (!gone) {
             gone = true;
-            gaps.alive();
-            nextAt = nowMillis + FIRST + random.nextDouble(SPREAD);
+            gaps.reset();
+            nextAt = nowMillis + FIRST_MILLIS + random.nextDouble(SPREAD_MILLIS);
         }
         if (nowMillis < nextAt) {
             return false;
         }
-        nextAt = nowMillis + gaps.next();
+        nextAt = nowMillis + gaps.nextMillis();
         return true;
     }
 }
--- a/src/main/java/tinroad/recovery/DecorrelatedJitterBackoff.java
+++ b/src/main/java/tinroad/recovery/DecorrelatedJitterBackoff.java
@@ -26,13 +26,13 @@
     }
 
     /** How long to wait before the next attempt. */
-    public double next() {
+    public double nextMillis() {
         gap = Math.min(cap, random.nextDouble(first, Math.max(GROWTH * gap, Math.nextUp(first))));
         return gap;
     }
 
     /** The other side has proven that it lives, or another address is tried. */
-    public void alive() {
+    public void reset() {
         gap = first;
     }
 }
--- a/src/main/java/tinroad/recovery/JitteredInterval.java
+++ b/src/main/java/tinroad/recovery/JitteredInterval.java
@@ -19,7 +19,7 @@
     }
 
     /** How long to wait until the next time. */
-    public double next() {
+    public double nextMillis() {
         return period * (1 + spread * random.nextDouble(-1, 1));
     }
 }
--- a/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
+++ b/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
@@ -26,9 +26,9 @@
     private SlowStart ramp;
     private Phase phase = Phase.STARTING;
     private double since;
-    private double fullAfter = Double.NaN;
+    private double fullAfterMillis = Double.NaN;
     private double engineAt;
-    private String why = "the engine was never there";
+    private String reason = "the engine was never there";
 
     /**
      * A life that begins at {@code now}.
@@ -48,7 +48,7 @@
      * What a run is expected to take by what is told now: an engine that is watched from now on is
      * judged by it.
      */
-    public void usualRun(double ms) {
+    public void setExpectedRunMillis(double ms) {
         usualRun = ms;
     }
 
@@ -56,7 +56,7 @@
      * The engine is there; {@code started} is whether that is a start of it which this gateway has
      * not seen yet.
      */
-    public void engine(double nowMillis, boolean started) {
+    public void engineAttached(double nowMillis, boolean started) {
         if (phase == Phase.DRAINING || (phase != Phase.STARTING && !started)) {
             return;
         }
@@ -69,7 +69,7 @@
                     started ? "the engine has started" : "what was remembered is not believed");
         } else {
             ramp = null;
-            fullAfter = 0;
+            fullAfterMillis = 0;
             become(Phase.FULL, nowMillis, "the engine was up all the time");
         }
     }
@@ -79,20 +79,20 @@
             phase = next;
             since = nowMillis;
         }
-        why = reason;
+        this.reason = reason;
     }
 
     /** A request came, and was taken in or turned away. */
-    public void asked(boolean in) {
+    public void requestArrived(boolean in) {
         if (ramp != null) {
-            ramp.asked(in);
+            ramp.requestArrived(in);
         }
     }
 
     /** A run ended after {@code took}, where its class is expected to take {@code usual}. */
-    public void ended(double nowMillis, double took, double usual) {
+    public void runCompleted(double nowMillis, double took, double usual) {
         if (ramp != null) {
-            ramp.ended(nowMillis, took, usual);
+            ramp.runCompleted(nowMillis, took, usual);
             follow(nowMillis);
         }
     }
@@ -110,18 +110,18 @@
             return;
         }
         switch (ramp.phase()) {
-            case COLD -> why = ramp.why();
-            case RAMPING -> become(Phase.RAMPING, nowMillis, ramp.why());
+            case COLD -> reason = ramp.reason();
+            case RAMPING -> become(Phase.RAMPING, nowMillis, ramp.reason());
             default -> {
-                fullAfter = nowMillis - engineAt;
-                become(Phase.FULL, nowMillis, ramp.why());
+                fullAfterMillis = nowMillis - engineAt;
+                become(Phase.FULL, nowMillis, ramp.reason());
                 ramp = null;
             }
         }
     }
 
     /** The notice to leave has come. */
-    public void draining(double nowMillis) {
+    public void drainingBegan(double nowMillis) {
         ramp = null;
         become(Phase.DRAINING, nowMillis, "told to leave");
     }
@@ -140,20 +140,20 @@
      * What the watched engine has shown itself good for, in requests a second; NaN while none is
      * watched.
      */
-    public double shown() {
-        return ramp == null ? Double.NaN : ramp.bound();
+    public double demonstratedRatePerSecond() {
+        return ramp == null ? Double.NaN : ramp.ratePerSecondLimit();
     }
 
     /**
      * Time from the engine's last start to the end of the watch; 0 where there was none, NaN while
      * it is not over.
      */
-    public double fullAfter() {
-        return phase == Phase.COLD || phase == Phase.RAMPING ? Double.NaN : fullAfter;
+    public double fullAfterMillis() {
+        return phase == Phase.COLD || phase == Phase.RAMPING ? Double.NaN : fullAfterMillis;
     }
 
     /** Why it stands there, for operators. */
-    public String why() {
-        return why;
+    public String reason() {
+        return reason;
     }
 }
--- a/src/main/java/tinroad/recovery/RestoredState.java
+++ b/src/main/java/tinroad/recovery/RestoredState.java
@@ -30,12 +30,12 @@
     boolean evacuated();
 
     /** Epoch of the catalog of classes and tenants that was in force; 0 where none was told. */
-    default long epoch() {
+    default long catalogEpoch() {
         return 0;
     }
 
     /** Its version within the epoch. */
-    default long number() {
+    default long catalogNumber() {
         return 0;
     }
 
@@ -43,7 +43,7 @@
     long incarnation();
 
     /** How the life began, for operators. */
-    String begins();
+    String startMode();
 
     /**
      * Whether something was remembered and is not believed: then an engine that was up all the time
@@ -81,7 +81,7 @@
                 }
 
                 @Override
-                public String begins() {
+                public String startMode() {
                     return "nothing lasts here";
                 }
             };
--- a/src/main/java/tinroad/recovery/SlowStart.java
+++ b/src/main/java/tinroad/recovery/SlowStart.java
@@ -73,7 +73,7 @@
     private double best;
     private double bestAt;
     private int quiet;
-    private String why = "nothing has ended yet";
+    private String reason = "nothing has ended yet";
 
     /**
      * A ramp that begins at {@code now}.
@@ -89,13 +89,13 @@
     }
 
     /** A request came, and was taken in or turned away. */
-    public void asked(boolean in) {
+    public void requestArrived(boolean in) {
         taken += in ? 1 : 0;
         turnedAway += in ? 0 : 1;
     }
 
     /** A run ended after {@code took} ms, where its class usually takes {@code usual}. */
-    public void ended(double nowMillis, double took, double usual) {
+    public void runCompleted(double nowMillis, double took, double usual) {
         ends++;
         stretch += took / usual;
         if (phase == Phase.COLD) {
@@ -120,7 +120,7 @@
         if (ends == 0) {
             // Nothing ends: as little as at the start, until something does.
             rate = least;
-            why = "nothing ends";
+            reason = "nothing ends";
             quiet = 0;
         } else {
             measured(nowMillis, perSecond, stretch / ends, limits);
@@ -144,24 +144,24 @@
         endsBefore = perSecond;
         if (harm) {
             rate = Math.max(least, CUT * perSecond);
-            why =
+            reason =
                     "runs take "
                             + Math.round(10 * slow / quickest) / 10.0
                             + " times as long as the quickest";
             quiet = 0;
         } else if (limits) {
             rate = Math.max(rate, perSecond) * STEP;
-            why = "runs end, and the bound limits";
+            reason = "runs end, and the bound limits";
             quiet = 0;
         } else {
-            why = "the demand is under the bound";
+            reason = "the demand is under the bound";
             quiet++;
         }
         if (quiet >= QUIET) {
             phase = Phase.FULL;
         } else if (nowMillis - bestAt > PLATEAU && best > 0) {
             phase = Phase.FULL;
-            why = "more room brings no more ends";
+            reason = "more room brings no more ends";
         }
     }
 
@@ -171,12 +171,12 @@
     }
 
     /** What may be taken in a second; infinite once it is over. */
-    public double bound() {
+    public double ratePerSecondLimit() {
         return phase == Phase.FULL ? Double.POSITIVE_INFINITY : rate;
     }
 
     /** Why the bound is what it is, for operators. */
-    public String why() {
-        return why;
+    public String reason() {
+        return reason;
     }
 }
--- a/src/main/java/tinroad/recovery/StateRestorer.java
+++ b/src/main/java/tinroad/recovery/StateRestorer.java
@@ -20,7 +20,7 @@
 public final class StateRestorer implements RestoredState {
     private final String name;
     private final Snapshot before;
-    private final SnapshotSelector.Begin begin;
+    private final SnapshotSelector.StartMode begin;
     private final long life;
     private final double oldest;
     private final double halfLife;
@@ -45,13 +45,13 @@
         this.oldest = oldest;
         this.halfLife = halfLife;
         before = decision.snapshot();
-        begin = decision.begin();
+        begin = decision.startMode();
         provenance = new Provenance(life);
     }
 
     @Override
     public boolean distrustsState() {
-        return begin == SnapshotSelector.Begin.COLD;
+        return begin == SnapshotSelector.StartMode.COLD;
     }
 
     @Override
@@ -72,8 +72,8 @@
                                     what,
                                     new RestoredValue(
                                             new Estimate(aged.value(), aged.weight()),
-                                            aged.age(),
-                                            aged.life()));
+                                            aged.ageMillis(),
+                                            aged.incarnation()));
                         }
                     });
         }
@@ -96,13 +96,13 @@
     }
 
     @Override
-    public long epoch() {
-        return before == null ? 0 : before.epoch();
+    public long catalogEpoch() {
+        return before == null ? 0 : before.catalogEpoch();
     }
 
     @Override
-    public long number() {
-        return before == null ? 0 : before.number();
+    public long catalogNumber() {
+        return before == null ? 0 : before.catalogNumber();
     }
 
     @Override
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public String begins() {
+    public String startMode() {
         return begin.name().toLowerCase(Locale.ROOT);
     }
 
@@ -119,7 +119,7 @@
      * What this life leaves, as it stands now: learned values, ids that ran with their due times,
      * operators' word, its catalog.
      */
-    public Snapshot leaves(
+    public Snapshot toSnapshot(
             double nowMillis,
             Map<String, Estimate> values,
             Map<String, Double> ran,
@@ -140,13 +140,13 @@
 
     /** Guards the size of what is saved: of too many ids, those due last stay dangerous longest. */
     private static Map<String, Double> bounded(Map<String, Double> ran) {
-        if (ran.size() <= Snapshot.MOST_RAN) {
+        if (ran.size() <= Snapshot.MAX_EXECUTED_IDS) {
             return ran;
         }
         Map<String, Double> kept = new LinkedHashMap<>();
         ran.entrySet().stream()
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder()))
-                .limit(Snapshot.MOST_RAN)
+                .limit(Snapshot.MAX_EXECUTED_IDS)
                 .forEach(e -> kept.put(e.getKey(), e.getValue()));
         return kept;
     }
--- a/src/main/java/tinroad/simulation/MembersModel.java
+++ b/src/main/java/tinroad/simulation/MembersModel.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
-import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberIncarnation;
 import tinroad.fleet.MemberStatus;
 import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Membership;
@@ -33,11 +33,11 @@
     private static final int CLAIM = 56;
 
     /** One process of a member. */
-    private final class Node implements Membership.Out {
+    private final class Node implements Membership.Transport {
         private final int number;
         private final Membership membership;
         private final List<Runnable> missed = new ArrayList<>();
-        private final Map<String, Incarnation> highest = new HashMap<>();
+        private final Map<String, MemberIncarnation> highest = new HashMap<>();
         private boolean gone;
         private boolean stopped;
 
@@ -50,7 +50,7 @@
                                     "m" + number,
                                     address,
                                     "z" + number % zones,
-                                    new Incarnation(life, 0, 0),
+                                    new MemberIncarnation(life, 0, 0),
                                     MemberStatus.ALIVE,
                                     "m" + number),
                             seeds,
@@ -63,7 +63,7 @@
         public void send(String address, Message message) {
             int to = Integer.parseInt(address);
             packets++;
-            bytes += DATAGRAM + CLAIM * message.claims().size();
+            bytes += DATAGRAM + CLAIM * message.updates().size();
             if (gone || random.nextDouble() < loss || cut.test(number, to)) {
                 return;
             }
@@ -83,12 +83,15 @@
         }
 
         @Override
-        public void changed(double at, MemberUpdate before, MemberUpdate after) {
-            Incarnation known =
+        public void memberChanged(double at, MemberUpdate before, MemberUpdate after) {
+            MemberIncarnation known =
                     highest.merge(
-                            after.name(), after.version(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
-            boolean mixed = known.sameStay(after.version()) && after.status().over();
-            if (!known.equals(after.version()) && !mixed) {
+                            after.name(),
+                            after.incarnation(),
+                            (a, b) -> a.compareTo(b) >= 0 ? a : b);
+            boolean mixed =
+                    known.sameMembership(after.incarnation()) && after.status().isTerminal();
+            if (!known.equals(after.incarnation()) && !mixed) {
                 broken.add(
                         now
                                 + ": m"
@@ -98,12 +101,12 @@
                                 + ": "
                                 + known
                                 + " to "
-                                + after.version());
+                                + after.incarnation());
             }
             if (before != null
-                    && before.status().over()
-                    && !after.status().over()
-                    && before.version().sameStay(after.version())) {
+                    && before.status().isTerminal()
+                    && !after.status().isTerminal()
+                    && before.incarnation().sameMembership(after.incarnation())) {
                 broken.add(
                         now
                                 + ": m"
@@ -111,7 +114,7 @@
                                 + " has "
                                 + after.name()
                                 + " back from the dead: "
-                                + after.version());
+                                + after.incarnation());
             }
             int about = Integer.parseInt(after.name().substring(1));
             boolean lives = !nodes.get(about).gone;
@@ -120,8 +123,12 @@
             }
             if (after.status() == MemberStatus.DEAD
                     && lives
-                    && nodes.get(about).membership.self().version().sameStay(after.version())) {
-                falseDeaths.merge(after.name() + after.version().era(), 1, Integer::sum);
+                    && nodes.get(about)
+                            .membership
+                            .self()
+                            .incarnation()
+                            .sameMembership(after.incarnation())) {
+                falseDeaths.merge(after.name() + after.incarnation().restart(), 1, Integer::sum);
             }
         }
     }
@@ -188,7 +195,7 @@
                 .filter(n -> !n.gone && !n.stopped && n.number != member)
                 .allMatch(
                         n -> {
-                            MemberUpdate c = n.membership.of("m" + member);
+                            MemberUpdate c = n.membership.member("m" + member);
                             return c != null && c.status() == status;
                         });
     }
@@ -200,7 +207,7 @@
                 .filter(n -> !n.gone)
                 .allMatch(
                         n ->
-                                n.membership.there().size() == living - 1
+                                n.membership.presentMembers().size() == living - 1
                                         && n.membership.others().stream()
                                                 .noneMatch(
                                                         c -> c.status() == MemberStatus.SUSPECT));
@@ -224,7 +231,7 @@
     public void restart(int member) {
         Node before = nodes.get(member);
         before.gone = true;
-        Node next = new Node(member, before.membership.self().version().life() + 1);
+        Node next = new Node(member, before.membership.self().incarnation().process() + 1);
         nodes.set(member, next);
         next.membership.start(now);
     }
@@ -269,7 +276,7 @@
 
     /** Entries that all members have walked since the counts began. */
     public long walked() {
-        return nodes.stream().mapToLong(n -> n.membership.walked()).sum() - walkedBefore;
+        return nodes.stream().mapToLong(n -> n.membership.visitedEntries()).sum() - walkedBefore;
     }
 
     /** Invariants that were broken. */
@@ -299,11 +306,11 @@
 
     /** Whether this member takes the others' silence for a cut. */
     public boolean seesCut(int member) {
-        return nodes.get(member).membership.cut();
+        return nodes.get(member).membership.suspectsPartition();
     }
 
     /** What a member holds of another, or null. */
     public MemberUpdate held(int by, int member) {
-        return nodes.get(by).membership.of("m" + member);
+        return nodes.get(by).membership.member("m" + member);
     }
 }
--- a/src/main/java/tinroad/simulation/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -98,7 +98,7 @@
             // The number of a life is told from elsewhere, as by a fence: an older folder is then
             // known for what it is.
             SnapshotSelector.Decision d =
-                    SnapshotSelector.decide(
+                    SnapshotSelector.select(
                             folder == null
                                     ? List.of()
                                     : List.of(
@@ -120,7 +120,7 @@
                 });
         gateway.markListening();
         engine.attach(gateway);
-        report(mine, LoadReporter.pace("g" + number, seed));
+        report(mine, LoadReporter.reportInterval("g" + number, seed));
     }
 
     private void save(Ledger.Life mine) {
@@ -128,7 +128,7 @@
             Map<String, Estimate> values = gateway.learnedEstimates();
             if (!values.isEmpty()) {
                 folder =
-                        remembrance.leaves(
+                        remembrance.toSnapshot(
                                 gateway.nowMillis(),
                                 values,
                                 gateway.executedIds(),
@@ -143,7 +143,7 @@
     private void report(Ledger.Life mine, JitteredInterval pace) {
         if (life == mine && gateway != null) {
             model.reports(number, good);
-            model.at(model.now() + pace.next(), () -> report(mine, pace));
+            model.at(model.now() + pace.nextMillis(), () -> report(mine, pace));
         }
     }
 
--- a/src/main/java/tinroad/state/DecayedValue.java
+++ b/src/main/java/tinroad/state/DecayedValue.java
@@ -10,7 +10,7 @@
  * @param age ms since it was last true
  * @param life that learned it
  */
-public record DecayedValue(double value, double weight, double age, long life) {
+public record DecayedValue(double value, double weight, double ageMillis, long incarnation) {
 
     /**
      * The value at {@code now}, or null where it is too old, comes from later than now, or is no
@@ -22,9 +22,9 @@
      */
     public static DecayedValue of(
             LearnedValue r, double nowMillis, double prior, double halfLife, double oldest) {
-        double age = Math.max(0, nowMillis - r.learnedAt());
+        double age = Math.max(0, nowMillis - r.learnedAtMillis());
         boolean usable =
-                r.learnedAt() <= nowMillis + SnapshotSelector.CLOCKS
+                r.learnedAtMillis() <= nowMillis + SnapshotSelector.MAX_CLOCK_DIFFERENCE_MILLIS
                         && age <= oldest
                         && Double.isFinite(r.value())
                         && Double.isFinite(r.weight())
@@ -34,6 +34,6 @@
         }
         double left = Math.pow(0.5, age / halfLife);
         return new DecayedValue(
-                prior + (r.value() - prior) * left, r.weight() * left, age, r.life());
+                prior + (r.value() - prior) * left, r.weight() * left, age, r.incarnation());
     }
 }
--- a/src/main/java/tinroad/state/LearnedValue.java
+++ b/src/main/java/tinroad/state/LearnedValue.java
@@ -8,4 +8,4 @@
  * @param learnedAt when it was last true, in Unix ms
  * @param life number of the life that learned it
  */
-public record LearnedValue(double value, double weight, double learnedAt, long life) {}
+public record LearnedValue(double value, double weight, double learnedAtMillis, long incarnation) {}
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -60,7 +60,7 @@
         }
         LearnedValue last = left.get(name);
         if (last != null
-                && last.life() == life
+                && last.incarnation() == life
                 && last.value() == known.value()
                 && last.weight() == known.weight()) {
             return last;
@@ -71,7 +71,7 @@
         double learnedAt =
                 before == null
                         ? nowMillis
-                        : before.learnedAt() + (nowMillis - before.learnedAt()) * share;
+                        : before.learnedAtMillis() + (nowMillis - before.learnedAtMillis()) * share;
         return new LearnedValue(known.value(), known.weight(), learnedAt, life);
     }
 }
--- a/src/main/java/tinroad/state/Snapshot.java
+++ b/src/main/java/tinroad/state/Snapshot.java
@@ -23,16 +23,16 @@
         boolean evacuated,
         Map<String, LearnedValue> values,
         Map<String, Double> executedIds,
-        long epoch,
-        long number) {
+        long catalogEpoch,
+        long catalogNumber) {
     /**
      * Ids that a snapshot holds at most; beyond it those due last are kept, as they stay dangerous
      * longest.
      */
-    public static final int MOST_RAN = 50_000;
+    public static final int MAX_EXECUTED_IDS = 50_000;
 
     /** Values that a snapshot holds at most. */
-    public static final int MOST_VALUES = 50_000;
+    public static final int MAX_VALUES = 50_000;
 
     /** One that tells no catalog. */
     public Snapshot(
--- a/src/main/java/tinroad/state/SnapshotCodec.java
+++ b/src/main/java/tinroad/state/SnapshotCodec.java
@@ -25,7 +25,7 @@
     public static final int VERSION = 1;
 
     /** A longer file is no state: it is not read. */
-    public static final int LONGEST = 16 * 1024 * 1024;
+    public static final int MAX_BYTES = 16 * 1024 * 1024;
 
     private static final String MAGIC = "tinroad-state ";
     private static final int CHECK = 4;
@@ -47,16 +47,16 @@
             out.writeNumberField("generation", s.generation());
             out.writeNumberField("saved_at", s.savedAtMillis());
             out.writeBooleanField("evacuated", s.evacuated());
-            out.writeNumberField("catalog_epoch", s.epoch());
-            out.writeNumberField("catalog_number", s.number());
+            out.writeNumberField("catalog_epoch", s.catalogEpoch());
+            out.writeNumberField("catalog_number", s.catalogNumber());
             out.writeObjectFieldStart("values");
             for (Map.Entry<String, LearnedValue> e : s.values().entrySet()) {
                 out.writeFieldName(e.getKey());
                 out.writeStartArray();
                 out.writeNumber(e.getValue().value());
                 out.writeNumber(e.getValue().weight());
-                out.writeNumber(e.getValue().learnedAt());
-                out.writeNumber(e.getValue().life());
+                out.writeNumber(e.getValue().learnedAtMillis());
+                out.writeNumber(e.getValue().incarnation());
                 out.writeEndArray();
             }
             out.writeEndObject();
--- a/src/main/java/tinroad/state/SnapshotSelector.java
+++ b/src/main/java/tinroad/state/SnapshotSelector.java
@@ -13,13 +13,13 @@
  */
 public final class SnapshotSelector {
     /** A clock may differ by this, in ms, from the one that a snapshot was saved by. */
-    public static final double CLOCKS = 1000;
+    public static final double MAX_CLOCK_DIFFERENCE_MILLIS = 1000;
 
     /** A file and what it turned out to be. */
-    public record Candidate(String file, SnapshotReadResult reading) {}
+    public record Candidate(String file, SnapshotReadResult readResult) {}
 
     /** What the new life begins with. */
-    public enum Begin {
+    public enum StartMode {
         /** With what an earlier life knew. */
         WARM,
         /** There was nothing: a first start. */
@@ -37,7 +37,11 @@
      * @param setAside files that are not believed, each with the reason in words; older snapshots
      *     are just history
      */
-    public record Decision(Begin begin, Snapshot snapshot, long lastLife, List<String> setAside) {}
+    public record Decision(
+            StartMode startMode,
+            Snapshot snapshot,
+            long lastIncarnation,
+            List<String> rejectedFiles) {}
 
     private SnapshotSelector() {}
 
@@ -51,7 +55,7 @@
      *     beside the folder; 0 if none
      * @param fenceLife the same from beside the folder only: what lies below it was rolled back
      */
-    public static Decision decide(
+    public static Decision select(
             List<Candidate> found,
             String name,
             double nowMillis,
@@ -62,7 +66,7 @@
         List<Snapshot> good = new ArrayList<>();
         long last = Math.max(knownLife, fenceLife);
         for (Candidate c : found) {
-            SnapshotReadResult r = doubt(c.reading, name, nowMillis, oldest, fenceLife);
+            SnapshotReadResult r = doubt(c.readResult, name, nowMillis, oldest, fenceLife);
             if (r.reason() == null) {
                 good.add(r.snapshot());
             } else {
@@ -73,7 +77,7 @@
                                 + ": "
                                 + r.text());
             }
-            Snapshot any = c.reading.snapshot();
+            Snapshot any = c.readResult.snapshot();
             last =
                     any != null && any.name().equals(name)
                             ? Math.max(last, any.incarnation())
@@ -85,8 +89,10 @@
                                 Comparator.comparingLong(Snapshot::incarnation)
                                         .thenComparingLong(Snapshot::generation))
                         .orElse(null);
-        Begin begin =
-                best != null ? Begin.WARM : found.isEmpty() && last == 0 ? Begin.FIRST : Begin.COLD;
+        StartMode begin =
+                best != null
+                        ? StartMode.WARM
+                        : found.isEmpty() && last == 0 ? StartMode.FIRST : StartMode.COLD;
         return new Decision(begin, best, last, List.copyOf(setAside));
     }
 
@@ -99,7 +105,7 @@
         if (!s.name().equals(name)) {
             return SnapshotReadResult.not(RejectionReason.ANOTHERS, "it is of " + s.name());
         }
-        if (s.savedAtMillis() > nowMillis + CLOCKS) {
+        if (s.savedAtMillis() > nowMillis + MAX_CLOCK_DIFFERENCE_MILLIS) {
             return SnapshotReadResult.not(
                     RejectionReason.FUTURE,
                     "saved "
--- a/src/main/java/tinroad/state/SnapshotStore.java
+++ b/src/main/java/tinroad/state/SnapshotStore.java
@@ -67,10 +67,10 @@
                 found.add(
                         new SnapshotSelector.Candidate(
                                 file.getFileName().toString(),
-                                Files.size(file) > SnapshotCodec.LONGEST
+                                Files.size(file) > SnapshotCodec.MAX_BYTES
                                         ? SnapshotReadResult.not(
                                                 SnapshotReadResult.RejectionReason.DAMAGED,
-                                                "longer than " + SnapshotCodec.LONGEST + " bytes")
+                                                "longer than " + SnapshotCodec.MAX_BYTES + " bytes")
                                         : SnapshotCodec.read(Files.readAllBytes(file))));
             } catch (NoSuchFileException e) {
                 // Another process keeps fewer.
@@ -96,7 +96,7 @@
     }
 
     /** The highest life that a marker or a snapshot's name tells of; 0 without any. */
-    public long knownLife() throws IOException {
+    public long latestMarkedIncarnation() throws IOException {
         long most = 0;
         for (Pattern names : List.of(MARKER, SNAPSHOT)) {
             for (Path file : list(names)) {
@@ -119,13 +119,13 @@
     }
 
     /** The last life that the fence knows of; 0 without one. */
-    public long fenceLife() throws IOException {
+    public long fencedIncarnation() throws IOException {
         Path file = fence == null ? null : fence.resolve(FENCE);
         return file == null || !Files.exists(file) ? 0 : number(Files.readString(file).strip());
     }
 
     /** Begins a life with a higher number than {@code last}, which no other process gets. */
-    public long claim(long last) throws IOException {
+    public long claimIncarnation(long last) throws IOException {
         Files.createDirectories(folder);
         for (long n = Math.max(last, 0) + 1; ; n++) {
             try {
@@ -159,7 +159,7 @@
      * to say any more.
      */
     public boolean save(Snapshot s) throws IOException {
-        if (knownLife() > life || s.incarnation() != life) {
+        if (latestMarkedIncarnation() > life || s.incarnation() != life) {
             return false;
         }
         replace(
--- a/src/test/java/tinroad/admin/ControlServerTest.java
+++ b/src/test/java/tinroad/admin/ControlServerTest.java
@@ -101,7 +101,7 @@
 
     @Test
     void settingsTellTheVersionInForceWhatWaitsAndTheLastRefusal() {
-        String hash = h.gateway.catalog().hash();
+        String hash = h.gateway.catalog().contentHash();
         h.pass(250);
         assertEquals(
                 "HTTP/1.1 200 OK\n{\"epoch\":0,\"number\":0,\"hash\":\""
@@ -110,9 +110,9 @@
                         + "\"lag\":0,\"longest_slice_ms\":0.0,\"refusal\":null,\"refused_ms\":null}",
                 call("GET /api/settings"));
         CatalogBuilder editor = new CatalogBuilder(h.gateway.catalog());
-        CatalogBuilder.Outcome.Taken taken =
-                (CatalogBuilder.Outcome.Taken)
-                        editor.offer(
+        CatalogBuilder.ChangeResult.Applied taken =
+                (CatalogBuilder.ChangeResult.Applied)
+                        editor.apply(
                                 new CatalogChange(
                                         0, 1, Map.of(), Set.of("order"), Map.of(), Set.of()));
         h.gateway.applyChange(taken.next(), taken.delta(), inForce -> {});
@@ -129,7 +129,7 @@
         assertTrue(
                 after.contains(
                         "\"number\":1,\"hash\":\""
-                                + taken.next().hash()
+                                + taken.next().contentHash()
                                 + "\",\"classes\":1,\"tenants\":1,\"since_ms\":40,\"lag\":0,"),
                 after);
         assertTrue(after.endsWith("y...\",\"refused_ms\":40.0}"), after);
@@ -168,7 +168,7 @@
                     }
 
                     @Override
-                    public String begins() {
+                    public String startMode() {
                         return "warm";
                     }
                 });
--- a/src/test/java/tinroad/catalog/CatalogTest.java
+++ b/src/test/java/tinroad/catalog/CatalogTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import tinroad.catalog.CatalogBuilder.Outcome;
+import tinroad.catalog.CatalogBuilder.ChangeResult;
 import tinroad.config.SettingsValidator;
 import tinroad.config.ValidationErrors;
 import tinroad.overload.Controller.Idempotency;
@@ -59,34 +59,36 @@
 
     private void refused(String fault, CatalogChange c) {
         Catalog before = editor.current();
-        assertEquals(new Outcome.Refused(List.of(fault)), editor.offer(c));
+        assertEquals(new ChangeResult.Rejected(List.of(fault)), editor.apply(c));
         assertSame(before, editor.current());
     }
 
     @Test
     void epochsAreFencedGapsAreSeenAndRepeatsDoNothing() {
-        assertEquals(new Outcome.Fenced(1), editor.offer(put(0, 6, Map.of("b", due(1)))));
-        assertEquals(new Outcome.Gap(6), editor.offer(put(1, 7, Map.of("b", due(1)))));
-        assertEquals(new Outcome.Gap(1), editor.offer(put(2, 2, Map.of("b", due(1)))));
-        assertInstanceOf(Outcome.Taken.class, editor.offer(put(1, 6, Map.of("b", due(1)))));
-        assertEquals(new Outcome.Repeated(), editor.offer(put(1, 6, Map.of("b", due(1)))));
-        assertEquals(new Outcome.Repeated(), editor.offer(put(1, 5, Map.of("b", due(7)))));
-        assertInstanceOf(Outcome.Taken.class, editor.offer(put(2, 1, Map.of("b", due(2)))));
-        assertEquals(new Outcome.Fenced(2), editor.offer(put(1, 7, Map.of("b", due(1)))));
+        assertEquals(new ChangeResult.Fenced(1), editor.apply(put(0, 6, Map.of("b", due(1)))));
+        assertEquals(new ChangeResult.Gap(6), editor.apply(put(1, 7, Map.of("b", due(1)))));
+        assertEquals(new ChangeResult.Gap(1), editor.apply(put(2, 2, Map.of("b", due(1)))));
+        assertInstanceOf(ChangeResult.Applied.class, editor.apply(put(1, 6, Map.of("b", due(1)))));
+        assertEquals(
+                new ChangeResult.AlreadyApplied(), editor.apply(put(1, 6, Map.of("b", due(1)))));
+        assertEquals(
+                new ChangeResult.AlreadyApplied(), editor.apply(put(1, 5, Map.of("b", due(7)))));
+        assertInstanceOf(ChangeResult.Applied.class, editor.apply(put(2, 1, Map.of("b", due(2)))));
+        assertEquals(new ChangeResult.Fenced(2), editor.apply(put(1, 7, Map.of("b", due(1)))));
         assertEquals(2, editor.current().epoch());
     }
 
     @Test
     void twoPublishersWithOneEpochAreTold() {
-        String before = editor.current().hash();
-        editor.offer(put(1, 6, Map.of("b", due(1))));
-        String now = editor.current().hash();
+        String before = editor.current().contentHash();
+        editor.apply(put(1, 6, Map.of("b", due(1))));
+        String now = editor.current().contentHash();
         // Another change under the same number, whether it tells what it leads to or not.
-        assertEquals(new Outcome.Diverged(now), editor.offer(put(1, 6, Map.of("b", due(2)))));
-        assertEquals(new Outcome.Diverged(now), editor.offer(remove(6, "b")));
+        assertEquals(new ChangeResult.Diverged(now), editor.apply(put(1, 6, Map.of("b", due(2)))));
+        assertEquals(new ChangeResult.Diverged(now), editor.apply(remove(6, "b")));
         assertEquals(
-                new Outcome.Diverged(now),
-                editor.offer(
+                new ChangeResult.Diverged(now),
+                editor.apply(
                         new CatalogChange(
                                 1,
                                 6,
@@ -98,8 +100,8 @@
                                 "0".repeat(32))));
         // Or one that goes on from what the other one wrote.
         assertEquals(
-                new Outcome.Diverged(now),
-                editor.offer(
+                new ChangeResult.Diverged(now),
+                editor.apply(
                         new CatalogChange(
                                 1,
                                 7,
@@ -129,16 +131,16 @@
                 "org t: share has to be from 0 to 1, not 2",
                 new CatalogChange(
                         1, 6, Map.of(), Set.of(), Map.of("t", new Tenant(1, 2)), Set.of()));
-        String longest = "\u20ac".repeat(SettingsValidator.LONGEST_NAME / 3);
+        String longest = "\u20ac".repeat(SettingsValidator.MAX_NAME_BYTES / 3);
         refused(
                 "put of class: the name "
                         + longest.substring(0, 80)
                         + "... (1367 characters) is longer than 4096 bytes",
                 put(1, 6, Map.of(longest + "xx", due(2))));
         assertInstanceOf(
-                Outcome.Taken.class,
-                editor.offer(put(1, 6, Map.of(longest + "x", due(2), "x", due(3)))));
-        assertEquals(3, editor.current().routes());
+                ChangeResult.Applied.class,
+                editor.apply(put(1, 6, Map.of(longest + "x", due(2), "x", due(3)))));
+        assertEquals(3, editor.current().classCount());
     }
 
     @Test
@@ -152,53 +154,54 @@
                 new CatalogChange(1, 6, Map.of(), Set.of(), quotas, Set.of()));
         quotas.replaceAll((name, t) -> new Tenant(-1, 0));
         List<String> faults =
-                ((Outcome.Refused)
-                                editor.offer(
+                ((ChangeResult.Rejected)
+                                editor.apply(
                                         new CatalogChange(
                                                 1, 6, Map.of(), Set.of(), quotas, Set.of())))
-                        .faults();
-        assertEquals(ValidationErrors.TOLD + 1, faults.size());
-        assertEquals("and 9900 more", faults.get(ValidationErrors.TOLD));
+                        .errors();
+        assertEquals(ValidationErrors.MAX_REPORTED + 1, faults.size());
+        assertEquals("and 9900 more", faults.get(ValidationErrors.MAX_REPORTED));
         quotas.replaceAll((name, t) -> new Tenant(1, 0));
         assertInstanceOf(
-                Outcome.Taken.class,
-                editor.offer(new CatalogChange(1, 6, Map.of(), Set.of(), quotas, Set.of())));
+                ChangeResult.Applied.class,
+                editor.apply(new CatalogChange(1, 6, Map.of(), Set.of(), quotas, Set.of())));
     }
 
     @Test
     void tablesHaveBounds() {
         Map<String, RequestClass> many = new HashMap<>();
-        for (int i = 0; i < SettingsValidator.MOST_CLASSES; i++) {
+        for (int i = 0; i < SettingsValidator.MAX_CLASSES; i++) {
             many.put("r" + i, due(1));
         }
-        List<String> faults = ((Outcome.Refused) editor.offer(put(1, 6, many))).faults();
+        List<String> faults = ((ChangeResult.Rejected) editor.apply(put(1, 6, many))).errors();
         assertTrue(faults.contains("classes: 65537 are more than 65536"), faults::toString);
         many.remove("r0");
-        assertInstanceOf(Outcome.Taken.class, editor.offer(put(1, 6, many)));
+        assertInstanceOf(ChangeResult.Applied.class, editor.apply(put(1, 6, many)));
         // Full: one more place there is only after one that was left is free.
-        editor.offer(remove(7, "r1"));
+        editor.apply(remove(7, "r1"));
         refused(
                 "class: no place for 1 new ones before what still runs under 1 removed ones has"
                         + " ended",
                 put(1, 8, Map.of("x", due(1))));
-        editor.routeFree(0);
+        editor.releaseClassSlot(0);
         refused(
                 "class: no place for 1 new ones before what still runs under 1 removed ones has"
                         + " ended",
                 put(1, 8, Map.of("x", due(1))));
-        for (int place = 0; place <= SettingsValidator.MOST_CLASSES; place++) {
-            editor.routeFree(place);
+        for (int place = 0; place <= SettingsValidator.MAX_CLASSES; place++) {
+            editor.releaseClassSlot(place);
         }
-        assertInstanceOf(Outcome.Taken.class, editor.offer(put(1, 8, Map.of("x", due(1)))));
+        assertInstanceOf(ChangeResult.Applied.class, editor.apply(put(1, 8, Map.of("x", due(1)))));
     }
 
     @Test
     void equalSpecsAndNamesAreShared() {
-        editor.offer(put(1, 6, Map.of("b", due(1), "c", due(1))));
-        assertSame(editor.current().route("b").spec(), editor.current().route("c").spec());
-        String name = editor.current().route("b").name();
-        editor.offer(put(1, 7, Map.of(new String("b"), due(4))));
-        assertSame(name, editor.current().route("b").name());
+        editor.apply(put(1, 6, Map.of("b", due(1), "c", due(1))));
+        assertSame(
+                editor.current().classEntry("b").spec(), editor.current().classEntry("c").spec());
+        String name = editor.current().classEntry("b").name();
+        editor.apply(put(1, 7, Map.of(new String("b"), due(4))));
+        assertSame(name, editor.current().classEntry("b").name());
     }
 
     @Test
@@ -207,12 +210,12 @@
         for (int i = 0; i < 1000; i++) {
             routes.put("r" + i, due(i + 1));
         }
-        editor.offer(put(1, 6, routes));
+        editor.apply(put(1, 6, routes));
         FullSnapshotDiff same = new FullSnapshotDiff(editor.current());
         routes.forEach(same::requestClass);
         assertTrue(same.tenant("t", new Tenant(3, 1)));
         assertEquals(0, same.change(1, 7).size());
-        assertEquals(editor.current().hash(), same.change(1, 7).after());
+        assertEquals(editor.current().contentHash(), same.change(1, 7).hashAfter());
 
         routes.remove("r3");
         routes.put("r4", due(9999));
@@ -230,18 +233,18 @@
                         Set.of("r3"),
                         Map.of(),
                         Set.of("t"),
-                        editor.current().hash(),
-                        of(0, 0, routes, Map.of()).hash()),
+                        editor.current().contentHash(),
+                        of(0, 0, routes, Map.of()).contentHash()),
                 c);
         // It stands for a version far ahead.
         CatalogChange ahead = other.change(3, 40);
-        assertEquals(new Outcome.Gap(1), editor.offer(ahead));
-        assertInstanceOf(Outcome.Taken.class, editor.offerWhole(ahead));
-        assertEquals(new Outcome.Repeated(), editor.offerWhole(ahead));
-        assertEquals(ahead.after(), editor.current().hash());
+        assertEquals(new ChangeResult.Gap(1), editor.apply(ahead));
+        assertInstanceOf(ChangeResult.Applied.class, editor.applyFullSnapshot(ahead));
+        assertEquals(new ChangeResult.AlreadyApplied(), editor.applyFullSnapshot(ahead));
+        assertEquals(ahead.hashAfter(), editor.current().contentHash());
         assertEquals(
                 List.of(3L, 40L), List.of(editor.current().epoch(), editor.current().number()));
-        assertEquals(new Outcome.Fenced(3), editor.offerWhole(c));
+        assertEquals(new ChangeResult.Fenced(3), editor.applyFullSnapshot(c));
     }
 
     @Test
@@ -262,16 +265,16 @@
                         new RequestClass(1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, true, 7),
                         new RequestClass(1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, false, 9));
         Set<String> hashes = new HashSet<>();
-        others.forEach(spec -> hashes.add(of(0, 0, Map.of("a", spec), Map.of()).hash()));
+        others.forEach(spec -> hashes.add(of(0, 0, Map.of("a", spec), Map.of()).contentHash()));
         assertEquals(others.size(), hashes.size());
         assertEquals(
                 Catalog.of(0, 0, List.of("a", "b"), List.of(c, due(1)), List.of(), List.of())
-                        .hash(),
+                        .contentHash(),
                 Catalog.of(9, 9, List.of("b", "a"), List.of(due(1), c), List.of(), List.of())
-                        .hash());
+                        .contentHash());
         assertNotEquals(
-                of(0, 0, Map.of("a", c), Map.of("t", new Tenant(1, 0))).hash(),
-                of(0, 0, Map.of("a", c), Map.of("t", new Tenant(0, 1))).hash());
+                of(0, 0, Map.of("a", c), Map.of("t", new Tenant(1, 0))).contentHash(),
+                of(0, 0, Map.of("a", c), Map.of("t", new Tenant(0, 1))).contentHash());
         ContentHash most = new ContentHash(-1, -1);
         ContentHash one = new ContentHash(0, 1);
         assertEquals(ContentHash.EMPTY, most.plus(one));
@@ -310,8 +313,8 @@
                             : new CatalogChange(
                                     1,
                                     n,
-                                    c.putRoutes(),
-                                    c.removedRoutes(),
+                                    c.putClasses(),
+                                    c.removedClasses(),
                                     c.putTenants(),
                                     c.removedTenants()));
             files.add(of(1, n, routes, tenants));
@@ -328,13 +331,13 @@
                 }
                 case 1 -> {
                     CatalogBuilder same = e;
-                    left.forEach(same::routeFree);
+                    left.forEach(same::releaseClassSlot);
                     left.clear();
                 }
                 case 2 ->
                         assertInstanceOf(
-                                Outcome.Refused.class,
-                                e.offer(
+                                ChangeResult.Rejected.class,
+                                e.apply(
                                         new CatalogChange(
                                                 1,
                                                 at + 1,
@@ -343,34 +346,37 @@
                                                 Map.of(),
                                                 Set.of())));
                 default -> {
-                    Outcome o =
-                            e.offer(
+                    ChangeResult o =
+                            e.apply(
                                     log.get(
                                             random.nextInt(
                                                     Math.max(0, at - 3),
                                                     Math.min(log.size(), at + 4))));
-                    if (o instanceof Outcome.Taken taken) {
+                    if (o instanceof ChangeResult.Applied taken) {
                         assertPlaces(taken, left);
                     }
                 }
             }
-            assertEquals(files.get((int) e.current().number()).hash(), e.current().hash());
+            assertEquals(
+                    files.get((int) e.current().number()).contentHash(), e.current().contentHash());
         }
-        assertEquals(of(0, 0, routes, tenants).hash(), e.current().hash());
+        assertEquals(of(0, 0, routes, tenants).contentHash(), e.current().contentHash());
         for (Map.Entry<String, RequestClass> r : routes.entrySet()) {
-            assertEquals(r.getValue(), e.current().route(r.getKey()).spec());
+            assertEquals(r.getValue(), e.current().classEntry(r.getKey()).spec());
         }
     }
 
     /** No two entries at one place, and none at one that was left and is not free. */
-    private static void assertPlaces(Outcome.Taken taken, Set<Integer> left) {
+    private static void assertPlaces(ChangeResult.Applied taken, Set<Integer> left) {
         Set<Integer> used = new HashSet<>();
-        taken.next().allRoutes().forEach(r -> assertTrue(used.add(r.slot()), "place given twice"));
+        taken.next()
+                .classEntries()
+                .forEach(r -> assertTrue(used.add(r.slot()), "place given twice"));
         left.forEach(
                 place -> assertTrue(!used.contains(place), "place given anew before it was free"));
         taken.delta().classes().stream()
                 .filter(c -> c.spec() == null)
                 .forEach(c -> left.add(c.slot()));
-        assertEquals(taken.next().routes(), used.size());
+        assertEquals(taken.next().classCount(), used.size());
     }
 }
--- a/src/test/java/tinroad/changelog/ChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/ChangeLogTest.java
@@ -58,7 +58,7 @@
             long number = writer.current().epoch() == epoch ? writer.current().number() + 1 : 1;
             CatalogChange c = quotas(writer.current(), epoch, number, 2);
             folder().append(c);
-            writer.offer(c);
+            writer.apply(c);
         }
     }
 
@@ -67,7 +67,7 @@
     }
 
     private void assertSame() {
-        assertEquals(writer.current().hash(), reader.current().hash());
+        assertEquals(writer.current().contentHash(), reader.current().contentHash());
         assertEquals(writer.current().number(), reader.current().number());
     }
 
@@ -100,13 +100,15 @@
                         "before",
                         "after");
         byte[] bytes = ChangeCodec.write(c);
-        ChangeLogStore.Batch read =
+        ChangeLogStore.ChangeReadResult read =
                 ChangeCodec.read(new ByteArrayInputStream(bytes), new LogPosition(3, 9));
         assertEquals(c, read.change());
-        assertTrue(read.faults().isEmpty(), read.faults().lines()::toString);
+        assertTrue(read.errors().isEmpty(), read.errors().lines()::toString);
         assertEquals(
                 "before after",
-                c.before() + " " + ChangeCodec.readHead(new ByteArrayInputStream(bytes)).after());
+                c.hashBefore()
+                        + " "
+                        + ChangeCodec.readHead(new ByteArrayInputStream(bytes)).hashAfter());
         assertTrue(ChangeCodec.write(quotas(base(), 1, 1, 1)).length < 2048);
     }
 
@@ -125,7 +127,7 @@
         assertEquals("", follow());
         assertEquals(5, reader.current().number());
         FullSnapshotDiff now = whole(writer);
-        assertNull(follower[0].whole(reader, now).line());
+        assertNull(follower[0].applyFile(reader, now).logLine());
         assertSame();
         write(2, 1);
         assertEquals("", follow());
@@ -138,17 +140,17 @@
     void aFileThatWasBroughtBeforeItsChangeIsAtItsVersion() throws IOException {
         CatalogChange c = quotas(base(), 1, 1, 2);
         CatalogBuilder brought = new CatalogBuilder(base());
-        brought.offer(c);
-        CatalogBuilder early = new CatalogBuilder(brought.current().at(0, 0));
+        brought.apply(c);
+        CatalogBuilder early = new CatalogBuilder(brought.current().withVersion(0, 0));
         write(1, 2);
         ChangeLogFollower f = new ChangeLogFollower(folder(), "log", null);
         assertEquals("", KillLogWrites.follow(f, early));
-        assertEquals(writer.current().hash(), early.current().hash());
+        assertEquals(writer.current().contentHash(), early.current().contentHash());
         // And one that fell behind with a content that is back again.
         write(1, 9);
-        CatalogBuilder late = new CatalogBuilder(writer.current().at(0, 0));
+        CatalogBuilder late = new CatalogBuilder(writer.current().withVersion(0, 0));
         assertTrue(KillLogWrites.follow(f, late).contains("is missing"));
-        assertEquals(0, f.whole(late, whole(late, late)).taken().delta().size());
+        assertEquals(0, f.applyFile(late, whole(late, late)).applied().delta().size());
         assertEquals(11, late.current().number());
         assertEquals("log is followed again from 1-11\n", KillLogWrites.follow(f, late));
     }
@@ -160,8 +162,8 @@
 
     private static FullSnapshotDiff whole(CatalogBuilder from, CatalogBuilder to) {
         FullSnapshotDiff file = new FullSnapshotDiff(to.current());
-        from.current().allRoutes().forEach(r -> file.requestClass(r.name(), r.spec()));
-        from.current().allTenants().forEach(t -> file.tenant(t.name(), t.spec()));
+        from.current().classEntries().forEach(r -> file.requestClass(r.name(), r.spec()));
+        from.current().tenantEntries().forEach(t -> file.tenant(t.name(), t.spec()));
         return file;
     }
 
@@ -172,20 +174,20 @@
         assertEquals("", follow());
         assertEquals(
                 "settings file not taken: it is that of 1-0, and 1-3 serves",
-                follower[0].whole(reader, whole(old)).line());
-        assertNull(follower[0].whole(reader, whole(writer)).taken());
-        old.offer(quotas(old.current(), 1, 1, 7));
+                follower[0].applyFile(reader, whole(old)).logLine());
+        assertNull(follower[0].applyFile(reader, whole(writer)).applied());
+        old.apply(quotas(old.current(), 1, 1, 7));
         assertEquals(
                 "settings file not taken: log knows no change to its content, "
-                        + old.current().hash(),
-                follower[0].whole(reader, whole(old)).line());
+                        + old.current().contentHash(),
+                follower[0].applyFile(reader, whole(old)).logLine());
         assertEquals("1-3", reader.current().epoch() + "-" + reader.current().number());
         // A process that starts on a file finds where in the log it is.
-        assertEquals(3, follower[0].locate(writer.current().at(0, 0)).number());
+        assertEquals(3, follower[0].locate(writer.current().withVersion(0, 0)).number());
         assertEquals(
                 List.of(1L, 0L),
                 List.of(follower[0].locate(base()).epoch(), follower[0].locate(base()).number()));
-        assertEquals(0, follower[0].locate(old.current().at(0, 0)).epoch());
+        assertEquals(0, follower[0].locate(old.current().withVersion(0, 0)).epoch());
     }
 
     @Test
@@ -227,11 +229,11 @@
         assertTrue(told.startsWith("log: change 1-2 is damaged: it is not JSON at byte "), told);
         assertEquals("", follow() + follow());
         assertEquals(1, reader.current().number());
-        assertTrue(follower[0].trouble().contains("damaged"));
+        assertTrue(follower[0].lastProblem().contains("damaged"));
         Files.write(file(1, 2), good);
         assertEquals("", follow());
         assertSame();
-        assertNull(follower[0].trouble());
+        assertNull(follower[0].lastProblem());
     }
 
     @Test
@@ -239,7 +241,7 @@
         write(1, 2);
         assertEquals("", follow());
         CatalogBuilder behind = new CatalogBuilder(base());
-        behind.offer(quotas(base(), 1, 1, 2));
+        behind.apply(quotas(base(), 1, 1, 2));
         Files.writeString(file(1, 2), "x");
         String told = assertThrows(IOException.class, () -> write(1, 1)).getMessage();
         assertEquals("the newest change, 1-2, is damaged: no change, or cut short", told);
@@ -254,12 +256,13 @@
             lines += KillLogWrites.follow(second, behind);
         }
         assertEquals("", lines);
-        assertEquals(mended.after(), behind.current().hash());
-        assertNull(second.trouble());
+        assertEquals(mended.hashAfter(), behind.current().contentHash());
+        assertNull(second.lastProblem());
         // The first one is told, and needs the file.
         assertTrue(follow().startsWith("change 2-1 belongs to another content than"));
         assertEquals(
-                mended.after(), follower[0].whole(reader, whole(behind)).taken().next().hash());
+                mended.hashAfter(),
+                follower[0].applyFile(reader, whole(behind)).applied().next().contentHash());
         assertEquals("log is followed again from 2-1\n", follow());
     }
 
@@ -277,7 +280,7 @@
                         Set.of(),
                         Map.of(),
                         Set.of(),
-                        writer.current().hash(),
+                        writer.current().contentHash(),
                         "");
         folder().append(bad);
         assertEquals("change 1-2 refused: class b: deadline has to be above 0, not 0\n", follow());
@@ -379,7 +382,7 @@
         assertTrue(
                 follow().startsWith(
                                 "change 1-2 belongs to another content than "
-                                        + writer.current().hash()));
+                                        + writer.current().contentHash()));
         Files.delete(file(1, 2));
         Files.write(file(1, 1), ChangeCodec.write(quotas(base(), 1, 1, 9)));
         Files.createFile(dir.resolve("log/touched"));
--- a/src/test/java/tinroad/changelog/KillLogWrites.java
+++ b/src/test/java/tinroad/changelog/KillLogWrites.java
@@ -46,7 +46,7 @@
         for (long n = editor.current().number() + 1; ; n++) {
             CatalogChange c = quotas(editor.current(), 1, n, ENTRIES);
             folder.append(c);
-            editor.offer(c);
+            editor.apply(c);
             System.out.println(1 + " " + n);
         }
     }
@@ -70,7 +70,7 @@
                 1,
                 number,
                 List.of("a"),
-                List.of(base().route("a").spec()),
+                List.of(base().classEntry("a").spec()),
                 names,
                 names.stream().map(name -> new Tenant(number, 0)).toList());
     }
@@ -85,11 +85,11 @@
         return new CatalogChange(
                 epoch,
                 number,
-                c.putRoutes(),
-                c.removedRoutes(),
+                c.putClasses(),
+                c.removedClasses(),
                 put,
                 c.removedTenants(),
-                now.hash(),
+                now.contentHash(),
                 now.hashAfter(c));
     }
 
@@ -98,9 +98,9 @@
         StringBuilder lines = new StringBuilder();
         // Twice more after the last: what is wrong with the folder is looked for then.
         for (int idle = 0; idle < 2; ) {
-            ChangeLogFollower.Step step = follower.step(editor);
-            idle = step.taken() == null ? idle + 1 : 0;
-            lines.append(step.line() == null ? "" : step.line() + "\n");
+            ChangeLogFollower.PollResult step = follower.poll(editor);
+            idle = step.applied() == null ? idle + 1 : 0;
+            lines.append(step.logLine() == null ? "" : step.logLine() + "\n");
         }
         return lines.toString();
     }
@@ -123,7 +123,7 @@
             Tenant t =
                     editor.current().number() == 0
                             ? null
-                            : editor.current().tenant("t" + (ENTRIES - 1)).spec();
+                            : editor.current().tenantEntry("t" + (ENTRIES - 1)).spec();
             lost +=
                     t != null
                                     && t.quotaPerSecond() == editor.current().number()
@@ -151,10 +151,10 @@
         public void run() {
             boolean began = editor.current().number() > 0;
             while (!done) {
-                ChangeLogFollower.Step step = follower.step(editor);
-                began |= step.taken() != null;
+                ChangeLogFollower.PollResult step = follower.poll(editor);
+                began |= step.applied() != null;
                 // The folder comes with the first change.
-                trouble += step.line() != null && began ? 1 : 0;
+                trouble += step.logLine() != null && began ? 1 : 0;
                 Thread.yield();
             }
         }
--- a/src/test/java/tinroad/changelog/StoredChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/StoredChangeLogTest.java
@@ -18,14 +18,16 @@
         CatalogBuilder editor = new CatalogBuilder(catalog("config.json"));
         ChangeLogFollower follower =
                 new ChangeLogFollower(
-                        new ChangeLogStore(FILES.resolve("changes"), ChangeLogStore.KEEP),
+                        new ChangeLogStore(
+                                FILES.resolve("changes"), ChangeLogStore.DEFAULT_KEPT_CHANGES),
                         "log",
                         null);
         KillLogWrites.follow(follower, editor);
         assertEquals(2, editor.current().epoch());
         assertEquals(1, editor.current().number());
-        assertEquals("fbb16f2c539afdcb22f1e5c9f6ae48a4", editor.current().hash().toString());
-        assertEquals(catalog("config-after-changes.json").hash(), editor.current().hash());
+        assertEquals("fbb16f2c539afdcb22f1e5c9f6ae48a4", editor.current().contentHash().toString());
+        assertEquals(
+                catalog("config-after-changes.json").contentHash(), editor.current().contentHash());
     }
 
     private static Catalog catalog(String file) throws Exception {
--- a/src/test/java/tinroad/cli/FollowedLogTest.java
+++ b/src/test/java/tinroad/cli/FollowedLogTest.java
@@ -74,7 +74,7 @@
         private final CatalogBuilder editor;
 
         Publisher(Path folder, Path file) throws ConfigException {
-            this.folder = new ChangeLogStore(folder, ChangeLogStore.KEEP);
+            this.folder = new ChangeLogStore(folder, ChangeLogStore.DEFAULT_KEPT_CHANGES);
             Site site = GatewayConfig.read(file).site();
             editor =
                     new CatalogBuilder(
@@ -107,11 +107,11 @@
                             removed,
                             tenants,
                             Set.of(),
-                            now.hash(),
+                            now.contentHash(),
                             now.hashAfter(bare));
             folder.append(whole);
-            assertTrue(editor.offer(whole) instanceof CatalogBuilder.Outcome.Taken);
-            return editor.current().hash();
+            assertTrue(editor.apply(whole) instanceof CatalogBuilder.ChangeResult.Applied);
+            return editor.current().contentHash();
         }
     }
 
--- a/src/test/java/tinroad/cli/SettingsInPlaceTest.java
+++ b/src/test/java/tinroad/cli/SettingsInPlaceTest.java
@@ -141,7 +141,7 @@
                         site.settings().classes(),
                         site.tenantNames(),
                         site.settings().tenants())
-                .hash();
+                .contentHash();
     }
 
     private static String orgs(int from, int to, String quota) {
--- a/src/test/java/tinroad/cli/StoredFilesTest.java
+++ b/src/test/java/tinroad/cli/StoredFilesTest.java
@@ -67,7 +67,7 @@
                         operator.log().level(),
                         operator.log().levels(),
                         operator.log().queue(),
-                        operator.log().flush()));
+                        operator.log().flushMillis()));
         assertEquals(
                 List.of(
                         folder.resolve("state-second"),
@@ -79,10 +79,10 @@
                 List.of(
                         operator.state().folder(),
                         operator.state().fence(),
-                        operator.state().every(),
-                        operator.state().keep(),
-                        operator.state().oldest(),
-                        operator.state().halfLife()));
+                        operator.state().savePeriodMillis(),
+                        operator.state().keptSnapshots(),
+                        operator.state().maxAgeMillis(),
+                        operator.state().halfLifeMillis()));
         assertEquals(
                 List.of(
                         new InetSocketAddress("127.0.0.1", 7001),
@@ -101,7 +101,7 @@
                 List.of(
                         operator.catalog().onReload(),
                         operator.catalog().log(),
-                        operator.catalog().poll()));
+                        operator.catalog().pollMillis()));
     }
 
     /** What a command prints; it has to end with status 0 and complain of nothing. */
--- a/src/test/java/tinroad/core/ChangesTest.java
+++ b/src/test/java/tinroad/core/ChangesTest.java
@@ -65,8 +65,8 @@
             Map<String, Tenant> putTenants,
             Set<String> removedTenants) {
         Catalog now = editor.current();
-        CatalogBuilder.Outcome outcome =
-                editor.offer(
+        CatalogBuilder.ChangeResult outcome =
+                editor.apply(
                         new CatalogChange(
                                 now.epoch(),
                                 now.number() + 1,
@@ -74,7 +74,7 @@
                                 removed,
                                 putTenants,
                                 removedTenants));
-        CatalogBuilder.Outcome.Taken taken = (CatalogBuilder.Outcome.Taken) outcome;
+        CatalogBuilder.ChangeResult.Applied taken = (CatalogBuilder.ChangeResult.Applied) outcome;
         h.gateway.applyChange(taken.next(), taken.delta(), ends::add);
     }
 
@@ -310,7 +310,7 @@
         ask("order");
         remove("order");
         h.pass(SlotReferences.GRACE + 2 * Gateway.GUARD_PERIOD);
-        freeClasses.forEach(editor::routeFree);
+        freeClasses.forEach(editor::releaseClassSlot);
         put("other", spec(500, Idempotency.IDEMPOTENT));
         h.pass(0);
         assertEquals(new GatewayMetrics.Row("order", 0, 1, 0), h.gateway.metrics().rows().get(1));
--- a/src/test/java/tinroad/discovery/RosterReporterTest.java
+++ b/src/test/java/tinroad/discovery/RosterReporterTest.java
@@ -108,7 +108,7 @@
                 group.next()
                         .execute(
                                 () ->
-                                        reporter.move(
+                                        reporter.switchEndpoint(
                                                 (InetSocketAddress) next.getLocalSocketAddress()));
                 assertEquals("HERE n3 off", receive(next), "at a new address");
             }
--- a/src/test/java/tinroad/engine/EngineLinkTest.java
+++ b/src/test/java/tinroad/engine/EngineLinkTest.java
@@ -204,8 +204,8 @@
             server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(HUNG_S));
             onLoop(
                     () -> {
-                        link.move((InetSocketAddress) next.getLocalSocketAddress());
-                        link.move((InetSocketAddress) next.getLocalSocketAddress());
+                        link.switchEndpoint((InetSocketAddress) next.getLocalSocketAddress());
+                        link.switchEndpoint((InetSocketAddress) next.getLocalSocketAddress());
                         return null;
                     });
             assertEquals(Progress.NOT_SENT, run("0b"), "nothing new goes to the old address");
--- a/src/test/java/tinroad/fleet/ClaimTest.java
+++ b/src/test/java/tinroad/fleet/ClaimTest.java
@@ -32,7 +32,7 @@
                                         "a",
                                         "x",
                                         "z",
-                                        new Incarnation(life, era, incarnation),
+                                        new MemberIncarnation(life, era, incarnation),
                                         status,
                                         "b"))
                 .list()
@@ -50,10 +50,10 @@
 
     private static String meaning(MemberUpdate c) {
         // Of a stay that is over the incarnation means nothing any more.
-        return c.version().life()
+        return c.incarnation().process()
                 + "."
-                + c.version().era()
-                + (c.status().over() ? "" : "." + c.version().incarnation())
+                + c.incarnation().restart()
+                + (c.status().isTerminal() ? "" : "." + c.incarnation().refutation())
                 + " "
                 + c.status();
     }
@@ -80,18 +80,43 @@
     @Test
     void aStayThatIsOverNeverComesBackAndAnotherDoes() {
         MemberUpdate dead =
-                new MemberUpdate("a", "x", "z", new Incarnation(4, 0, 0), MemberStatus.DEAD, "b");
+                new MemberUpdate(
+                        "a", "x", "z", new MemberIncarnation(4, 0, 0), MemberStatus.DEAD, "b");
         assertFalse(
-                new MemberUpdate("a", "x", "z", new Incarnation(4, 0, 9), MemberStatus.ALIVE, "a")
+                new MemberUpdate(
+                                "a",
+                                "x",
+                                "z",
+                                new MemberIncarnation(4, 0, 9),
+                                MemberStatus.ALIVE,
+                                "a")
                         .overrides(dead));
         assertFalse(
-                new MemberUpdate("a", "x", "z", new Incarnation(3, 7, 9), MemberStatus.ALIVE, "a")
+                new MemberUpdate(
+                                "a",
+                                "x",
+                                "z",
+                                new MemberIncarnation(3, 7, 9),
+                                MemberStatus.ALIVE,
+                                "a")
                         .overrides(dead));
         assertTrue(
-                new MemberUpdate("a", "x", "z", new Incarnation(4, 1, 0), MemberStatus.ALIVE, "a")
+                new MemberUpdate(
+                                "a",
+                                "x",
+                                "z",
+                                new MemberIncarnation(4, 1, 0),
+                                MemberStatus.ALIVE,
+                                "a")
                         .overrides(dead));
         assertTrue(
-                new MemberUpdate("a", "x", "z", new Incarnation(5, 0, 0), MemberStatus.ALIVE, "a")
+                new MemberUpdate(
+                                "a",
+                                "x",
+                                "z",
+                                new MemberIncarnation(5, 0, 0),
+                                MemberStatus.ALIVE,
+                                "a")
                         .overrides(dead));
     }
 }
--- a/src/test/java/tinroad/fleet/ViewTest.java
+++ b/src/test/java/tinroad/fleet/ViewTest.java
@@ -32,7 +32,7 @@
                         (name, life, era, number, age) ->
                                 new LoadDigest(
                                         name,
-                                        new Incarnation(life, era, 0),
+                                        new MemberIncarnation(life, era, 0),
                                         number,
                                         age,
                                         Map.of(Kind.ASKED, 1.0 * number)))
@@ -73,9 +73,11 @@
             v = next;
         }
         for (LoadDigest d : digests) {
-            MembershipView.Fresh f = v.fresh(nowMillis, d.name(), Kind.ASKED, 3000);
+            MembershipView.FreshValue f = v.fresh(nowMillis, d.name(), Kind.ASKED, 3000);
             assertTrue(
-                    f == null || (f.age() <= 3000 && f.age() >= nowMillis - 10_000 - 1e-6),
+                    f == null
+                            || (f.ageMillis() <= 3000
+                                    && f.ageMillis() >= nowMillis - 10_000 - 1e-6),
                     String.valueOf(f));
         }
     }
@@ -87,11 +89,12 @@
                         1000,
                         new LoadDigest(
                                 "a",
-                                new Incarnation(1, 0, 0),
+                                new MemberIncarnation(1, 0, 0),
                                 1,
                                 200,
                                 Map.of(Kind.CORES, 4.0, Kind.CUT, Double.NaN)));
-        assertEquals(new MembershipView.Fresh("a", 4, 700), v.fresh(1500, "a", Kind.CORES, 1000));
+        assertEquals(
+                new MembershipView.FreshValue("a", 4, 700), v.fresh(1500, "a", Kind.CORES, 1000));
         assertNull(v.fresh(1900, "a", Kind.CORES, 1000));
         assertNull(v.fresh(1500, "a", Kind.CUT, 1000));
         assertNull(v.fresh(1500, "b", Kind.CORES, 1000));
@@ -104,21 +107,25 @@
                 MembershipView.EMPTY.merge(
                         0,
                         new LoadDigest(
-                                "a", new Incarnation(2, 0, 0), 1, 0, Map.of(Kind.CORES, 8.0)));
+                                "a",
+                                new MemberIncarnation(2, 0, 0),
+                                1,
+                                0,
+                                Map.of(Kind.CORES, 8.0)));
         assertEquals(
                 8,
                 v.merge(
                                 0,
                                 new LoadDigest(
                                         "a",
-                                        new Incarnation(1, 9, 9),
+                                        new MemberIncarnation(1, 9, 9),
                                         999,
                                         0,
                                         Map.of(Kind.CORES, 1.0)))
                         .fresh(0, "a", Kind.CORES, 1)
                         .value());
         for (int i = 0; i < 10_000; i++) {
-            v = v.merge(0, new LoadDigest("x" + i, new Incarnation(1, 0, 0), 1, 0, Map.of()));
+            v = v.merge(0, new LoadDigest("x" + i, new MemberIncarnation(1, 0, 0), 1, 0, Map.of()));
         }
         assertEquals(2000, v.size());
         assertEquals(
@@ -127,7 +134,7 @@
                                 0,
                                 new LoadDigest(
                                         "a",
-                                        new Incarnation(3, 0, 0),
+                                        new MemberIncarnation(3, 0, 0),
                                         0,
                                         0,
                                         Map.of(Kind.CORES, 1.0)))
--- a/src/test/java/tinroad/gossip/DatagramsTest.java
+++ b/src/test/java/tinroad/gossip/DatagramsTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import tinroad.fleet.Incarnation;
+import tinroad.fleet.MemberIncarnation;
 import tinroad.fleet.MemberStatus;
 import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Message;
@@ -32,7 +32,7 @@
                                         "gateway-" + i,
                                         "127.0.0.1:" + (9000 + i),
                                         "z" + i % 3,
-                                        new Incarnation(i, i % 2, 3),
+                                        new MemberIncarnation(i, i % 2, 3),
                                         MemberStatus.values()[i % 4],
                                         "gateway-7"))
                 .toList();
@@ -45,7 +45,7 @@
                         new Message.Ping(1, claims(3)),
                         new Message.Ack(Long.MAX_VALUE, List.of()),
                         new Message.Nack(3, claims(1)),
-                        new Message.Ask(4, "127.0.0.1:9", claims(2)),
+                        new Message.PingRequest(4, "127.0.0.1:9", claims(2)),
                         new Message.Sync(true, claims(12)),
                         new Message.Sync(false, claims(4)))) {
             assertEquals(m, datagrams.read(datagrams.write(m)));
@@ -56,9 +56,10 @@
     void noDatagramIsLongerThanAllowedAndWhatFindsNoRoomIsLeftOut() {
         byte[] all = datagrams.write(new Message.Sync(false, claims(200)));
         assertTrue(
-                all.length <= MessageCodec.LONGEST && all.length > MessageCodec.LONGEST / 2,
+                all.length <= MessageCodec.MAX_DATAGRAM_BYTES
+                        && all.length > MessageCodec.MAX_DATAGRAM_BYTES / 2,
                 "" + all.length);
-        List<MemberUpdate> read = datagrams.read(all).claims();
+        List<MemberUpdate> read = datagrams.read(all).updates();
         assertEquals(claims(200).subList(0, read.size()), read);
     }
 
--- a/src/test/java/tinroad/node/ServerTest.java
+++ b/src/test/java/tinroad/node/ServerTest.java
@@ -141,7 +141,7 @@
                                 report.getData(), 0, report.getLength(), StandardCharsets.UTF_8));
                 assertEquals("Status: 200 OK", check(address));
                 assertEquals("Status: 200 OK", checkThenGarbage(address));
-                server.leave();
+                server.shutDownGracefully();
                 server.awaitEnd(visitor -> config(engine, roster));
                 assertThrows(IOException.class, () -> check(address));
             }
--- a/src/test/java/tinroad/node/SettingsCost.java
+++ b/src/test/java/tinroad/node/SettingsCost.java
@@ -315,7 +315,8 @@
      */
     private void follow() throws Exception {
         double rest = rest("rest_with_log");
-        ChangeLogStore log = new ChangeLogStore(folder.resolve("changes"), ChangeLogStore.KEEP);
+        ChangeLogStore log =
+                new ChangeLogStore(folder.resolve("changes"), ChangeLogStore.DEFAULT_KEPT_CHANGES);
         CatalogBuilder editor = new CatalogBuilder(read());
         List<Double> inForce = new ArrayList<>();
         long cpu = cpu();
@@ -415,10 +416,10 @@
                         Set.of(),
                         put,
                         Set.of(),
-                        now.hash(),
+                        now.contentHash(),
                         now.hashAfter(bare));
         log.append(whole);
-        editor.offer(whole);
+        editor.apply(whole);
     }
 
     /** An engine that is up and has nothing to do. */
--- a/src/test/java/tinroad/recovery/ComebackTest.java
+++ b/src/test/java/tinroad/recovery/ComebackTest.java
@@ -16,8 +16,8 @@
     private static void calm(RecoveryPhaseTracker c, double from, double to) {
         for (double nowMillis = from; nowMillis < to; nowMillis += 20) {
             if (nowMillis % 100 == 0) {
-                c.asked(true);
-                c.ended(nowMillis, 30, 375);
+                c.requestArrived(true);
+                c.runCompleted(nowMillis, 30, 375);
             }
             c.tick(nowMillis);
         }
@@ -27,52 +27,52 @@
     void fromTheStartOverColdAndRampingToFull() {
         RecoveryPhaseTracker c = life(false);
         assertEquals(Phase.STARTING, c.phase());
-        c.engine(5000, true);
+        c.engineAttached(5000, true);
         assertEquals(Phase.COLD, c.phase());
-        assertTrue(c.shown() < 6);
+        assertTrue(c.demonstratedRatePerSecond() < 6);
         c.tick(5100);
-        c.ended(5200, 200, 375);
+        c.runCompleted(5200, 200, 375);
         assertEquals(Phase.RAMPING, c.phase());
         assertEquals(5200, c.since());
-        assertTrue(Double.isNaN(c.fullAfter()));
+        assertTrue(Double.isNaN(c.fullAfterMillis()));
         calm(c, 5300, 12_000);
         assertEquals(Phase.FULL, c.phase());
-        assertTrue(Double.isNaN(c.shown()));
-        assertTrue(c.fullAfter() > 0 && c.fullAfter() < 7000);
+        assertTrue(Double.isNaN(c.demonstratedRatePerSecond()));
+        assertTrue(c.fullAfterMillis() > 0 && c.fullAfterMillis() < 7000);
     }
 
     @Test
     void anEngineThatWasUpAllTheTimeIsTakenAtItsWordUnlessTheMemoryIsDoubted() {
         RecoveryPhaseTracker trusted = life(false);
-        trusted.engine(100, false);
+        trusted.engineAttached(100, false);
         assertEquals(Phase.FULL, trusted.phase());
-        assertEquals(0, trusted.fullAfter());
+        assertEquals(0, trusted.fullAfterMillis());
         RecoveryPhaseTracker doubted = life(true);
-        doubted.engine(100, false);
+        doubted.engineAttached(100, false);
         assertEquals(Phase.COLD, doubted.phase());
-        assertEquals("what was remembered is not believed", doubted.why());
+        assertEquals("what was remembered is not believed", doubted.reason());
     }
 
     @Test
     void anEngineThatIsStartedAnewIsWatchedAnewAndALinkThatBreaksIsNot() {
         RecoveryPhaseTracker c = life(false);
-        c.engine(100, false);
-        c.engine(200, false);
+        c.engineAttached(100, false);
+        c.engineAttached(200, false);
         assertEquals(Phase.FULL, c.phase());
-        c.engine(300, true);
+        c.engineAttached(300, true);
         assertEquals(Phase.COLD, c.phase());
-        c.ended(400, 30, 375);
-        c.engine(500, true);
+        c.runCompleted(400, 30, 375);
+        c.engineAttached(500, true);
         assertEquals(Phase.COLD, c.phase());
     }
 
     @Test
     void aNoticeToLeaveIsTheLastPhase() {
         RecoveryPhaseTracker c = life(false);
-        c.engine(0, true);
-        c.draining(50);
-        c.engine(60, true);
-        c.ended(70, 30, 375);
+        c.engineAttached(0, true);
+        c.drainingBegan(50);
+        c.engineAttached(60, true);
+        c.runCompleted(70, 30, 375);
         c.tick(5000);
         assertEquals(Phase.DRAINING, c.phase());
     }
--- a/src/test/java/tinroad/recovery/RampTest.java
+++ b/src/test/java/tinroad/recovery/RampTest.java
@@ -70,11 +70,11 @@
         for (double nowMillis = 1; nowMillis < length; nowMillis++) {
             cores.pause(nowMillis < dead);
             for (String id : cores.advance(nowMillis)) {
-                ramp.ended(nowMillis, nowMillis - begun.remove(id), WORK);
+                ramp.runCompleted(nowMillis, nowMillis - begun.remove(id), WORK);
             }
             for (; next < nowMillis; next -= Math.log(1 - random.nextDouble()) / perMs) {
-                boolean in = !bounded || bucket.take(nowMillis, ramp.bound());
-                ramp.asked(in);
+                boolean in = !bounded || bucket.take(nowMillis, ramp.ratePerSecondLimit());
+                ramp.requestArrived(in);
                 if (in) {
                     String id = "r" + n++;
                     begun.put(id, nowMillis);
@@ -123,8 +123,8 @@
     void whileNothingEndsLittleIsTakenAndItBeginsWithTheFirstEnd() {
         Start s = start(0.7, 2000, 1, 10_000, 10_000, true);
         assertEquals(Phase.COLD, s.ramp.phase());
-        assertEquals("nothing ends", s.ramp.why());
-        assertTrue(s.ramp.bound() <= CORES * 1000 / 375.0 + 1e-9, s::toString);
+        assertEquals("nothing ends", s.ramp.reason());
+        assertTrue(s.ramp.ratePerSecondLimit() <= CORES * 1000 / 375.0 + 1e-9, s::toString);
         Start back = start(0.7, 2000, 1, 10_000, 30_000, true);
         assertTrue(back.allAt < 10_000 + 2500 + 3000, back::toString);
     }
@@ -137,11 +137,11 @@
     @Test
     void theClockAloneRaisesNothing() {
         SlowStart ramp = new SlowStart(0, CORES, 375);
-        double before = ramp.bound();
+        double before = ramp.ratePerSecondLimit();
         for (double nowMillis = 0; nowMillis < 60_000; nowMillis += 20) {
             ramp.tick(nowMillis);
         }
-        assertEquals(before, ramp.bound());
+        assertEquals(before, ramp.ratePerSecondLimit());
         assertEquals(Phase.COLD, ramp.phase());
     }
 }
--- a/src/test/java/tinroad/recovery/ReconnectsTest.java
+++ b/src/test/java/tinroad/recovery/ReconnectsTest.java
@@ -32,14 +32,14 @@
         DecorrelatedJitterBackoff[] fleet = new DecorrelatedJitterBackoff[FLEET];
         for (int g = 0; g < FLEET; g++) {
             fleet[g] = new DecorrelatedJitterBackoff("g" + g, seed, FIRST, CAP);
-            next.add(new Attempt(fleet[g].next(), g));
+            next.add(new Attempt(fleet[g].nextMillis(), g));
         }
         List<Attempt> made = new ArrayList<>();
         while (!next.isEmpty()) {
             Attempt a = next.poll();
             made.add(a);
             if (a.at < cut) {
-                next.add(new Attempt(a.at + fleet[a.gateway].next(), a.gateway));
+                next.add(new Attempt(a.at + fleet[a.gateway].nextMillis(), a.gateway));
             }
         }
         return made;
@@ -73,27 +73,27 @@
                 new DecorrelatedJitterBackoff("n3", seed, first, 10 * first);
         double before = first;
         for (int i = 0; i < 100; i++) {
-            double gap = reconnects.next();
+            double gap = reconnects.nextMillis();
             assertTrue(
                     gap >= first && gap <= Math.min(10 * first, 3 * before),
                     "gap " + gap + " after " + before);
             before = gap;
         }
-        reconnects.alive();
-        assertTrue(reconnects.next() <= 3 * first);
+        reconnects.reset();
+        assertTrue(reconnects.nextMillis() <= 3 * first);
     }
 
     @Test
     void nameAndSeedEachTellGatewaysApart() {
         assertNotEquals(
-                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next(),
-                new DecorrelatedJitterBackoff("b", 1, 1, 1000).next());
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).nextMillis(),
+                new DecorrelatedJitterBackoff("b", 1, 1, 1000).nextMillis());
         assertNotEquals(
-                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next(),
-                new DecorrelatedJitterBackoff("a", 2, 1, 1000).next());
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).nextMillis(),
+                new DecorrelatedJitterBackoff("a", 2, 1, 1000).nextMillis());
         assertEquals(
-                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next(),
-                new DecorrelatedJitterBackoff("a", 1, 1, 1000).next());
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).nextMillis(),
+                new DecorrelatedJitterBackoff("a", 1, 1, 1000).nextMillis());
     }
 
     @Test
@@ -101,7 +101,7 @@
         int[] bins = new int[2000];
         for (int g = 0; g < FLEET; g++) {
             JitteredInterval pace = new JitteredInterval("g" + g, 7, 250, 0.2);
-            for (double at = 0; at < 50_000; at += pace.next()) {
+            for (double at = 0; at < 50_000; at += pace.nextMillis()) {
                 bins[(int) (at / 25)]++;
             }
         }
--- a/src/test/java/tinroad/recovery/RereadsTest.java
+++ b/src/test/java/tinroad/recovery/RereadsTest.java
@@ -36,16 +36,17 @@
         for (long seed = 0; seed < 500; seed++) {
             List<Double> at = readings(seed, 0, 600_000);
             assertTrue(
-                    at.get(0) >= ConfigReloadBackoff.FIRST
+                    at.get(0) >= ConfigReloadBackoff.FIRST_MILLIS
                             && at.get(0)
-                                    <= ConfigReloadBackoff.FIRST
-                                            + ConfigReloadBackoff.SPREAD
+                                    <= ConfigReloadBackoff.FIRST_MILLIS
+                                            + ConfigReloadBackoff.SPREAD_MILLIS
                                             + LOOK,
                     "seed " + seed);
             for (int i = 1; i < at.size(); i++) {
                 double gap = at.get(i) - at.get(i - 1);
                 assertTrue(
-                        gap >= ConfigReloadBackoff.FIRST && gap <= ConfigReloadBackoff.CAP + LOOK,
+                        gap >= ConfigReloadBackoff.FIRST_MILLIS
+                                && gap <= ConfigReloadBackoff.CAP_MILLIS + LOOK,
                         "seed " + seed + " at " + at.get(i));
             }
         }
@@ -61,7 +62,9 @@
         for (long seed = 0; seed < 200; seed++) {
             readings(seed, 0, 60_000).forEach(at -> each[(int) (at / LOOK)]++);
         }
-        for (int look = (int) (2 * ConfigReloadBackoff.CAP / LOOK); look < each.length; look++) {
+        for (int look = (int) (2 * ConfigReloadBackoff.CAP_MILLIS / LOOK);
+                look < each.length;
+                look++) {
             assertTrue(each[look] <= 30, each[look] + " at " + look * LOOK);
         }
     }
--- a/src/test/java/tinroad/simulation/MembersModelTest.java
+++ b/src/test/java/tinroad/simulation/MembersModelTest.java
@@ -81,7 +81,7 @@
         m.pass(15_000);
         m.stop(9, false);
         assertTrue(m.untilWhole(6000) < 6000);
-        assertEquals(1, m.held(0, 9).version().era());
+        assertEquals(1, m.held(0, 9).incarnation().restart());
     }
 
     @Test
