--- a/src/test/java/tinroad/state/KillWrites.java
+++ b/src/test/java/tinroad/state/KillWrites.java
@@ -25,10 +25,15 @@
         }
         SnapshotStore f = new SnapshotStore(Path.of(args[0]), null, 3);
         long life =
-                f.claim(
-                        SnapshotSelector.decide(
-                                        f.candidates(), "n3", NOW, 600_000, f.knownLife(), 0)
-                                .lastLife());
+                f.claimIncarnation(
+                        SnapshotSelector.select(
+                                        f.candidates(),
+                                        "n3",
+                                        NOW,
+                                        600_000,
+                                        f.latestMarkedIncarnation(),
+                                        0)
+                                .lastIncarnation());
         for (long g = 1; ; g++) {
             f.save(StateTest.snapshot(life, g, NOW));
             System.out.println(life + " " + g);
@@ -44,8 +49,9 @@
             String last = lastSaid(KillWrites.class, folder, random);
             SnapshotStore f = new SnapshotStore(folder, null, 3);
             SnapshotSelector.Decision d =
-                    SnapshotSelector.decide(f.candidates(), "n3", NOW, 600_000, f.knownLife(), 0);
-            damaged += d.setAside().isEmpty() ? 0 : 1;
+                    SnapshotSelector.select(
+                            f.candidates(), "n3", NOW, 600_000, f.latestMarkedIncarnation(), 0);
+            damaged += d.rejectedFiles().isEmpty() ? 0 : 1;
             String[] words = last.split(" ");
             Snapshot s = d.snapshot();
             boolean kept =
--- a/src/test/java/tinroad/state/StateFolderTest.java
+++ b/src/test/java/tinroad/state/StateFolderTest.java
@@ -27,8 +27,13 @@
     }
 
     private SnapshotSelector.Decision recall(SnapshotStore f) throws IOException {
-        return SnapshotSelector.decide(
-                f.candidates(), "n3", NOW, 600_000, f.knownLife(), f.fenceLife());
+        return SnapshotSelector.select(
+                f.candidates(),
+                "n3",
+                NOW,
+                600_000,
+                f.latestMarkedIncarnation(),
+                f.fencedIncarnation());
     }
 
     @Test
@@ -37,16 +42,16 @@
             SnapshotStore f = folder();
             SnapshotSelector.Decision d = recall(f);
             assertEquals(
-                    life == 1 ? SnapshotSelector.Begin.FIRST : SnapshotSelector.Begin.WARM,
-                    d.begin());
-            assertEquals(life, f.claim(d.lastLife()));
+                    life == 1 ? SnapshotSelector.StartMode.FIRST : SnapshotSelector.StartMode.WARM,
+                    d.startMode());
+            assertEquals(life, f.claimIncarnation(d.lastIncarnation()));
             for (int g = 1; g <= 5; g++) {
                 assertTrue(f.save(StateTest.snapshot(life, g, NOW)));
             }
             assertEquals(
                     List.of(5L, 4L, 3L),
                     f.candidates().stream()
-                            .map(c -> c.reading().snapshot().generation())
+                            .map(c -> c.readResult().snapshot().generation())
                             .sorted((a, b) -> Long.compare(b, a))
                             .toList());
         }
@@ -59,8 +64,8 @@
     void twoThatBeginAtOnceGetTwoLivesAndTheEarlierOneIsFenced() throws Exception {
         SnapshotStore first = folder();
         SnapshotStore second = folder();
-        assertEquals(1, first.claim(0));
-        assertEquals(2, second.claim(0));
+        assertEquals(1, first.claimIncarnation(0));
+        assertEquals(2, second.claimIncarnation(0));
         assertTrue(second.save(StateTest.snapshot(2, 1, NOW)));
         // The first one was stopped, and wakes: it has nothing to say any more.
         assertFalse(first.save(StateTest.snapshot(1, 900, NOW)));
@@ -75,31 +80,31 @@
     @Test
     void aFolderRolledBackOrLostIsTold() throws Exception {
         SnapshotStore f = folder();
-        f.claim(0);
+        f.claimIncarnation(0);
         f.save(StateTest.snapshot(1, 1, NOW));
         byte[] older =
                 Files.readAllBytes(
                         dir.resolve("state/state-0000000000000000001-0000000000000000001"));
         SnapshotStore next = folder();
-        next.claim(1);
+        next.claimIncarnation(1);
         next.save(StateTest.snapshot(2, 1, NOW));
         try (Stream<Path> files = Files.list(dir.resolve("state"))) {
             files.forEach(p -> p.toFile().delete());
         }
         assertEquals(
-                new SnapshotSelector.Decision(SnapshotSelector.Begin.COLD, null, 2, List.of()),
+                new SnapshotSelector.Decision(SnapshotSelector.StartMode.COLD, null, 2, List.of()),
                 recall(folder()));
         Files.write(dir.resolve("state/state-0000000000000000001-0000000000000000001"), older);
         SnapshotSelector.Decision d = recall(folder());
-        assertEquals(SnapshotSelector.Begin.COLD, d.begin());
-        assertTrue(d.setAside().get(0).contains("rolled back"), d::toString);
-        assertEquals(3, folder().claim(d.lastLife()));
+        assertEquals(SnapshotSelector.StartMode.COLD, d.startMode());
+        assertTrue(d.rejectedFiles().get(0).contains("rolled back"), d::toString);
+        assertEquals(3, folder().claimIncarnation(d.lastIncarnation()));
     }
 
     @Test
     void aWriteThatFailsLeavesWhatWasThere() throws Exception {
         SnapshotStore f = folder();
-        f.claim(0);
+        f.claimIncarnation(0);
         f.save(StateTest.snapshot(1, 1, NOW));
         byte[] next = SnapshotCodec.write(StateTest.snapshot(1, 2, NOW));
         for (int n = 0; n <= next.length; n += 7) {
@@ -117,21 +122,21 @@
         Path half = dir.resolve("state/state-0000000000000000001-0000000000000000003.part");
         Files.write(half, new byte[20]);
         assertEquals(1, recall(folder()).snapshot().generation());
-        folder().claim(1);
+        folder().claimIncarnation(1);
         assertFalse(Files.exists(half));
     }
 
     @Test
     void aFolderThatCanNotBeWrittenCostsALineAndNoMore() throws Exception {
         Path file = Files.writeString(dir.resolve("plain"), "no folder");
-        assertThrows(IOException.class, () -> new SnapshotStore(file, null, 3).claim(0));
+        assertThrows(IOException.class, () -> new SnapshotStore(file, null, 3).claimIncarnation(0));
         assertEquals(List.of(), new SnapshotStore(dir.resolve("absent"), null, 3).candidates());
     }
 
     @Test
     void whoOffersNeverWaitsForASlowDiskAndTheLatestIsSaved() throws Exception {
         SnapshotStore f = folder();
-        f.claim(0);
+        f.claimIncarnation(0);
         CountDownLatch writing = new CountDownLatch(1);
         CountDownLatch slow = new CountDownLatch(1);
         f.disk(
@@ -155,7 +160,7 @@
         }
         assertEquals(
                 List.of(1L, 1000L),
-                f.candidates().stream().map(c -> c.reading().snapshot().generation()).toList());
+                f.candidates().stream().map(c -> c.readResult().snapshot().generation()).toList());
     }
 
     @Test
--- a/src/test/java/tinroad/state/StateTest.java
+++ b/src/test/java/tinroad/state/StateTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import tinroad.recovery.StateRestorer;
 import tinroad.state.SnapshotReadResult.RejectionReason;
-import tinroad.state.SnapshotSelector.Begin;
 import tinroad.state.SnapshotSelector.Candidate;
+import tinroad.state.SnapshotSelector.StartMode;
 
 /** What is decided about state, without a file. */
 class StateTest {
@@ -41,7 +41,7 @@
     }
 
     private static SnapshotSelector.Decision decide(long fence, Candidate... found) {
-        return SnapshotSelector.decide(List.of(found), "n3", NOW, OLDEST, 0, fence);
+        return SnapshotSelector.select(List.of(found), "n3", NOW, OLDEST, 0, fence);
     }
 
     @Test
@@ -61,7 +61,7 @@
     void aFileOfTheProgramBeforeIsReadAndTellsNoCatalog() {
         assertEquals(
                 snapshot(3, 7, NOW), SnapshotCodec.read(HexFormat.of().parseHex(OLDER)).snapshot());
-        assertEquals(0, snapshot(3, 7, NOW).epoch());
+        assertEquals(0, snapshot(3, 7, NOW).catalogEpoch());
     }
 
     @Test
@@ -69,11 +69,18 @@
         Snapshot s = new Snapshot("n3", 1, 1, NOW, false, Map.of(), Map.of(), 1L << 40, 24_000);
         assertEquals(s, SnapshotCodec.read(SnapshotCodec.write(s)).snapshot());
         StateRestorer next = new StateRestorer("n3", decide(0, file(s)), 2, OLDEST, 1000);
-        assertEquals(1L << 40, next.epoch());
-        assertEquals(24_000, next.number());
+        assertEquals(1L << 40, next.catalogEpoch());
+        assertEquals(24_000, next.catalogNumber());
         assertEquals(
-                s.number() + 1,
-                next.leaves(NOW, Map.of(), Map.of(), false, s.epoch(), s.number() + 1).number());
+                s.catalogNumber() + 1,
+                next.toSnapshot(
+                                NOW,
+                                Map.of(),
+                                Map.of(),
+                                false,
+                                s.catalogEpoch(),
+                                s.catalogNumber() + 1)
+                        .catalogNumber());
     }
 
     @Test
@@ -119,9 +126,9 @@
                         file(snapshot(3, 1, NOW - 500)),
                         file(snapshot(3, 2, NOW - 300)));
         assertEquals(snapshot(3, 2, NOW - 300), d.snapshot());
-        assertEquals(Begin.WARM, d.begin());
-        assertEquals(3, d.lastLife());
-        assertEquals(List.of(), d.setAside());
+        assertEquals(StartMode.WARM, d.startMode());
+        assertEquals(3, d.lastIncarnation());
+        assertEquals(List.of(), d.rejectedFiles());
     }
 
     @Test
@@ -134,7 +141,7 @@
         SnapshotSelector.Decision d = decide(0, file(snapshot(3, 2, NOW - 300)), torn);
         assertEquals(3, d.snapshot().incarnation());
         assertTrue(
-                d.setAside().get(0).startsWith("torn: damaged: its checksum does not fit"),
+                d.rejectedFiles().get(0).startsWith("torn: damaged: its checksum does not fit"),
                 d::toString);
     }
 
@@ -150,18 +157,19 @@
         wrong.forEach(
                 (c, text) -> {
                     SnapshotSelector.Decision d = decide(text.contains("rolled") ? 5 : 0, c);
-                    assertEquals(Begin.COLD, d.begin());
+                    assertEquals(StartMode.COLD, d.startMode());
                     assertNull(d.snapshot());
-                    assertTrue(d.setAside().get(0).startsWith(text), d::toString);
+                    assertTrue(d.rejectedFiles().get(0).startsWith(text), d::toString);
                 });
     }
 
     @Test
     void anEmptyFolderIsAFirstStartUnlessSomethingTellsOfALifeBefore() {
-        assertEquals(Begin.FIRST, decide(0).begin());
-        assertEquals(new SnapshotSelector.Decision(Begin.COLD, null, 5, List.of()), decide(5));
+        assertEquals(StartMode.FIRST, decide(0).startMode());
+        assertEquals(new SnapshotSelector.Decision(StartMode.COLD, null, 5, List.of()), decide(5));
         assertEquals(
-                Begin.COLD, SnapshotSelector.decide(List.of(), "n3", NOW, OLDEST, 2, 0).begin());
+                StartMode.COLD,
+                SnapshotSelector.select(List.of(), "n3", NOW, OLDEST, 2, 0).startMode());
     }
 
     /** No decision may use a value beyond its age, whatever is asked for. */
@@ -180,11 +188,11 @@
                         oldest);
         assertTrue(
                 aged == null
-                        || (aged.age() <= oldest
-                                && aged.age() >= 0
+                        || (aged.ageMillis() <= oldest
+                                && aged.ageMillis() >= 0
                                 && Double.isFinite(aged.value())
                                 && aged.weight() >= 0));
-        assertTrue(aged == null || learnedAgo >= -SnapshotSelector.CLOCKS);
+        assertTrue(aged == null || learnedAgo >= -SnapshotSelector.MAX_CLOCK_DIFFERENCE_MILLIS);
     }
 
     @Test
