--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -16,8 +16,8 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Judges a run of all tests against KNOWN-RED.txt, the list of tests that fail for a fault known and not mended yet. Passes over just
- * these. Guards against a list that hides anything else: a line out of form, too many, a test that is not there, a red one beside
+ * Judges a run of all tests against KNOWN-RED.txt, the list of tests that fail for a known fault that is not mended yet. Passes over just
+ * these. An entry is one line: {@code Class#method | command and seed | what was seen | issue N}. Guards against a list that hides anything else: a line out of form, too many, a test that is not there, a red one beside
  * them, a class that left no report as its process ended.
  *
  *     java .ci/KnownRed.java KNOWN-RED.txt                                        the list's form alone
@@ -26,8 +26,10 @@
  * Exit status: 0 nothing red but what is listed, 1 something else is wrong, a line for each.
  */
 final class KnownRed {
-    private static final int MOST = 3;
-    private static final Pattern LINE = Pattern.compile("([\\w.$]+#[\\w$]+): \\S.*, issue \\d+");
+    private static final int MAX_ENTRIES = 3;
+    private static final String FORM = "Class#method | command and seed | what was seen | issue N";
+    private static final Pattern ENTRY =
+            Pattern.compile("([\\w.$]+#[\\w$]+) \\| [^|\\s][^|]* \\| [^|\\s][^|]* \\| issue \\d+");
 
     private enum Outcome { PASSED, SKIPPED, FAILED }
 
@@ -51,15 +53,15 @@
     private void list(Path file) throws IOException {
         List<String> lines = Files.readAllLines(file);
         for (String line : lines) {
-            Matcher form = LINE.matcher(line);
+            Matcher form = ENTRY.matcher(line);
             if (!form.matches()) {
-                faults.add("a line out of form (Class#method: cause, issue N): '" + line + "'");
+                faults.add("a line out of form (" + FORM + "): '" + line + "'");
             } else if (listed.put(form.group(1), line) != null) {
                 faults.add("listed twice: " + form.group(1));
             }
         }
-        if (lines.size() > MOST) {
-            faults.add(lines.size() + " lines, " + MOST + " at most");
+        if (lines.size() > MAX_ENTRIES) {
+            faults.add(lines.size() + " lines, " + MAX_ENTRIES + " at most");
         }
     }
 
--- a/src/main/java/tinroad/lab/scale/Load.java
+++ b/src/main/java/tinroad/lab/scale/Load.java
@@ -38,7 +38,12 @@
     private static final int OK = 200;
     private static final int CONNECT_S = 10;
 
-    private record Open(long plannedNanos, IntConsumer heard) {}
+    /**
+     * A request without an answer yet.
+     *
+     * @param measurement the one during which it was asked
+     */
+    private record Open(long plannedNanos, int measurement, IntConsumer heard) {}
 
     private final class Line extends SimpleChannelInboundHandler<ByteBuf> {
         private final Map<Integer, Open> open = new HashMap<>();
@@ -87,6 +92,7 @@
     private final Histogram took = new Histogram(LONGEST_MICROS, 3);
     private long asked;
     private long others;
+    private int measurement;
     private int turn;
 
     /** A load to this address; the same seed asks for the same, wherever it goes. */
@@ -156,7 +162,7 @@
             lines.set(turn, open());
         }
         Line line = lines.get(turn);
-        Open open = new Open(plannedNanos, heard);
+        Open open = new Open(plannedNanos, measurement, heard);
         line.numbers = line.numbers % NUMBERS + 1;
         line.open.put(line.numbers, open);
         Map<String, String> fields = new LinkedHashMap<>();
@@ -185,6 +191,8 @@
     private void ended(Open open, int status) {
         if (open.heard != null) {
             open.heard.accept(status);
+        } else if (open.measurement != measurement) {
+            return;
         } else if (status == OK) {
             took.recordValue(micros(open));
         } else {
@@ -197,8 +205,9 @@
                 0, Math.min(LONGEST_MICROS, (System.nanoTime() - open.plannedNanos) / 1000));
     }
 
-    /** What was asked and measured from now on counts. */
+    /** What is asked from now on counts; what is still unanswered from before does not. */
     void begin() {
+        measurement++;
         took.reset();
         asked = 0;
         others = 0;
@@ -213,7 +222,7 @@
         lines.forEach(
                 line ->
                         line.open.values().stream()
-                                .filter(o -> o.heard == null)
+                                .filter(o -> o.heard == null && o.measurement == measurement)
                                 .forEach(o -> all.recordValue(micros(o))));
         return new Result(all, asked, others);
     }
--- a/src/test/java/tinroad/KnownRedTest.java
+++ b/src/test/java/tinroad/KnownRedTest.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.BeforeEach;
@@ -17,7 +18,8 @@
  * on reports made up here.
  */
 class KnownRedTest {
-    private static final String RED = "ATest#red: the clock goes back, issue 7";
+    private static final String RED =
+            "ATest#red | mvn verify, seed 3 | the clock goes back | issue 7";
 
     @TempDir Path dir;
 
@@ -99,7 +101,7 @@
 
     @Test
     void saysWhenAListedTestPasses() throws Exception {
-        String passes = "BTest#green: the clock goes back, issue 7";
+        String passes = "BTest#green | mvn verify, seed 3 | the clock goes back | issue 7";
         assertEquals(
                 List.of(
                         "0",
@@ -120,24 +122,36 @@
                         "known red: FAULT: skipped, not failed: BTest#green",
                         "known red: FAULT: more than one test is meant: ATest#red",
                         "known red: FAULT: red and not listed: a.ATest#red"),
-                judged("ATest#gone: left, issue 7", "BTest#green: left, issue 7", RED));
+                judged(
+                        "ATest#gone | mvn verify | left | issue 7",
+                        "BTest#green | mvn verify | left | issue 7",
+                        RED));
     }
 
     @Test
     void failsOnAListOutOfForm() throws Exception {
-        assertEquals(
+        String form = "Class#method | command and seed | what was seen | issue N";
+        List<String> malformed =
                 List.of(
-                        "1",
-                        "known red: FAULT: a line out of form (Class#method: cause, issue N): ''",
-                        "known red: FAULT: a line out of form (Class#method: cause, issue N):"
-                                + " 'ATest#red: no issue'",
-                        "known red: FAULT: listed twice: ATest#red",
-                        "known red: FAULT: 4 lines, 3 at most"),
-                said(
-                        Files.write(
-                                        dir.resolve("KNOWN-RED.txt"),
-                                        List.of("", "ATest#red: no issue", RED, RED))
-                                .toString()));
+                        "",
+                        "ATest#red: the clock goes back, issue 7",
+                        "ATest#red | mvn verify | issue 7",
+                        "ATest#red | | the clock goes back | issue 7",
+                        "ATest#red | mvn verify | the clock goes back | no issue");
+        List<String> expected = new ArrayList<>(List.of("1"));
+        malformed.forEach(
+                line ->
+                        expected.add(
+                                "known red: FAULT: a line out of form ("
+                                        + form
+                                        + "): '"
+                                        + line
+                                        + "'"));
+        expected.add("known red: FAULT: listed twice: ATest#red");
+        expected.add("known red: FAULT: 7 lines, 3 at most");
+        List<String> lines = new ArrayList<>(malformed);
+        lines.addAll(List.of(RED, RED));
+        assertEquals(expected, said(Files.write(dir.resolve("KNOWN-RED.txt"), lines).toString()));
     }
 
     /**
