--- a/src/main/java/tinroad/catalog/CatalogBuilder.java
+++ b/src/main/java/tinroad/catalog/CatalogBuilder.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import org.pcollections.TreePMap;
+import tinroad.config.Interner;
 import tinroad.config.SettingsValidator;
-import tinroad.config.Shared;
 import tinroad.config.ValidationErrors;
 import tinroad.overload.Controller.ClassSlot;
 import tinroad.overload.Controller.RequestClass;
@@ -150,7 +150,7 @@
     /** One of the two tables: its places, and the specs that it shares. */
     private static final class Side<S, E extends CatalogEntry<S>> {
         private final SlotAllocator places;
-        private final Shared<S> specs = new Shared<>();
+        private final Interner<S> specs = new Interner<>();
 
         Side(SlotAllocator places) {
             this.places = places;
@@ -215,7 +215,7 @@
             for (Map.Entry<String, S> e : put.entrySet()) {
                 E there = entries.get(e.getKey());
                 String name = there == null ? e.getKey() : there.name();
-                S spec = specs.of(e.getValue());
+                S spec = specs.intern(e.getValue());
                 int place = there == null ? places.give() : there.slot();
                 entries = entries.plus(name, table.kind().entry(name, place, spec));
                 told.accept(place, spec);
--- a/src/main/java/tinroad/config/ConfigDiff.java
+++ b/src/main/java/tinroad/config/ConfigDiff.java
@@ -18,30 +18,32 @@
         PARTS.put("listen", GatewayConfig::listen);
         PARTS.put("control", c -> String.valueOf(c.control()));
         PARTS.put("seed", GatewayConfig::seed);
-        PARTS.put("stop_ms", GatewayConfig::stopMs);
+        PARTS.put("stop_ms", GatewayConfig::stopMillis);
         PARTS.put("limits", c -> List.of(c.sockets(), c.memoryMb()));
         site("goal", Settings::objectiveWeights);
         site("rules", Settings::rules);
         PARTS.put(
                 "settings.family_info",
                 c -> {
-                    Settings s = c.site().settings();
+                    Settings settings = c.site().settings();
                     return List.of(
-                            s.dependency(),
-                            s.loadHint(),
-                            s.cancellationMode(),
-                            s.cores(),
-                            s.callers(),
-                            s.coldStart(),
-                            s.requestsCarryDeadline(),
-                            s.clientIdleMillis(),
-                            s.memoryKb(),
-                            s.runMemoryFactor(),
-                            s.keyKb(),
-                            s.resultFreshMillis(),
+                            settings.dependency(),
+                            settings.loadHint(),
+                            settings.cancellationMode(),
+                            settings.cores(),
+                            settings.callers(),
+                            settings.coldStart(),
+                            settings.requestsCarryDeadline(),
+                            settings.clientIdleMillis(),
+                            settings.memoryKb(),
+                            settings.runMemoryFactor(),
+                            settings.keyKb(),
+                            settings.resultFreshMillis(),
                             c.site().gaugeNames());
                 });
-        site("caps", s -> List.of(s.maxRetryAfterMillis(), s.sendsRetryAfter()));
+        site(
+                "caps",
+                settings -> List.of(settings.maxRetryAfterMillis(), settings.sendsRetryAfter()));
         site("clients", Settings::requestsMarkRetries);
         site("servers", Settings::servers);
         site("over_share_worth", Settings::overQuotaWeight);
@@ -56,9 +58,9 @@
     }
 
     /** The parts in which {@code b} differs from {@code a}. */
-    public static List<String> between(GatewayConfig a, GatewayConfig b) {
+    public static List<String> between(GatewayConfig before, GatewayConfig after) {
         return PARTS.entrySet().stream()
-                .filter(e -> !e.getValue().apply(a).equals(e.getValue().apply(b)))
+                .filter(e -> !e.getValue().apply(before).equals(e.getValue().apply(after)))
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/main/java/tinroad/config/ConfigFile.java
+++ b/src/main/java/tinroad/config/ConfigFile.java
@@ -16,12 +16,12 @@
      * A file that was written less than this, in ms, before it was read may be written again within
      * the same tick of its time.
      */
-    private static final long SETTLED = 2000;
+    private static final long SETTLE_MILLIS = 2000;
 
     private final Path path;
 
     /** What the file was when it was read last, or null: not to be trusted. */
-    private Object seen;
+    private Object lastReadStamp;
 
     /** The file at this path. */
     public ConfigFile(Path path) {
@@ -30,20 +30,23 @@
 
     @Override
     public synchronized GatewayConfig read(SiteVisitor visitor) throws ConfigException {
-        seen = stamp(System.currentTimeMillis() - SETTLED);
+        lastReadStamp = stamp(System.currentTimeMillis() - SETTLE_MILLIS);
         return GatewayConfig.read(path, visitor);
     }
 
     @Override
     public synchronized boolean changed() {
-        return seen == null || !seen.equals(stamp(Long.MAX_VALUE));
+        return lastReadStamp == null || !lastReadStamp.equals(stamp(Long.MAX_VALUE));
     }
 
     private Object stamp(long writtenBefore) {
         try {
-            BasicFileAttributes a = Files.readAttributes(path, BasicFileAttributes.class);
-            return a.lastModifiedTime().toMillis() < writtenBefore
-                    ? List.of(a.lastModifiedTime(), a.size(), String.valueOf(a.fileKey()))
+            BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+            return attributes.lastModifiedTime().toMillis() < writtenBefore
+                    ? List.of(
+                            attributes.lastModifiedTime(),
+                            attributes.size(),
+                            String.valueOf(attributes.fileKey()))
                     : null;
         } catch (IOException e) {
             return null;
--- a/src/main/java/tinroad/config/GatewayConfig.java
+++ b/src/main/java/tinroad/config/GatewayConfig.java
@@ -19,9 +19,18 @@
 import java.util.stream.Collectors;
 
 /**
- * What one gateway is told at its start, read and checked once.
+ * The configuration of one gateway, read and validated as a whole.
  *
- * @param control where operators call, or null where they have no door
+ * @param name the gateway's name in the service registry
+ * @param listen where client proxies connect
+ * @param control the admin endpoint, or null for none
+ * @param engine where the engine listens
+ * @param roster where the service registry takes load reports
+ * @param seed of all random choices
+ * @param stopMillis time from SIGTERM to the kill
+ * @param sockets file descriptors that the process may hold
+ * @param memoryMb memory that the process may take
+ * @param site the settings of the controller, with the names behind its numbers
  */
 public record GatewayConfig(
         String name,
@@ -30,19 +39,22 @@
         InetSocketAddress engine,
         InetSocketAddress roster,
         long seed,
-        double stopMs,
+        double stopMillis,
         int sockets,
         double memoryMb,
         Site site) {
 
     private static final JsonFactory JSON =
             JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
-    private static final double DEFAULT_STOP_MS = 3000;
+    private static final double DEFAULT_STOP_MILLIS = 3000;
     private static final int DEFAULT_SOCKETS = 1024;
     private static final double DEFAULT_MEMORY_MB = 192;
 
     /**
-     * Reads the file that {@code GW_CONFIG} names; what is wrong with it is told in one plain line.
+     * Reads a configuration file.
+     *
+     * @throws ConfigException with one line for each error; the file's name, and the line and
+     *     column where it is not JSON
      */
     public static GatewayConfig read(Path file) throws ConfigException {
         return read(file, null);
@@ -83,12 +95,12 @@
                 return new InetSocketAddress(host, port);
             }
         } catch (NumberFormatException e) {
-            // told below, as any other malformed address
+            // Reported below, as any other malformed address.
         }
         throw new ConfigException("config: " + field + " is no ADDRESS:PORT: '" + text + "'");
     }
 
-    /** The fields as they come in. */
+    /** The fields of the file while they come in, in any order. */
     private static final class Fields {
         private final Path file;
         private final SiteVisitor visitor;
@@ -99,7 +111,7 @@
         private String engine = "";
         private String roster = "";
         private String seed = "";
-        private double stopMs = DEFAULT_STOP_MS;
+        private double stopMillis = DEFAULT_STOP_MILLIS;
         private double sockets = DEFAULT_SOCKETS;
         private double memoryMb = DEFAULT_MEMORY_MB;
         private SiteReader settings;
@@ -111,7 +123,7 @@
 
         void pass(FileChannel bytes) throws IOException, ConfigException {
             object(bytes, this::field);
-            if (settings != null && settings.classesWait()) {
+            if (settings != null && settings.needsSecondPass()) {
                 object(
                         bytes.position(0),
                         field -> {
@@ -138,7 +150,7 @@
                 throw new ConfigException(
                         "config: name is missing or holds blanks: '" + name + "'");
             }
-            if (settings == null || settings.classes() == 0) {
+            if (settings == null || settings.classCount() == 0) {
                 throw new ConfigException("config: settings are missing or name no classes");
             }
             GatewayConfig config =
@@ -149,15 +161,15 @@
                             address("engine", engine),
                             address("roster", roster),
                             seedValue(),
-                            stopMs,
+                            stopMillis,
                             (int) sockets,
                             memoryMb,
                             settings.site());
-            ValidationErrors faults = settings.faults(config.site);
-            if (!faults.isEmpty()) {
+            ValidationErrors errors = settings.errors(config.site);
+            if (!errors.isEmpty()) {
                 throw new ConfigException(
-                        faults.lines().stream()
-                                .map(fault -> "config: settings: " + fault)
+                        errors.lines().stream()
+                                .map(error -> "config: settings: " + error)
                                 .collect(Collectors.joining("\n")));
             }
             return config;
@@ -171,11 +183,11 @@
                 case "engine" -> engine = text(in);
                 case "roster" -> roster = text(in);
                 case "seed" -> seed = text(in);
-                case "stop_ms" -> stopMs = number(in, DEFAULT_STOP_MS);
+                case "stop_ms" -> stopMillis = number(in, DEFAULT_STOP_MILLIS);
                 case "limits" -> each(in, this::limit);
                 case "settings" -> {
-                    settings = new SiteReader(visitor);
-                    settings.pass(in);
+                    settings = visitor == null ? new SiteReader() : new SiteReader(visitor);
+                    settings.firstPass(in);
                 }
                 default -> {}
             }
--- a/src/main/java/tinroad/config/Shared.java
+++ b/src/main/java/tinroad/config/Interner.java
@@ -8,22 +8,22 @@
  * memory both ways: few different values are shared by all, and of many no more are known than are
  * worth it.
  */
-public final class Shared<T> {
+public final class Interner<T> {
     /** Values that are known at a time; beyond it the pool begins anew. */
-    static final int MOST = 1024;
+    static final int MAX_VALUES = 1024;
 
-    private final Map<T, T> known = new HashMap<>();
+    private final Map<T, T> values = new HashMap<>();
 
     /** A value that equals this one. */
-    public T of(T value) {
-        T there = known.get(value);
-        if (there != null) {
-            return there;
+    public T intern(T value) {
+        T existing = values.get(value);
+        if (existing != null) {
+            return existing;
         }
-        if (known.size() == MOST) {
-            known.clear();
+        if (values.size() == MAX_VALUES) {
+            values.clear();
         }
-        known.put(value, value);
+        values.put(value, value);
         return value;
     }
 }
--- a/src/main/java/tinroad/config/JsonFields.java
+++ b/src/main/java/tinroad/config/JsonFields.java
@@ -18,50 +18,50 @@
     /**
      * Visits the fields of the object that the parser stands on; anything but an object is skipped.
      */
-    public static void each(JsonParser p, Visitor visitor) throws IOException {
-        if (p.currentToken() != JsonToken.START_OBJECT) {
-            p.skipChildren();
+    public static void each(JsonParser parser, Visitor visitor) throws IOException {
+        if (parser.currentToken() != JsonToken.START_OBJECT) {
+            parser.skipChildren();
             return;
         }
-        while (p.nextToken() == JsonToken.FIELD_NAME) {
-            String name = p.currentName();
-            p.nextToken();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
             visitor.value(name);
-            skipUnread(p);
+            skipUnread(parser);
         }
     }
 
     /** Visits the items of the array that the parser stands on, under their index; else skips. */
-    public static void items(JsonParser p, Visitor visitor) throws IOException {
-        if (p.currentToken() != JsonToken.START_ARRAY) {
-            p.skipChildren();
+    public static void items(JsonParser parser, Visitor visitor) throws IOException {
+        if (parser.currentToken() != JsonToken.START_ARRAY) {
+            parser.skipChildren();
             return;
         }
-        for (int i = 0; p.nextToken() != JsonToken.END_ARRAY; i++) {
+        for (int i = 0; parser.nextToken() != JsonToken.END_ARRAY; i++) {
             visitor.value(Integer.toString(i));
-            skipUnread(p);
+            skipUnread(parser);
         }
     }
 
-    private static void skipUnread(JsonParser p) throws IOException {
-        JsonToken token = p.currentToken();
+    private static void skipUnread(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT || token == JsonToken.START_ARRAY) {
-            p.skipChildren();
+            parser.skipChildren();
         }
     }
 
     /** The number that the parser stands on, or {@code absent}. */
-    public static double number(JsonParser p, double absent) throws IOException {
-        return p.currentToken().isNumeric() ? p.getDoubleValue() : absent;
+    public static double number(JsonParser parser, double absent) throws IOException {
+        return parser.currentToken().isNumeric() ? parser.getDoubleValue() : absent;
     }
 
     /** The text that the parser stands on, or "". */
-    public static String text(JsonParser p) throws IOException {
-        return p.currentToken() == JsonToken.VALUE_STRING ? p.getText() : "";
+    public static String text(JsonParser parser) throws IOException {
+        return parser.currentToken() == JsonToken.VALUE_STRING ? parser.getText() : "";
     }
 
     /** Whether the parser stands on true. */
-    public static boolean flag(JsonParser p) {
-        return p.currentToken() == JsonToken.VALUE_TRUE;
+    public static boolean flag(JsonParser parser) {
+        return parser.currentToken() == JsonToken.VALUE_TRUE;
     }
 }
--- a/src/main/java/tinroad/config/SettingsValidator.java
+++ b/src/main/java/tinroad/config/SettingsValidator.java
@@ -17,7 +17,7 @@
     /** Bytes of a name in UTF-8. */
     public static final int MAX_NAME_BYTES = 4096;
 
-    private static final int SHOWN = 80;
+    private static final int MAX_SHOWN_CHARACTERS = 80;
 
     private SettingsValidator() {}
 
@@ -26,16 +26,16 @@
      * a change puts.
      */
     public static void name(
-            String list, int index, String name, boolean taken, ValidationErrors faults) {
+            String list, int index, String name, boolean taken, ValidationErrors errors) {
         if (!name.isEmpty() && name.length() <= MAX_NAME_BYTES / 3 && !taken) {
             return;
         }
         String where = index < 0 ? list : list + "[" + index + "]";
         int bytes = bytes(name);
         if (name.isEmpty()) {
-            faults.add(where + " has no name");
+            errors.add(where + " has no name");
         } else if (bytes > MAX_NAME_BYTES) {
-            faults.add(
+            errors.add(
                     where
                             + ": the name "
                             + shown(name)
@@ -43,7 +43,7 @@
                             + MAX_NAME_BYTES
                             + " bytes");
         } else if (taken) {
-            faults.add(where + ": the name " + shown(name) + " is taken");
+            errors.add(where + ": the name " + shown(name) + " is taken");
         }
     }
 
@@ -53,69 +53,72 @@
 
     /** A name as lines for operators show it: a long one is cut. */
     public static String shown(String name) {
-        return name.length() <= SHOWN
+        return name.length() <= MAX_SHOWN_CHARACTERS
                 ? name
-                : name.substring(0, SHOWN) + "... (" + name.length() + " characters)";
+                : name.substring(0, MAX_SHOWN_CHARACTERS)
+                        + "... ("
+                        + name.length()
+                        + " characters)";
     }
 
     /** How many there are. */
-    public static void counts(int classes, int tenants, ValidationErrors faults) {
+    public static void counts(int classes, int tenants, ValidationErrors errors) {
         if (classes > MAX_CLASSES) {
-            faults.add("classes: " + classes + " are more than " + MAX_CLASSES);
+            errors.add("classes: " + classes + " are more than " + MAX_CLASSES);
         }
         if (tenants > MAX_TENANTS) {
-            faults.add("orgs: " + tenants + " are more than " + MAX_TENANTS);
+            errors.add("orgs: " + tenants + " are more than " + MAX_TENANTS);
         }
     }
 
     /** A class. */
     public static void requestClass(
-            String name, Controller.RequestClass c, ValidationErrors faults) {
-        if (!(c.deadlineMillis() > 0)) {
-            faults.add(
+            String name, Controller.RequestClass spec, ValidationErrors errors) {
+        if (!(spec.deadlineMillis() > 0)) {
+            errors.add(
                     "class "
                             + shown(name)
                             + ": deadline has to be above 0, not "
-                            + plain(c.deadlineMillis()));
+                            + plain(spec.deadlineMillis()));
         }
-        least("class ", name, "objective", c.objectiveMillis(), 0, faults);
-        least("class ", name, "gain", c.priorityWeight(), 0, faults);
-        within("class ", name, "late_share", c.lateWeightShare(), faults);
-        least("class ", name, "key_ttl", c.keyWindowMillis(), 0, faults);
+        atLeast("class ", name, "objective", spec.objectiveMillis(), 0, errors);
+        atLeast("class ", name, "gain", spec.priorityWeight(), 0, errors);
+        betweenZeroAndOne("class ", name, "late_share", spec.lateWeightShare(), errors);
+        atLeast("class ", name, "key_ttl", spec.keyWindowMillis(), 0, errors);
     }
 
     /** A tenant. */
-    public static void tenant(String name, Controller.Tenant t, ValidationErrors faults) {
-        least("org ", name, "quota_per_s", t.quotaPerSecond(), 0, faults);
-        within("org ", name, "share", t.share(), faults);
+    public static void tenant(String name, Controller.Tenant spec, ValidationErrors errors) {
+        atLeast("org ", name, "quota_per_s", spec.quotaPerSecond(), 0, errors);
+        betweenZeroAndOne("org ", name, "share", spec.share(), errors);
     }
 
     /** All but the classes and tenants. */
-    static void rest(Controller.Settings s, ValidationErrors faults) {
-        Controller.Rules r = s.rules();
-        least("", "rules", "answer_slack", r.answerSlackMillis(), 0, faults);
-        within("", "rules", "cold_from", r.coldStartSpeed(), faults);
-        least("", "rules", "ramp_time", r.slowStartMillis(), 0, faults);
-        least("", "rules", "drain_grace", r.drainGraceMillis(), 0, faults);
-        least("", "rules", "fall_multiple", r.concurrencyPerCore(), 1, faults);
-        least("", "rules", "fall", r.concurrencyWindowMillis(), 0, faults);
-        least("", "family_info", "cores", s.cores(), 1, faults);
-        least("", "family_info", "memory_kb", s.memoryKb(), 0, faults);
-        least("", "family_info", "run_factor", s.runMemoryFactor(), 0, faults);
-        least("", "family_info", "idle", s.clientIdleMillis(), 0, faults);
-        least("", "family_info", "fresh_for", s.resultFreshMillis(), 0, faults);
-        least("", "caps", "max_retry_after", s.maxRetryAfterMillis(), 0, faults);
+    static void rest(Controller.Settings settings, ValidationErrors errors) {
+        Controller.Rules rules = settings.rules();
+        atLeast("", "rules", "answer_slack", rules.answerSlackMillis(), 0, errors);
+        betweenZeroAndOne("", "rules", "cold_from", rules.coldStartSpeed(), errors);
+        atLeast("", "rules", "ramp_time", rules.slowStartMillis(), 0, errors);
+        atLeast("", "rules", "drain_grace", rules.drainGraceMillis(), 0, errors);
+        atLeast("", "rules", "fall_multiple", rules.concurrencyPerCore(), 1, errors);
+        atLeast("", "rules", "fall", rules.concurrencyWindowMillis(), 0, errors);
+        atLeast("", "family_info", "cores", settings.cores(), 1, errors);
+        atLeast("", "family_info", "memory_kb", settings.memoryKb(), 0, errors);
+        atLeast("", "family_info", "run_factor", settings.runMemoryFactor(), 0, errors);
+        atLeast("", "family_info", "idle", settings.clientIdleMillis(), 0, errors);
+        atLeast("", "family_info", "fresh_for", settings.resultFreshMillis(), 0, errors);
+        atLeast("", "caps", "max_retry_after", settings.maxRetryAfterMillis(), 0, errors);
     }
 
-    private static void least(
+    private static void atLeast(
             String kind,
             String name,
             String field,
             double value,
             double bound,
-            ValidationErrors faults) {
+            ValidationErrors errors) {
         if (!(value >= bound)) {
-            faults.add(
+            errors.add(
                     kind
                             + shown(name)
                             + ": "
@@ -127,10 +130,10 @@
         }
     }
 
-    private static void within(
-            String kind, String name, String field, double value, ValidationErrors faults) {
+    private static void betweenZeroAndOne(
+            String kind, String name, String field, double value, ValidationErrors errors) {
         if (!(value >= 0 && value <= 1)) {
-            faults.add(
+            errors.add(
                     kind
                             + shown(name)
                             + ": "
--- a/src/main/java/tinroad/config/Site.java
+++ b/src/main/java/tinroad/config/Site.java
@@ -13,42 +13,42 @@
         List<String> tenantNames,
         List<String> gaugeNames) {
     /** The same site with its first classes and tenants alone, so many of each at most. */
-    public Site first(int most) {
-        if (classNames.size() <= most && tenantNames.size() <= most) {
+    public Site first(int max) {
+        if (classNames.size() <= max && tenantNames.size() <= max) {
             return this;
         }
-        Controller.Settings s = settings;
+        Controller.Settings whole = settings;
         return new Site(
                 new Controller.Settings(
-                        first(s.classes(), most),
-                        first(s.tenants(), most),
-                        s.objectiveWeights(),
-                        s.rules(),
-                        s.dependency(),
-                        s.loadHint(),
-                        s.cancellationMode(),
-                        s.cores(),
-                        s.servers(),
-                        s.callers(),
-                        s.coldStart(),
-                        s.requestsCarryDeadline(),
-                        s.clientIdleMillis(),
-                        s.memoryKb(),
-                        s.runMemoryFactor(),
-                        s.keyKb(),
-                        s.resultFreshMillis(),
-                        s.maxRetryAfterMillis(),
-                        s.sendsRetryAfter(),
-                        s.requestsMarkRetries(),
-                        s.overQuotaWeight(),
-                        s.clockStepMillis(),
-                        s.weightByWork()),
-                first(classNames, most),
-                first(tenantNames, most),
+                        first(whole.classes(), max),
+                        first(whole.tenants(), max),
+                        whole.objectiveWeights(),
+                        whole.rules(),
+                        whole.dependency(),
+                        whole.loadHint(),
+                        whole.cancellationMode(),
+                        whole.cores(),
+                        whole.servers(),
+                        whole.callers(),
+                        whole.coldStart(),
+                        whole.requestsCarryDeadline(),
+                        whole.clientIdleMillis(),
+                        whole.memoryKb(),
+                        whole.runMemoryFactor(),
+                        whole.keyKb(),
+                        whole.resultFreshMillis(),
+                        whole.maxRetryAfterMillis(),
+                        whole.sendsRetryAfter(),
+                        whole.requestsMarkRetries(),
+                        whole.overQuotaWeight(),
+                        whole.clockStepMillis(),
+                        whole.weightByWork()),
+                first(classNames, max),
+                first(tenantNames, max),
                 gaugeNames);
     }
 
-    private static <T> List<T> first(List<T> all, int most) {
-        return List.copyOf(all.subList(0, Math.min(most, all.size())));
+    private static <T> List<T> first(List<T> all, int max) {
+        return List.copyOf(all.subList(0, Math.min(max, all.size())));
     }
 }
--- a/src/main/java/tinroad/config/SiteWriter.java
+++ b/src/main/java/tinroad/config/SiteWriter.java
@@ -25,13 +25,13 @@
         out.writeStartObject();
         info(out, sorted.values());
         out.writeArrayFieldStart("classes");
-        for (Map.Entry<String, RequestClass> e : sorted.entrySet()) {
-            entry(out, e.getKey(), fields(e.getValue()));
+        for (Map.Entry<String, RequestClass> entry : sorted.entrySet()) {
+            entry(out, entry.getKey(), fields(entry.getValue()));
         }
         out.writeEndArray();
         out.writeArrayFieldStart("orgs");
-        for (Map.Entry<String, Tenant> e : new TreeMap<>(tenants).entrySet()) {
-            entry(out, e.getKey(), fields(e.getValue()));
+        for (Map.Entry<String, Tenant> entry : new TreeMap<>(tenants).entrySet()) {
+            entry(out, entry.getKey(), fields(entry.getValue()));
         }
         out.writeEndArray();
         out.writeEndObject();
@@ -41,15 +41,15 @@
      * What the settings say of a class, but for what {@code family_info} says; what an absent field
      * stands for is left out.
      */
-    public static Map<String, Object> fields(RequestClass c) {
+    public static Map<String, Object> fields(RequestClass spec) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        number(fields, "objective", c.objectiveMillis());
-        number(fields, "aim_stretch", c.objectivePerWork());
-        number(fields, "deadline", c.deadlineMillis());
-        number(fields, "gain", c.priorityWeight());
-        number(fields, "late_share", c.lateWeightShare());
-        number(fields, "key_ttl", c.keyWindowMillis());
-        fields.put("semantics", wireName(c.idempotency()));
+        number(fields, "objective", spec.objectiveMillis());
+        number(fields, "aim_stretch", spec.objectivePerWork());
+        number(fields, "deadline", spec.deadlineMillis());
+        number(fields, "gain", spec.priorityWeight());
+        number(fields, "late_share", spec.lateWeightShare());
+        number(fields, "key_ttl", spec.keyWindowMillis());
+        fields.put("semantics", wireName(spec.idempotency()));
         return fields;
     }
 
@@ -62,10 +62,10 @@
     }
 
     /** The same of a tenant. */
-    public static Map<String, Object> fields(Tenant t) {
+    public static Map<String, Object> fields(Tenant spec) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        number(fields, "quota_per_s", t.quotaPerSecond());
-        number(fields, "share", t.share());
+        number(fields, "quota_per_s", spec.quotaPerSecond());
+        number(fields, "share", spec.share());
         return fields;
     }
 
@@ -79,8 +79,8 @@
             throws IOException {
         out.writeStartObject();
         out.writeStringField("name", name);
-        for (Map.Entry<String, Object> e : fields.entrySet()) {
-            out.writeObjectField(e.getKey(), e.getValue());
+        for (Map.Entry<String, Object> entry : fields.entrySet()) {
+            out.writeObjectField(entry.getKey(), entry.getValue());
         }
         out.writeEndObject();
     }
@@ -90,22 +90,22 @@
         out.writeObjectFieldStart("family_info");
         if (classes.stream()
                 .noneMatch(
-                        c ->
-                                c.callsDependency()
-                                        || Double.compare(c.degradedWeightShare(), 0) != 0)) {
+                        spec ->
+                                spec.callsDependency()
+                                        || Double.compare(spec.degradedWeightShare(), 0) != 0)) {
             // Nothing to say; but said before the classes, so that their reader need not wait for
             // it.
             out.writeEndObject();
             return;
         }
         out.writeArrayFieldStart("class_calls");
-        for (RequestClass c : classes) {
-            out.writeBoolean(c.callsDependency());
+        for (RequestClass spec : classes) {
+            out.writeBoolean(spec.callsDependency());
         }
         out.writeEndArray();
         out.writeArrayFieldStart("degraded_worth");
-        for (RequestClass c : classes) {
-            out.writeNumber(c.degradedWeightShare());
+        for (RequestClass spec : classes) {
+            out.writeNumber(spec.degradedWeightShare());
         }
         out.writeEndArray();
         out.writeEndObject();
--- a/src/main/java/tinroad/node/GatewayNode.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -403,7 +403,7 @@
                     drain(noticedAt);
                 });
         try {
-            ended.await((long) config.stopMs(), TimeUnit.MILLISECONDS);
+            ended.await((long) config.stopMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -415,10 +415,12 @@
                 noticedAt
                         + Math.max(
                                 0,
-                                config.stopMs()
+                                config.stopMillis()
                                         - Math.max(
                                                 EXIT_MARGIN,
-                                                Math.min(MOST_LATE, EXIT_PART * config.stopMs())));
+                                                Math.min(
+                                                        MOST_LATE,
+                                                        EXIT_PART * config.stopMillis())));
         // Guards the grace against a notice that was heard late, as where the process gets little
         // of a core.
         double grace = config.site().settings().rules().drainGraceMillis();
--- a/src/test/java/tinroad/config/GatewayConfigTest.java
+++ b/src/test/java/tinroad/config/GatewayConfigTest.java
@@ -52,7 +52,7 @@
                         + " "
                         + config.roster());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(3200, config.stopMs());
+        assertEquals(3200, config.stopMillis());
         assertEquals(900, config.sockets());
         assertEquals(144, config.memoryMb());
         assertEquals(List.of("read", "order"), config.site().classNames());
@@ -218,11 +218,11 @@
 
     @Test
     void equalValuesAreSharedWithinBounds() {
-        Shared<String> pool = new Shared<>();
+        Interner<String> pool = new Interner<>();
         String first = new String("a");
-        assertSame(first, pool.of(first));
-        assertSame(first, pool.of(new String("a")));
-        IntStream.range(0, Shared.MOST).forEach(i -> pool.of("v" + i));
-        assertEquals("a", pool.of(new String("a")));
+        assertSame(first, pool.intern(first));
+        assertSame(first, pool.intern(new String("a")));
+        IntStream.range(0, Interner.MAX_VALUES).forEach(i -> pool.intern("v" + i));
+        assertEquals("a", pool.intern(new String("a")));
     }
 }
