--- a/src/test/java/tinroad/lab/capacity/SharingTest.java
+++ b/src/test/java/tinroad/lab/capacity/SharingTest.java
@@ -68,6 +68,9 @@
         }
     }
 
+    private static final String ADVERTISED = "advertiseLoad ";
+    private static final String REJECTED = "reject ";
+
     /** How many of one tenant's requests the module takes at one moment, with its cut at 0.3. */
     private static long admitted(double quota, int places) {
         List<String> said = new ArrayList<>();
@@ -134,8 +137,9 @@
         assertEquals(
                 0.3,
                 said.stream()
-                        .filter(line -> line.startsWith("say "))
-                        .mapToDouble(line -> Double.parseDouble(line.substring(4)))
+                        .filter(line -> line.startsWith(ADVERTISED))
+                        .mapToDouble(
+                                line -> Double.parseDouble(line.substring(ADVERTISED.length())))
                         .max()
                         .orElse(0),
                 0.05);
@@ -143,7 +147,7 @@
         for (int i = 0; i < 400; i++) {
             module.requestArrived(now, request("asked" + i, 0, 0));
         }
-        return 400 - said.stream().filter(line -> line.startsWith("refuse ")).count();
+        return 400 - said.stream().filter(line -> line.startsWith(REJECTED)).count();
     }
 
     private static Controller.Request request(String id, int tenant, double work) {
