--- /dev/null
+++ b/src/main/java/tinroad/overload/CancellationPolicy.java
@@ -0,0 +1,47 @@
+package tinroad.overload;
+
+import tinroad.overload.Controller.Actions;
+import tinroad.overload.Controller.CancellationMode;
+import tinroad.overload.Controller.Idempotency;
+import tinroad.overload.Controller.Settings;
+
+/** Which runs are canceled. */
+final class CancellationPolicy {
+    /** A late run this many times longer than expected is an oversized one. */
+    private static final double OVERSIZED_RATIO = 2;
+
+    private final Settings settings;
+    private final Actions actions;
+    private final CoreUsage cores;
+    private final RunTimeEstimator estimator;
+
+    CancellationPolicy(
+            Settings settings, Actions actions, CoreUsage cores, RunTimeEstimator estimator) {
+        this.settings = settings;
+        this.actions = actions;
+        this.cores = cores;
+        this.estimator = estimator;
+    }
+
+    /** Cancels a run where that is possible. */
+    void cancel(ActiveRequest request) {
+        if (settings.cancellationMode() != CancellationMode.NONE && request.isRunning()) {
+            actions.cancel(request.id);
+        }
+    }
+
+    /**
+     * A run past its objective is not worth its cores, and may be stopped. Guards against oversized
+     * requests.
+     */
+    boolean isWorthless(ActiveRequest request) {
+        boolean oversized =
+                settings.cancellationMode() != CancellationMode.NONE
+                        && cores.servedMillis(request)
+                                > OVERSIZED_RATIO * estimator.baselineMillis(request);
+        return oversized
+                && request.isRunning()
+                && request.spec.lateWeightShare() == 0
+                && request.spec.idempotency() == Idempotency.IDEMPOTENT;
+    }
+}
--- a/src/main/java/tinroad/overload/LearnedStatistics.java
+++ b/src/main/java/tinroad/overload/LearnedStatistics.java
@@ -19,37 +19,31 @@
     private static final int WAITS = 4;
 
     /**
-     * Without samples a run is assumed to take this part of its class's aim, which weighs so many
-     * samples.
+     * Without samples a run is assumed to take this part of its class's latency objective, which
+     * weighs so many samples.
      */
-    private final double part;
+    static final double FIRST_RUN_SHARE = 0.25;
 
-    private final double weight;
+    private static final double FIRST_RUN_SAMPLES = 2;
 
     /**
      * Part of the requests whose caller comes back while a calm server would keep its connection.
      */
     double returning = 1;
 
-    /** Nothing yet. */
-    LearnedStatistics(double part, double weight) {
-        this.part = part;
-        this.weight = weight;
-    }
-
     /** Nothing of the class at this place. */
     ClassStatistics nothing(int place) {
-        return new ClassStatistics(place, weight);
+        return new ClassStatistics(place, FIRST_RUN_SAMPLES);
     }
 
     /** Expected run of this class; {@code s} null: nothing is measured. */
     double run(ClassStatistics s, RequestClass c) {
-        return s == null || s.run == 0 ? part * c.objectiveMillis() : s.run;
+        return s == null || s.run == 0 ? FIRST_RUN_SHARE * c.objectiveMillis() : s.run;
     }
 
     /** The same while calm. */
     double calm(ClassStatistics s, RequestClass c) {
-        return s == null || s.calm == 0 ? part * c.objectiveMillis() : s.calm;
+        return s == null || s.calm == 0 ? FIRST_RUN_SHARE * c.objectiveMillis() : s.calm;
     }
 
     /** A new wait displaces those that are seldom seen. */
--- a/src/test/java/tinroad/overload/ChangesTest.java
+++ b/src/test/java/tinroad/overload/ChangesTest.java
@@ -82,7 +82,7 @@
         f.after(9100);
         assertEquals(List.of(), f.recorder.take("fail"));
         // Their keys were held for as long as ever, and then all memory is given back.
-        assertEquals(0.0, field(f.controller, "memory"));
+        assertEquals(0.0, field(field(f.controller, "memory"), "usedKb"));
     }
 
     @Test
@@ -121,8 +121,8 @@
         f.request("late", GUARDED);
         f.request("never", 900);
         assertEquals(List.of("refuse late 0 false", "refuse never 0 false"), f.recorder.take());
-        assertEquals(Map.of(), field(f.controller, "all"));
-        assertEquals(0.0, field(f.controller, "memory"));
+        assertEquals(Map.of(), field(f.controller, "requests"));
+        assertEquals(0.0, field(field(f.controller, "memory"), "usedKb"));
     }
 
     @Test
--- a/src/test/java/tinroad/overload/ClassesTest.java
+++ b/src/test/java/tinroad/overload/ClassesTest.java
@@ -93,7 +93,7 @@
                 0);
     }
 
-    private final LearnedStatistics learned = new LearnedStatistics(0.25, 2);
+    private final LearnedStatistics learned = new LearnedStatistics();
 
     private static void same(double walked, double kept, String what) {
         assertEquals(walked, kept, 1e-9 * Math.max(1e-3, walked), what);
--- a/src/test/java/tinroad/overload/LearnedTest.java
+++ b/src/test/java/tinroad/overload/LearnedTest.java
@@ -20,7 +20,7 @@
                     new RequestClass(1000, 0, 2000, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0),
                     new RequestClass(2000, 0, 4000, 3, 0, Idempotency.NON_IDEMPOTENT, 0, false, 0));
 
-    private final LearnedStatistics learned = new LearnedStatistics(0.25, 2);
+    private final LearnedStatistics learned = new LearnedStatistics();
     private final ClassTable classes =
             new ClassTable(
                     CLASSES,
--- a/src/test/java/tinroad/overload/OverloadControllerTest.java
+++ b/src/test/java/tinroad/overload/OverloadControllerTest.java
@@ -8,10 +8,17 @@
 import static tinroad.overload.Fixture.ONCE;
 
 import java.lang.reflect.Field;
+import java.lang.reflect.Modifier;
 import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import tinroad.overload.Controller.Actions;
 import tinroad.overload.Controller.CancellationMode;
 import tinroad.overload.Controller.Dependency;
 import tinroad.overload.Controller.DependencyKind;
@@ -138,16 +145,46 @@
             f.after(100);
             f.ended("s" + i, Outcome.OK);
         }
-        for (Field field : OverloadController.class.getDeclaredFields()) {
+        Map<String, Integer> sizes = new TreeMap<>();
+        collectSizes(f.controller, sizes, Collections.newSetFromMap(new IdentityHashMap<>()));
+        assertTrue(
+                sizes.keySet()
+                        .containsAll(
+                                List.of(
+                                        "DependencyCalls.lingeringUntilMillis",
+                                        "DependencyCalls.waiting",
+                                        "ExpiringSet.byTime",
+                                        "ExpiringSet.kept",
+                                        "IdleTimeoutControl.lastSeenMillis",
+                                        "OverloadController.requests",
+                                        "RequestQueue.queued",
+                                        "RetryAfterSchedule.slots")),
+                sizes.toString());
+        sizes.forEach((name, size) -> assertTrue(size <= 60, name + " holds " + size));
+    }
+
+    /** Sizes of all collections that the controller and its decision classes own, by field. */
+    private static void collectSizes(Object owner, Map<String, Integer> sizes, Set<Object> seen)
+            throws IllegalAccessException {
+        if (!seen.add(owner)) {
+            return;
+        }
+        for (Field field : owner.getClass().getDeclaredFields()) {
+            if (Modifier.isStatic(field.getModifiers())) {
+                continue;
+            }
             field.setAccessible(true);
-            Object value = field.get(f.controller);
-            int size =
-                    value instanceof Map<?, ?> m
-                            ? m.size()
-                            : value instanceof List<?> l
-                                    ? l.size()
-                                    : value instanceof ExpiringSet e ? e.size() : 0;
-            assertTrue(size <= 60, field.getName() + " holds " + size);
+            Object value = field.get(owner);
+            String name = owner.getClass().getSimpleName() + "." + field.getName();
+            if (value instanceof Map<?, ?> map) {
+                sizes.merge(name, map.size(), Math::max);
+            } else if (value instanceof Collection<?> collection) {
+                sizes.merge(name, collection.size(), Math::max);
+            } else if (value != null
+                    && value.getClass().getPackage() == OverloadController.class.getPackage()
+                    && !(value instanceof Actions)) {
+                collectSizes(value, sizes, seen);
+            }
         }
     }
 
