--- a/src/main/java/tinroad/core/Request.java
+++ b/src/main/java/tinroad/core/ActiveRequest.java
@@ -10,26 +10,26 @@
 import tinroad.overload.Controller.RequestClass;
 
 /** One request in hand: from its reading until it is answered and no run of it can end any more. */
-final class Request {
+final class ActiveRequest {
     final String id;
 
     /** The class that it came under, whatever became of it since. */
-    final Catalog.ClassEntry route;
+    final Catalog.ClassEntry classEntry;
 
     /** The place of its tenant. */
-    final int tenant;
+    final int tenantSlot;
 
-    final double due;
+    final double deadlineAtMillis;
 
     /** When it came to the machine, as it says itself. */
-    final double arrivedAt;
+    final double arrivedAtMillis;
 
-    final String key;
+    final String resultKey;
 
     /** Names all tries of one request of a keyed class; null in any other class. */
-    final String token;
+    final String idempotencyKey;
 
-    final ResponseSink requester;
+    final ResponseSink responseSink;
 
     /**
      * The bytes to run with, null once it is answered: until then the order may have to be
@@ -41,41 +41,44 @@
     boolean answered;
 
     /** The link that its RUN was written to is gone: the engine may never have read it. */
-    boolean linkLost;
+    boolean sentOnLostLink;
 
     /** Its own entry in the table of keys, or null. */
-    IdempotencyTable.Kept kept;
+    IdempotencyTable.Entry ownEntry;
 
     /** The kept request that this one repeats, or null, and since when it waits for its result. */
-    IdempotencyTable.Kept repeats;
+    IdempotencyTable.Entry duplicateOf;
 
-    double reusedAt;
-    private byte[] digest;
+    double replayRequestedAtMillis;
+    private byte[] bodyDigest;
 
-    Request(
-            IncomingRequest in,
-            Catalog.ClassEntry route,
-            int tenant,
-            double due,
+    ActiveRequest(
+            IncomingRequest incoming,
+            Catalog.ClassEntry classEntry,
+            int tenantSlot,
+            double deadlineAtMillis,
             boolean keyed,
-            ResponseSink requester) {
-        id = in.id();
-        this.route = route;
-        this.tenant = tenant;
-        this.due = due;
-        arrivedAt = in.arrivedAtMillis();
-        key = route.spec().idempotency() == Idempotency.IDEMPOTENT ? in.resultKey() : null;
-        token = keyed ? in.idempotencyKey() : null;
-        this.requester = requester;
-        body = in.body();
+            ResponseSink responseSink) {
+        id = incoming.id();
+        this.classEntry = classEntry;
+        this.tenantSlot = tenantSlot;
+        this.deadlineAtMillis = deadlineAtMillis;
+        arrivedAtMillis = incoming.arrivedAtMillis();
+        resultKey =
+                classEntry.spec().idempotency() == Idempotency.IDEMPOTENT
+                        ? incoming.resultKey()
+                        : null;
+        idempotencyKey = keyed ? incoming.idempotencyKey() : null;
+        this.responseSink = responseSink;
+        body = incoming.body();
     }
 
-    String kind() {
-        return route.name();
+    String className() {
+        return classEntry.name();
     }
 
-    RequestClass spec() {
-        return route.spec();
+    RequestClass requestClass() {
+        return classEntry.spec();
     }
 
     /**
@@ -83,23 +86,24 @@
      * ran.
      */
     boolean mayHaveRun() {
-        return progress != Progress.NOT_SENT || (repeats != null && repeats.ran());
+        return progress != Progress.NOT_SENT || (duplicateOf != null && duplicateOf.runSubmitted());
     }
 
     /** Tells whether two tries carry the same body; asked for while the body is there. */
-    byte[] digest() {
-        if (digest == null) {
+    byte[] bodyDigest() {
+        if (bodyDigest == null) {
             try {
-                digest = MessageDigest.getInstance("SHA-256").digest(ByteBufUtil.getBytes(body));
+                bodyDigest =
+                        MessageDigest.getInstance("SHA-256").digest(ByteBufUtil.getBytes(body));
             } catch (NoSuchAlgorithmException e) {
                 throw new IllegalStateException("every Java platform has SHA-256", e);
             }
         }
-        return digest;
+        return bodyDigest;
     }
 
     /** Copies the body where it has to outlive the buffer that it was read into. */
-    void ownBody() {
+    void copyBody() {
         if (body != null) {
             body = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(body));
         }
--- a/src/main/java/tinroad/core/CatalogRollout.java
+++ b/src/main/java/tinroad/core/CatalogRollout.java
@@ -17,7 +17,7 @@
     /**
      * Entries that one slice prepares. Bounds what an event waits for: well under a millisecond.
      */
-    static final int SLICE = 256;
+    static final int SLICE_ENTRIES = 256;
 
     /** Whose catalog it is. */
     interface Target {
@@ -28,13 +28,13 @@
         boolean commit(Catalog next);
 
         /** What was prepared never counts. */
-        void unstage();
+        void discardStaged();
 
         /** Does for these entries what can wait until after the commit. */
         void settle(List<ClassSlot> classes, List<TenantSlot> tenants);
     }
 
-    private record Pending(Catalog next, CatalogDelta delta, Consumer<Boolean> end) {}
+    private record Pending(Catalog next, CatalogDelta delta, Consumer<Boolean> completion) {}
 
     private enum Step {
         STAGING,
@@ -44,14 +44,14 @@
     private final Target target;
     private final Timers timers;
     private final Clock clock;
-    private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Pending> pending = new ArrayDeque<>();
     private Step step = Step.STAGING;
 
     /** So many entries of the first that waits are through this step. */
-    private int through;
+    private int processedEntries;
 
     /** The longest slice of the version that came last, in ms: what an event had to wait for. */
-    private double longestSlice;
+    private double longestSliceMillis;
 
     CatalogRollout(Target target, Timers timers, Clock clock) {
         this.target = target;
@@ -64,96 +64,96 @@
      * to do for it.
      */
     void add(Catalog next, CatalogDelta delta, Consumer<Boolean> end) {
-        waiting.add(new Pending(next, delta, end));
-        if (waiting.size() == 1) {
-            timers.after(0, this::slice);
+        pending.add(new Pending(next, delta, end));
+        if (pending.size() == 1) {
+            timers.after(0, this::processSlice);
         }
     }
 
     /** How many versions are not in force yet. */
-    int waiting() {
-        return waiting.size() - (step == Step.SETTLING ? 1 : 0);
+    int pending() {
+        return pending.size() - (step == Step.SETTLING ? 1 : 0);
     }
 
     /** What was prepared is lost: it begins anew. What counts already is settled to its end. */
     void restage() {
         if (step == Step.STAGING) {
-            through = 0;
+            processedEntries = 0;
         } else {
             while (step == Step.SETTLING) {
-                settle(waiting.element());
+                settle(pending.element());
             }
         }
     }
 
     /** How long the longest slice of the last version took, in ms; 0 before the first. */
-    double longestSlice() {
-        return longestSlice;
+    double longestSliceMillis() {
+        return longestSliceMillis;
     }
 
-    private void slice() {
-        Pending p = waiting.peek();
-        if (p == null) {
+    private void processSlice() {
+        Pending change = pending.peek();
+        if (change == null) {
             return;
         }
-        double begun = clock.nowMillis();
-        longestSlice = step == Step.STAGING && through == 0 ? 0 : longestSlice;
+        double startedAtMillis = clock.nowMillis();
+        longestSliceMillis = step == Step.STAGING && processedEntries == 0 ? 0 : longestSliceMillis;
         if (step == Step.SETTLING) {
-            settle(p);
-        } else if (!target.stage(classes(p.delta), tenants(p.delta))) {
-            fail(p);
+            settle(change);
+        } else if (!target.stage(classes(change.delta), tenants(change.delta))) {
+            fail(change);
         } else {
-            through += SLICE;
-            if (through >= p.delta.size()) {
-                commit(p);
+            processedEntries += SLICE_ENTRIES;
+            if (processedEntries >= change.delta.size()) {
+                commit(change);
             }
         }
-        longestSlice = Math.max(longestSlice, clock.nowMillis() - begun);
-        if (!waiting.isEmpty()) {
-            timers.after(0, this::slice);
+        longestSliceMillis = Math.max(longestSliceMillis, clock.nowMillis() - startedAtMillis);
+        if (!pending.isEmpty()) {
+            timers.after(0, this::processSlice);
         }
     }
 
-    private void commit(Pending p) {
-        through = 0;
-        if (target.commit(p.next)) {
+    private void commit(Pending change) {
+        processedEntries = 0;
+        if (target.commit(change.next)) {
             step = Step.SETTLING;
         } else {
-            fail(p);
+            fail(change);
         }
     }
 
-    private void settle(Pending p) {
-        target.settle(classes(p.delta), tenants(p.delta));
-        through += SLICE;
-        if (through >= p.delta.size()) {
-            end(true);
+    private void settle(Pending change) {
+        target.settle(classes(change.delta), tenants(change.delta));
+        processedEntries += SLICE_ENTRIES;
+        if (processedEntries >= change.delta.size()) {
+            complete(true);
         }
     }
 
-    private void fail(Pending p) {
-        target.unstage();
-        end(false);
+    private void fail(Pending change) {
+        target.discardStaged();
+        complete(false);
     }
 
-    private void end(boolean inForce) {
+    private void complete(boolean inForce) {
         step = Step.STAGING;
-        through = 0;
-        waiting.remove().end.accept(inForce);
+        processedEntries = 0;
+        pending.remove().completion.accept(inForce);
     }
 
-    private List<ClassSlot> classes(CatalogDelta d) {
-        return part(d.classes(), through);
+    private List<ClassSlot> classes(CatalogDelta delta) {
+        return slice(delta.classes(), processedEntries);
     }
 
-    private List<TenantSlot> tenants(CatalogDelta d) {
-        return part(d.tenants(), through - d.classes().size());
+    private List<TenantSlot> tenants(CatalogDelta delta) {
+        return slice(delta.tenants(), processedEntries - delta.classes().size());
     }
 
     /** What of these the slice holds that begins at {@code from}, counted from their first. */
-    private static <T> List<T> part(List<T> all, int from) {
+    private static <T> List<T> slice(List<T> all, int from) {
         int begin = Math.min(all.size(), Math.max(0, from));
-        int end = Math.min(all.size(), Math.max(0, from + SLICE));
+        int end = Math.min(all.size(), Math.max(0, from + SLICE_ENTRIES));
         return all.subList(begin, end);
     }
 }
--- a/src/main/java/tinroad/core/Clock.java
+++ b/src/main/java/tinroad/core/Clock.java
@@ -22,24 +22,24 @@
      * aside between the two readings, as at a crowded start: its clock would run behind for good,
      * and its answers be late.
      */
-    static Clock anchored(DoubleSupplier unix, LongSupplier nanos) {
-        final int tries = 20;
-        double unixAt = 0;
-        long nanosAt = 0;
-        long closest = Long.MAX_VALUE;
-        for (int i = 0; i < tries; i++) {
-            long before = nanos.getAsLong();
-            double reading = unix.getAsDouble();
-            long apart = nanos.getAsLong() - before;
-            if (apart < closest) {
-                closest = apart;
-                unixAt = reading;
-                nanosAt = before + apart / 2;
+    static Clock anchored(DoubleSupplier unixMillis, LongSupplier nanoTime) {
+        final int attempts = 20;
+        double anchorUnixMillis = 0;
+        long anchorNanos = 0;
+        long shortestNanos = Long.MAX_VALUE;
+        for (int i = 0; i < attempts; i++) {
+            long beforeNanos = nanoTime.getAsLong();
+            double readingMillis = unixMillis.getAsDouble();
+            long elapsedNanos = nanoTime.getAsLong() - beforeNanos;
+            if (elapsedNanos < shortestNanos) {
+                shortestNanos = elapsedNanos;
+                anchorUnixMillis = readingMillis;
+                anchorNanos = beforeNanos + elapsedNanos / 2;
             }
         }
-        double anchor = unixAt;
-        long start = nanosAt;
-        return () -> anchor + (nanos.getAsLong() - start) / 1e6;
+        double startUnixMillis = anchorUnixMillis;
+        long startNanos = anchorNanos;
+        return () -> startUnixMillis + (nanoTime.getAsLong() - startNanos) / 1e6;
     }
 
     private static double unixMillis() {
--- a/src/main/java/tinroad/core/Engine.java
+++ b/src/main/java/tinroad/core/Engine.java
@@ -10,7 +10,7 @@
      * to run: an order that is repeated starts nothing while the run is under way or once it is
      * over.
      */
-    Progress run(String id, String kind, ByteBuf body);
+    Progress run(String id, String className, ByteBuf body);
 
     /** Asks for the gauges; false where the link is down and no reply will come. */
     boolean requestGauges(String tag);
@@ -27,7 +27,7 @@
     /** What the engine tells. */
     interface Listener {
         /** The link is up and the engine is there. */
-        void onAttached(boolean fresh, double startedAgo);
+        void onAttached(boolean fresh, double startedMillisAgo);
 
         /**
          * After {@link #attached}: every notice from before was told. A run with no end told is
@@ -39,7 +39,7 @@
         void onDetached();
 
         /** A run is over; {@code result} is only valid during the call. */
-        void onRunEnded(String id, RunOutcome end, double took, ByteBuf result);
+        void onRunEnded(String id, RunOutcome outcome, double tookMillis, ByteBuf result);
 
         /** The reply to {@link #requestGauges}. */
         void onGauges(String tag, Controller.Gauges gauges);
--- a/src/main/java/tinroad/core/Frontend.java
+++ b/src/main/java/tinroad/core/Frontend.java
@@ -6,7 +6,7 @@
      * Closes connections with nothing open that were unused for this long; 0 leaves them to the
      * callers.
      */
-    void setIdleTimeout(double ms);
+    void setIdleTimeout(double idleMillis);
 
     /** Takes no more connections, and closes each one as soon as it is empty. */
     void closeGracefully();
--- a/src/main/java/tinroad/core/Gateway.java
+++ b/src/main/java/tinroad/core/Gateway.java
@@ -94,7 +94,7 @@
     private final Map<Integer, TenantSlot> earlyTenants = new LinkedHashMap<>();
 
     /** All requests that are unanswered or may still run. */
-    private final Map<String, Request> requests = new LinkedHashMap<>();
+    private final Map<String, ActiveRequest> requests = new LinkedHashMap<>();
 
     /** Ids that ran, until no honest caller can name them any more: none is ever run twice. */
     private final LinkedHashMap<String, Double> ran = new LinkedHashMap<>();
@@ -103,7 +103,7 @@
     private final IdempotencyTable repeats;
 
     /** Decided to run while the link was down; written when it is back. */
-    private final ArrayDeque<Request> unsent = new ArrayDeque<>();
+    private final ArrayDeque<ActiveRequest> unsent = new ArrayDeque<>();
 
     /** Events that an action caused; the module hears them after the event that it is handling. */
     private final ArrayDeque<Runnable> followUps = new ArrayDeque<>();
@@ -312,7 +312,7 @@
         Map<String, Double> all = new LinkedHashMap<>(ran);
         requests.values().stream()
                 .filter(r -> r.progress != Progress.NOT_SENT)
-                .forEach(r -> all.put(r.id, r.due));
+                .forEach(r -> all.put(r.id, r.deadlineAtMillis));
         return all;
     }
 
@@ -403,7 +403,7 @@
 
     /** How many later versions are known that are not in force yet. */
     public int pendingCatalogs() {
-        return reconfiguration.waiting() + setUnappliedChanges;
+        return reconfiguration.pending() + setUnappliedChanges;
     }
 
     /**
@@ -411,7 +411,7 @@
      * it.
      */
     public double longestSliceMillis() {
-        return reconfiguration.longestSlice();
+        return reconfiguration.longestSliceMillis();
     }
 
     /** So many later versions are known whose change it was not told of yet. */
@@ -522,7 +522,7 @@
             // Guards the promise of an invalid one: its class is gone, and another try of it has
             // run.
             requester.respond(
-                    repeats.ran(in.idempotencyKey())
+                    repeats.isRunSubmitted(in.idempotencyKey())
                             ? Response.failed(Progress.SENT)
                             : Response.invalid());
             return;
@@ -542,7 +542,7 @@
         // Guards the one run of what ran while its class was a keyed one.
         boolean keyed =
                 c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        || repeats.ran(in.idempotencyKey());
+                        || repeats.isRunSubmitted(in.idempotencyKey());
         // Without it nobody can tell whether it ran: no guess is made where the harm can't be
         // undone.
         if (keyed && in.idempotencyKey() == null) {
@@ -556,15 +556,17 @@
                         + (told
                                 ? Math.min(in.clientTimeoutMillis(), c.deadlineMillis())
                                 : c.deadlineMillis());
-        Request request = new Request(in, route, tenant, due, keyed, requester);
-        request.repeats = repeats.find(request, nowMillis);
-        if (IdempotencyTable.conflicts(request, request.repeats)) {
+        ActiveRequest request = new ActiveRequest(in, route, tenant, due, keyed, requester);
+        request.duplicateOf = repeats.findOriginal(request, nowMillis);
+        if (IdempotencyTable.conflicts(request, request.duplicateOf)) {
             turnAway(route, requester, Response.invalid());
             return;
         }
         // Guards the module's averages against what was due before it was read: nobody waits for
         // it.
-        if (!started || nowMillis >= due || (keyed && request.repeats == null && repeats.full())) {
+        if (!started
+                || nowMillis >= due
+                || (keyed && request.duplicateOf == null && repeats.isFull())) {
             turnAway(
                     route,
                     requester,
@@ -574,7 +576,7 @@
             return;
         }
         takeIn(request);
-        String repeated = request.repeats == null ? null : request.repeats.id;
+        String repeated = request.duplicateOf == null ? null : request.duplicateOf.requestId;
         double toldAge = whileDraining(nowMillis, age);
         tell(
                 () ->
@@ -594,11 +596,11 @@
                                         repeated,
                                         in.retry(),
                                         c.idempotency() != Idempotency.IDEMPOTENT)));
-        request.ownBody();
+        request.copyBody();
         recoveryPhase.requestArrived(
                 !request.answered
                         || request.progress != Progress.NOT_SENT
-                        || request.repeats != null);
+                        || request.duplicateOf != null);
     }
 
     /**
@@ -623,31 +625,31 @@
         return account == null ? -1 : account.slot();
     }
 
-    private void takeIn(Request r) {
-        int place = r.route.slot();
+    private void takeIn(ActiveRequest r) {
+        int place = r.classEntry.slot();
         while (classNames.size() <= place) {
             classNames.add(null);
         }
-        classNames.set(place, r.route.name());
-        classPlaces.take(place);
-        tenantPlaces.take(r.tenant);
+        classNames.set(place, r.classEntry.name());
+        classPlaces.acquire(place);
+        tenantPlaces.acquire(r.tenantSlot);
         requests.put(r.id, r);
     }
 
     /** It is in hand no more; false where it was not. */
-    private boolean letGo(Request r) {
+    private boolean letGo(ActiveRequest r) {
         if (!requests.remove(r.id, r)) {
             return false;
         }
         double nowMillis = clock.nowMillis();
-        classPlaces.release(r.route.slot(), nowMillis);
-        tenantPlaces.release(r.tenant, nowMillis);
+        classPlaces.release(r.classEntry.slot(), nowMillis);
+        tenantPlaces.release(r.tenantSlot, nowMillis);
         return true;
     }
 
     /** The answer to a request that never enters the table. */
     private void turnAway(Catalog.ClassEntry route, ResponseSink requester, Response answer) {
-        metrics.answered(route.slot(), route.name(), answer.kind());
+        metrics.countResponse(route.slot(), route.name(), answer.kind());
         requester.respond(answer);
     }
 
@@ -657,9 +659,9 @@
      * ends.
      */
     public void cancel(String id, ResponseSink requester) {
-        Request r = requests.get(id);
+        ActiveRequest r = requests.get(id);
         // Guards the request of another caller under the same id.
-        if (r == null || r.requester != requester || r.progress != Progress.NOT_SENT) {
+        if (r == null || r.responseSink != requester || r.progress != Progress.NOT_SENT) {
             return;
         }
         boolean told = unsent.contains(r);
@@ -713,7 +715,7 @@
         doubtRuns();
         // A copy: guards against turning round here while the link breaks anew, which puts each one
         // back.
-        List<Request> waiting = List.copyOf(unsent);
+        List<ActiveRequest> waiting = List.copyOf(unsent);
         unsent.clear();
         waiting.forEach(this::send);
     }
@@ -725,7 +727,7 @@
     }
 
     private void doubtRuns() {
-        requests.values().forEach(r -> r.linkLost |= r.progress == Progress.SENT);
+        requests.values().forEach(r -> r.sentOnLostLink |= r.progress == Progress.SENT);
     }
 
     /**
@@ -740,16 +742,18 @@
         if (anotherEngine) {
             return;
         }
-        for (Request r : List.copyOf(requests.values())) {
-            if (r.linkLost && !r.answered && engine.run(r.id, r.kind(), r.body) == Progress.SENT) {
-                r.linkLost = false;
+        for (ActiveRequest r : List.copyOf(requests.values())) {
+            if (r.sentOnLostLink
+                    && !r.answered
+                    && engine.run(r.id, r.className(), r.body) == Progress.SENT) {
+                r.sentOnLostLink = false;
             }
         }
     }
 
     @Override
     public void onRunEnded(String id, Engine.RunOutcome end, double took, ByteBuf result) {
-        Request r = requests.get(id);
+        ActiveRequest r = requests.get(id);
         // Guards against a notice that comes twice, or for what was never sent.
         if (r == null || r.progress != Progress.SENT) {
             return;
@@ -765,7 +769,7 @@
         letGo(r);
         if (end == Engine.RunOutcome.DONE) {
             recoveryPhase.runCompleted(
-                    clock.nowMillis(), took, USUAL_RUN * r.spec().objectiveMillis());
+                    clock.nowMillis(), took, USUAL_RUN * r.requestClass().objectiveMillis());
         }
         // Guards a caller's id against others that name it first, with what the engine does not
         // know.
@@ -824,7 +828,7 @@
      * The one place where answers leave. Guards the rule of exactly one answer: a late or second
      * one is dropped here; and the promise of a refusal: what was sent to run fails instead.
      */
-    private void finish(Request r, Response answer) {
+    private void finish(ActiveRequest r, Response answer) {
         if (r.answered) {
             return;
         }
@@ -841,18 +845,18 @@
                 answer.kind() == Response.Kind.REJECTED && r.mayHaveRun()
                         ? Response.failed(r.progress)
                         : answer;
-        metrics.answered(r.route.slot(), r.kind(), honest.kind());
-        r.requester.respond(honest);
+        metrics.countResponse(r.classEntry.slot(), r.className(), honest.kind());
+        r.responseSink.respond(honest);
     }
 
     /** A request came to its end: what repeats it is answered alike. */
-    private void conclude(Request r, ByteBuf result) {
-        for (Request repeat : repeats.conclude(r, result, clock.nowMillis())) {
+    private void conclude(ActiveRequest r, ByteBuf result) {
+        for (ActiveRequest repeat : repeats.complete(r, result, clock.nowMillis())) {
             answerRepeat(repeat, result);
         }
     }
 
-    private void answerRepeat(Request r, ByteBuf result) {
+    private void answerRepeat(ActiveRequest r, ByteBuf result) {
         finish(
                 r,
                 result == null
@@ -863,12 +867,12 @@
                         controller.completed(
                                 clock.nowMillis(),
                                 r.id,
-                                clock.nowMillis() - r.reusedAt,
+                                clock.nowMillis() - r.replayRequestedAtMillis,
                                 result == null ? Outcome.FAILED : Outcome.OK));
     }
 
-    private void remember(Request r) {
-        ran.put(r.id, r.due);
+    private void remember(ActiveRequest r) {
+        ran.put(r.id, r.deadlineAtMillis);
     }
 
     /**
@@ -881,13 +885,16 @@
         double nowMillis = clock.nowMillis();
         lastSeenAliveMillis = ticked;
         ticked = nowMillis;
-        for (Request r : List.copyOf(requests.values())) {
-            if (!r.answered && nowMillis >= r.due) {
+        for (ActiveRequest r : List.copyOf(requests.values())) {
+            if (!r.answered && nowMillis >= r.deadlineAtMillis) {
                 finish(r, Response.failed(r.progress));
             }
             // Guards against a RUN lost with its link: nobody will tell of it, and its place must
             // not stay taken.
-            if (r.answered && r.linkLost && nowMillis >= r.due + LOST_RUN_KEPT && letGo(r)) {
+            if (r.answered
+                    && r.sentOnLostLink
+                    && nowMillis >= r.deadlineAtMillis + LOST_RUN_KEPT
+                    && letGo(r)) {
                 remember(r);
                 conclude(r, null);
                 tell(() -> controller.completed(clock.nowMillis(), r.id, 0, Outcome.IGNORED));
@@ -896,8 +903,8 @@
         ran.values().removeIf(due -> due < nowMillis);
         recoveryPhase.tick(nowMillis);
         repeats.expire(nowMillis);
-        classPlaces.sweep(nowMillis);
-        tenantPlaces.sweep(nowMillis);
+        classPlaces.releaseUnreferenced(nowMillis);
+        tenantPlaces.releaseUnreferenced(nowMillis);
     }
 
     // --- the module ---
@@ -948,34 +955,34 @@
         }
     }
 
-    private void send(Request r) {
-        RequestClass c = r.spec();
-        if (!repeats.mayRun(r, c.keyWindowMillis(), c.deadlineMillis(), clock.nowMillis())) {
+    private void send(ActiveRequest r) {
+        RequestClass c = r.requestClass();
+        if (!repeats.claimRun(r, c.keyWindowMillis(), c.deadlineMillis(), clock.nowMillis())) {
             // Guards the rule of one run where the module does not: another try of it has run, or
             // is about to.
             failUnsent(r);
             return;
         }
         try {
-            r.progress = engine.run(r.id, r.kind(), r.body);
+            r.progress = engine.run(r.id, r.className(), r.body);
         } catch (RuntimeException | OutOfMemoryError e) {
             // Guards the request, and its place in the module, against an order that can't even be
             // written: nothing has left.
             log.error("order not written: {}", e.toString());
-            repeats.unsent(r);
+            repeats.revokeRun(r);
             failUnsent(r);
             return;
         }
         if (r.progress == Progress.NOT_SENT) {
-            repeats.unsent(r);
+            repeats.revokeRun(r);
             unsent.add(r);
         } else {
-            metrics.handedOver();
+            metrics.countRun();
         }
     }
 
     /** It is not ordered after all: it fails alone, and the module gets its place back. */
-    private void failUnsent(Request r) {
+    private void failUnsent(ActiveRequest r) {
         finish(r, Response.failed(Progress.NOT_SENT));
         tell(() -> controller.completed(clock.nowMillis(), r.id, 0, Outcome.IGNORED));
     }
@@ -1013,7 +1020,7 @@
         }
 
         @Override
-        public void unstage() {
+        public void discardStaged() {
             done(controller::discardStaged);
             log.error("settings stay as they were: the module failed at a change of them");
         }
@@ -1054,7 +1061,7 @@
     private final class Acts implements Controller.Actions {
         @Override
         public void run(String id) {
-            Request r = requests.get(id);
+            ActiveRequest r = requests.get(id);
             if (r == null || r.answered) {
                 // Its answer has gone out: it must not run, and the module gets its place back.
                 tell(() -> controller.completed(clock.nowMillis(), id, 0, Outcome.IGNORED));
@@ -1075,7 +1082,7 @@
         }
 
         private void answer(String id, Response answer) {
-            Request r = requests.get(id);
+            ActiveRequest r = requests.get(id);
             if (r != null) {
                 finish(r, answer == null ? Response.failed(r.progress) : answer);
             }
@@ -1083,28 +1090,28 @@
 
         @Override
         public void retainKey(String id, double duration) {
-            Request r = requests.get(id);
+            ActiveRequest r = requests.get(id);
             if (r != null) {
-                repeats.keep(r, clock.nowMillis() + duration, clock.nowMillis());
+                repeats.retain(r, clock.nowMillis() + duration, clock.nowMillis());
             }
         }
 
         @Override
         public void releaseKey(String id) {
-            repeats.forget(id);
+            repeats.release(id);
         }
 
         @Override
         public void replayResult(String id) {
-            Request r = requests.get(id);
-            if (r == null || r.repeats == null) {
+            ActiveRequest r = requests.get(id);
+            if (r == null || r.duplicateOf == null) {
                 return;
             }
-            r.reusedAt = clock.nowMillis();
-            if (!r.repeats.concluded()) {
-                r.repeats.await(r);
+            r.replayRequestedAtMillis = clock.nowMillis();
+            if (!r.duplicateOf.completed()) {
+                r.duplicateOf.addWaitingDuplicate(r);
             } else {
-                byte[] result = r.repeats.result();
+                byte[] result = r.duplicateOf.result();
                 answerRepeat(r, result == null ? null : Unpooled.wrappedBuffer(result));
             }
         }
--- a/src/main/java/tinroad/core/GatewayMetrics.java
+++ b/src/main/java/tinroad/core/GatewayMetrics.java
@@ -13,71 +13,77 @@
  */
 public final class GatewayMetrics {
     /** With more classes than this at the start, one has a row only from its first answer on. */
-    static final int MOST_EMPTY_ROWS = 256;
+    static final int MAX_EMPTY_ROWS = 256;
 
     private String[] names;
     private long[] served;
-    private long[] refused;
+    private long[] rejected;
     private long[] failed;
     private long runs;
 
     /** A class and its answers. */
     public record Row(String name, long served, long rejected, long failed) {
-        private static Row sum(Row a, Row b) {
+        private static Row sum(Row first, Row second) {
             return new Row(
-                    a.name, a.served + b.served, a.rejected + b.rejected, a.failed + b.failed);
+                    first.name,
+                    first.served + second.served,
+                    first.rejected + second.rejected,
+                    first.failed + second.failed);
         }
     }
 
     GatewayMetrics(List<String> classNames) {
         names =
-                classNames.size() <= MOST_EMPTY_ROWS
+                classNames.size() <= MAX_EMPTY_ROWS
                         ? classNames.toArray(String[]::new)
                         : new String[0];
         served = new long[names.length];
-        refused = new long[names.length];
+        rejected = new long[names.length];
         failed = new long[names.length];
     }
 
     /** An answer leaves to a request of the class that has this place. */
-    void answered(int place, String name, Response.Kind kind) {
-        open(place, name);
+    void countResponse(int slot, String name, Response.Kind kind) {
+        ensureRow(slot, name);
         long[] counts =
                 switch (kind) {
                     case SERVED -> served;
-                    case REJECTED -> refused;
+                    case REJECTED -> rejected;
                     case FAILED, INVALID -> failed;
                 };
-        counts[place]++;
+        counts[slot]++;
     }
 
-    private void open(int place, String name) {
-        if (place >= names.length) {
-            int size = Math.max(place + 1, 2 * names.length);
+    private void ensureRow(int slot, String name) {
+        if (slot >= names.length) {
+            int size = Math.max(slot + 1, 2 * names.length);
             names = Arrays.copyOf(names, size);
             served = Arrays.copyOf(served, size);
-            refused = Arrays.copyOf(refused, size);
+            rejected = Arrays.copyOf(rejected, size);
             failed = Arrays.copyOf(failed, size);
         }
-        if (!name.equals(names[place])) {
-            names[place] = name;
-            served[place] = 0;
-            refused[place] = 0;
-            failed[place] = 0;
+        if (!name.equals(names[slot])) {
+            names[slot] = name;
+            served[slot] = 0;
+            rejected[slot] = 0;
+            failed[slot] = 0;
         }
     }
 
     /** A run is handed to the engine; its repetition on a later link is the same run. */
-    void handedOver() {
+    void countRun() {
         runs++;
     }
 
     /** The classes in the order of their places; one that was removed and came back is one row. */
     public List<Row> rows() {
         Map<String, Row> rows = new LinkedHashMap<>();
-        for (int i = 0; i < names.length; i++) {
-            if (names[i] != null) {
-                rows.merge(names[i], new Row(names[i], served[i], refused[i], failed[i]), Row::sum);
+        for (int slot = 0; slot < names.length; slot++) {
+            if (names[slot] != null) {
+                rows.merge(
+                        names[slot],
+                        new Row(names[slot], served[slot], rejected[slot], failed[slot]),
+                        Row::sum);
             }
         }
         return new ArrayList<>(rows.values());
--- a/src/main/java/tinroad/core/IdempotencyTable.java
+++ b/src/main/java/tinroad/core/IdempotencyTable.java
@@ -19,89 +19,89 @@
  */
 final class IdempotencyTable {
     /** Bounds the reads kept, whatever the module asks for. */
-    private static final int MOST_READS = 2000;
+    private static final int MAX_READS = 2000;
 
     /**
      * Bounds the tokens kept. Where all are taken a new request of a keyed class is turned away:
      * none is forgotten early.
      */
-    static final int MOST_TOKENS = 16_384;
+    static final int MAX_KEYS = 16_384;
 
     /**
      * Bounds the results of keyed runs in bytes: beyond it the oldest goes, and its repeats fail.
      */
-    static final int MOST_RESULTS = 4 * 1024 * 1024;
+    static final int MAX_RESULT_BYTES = 4 * 1024 * 1024;
 
     /**
      * Guards the window against clocks and readings that are a little off, in ms: so much longer
      * nothing runs again.
      */
-    static final double MARGIN = 100;
+    static final double WINDOW_MARGIN_MILLIS = 100;
 
     /** Period of the look for tokens that may be forgotten, in ms. */
-    private static final double SWEEP = 1000;
+    private static final double SWEEP_INTERVAL_MILLIS = 1000;
 
-    private final double freshFor;
-    private final int mostTokens;
-    private final int mostResults;
-    private final Map<String, Kept> byKey = new LinkedHashMap<>();
-    private final Map<String, Kept> byToken = new HashMap<>();
+    private final double resultFreshMillis;
+    private final int maxKeys;
+    private final int maxResultBytes;
+    private final Map<String, Entry> reads = new LinkedHashMap<>();
+    private final Map<String, Entry> keyedRequests = new HashMap<>();
 
     /** Keyed runs whose result is kept, the oldest first. */
-    private final ArrayDeque<Kept> results = new ArrayDeque<>();
+    private final ArrayDeque<Entry> keyedResults = new ArrayDeque<>();
 
     private int resultBytes;
-    private double nextSweep;
+    private double nextSweepAtMillis;
 
-    IdempotencyTable(double freshFor) {
-        this(freshFor, MOST_TOKENS, MOST_RESULTS);
+    IdempotencyTable(double resultFreshMillis) {
+        this(resultFreshMillis, MAX_KEYS, MAX_RESULT_BYTES);
     }
 
-    IdempotencyTable(double freshFor, int mostTokens, int mostResults) {
-        this.freshFor = freshFor;
-        this.mostTokens = mostTokens;
-        this.mostResults = mostResults;
+    IdempotencyTable(double resultFreshMillis, int maxKeys, int maxResultBytes) {
+        this.resultFreshMillis = resultFreshMillis;
+        this.maxKeys = maxKeys;
+        this.maxResultBytes = maxResultBytes;
     }
 
     /** An entry: one request, whichever of its tries runs. */
-    static final class Kept {
-        final String id;
+    static final class Entry {
+        final String requestId;
 
         /** The token that names it, and what its tries carry; null for reads. */
-        private final String token;
+        private final String idempotencyKey;
 
-        private final String kind;
-        private final byte[] digest;
-        private double until;
+        private final String className;
+        private final byte[] bodyDigest;
+        private double validUntilMillis;
 
         /**
          * Keyed: a run was ordered, perhaps without effect; from then on none is ordered again
          * within the window.
          */
-        private boolean ran;
+        private boolean runSubmitted;
 
         /** Keyed: a try that is due later than this can't be there any more. */
-        private double forgetAt = Double.MAX_VALUE;
+        private double expiresAtMillis = Double.MAX_VALUE;
 
-        private boolean concluded;
-        private double concludedAt;
+        private boolean completed;
+        private double completedAtMillis;
         private byte[] result;
-        private final List<Request> waiting = new ArrayList<>();
+        private final List<ActiveRequest> waitingDuplicates = new ArrayList<>();
 
-        private Kept(Request r) {
-            id = r.id;
-            kind = r.kind();
-            token = r.token;
-            digest = r.token == null ? null : r.digest();
+        private Entry(ActiveRequest request) {
+            requestId = request.id;
+            className = request.className();
+            idempotencyKey = request.idempotencyKey;
+            bodyDigest = request.idempotencyKey == null ? null : request.bodyDigest();
         }
 
-        boolean concluded() {
-            return concluded;
+        boolean completed() {
+            return completed;
         }
 
         /** Whether a run was ordered for it: then no try of it may be told that nothing ran. */
-        boolean ran() {
-            return ran;
+        boolean runSubmitted() {
+            return runSubmitted;
         }
 
         /** The result that the run made, or null where there is none. */
@@ -109,85 +109,93 @@
             return result;
         }
 
-        void await(Request repeat) {
-            waiting.add(repeat);
+        void addWaitingDuplicate(ActiveRequest duplicate) {
+            waitingDuplicates.add(duplicate);
         }
     }
 
-    private static String entry(Request r) {
-        return r.kind() + ' ' + r.key;
+    private static String readKey(ActiveRequest request) {
+        return request.className() + ' ' + request.resultKey;
     }
 
     /** What this request repeats, or null. */
-    Kept find(Request r, double nowMillis) {
-        if (r.token != null) {
-            Kept kept = byToken.get(r.token);
-            return kept == null || lapsed(kept, r, nowMillis) ? null : kept;
+    Entry findOriginal(ActiveRequest request, double nowMillis) {
+        if (request.idempotencyKey != null) {
+            Entry entry = keyedRequests.get(request.idempotencyKey);
+            return entry == null || isWindowOver(entry, request, nowMillis) ? null : entry;
         }
-        Kept kept = r.key == null || freshFor <= 0 ? null : byKey.get(entry(r));
-        boolean useful =
-                kept != null
-                        && nowMillis <= kept.until
-                        && (!kept.concluded
-                                || (kept.result != null
-                                        && nowMillis <= kept.concludedAt + freshFor));
-        return useful ? kept : null;
+        Entry entry =
+                request.resultKey == null || resultFreshMillis <= 0
+                        ? null
+                        : reads.get(readKey(request));
+        boolean isUsable =
+                entry != null
+                        && nowMillis <= entry.validUntilMillis
+                        && (!entry.completed
+                                || (entry.result != null
+                                        && nowMillis
+                                                <= entry.completedAtMillis + resultFreshMillis));
+        return isUsable ? entry : null;
     }
 
     /**
      * Whether the window is over for this try. Guards against a try that was written within the
      * window and is read after it: what it says of its own arrival counts where that is earlier.
      */
-    private static boolean lapsed(Kept kept, Request r, double nowMillis) {
-        return kept.ran && kept.concluded && Math.min(nowMillis, r.arrivedAt) > kept.until + MARGIN;
+    private static boolean isWindowOver(Entry entry, ActiveRequest request, double nowMillis) {
+        return entry.runSubmitted
+                && entry.completed
+                && Math.min(nowMillis, request.arrivedAtMillis)
+                        > entry.validUntilMillis + WINDOW_MARGIN_MILLIS;
     }
 
     /** Whether the token that it carries names another request: another class, or another body. */
-    static boolean conflicts(Request r, Kept repeated) {
-        return r.token != null
-                && repeated != null
-                && !(r.kind().equals(repeated.kind) && Arrays.equals(r.digest(), repeated.digest));
+    static boolean conflicts(ActiveRequest request, Entry original) {
+        return request.idempotencyKey != null
+                && original != null
+                && !(request.className().equals(original.className)
+                        && Arrays.equals(request.bodyDigest(), original.bodyDigest));
     }
 
     /**
      * Whether a run was ordered for the request that this token, perhaps null, names, and no try of
      * it may run again yet.
      */
-    boolean ran(String token) {
-        Kept kept = token == null ? null : byToken.get(token);
-        return kept != null && kept.ran;
+    boolean isRunSubmitted(String idempotencyKey) {
+        Entry entry = idempotencyKey == null ? null : keyedRequests.get(idempotencyKey);
+        return entry != null && entry.runSubmitted;
     }
 
     /** Whether there is no room for one more token. */
-    boolean full() {
-        return byToken.size() >= mostTokens;
+    boolean isFull() {
+        return keyedRequests.size() >= maxKeys;
     }
 
-    void keep(Request r, double until, double nowMillis) {
-        if (r.token != null) {
-            keepKeyed(r, nowMillis);
+    void retain(ActiveRequest request, double validUntilMillis, double nowMillis) {
+        if (request.idempotencyKey != null) {
+            retainKeyed(request, nowMillis);
             return;
         }
-        if (r.key == null || freshFor <= 0 || byKey.size() >= MOST_READS) {
+        if (request.resultKey == null || resultFreshMillis <= 0 || reads.size() >= MAX_READS) {
             return;
         }
-        Kept kept = byKey.get(entry(r));
-        if (kept == null || !kept.id.equals(r.id)) {
-            kept = new Kept(r);
-            byKey.put(entry(r), kept);
-            r.kept = kept;
+        Entry entry = reads.get(readKey(request));
+        if (entry == null || !entry.requestId.equals(request.id)) {
+            entry = new Entry(request);
+            reads.put(readKey(request), entry);
+            request.ownEntry = entry;
         }
-        kept.until = until;
+        entry.validUntilMillis = validUntilMillis;
     }
 
-    private void keepKeyed(Request r, double nowMillis) {
-        Kept kept = byToken.get(r.token);
-        if (kept == null || lapsed(kept, r, nowMillis)) {
-            if (kept != null) {
-                remove(kept);
+    private void retainKeyed(ActiveRequest request, double nowMillis) {
+        Entry entry = keyedRequests.get(request.idempotencyKey);
+        if (entry == null || isWindowOver(entry, request, nowMillis)) {
+            if (entry != null) {
+                remove(entry);
             }
-            r.kept = new Kept(r);
-            byToken.put(r.token, r.kept);
+            request.ownEntry = new Entry(request);
+            keyedRequests.put(request.idempotencyKey, request.ownEntry);
         }
     }
 
@@ -195,75 +203,79 @@
      * A run of this request is about to be ordered; false where it must not be: another try of it
      * has the token. Counts the window from the arrival of this try.
      */
-    boolean mayRun(Request r, double window, double deadline, double nowMillis) {
-        if (r.token == null) {
+    boolean claimRun(
+            ActiveRequest request, double windowMillis, double deadlineMillis, double nowMillis) {
+        if (request.idempotencyKey == null) {
             return true;
         }
-        keepKeyed(r, nowMillis);
-        if (r.kept == null) {
+        retainKeyed(request, nowMillis);
+        if (request.ownEntry == null) {
             return false;
         }
-        r.kept.ran = true;
-        r.kept.until = r.arrivedAt + window;
-        r.kept.forgetAt = Math.max(nowMillis, r.kept.until) + MARGIN + deadline;
+        request.ownEntry.runSubmitted = true;
+        request.ownEntry.validUntilMillis = request.arrivedAtMillis + windowMillis;
+        request.ownEntry.expiresAtMillis =
+                Math.max(nowMillis, request.ownEntry.validUntilMillis)
+                        + WINDOW_MARGIN_MILLIS
+                        + deadlineMillis;
         return true;
     }
 
     /** The run that was to be ordered was not: nothing ran yet. */
-    void unsent(Request r) {
-        if (r.kept != null) {
-            r.kept.ran = false;
+    void revokeRun(ActiveRequest request) {
+        if (request.ownEntry != null) {
+            request.ownEntry.runSubmitted = false;
         }
     }
 
-    void forget(String id) {
-        byKey.values().removeIf(kept -> kept.id.equals(id));
+    void release(String id) {
+        reads.values().removeIf(entry -> entry.requestId.equals(id));
     }
 
     /** A kept request came to its end; returns the repeats that waited for it. */
-    List<Request> conclude(Request r, ByteBuf result, double nowMillis) {
-        Kept kept = r.kept;
-        if (kept == null || kept.concluded) {
+    List<ActiveRequest> complete(ActiveRequest request, ByteBuf result, double nowMillis) {
+        Entry entry = request.ownEntry;
+        if (entry == null || entry.completed) {
             return List.of();
         }
-        kept.concluded = true;
-        kept.concludedAt = nowMillis;
-        kept.result = result == null ? null : ByteBufUtil.getBytes(result);
-        List<Request> waiting = List.copyOf(kept.waiting);
-        kept.waiting.clear();
-        if (kept.token != null) {
-            if (r.progress == Progress.NOT_SENT) {
+        entry.completed = true;
+        entry.completedAtMillis = nowMillis;
+        entry.result = result == null ? null : ByteBufUtil.getBytes(result);
+        List<ActiveRequest> duplicates = List.copyOf(entry.waitingDuplicates);
+        entry.waitingDuplicates.clear();
+        if (entry.idempotencyKey != null) {
+            if (request.progress == Progress.NOT_SENT) {
                 // It never ran: the next try is a new one.
-                remove(kept);
-            } else if (kept.result != null) {
-                results.add(kept);
-                resultBytes += kept.result.length;
-                while (resultBytes > mostResults) {
-                    dropResult(results.peek());
+                remove(entry);
+            } else if (entry.result != null) {
+                keyedResults.add(entry);
+                resultBytes += entry.result.length;
+                while (resultBytes > maxResultBytes) {
+                    dropResult(keyedResults.peek());
                 }
             }
         }
-        return waiting;
+        return duplicates;
     }
 
-    private void remove(Kept kept) {
-        byToken.remove(kept.token, kept);
-        dropResult(kept);
+    private void remove(Entry entry) {
+        keyedRequests.remove(entry.idempotencyKey, entry);
+        dropResult(entry);
     }
 
-    private void dropResult(Kept kept) {
-        if (results.remove(kept)) {
-            resultBytes -= kept.result.length;
-            kept.result = null;
+    private void dropResult(Entry entry) {
+        if (keyedResults.remove(entry)) {
+            resultBytes -= entry.result.length;
+            entry.result = null;
         }
     }
 
     void expire(double nowMillis) {
-        byKey.values().removeIf(kept -> kept.until < nowMillis);
-        if (nowMillis >= nextSweep) {
-            nextSweep = nowMillis + SWEEP;
-            List.copyOf(byToken.values()).stream()
-                    .filter(kept -> kept.concluded && kept.forgetAt < nowMillis)
+        reads.values().removeIf(entry -> entry.validUntilMillis < nowMillis);
+        if (nowMillis >= nextSweepAtMillis) {
+            nextSweepAtMillis = nowMillis + SWEEP_INTERVAL_MILLIS;
+            List.copyOf(keyedRequests.values()).stream()
+                    .filter(entry -> entry.completed && entry.expiresAtMillis < nowMillis)
                     .forEach(this::remove);
         }
     }
--- a/src/main/java/tinroad/core/Response.java
+++ b/src/main/java/tinroad/core/Response.java
@@ -29,9 +29,13 @@
         return new Response(Kind.SERVED, Progress.RAN, result, 0, false);
     }
 
-    static Response rejected(double stayAway, boolean last) {
+    static Response rejected(double retryAfterMillis, boolean doNotRetry) {
         return new Response(
-                Kind.REJECTED, Progress.NOT_SENT, Unpooled.EMPTY_BUFFER, stayAway, last);
+                Kind.REJECTED,
+                Progress.NOT_SENT,
+                Unpooled.EMPTY_BUFFER,
+                retryAfterMillis,
+                doNotRetry);
     }
 
     static Response failed(Progress progress) {
--- a/src/main/java/tinroad/core/ResponseSink.java
+++ b/src/main/java/tinroad/core/ResponseSink.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface ResponseSink {
     /** Takes the answer; drops it where nobody is left to read it. */
-    void respond(Response answer);
+    void respond(Response response);
 }
--- a/src/main/java/tinroad/core/SlotReferences.java
+++ b/src/main/java/tinroad/core/SlotReferences.java
@@ -16,65 +16,67 @@
      * So long, in ms, after nothing names it the module may still know what this gateway has
      * answered in its stead.
      */
-    static final double GRACE = 2000;
+    static final double REUSE_DELAY_MILLIS = 2000;
 
     /** So many are told free at once. */
-    static final int MOST_TOLD = 256;
+    static final int MAX_FREED_PER_SWEEP = 256;
 
-    private record Left(int place, double at) {}
+    private record Unreferenced(int slot, double sinceMillis) {}
 
     private final BitSet removed = new BitSet();
 
     /** Removed ones that nothing named when they were put here, in the order of time. */
-    private final ArrayDeque<Left> leaving = new ArrayDeque<>();
+    private final ArrayDeque<Unreferenced> unreferenced = new ArrayDeque<>();
 
-    private int[] naming = new int[16];
-    private Consumer<int[]> free = places -> {};
+    private int[] counts = new int[16];
+    private Consumer<int[]> freeListener = slots -> {};
 
     /** Sets who hears of the places that may be given anew. */
     void onFree(Consumer<int[]> listener) {
-        free = listener;
+        freeListener = listener;
     }
 
-    void take(int place) {
-        if (place >= naming.length) {
-            naming = Arrays.copyOf(naming, Math.max(place + 1, 2 * naming.length));
+    void acquire(int slot) {
+        if (slot >= counts.length) {
+            counts = Arrays.copyOf(counts, Math.max(slot + 1, 2 * counts.length));
         }
-        naming[place]++;
+        counts[slot]++;
     }
 
-    void release(int place, double nowMillis) {
-        if (--naming[place] == 0 && removed.get(place)) {
-            leaving.add(new Left(place, nowMillis));
+    void release(int slot, double nowMillis) {
+        if (--counts[slot] == 0 && removed.get(slot)) {
+            unreferenced.add(new Unreferenced(slot, nowMillis));
         }
     }
 
     /** No request comes under this place any more. */
-    void remove(int place, double nowMillis) {
-        removed.set(place);
-        if (named(place) == 0) {
-            leaving.add(new Left(place, nowMillis));
+    void remove(int slot, double nowMillis) {
+        removed.set(slot);
+        if (count(slot) == 0) {
+            unreferenced.add(new Unreferenced(slot, nowMillis));
         }
     }
 
-    private int named(int place) {
-        return place < naming.length ? naming[place] : 0;
+    private int count(int slot) {
+        return slot < counts.length ? counts[slot] : 0;
     }
 
     /** Tells the places that were left long enough ago, a bounded part of them. */
-    void sweep(double nowMillis) {
-        int[] told = new int[Math.min(MOST_TOLD, leaving.size())];
-        int n = 0;
-        while (n < told.length && !leaving.isEmpty() && nowMillis - leaving.peek().at >= GRACE) {
-            int place = leaving.remove().place;
+    void releaseUnreferenced(double nowMillis) {
+        int[] freed = new int[Math.min(MAX_FREED_PER_SWEEP, unreferenced.size())];
+        int freedCount = 0;
+        while (freedCount < freed.length
+                && !unreferenced.isEmpty()
+                && nowMillis - unreferenced.peek().sinceMillis >= REUSE_DELAY_MILLIS) {
+            int slot = unreferenced.remove().slot;
             // Named anew meanwhile: whoever lets go of it last puts it here again.
-            if (named(place) == 0 && removed.get(place)) {
-                removed.clear(place);
-                told[n++] = place;
+            if (count(slot) == 0 && removed.get(slot)) {
+                removed.clear(slot);
+                freed[freedCount++] = slot;
             }
         }
-        if (n > 0) {
-            free.accept(Arrays.copyOf(told, n));
+        if (freedCount > 0) {
+            freeListener.accept(Arrays.copyOf(freed, freedCount));
         }
     }
 }
--- a/src/main/java/tinroad/core/Timers.java
+++ b/src/main/java/tinroad/core/Timers.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface Timers {
     /** Runs the task once, after this many milliseconds. */
-    void after(double ms, Runnable task);
+    void after(double delayMillis, Runnable task);
 }
--- a/src/test/java/tinroad/core/ChangesTest.java
+++ b/src/test/java/tinroad/core/ChangesTest.java
@@ -156,7 +156,7 @@
 
     @Test
     void aLargeChangeComesInBoundedSlicesWithOtherEventsBetweenAndCountsAtOneInstant() {
-        int n = 3 * CatalogRollout.SLICE + 1;
+        int n = 3 * CatalogRollout.SLICE_ENTRIES + 1;
         change(many(n), Set.of(), Map.of(), Set.of());
         h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         // No time passes between the slices: what they do is counted, not how long it takes.
@@ -168,7 +168,9 @@
             assertTrue(h.step());
         }
         assertEquals(4, h.module.staged.size());
-        assertTrue(h.module.staged.stream().allMatch(entries -> entries <= CatalogRollout.SLICE));
+        assertTrue(
+                h.module.staged.stream()
+                        .allMatch(entries -> entries <= CatalogRollout.SLICE_ENTRIES));
         assertEquals(n, h.module.staged.stream().mapToInt(Integer::intValue).sum());
         assertEquals(0, h.gateway.pendingCatalogs());
         assertEquals("INVALID NOT_SENT", answers.got.get(6));
@@ -190,9 +192,12 @@
         change(Map.of(), new HashSet<>(many(10_000).keySet()), Map.of(), Set.of());
         h.pass(0);
         assertEquals(
-                (10_000 + CatalogRollout.SLICE - 1) / CatalogRollout.SLICE, h.module.staged.size());
+                (10_000 + CatalogRollout.SLICE_ENTRIES - 1) / CatalogRollout.SLICE_ENTRIES,
+                h.module.staged.size());
         assertEquals(3, h.module.commits);
-        h.pass(SlotReferences.GRACE + 2 * Gateway.GUARD_PERIOD * 10_000 / SlotReferences.MOST_TOLD);
+        h.pass(
+                SlotReferences.REUSE_DELAY_MILLIS
+                        + 2 * Gateway.GUARD_PERIOD * 10_000 / SlotReferences.MAX_FREED_PER_SWEEP);
         assertEquals(10_000, new HashSet<>(freeClasses).size());
         assertEquals(10_000, freeClasses.size());
     }
@@ -252,17 +257,17 @@
         change(Map.of(), Set.of("order"), Map.of(), Set.of("acme"));
         h.pass(100);
         h.module.act.reject(held, 0, false);
-        h.pass(SlotReferences.GRACE * 4);
+        h.pass(SlotReferences.REUSE_DELAY_MILLIS * 4);
         // Its caller has its answer, and its run may still end.
         assertEquals(List.of("REJECTED NOT_SENT", "FAILED SENT"), answers.got);
         assertEquals(List.of(), freeClasses);
         done(running);
-        h.pass(SlotReferences.GRACE - 1);
+        h.pass(SlotReferences.REUSE_DELAY_MILLIS - 1);
         assertEquals(List.of(), freeClasses);
         h.pass(1 + Gateway.GUARD_PERIOD);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of(0), freeTenants);
-        h.pass(SlotReferences.GRACE * 4);
+        h.pass(SlotReferences.REUSE_DELAY_MILLIS * 4);
         assertEquals(List.of(1), freeClasses);
     }
 
@@ -280,7 +285,7 @@
         h.gateway.onAttached(false, 1e6);
         assertEquals(List.of("RUN " + waiting + " order body"), h.runs);
         done(waiting);
-        h.pass(SlotReferences.GRACE + 2 * Gateway.GUARD_PERIOD);
+        h.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * Gateway.GUARD_PERIOD);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of("SERVED RAN result"), answers.got);
     }
@@ -309,7 +314,7 @@
         h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         ask("order");
         remove("order");
-        h.pass(SlotReferences.GRACE + 2 * Gateway.GUARD_PERIOD);
+        h.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * Gateway.GUARD_PERIOD);
         freeClasses.forEach(editor::releaseClassSlot);
         put("other", spec(500, Idempotency.IDEMPOTENT));
         h.pass(0);
--- a/src/test/java/tinroad/core/KeyedTest.java
+++ b/src/test/java/tinroad/core/KeyedTest.java
@@ -24,7 +24,7 @@
  */
 class KeyedTest {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    private static final double LATER = Harness.WINDOW + IdempotencyTable.MARGIN + 1;
+    private static final double LATER = Harness.WINDOW + IdempotencyTable.WINDOW_MARGIN_MILLIS + 1;
 
     private Harness h;
     private final Harness.Answers first = new Harness.Answers();
@@ -255,7 +255,7 @@
 
     @Test
     void aFullTableTurnsNewRequestsAwayAndForgetsNone() {
-        IntStream.range(0, IdempotencyTable.MOST_TOKENS)
+        IntStream.range(0, IdempotencyTable.MAX_KEYS)
                 .forEach(
                         i -> {
                             ask(i, String.format("%032x", i), h.now, "b", first);
@@ -265,16 +265,16 @@
         assertEquals(List.of("REJECTED NOT_SENT"), second.got);
         ask(70_001, String.format("%032x", 0), h.now, "b", second);
         assertEquals("SERVED RAN", second.got.get(1));
-        assertEquals(IdempotencyTable.MOST_TOKENS, h.runs.size());
+        assertEquals(IdempotencyTable.MAX_KEYS, h.runs.size());
         h.pass(LATER + 5000);
         ask(70_002, String.format("%032x", 70_002), h.now, "b", second);
-        assertEquals(IdempotencyTable.MOST_TOKENS + 1, h.runs.size());
+        assertEquals(IdempotencyTable.MAX_KEYS + 1, h.runs.size());
     }
 
     @Test
     void theOldestResultIsLetGoFirstAndItsRepeatFailsWithoutARun() {
         String large = "r".repeat(4096);
-        int most = IdempotencyTable.MOST_RESULTS / 4096;
+        int most = IdempotencyTable.MAX_RESULT_BYTES / 4096;
         IntStream.rangeClosed(0, most)
                 .forEach(
                         i -> {
