--- a/src/main/java/tinroad/fleet/LoadDigest.java
+++ b/src/main/java/tinroad/fleet/LoadDigest.java
@@ -4,14 +4,14 @@
 import java.util.stream.Collectors;
 
 /**
- * What one member says of itself at one moment, as it is passed on.
+ * What one member advertises of its load at one moment, as it is passed on.
  *
  * @param name of the member
- * @param version of its stay
- * @param number counts what it said in this stay; the higher one is the later one
- * @param age ms since it was said, by the clocks of those who passed it on: no two clocks are
- *     compared
- * @param values each in the unit that its kind names
+ * @param incarnation of the member
+ * @param number counts its digests within a membership; the higher one is the later one
+ * @param ageMillis ms since it was advertised, by the clocks of those who passed it on: no two
+ *     clocks are compared
+ * @param values each in the unit that its kind names; values that are not finite are left out
  */
 public record LoadDigest(
         String name,
@@ -19,25 +19,25 @@
         long number,
         double ageMillis,
         Map<Kind, Double> values) {
-    /** Kinds of what is said. */
+    /** What a value measures. */
     public enum Kind {
-        /** Of its comeback: 0 starting, 1 cold, 2 ramping, 3 full, 4 draining. */
-        PHASE,
+        /** Phase of its recovery: 0 starting, 1 cold, 2 ramping, 3 full, 4 draining. */
+        RECOVERY_PHASE,
         /** Cores of its engine. */
         CORES,
-        /** Requests a second that it could take. */
-        COULD_TAKE,
-        /** Requests a second that it is asked for. */
-        ASKED,
-        /** Requests a second that it refuses. */
-        REFUSED,
-        /** The rank under which it refuses, 0 to 1. */
-        CUT,
-        /** 1 while its health is good, else 0. */
-        HEALTH
+        /** Requests a second that it has capacity for. */
+        CAPACITY_PER_SECOND,
+        /** Requests a second that arrive. */
+        ARRIVALS_PER_SECOND,
+        /** Requests a second that it rejects. */
+        REJECTIONS_PER_SECOND,
+        /** Rank below which it rejects, 0 to 1. */
+        PRIORITY_CUTOFF,
+        /** 1 while it is healthy, else 0. */
+        HEALTHY
     }
 
-    /** Guards against numbers that are none, whoever says them: they are left out. */
+    /** Guards against values that are no numbers, whoever sends them. */
     public LoadDigest {
         values =
                 values.entrySet().stream()
--- a/src/main/java/tinroad/fleet/MemberIncarnation.java
+++ b/src/main/java/tinroad/fleet/MemberIncarnation.java
@@ -3,12 +3,14 @@
 import java.util.Comparator;
 
 /**
- * Which word on a member is the later one. Only the member itself raises any part of it.
+ * Orders the updates on one member. SWIM's incarnation number is {@code refutation}; the other two
+ * parts tell one membership from a later one of the same name. Only the member itself raises any
+ * part.
  *
- * @param life number of its process, from its state; each start has a higher one
- * @param era raised where it finds itself declared dead while it lives: a dead life and era never
- *     come back
- * @param incarnation raised to refute a suspicion
+ * @param process number of its process, from its stored state; each start has a higher one
+ * @param restart raised where the member finds itself declared dead while it is alive: a process
+ *     and restart that were declared dead never come back
+ * @param refutation raised to refute a suspicion
  */
 public record MemberIncarnation(long process, int restart, int refutation)
         implements Comparable<MemberIncarnation> {
@@ -22,16 +24,19 @@
         return ORDER.compare(this, other);
     }
 
-    /** Whether both speak of one stay in the fleet. */
+    /** Whether both are of the same membership: process and restart are equal. */
     public boolean sameMembership(MemberIncarnation other) {
         return process == other.process && restart == other.restart;
     }
 
-    MemberIncarnation refuting(int heard) {
-        return new MemberIncarnation(process, restart, Math.max(refutation, heard) + 1);
+    /** The incarnation that refutes a suspicion of this membership. */
+    MemberIncarnation refuting(int suspectedRefutation) {
+        return new MemberIncarnation(
+                process, restart, Math.max(refutation, suspectedRefutation) + 1);
     }
 
-    MemberIncarnation rising(int heard) {
-        return new MemberIncarnation(process, Math.max(restart, heard) + 1, 0);
+    /** The first incarnation of the membership after {@code claimedRestart}. */
+    MemberIncarnation rejoining(int claimedRestart) {
+        return new MemberIncarnation(process, Math.max(restart, claimedRestart) + 1, 0);
     }
 }
--- a/src/main/java/tinroad/fleet/MemberStatus.java
+++ b/src/main/java/tinroad/fleet/MemberStatus.java
@@ -1,17 +1,20 @@
 package tinroad.fleet;
 
-/** What is held of a member. Of one version a later one of these overrides an earlier one. */
+/**
+ * The status of a member. Of updates with one incarnation the one whose status is declared later
+ * here overrides the other. Operators see the names in lower case.
+ */
 public enum MemberStatus {
-    /** It answers, or was heard of by one whom it answered. */
+    /** It answers probes, or another member has heard from it. */
     ALIVE,
-    /** It did not answer; it may still speak for itself. */
+    /** A probe of it failed; it may still refute the suspicion. */
     SUSPECT,
-    /** It did not speak for itself in time. */
+    /** It did not refute the suspicion in time. */
     DEAD,
-    /** It said that it leaves. */
+    /** It left of its own accord. */
     LEFT;
 
-    /** Whether this stay in the fleet is over, whatever comes. */
+    /** Whether this membership is over for good. */
     public boolean isTerminal() {
         return this == DEAD || this == LEFT;
     }
--- a/src/main/java/tinroad/fleet/MemberUpdate.java
+++ b/src/main/java/tinroad/fleet/MemberUpdate.java
@@ -1,14 +1,14 @@
 package tinroad.fleet;
 
 /**
- * A word on a member, as it goes round.
+ * A claim about one member, as it is disseminated.
  *
  * @param name of the member
- * @param address where it hears; opaque here
- * @param zone that it says it is in
- * @param version of the member's own that this is about
- * @param status what is claimed
- * @param by who claims it: for a suspicion, one that was not answered
+ * @param address where it receives messages; opaque here
+ * @param zone that it claims to be in
+ * @param incarnation of the member that the claim is about
+ * @param status claimed
+ * @param by name of the member that makes the claim: for a suspicion, the one whose probe failed
  */
 public record MemberUpdate(
         String name,
@@ -19,8 +19,8 @@
         String by) {
 
     /**
-     * Whether this overrides {@code held}. A join of a lattice: whatever comes in whatever order
-     * and however often, all who heard the same hold the same.
+     * Whether this overrides {@code held}, which may be null. A join of a lattice: all who received
+     * the same updates hold the same, in whatever order and however often they came.
      */
     public boolean overrides(MemberUpdate held) {
         if (held == null) {
@@ -29,7 +29,7 @@
         if (!incarnation.sameMembership(held.incarnation)) {
             return incarnation.compareTo(held.incarnation) > 0;
         }
-        // What is over stays over, whatever incarnation is claimed: only another stay comes back.
+        // A terminal status is not refuted, whatever is claimed: only a new membership follows it.
         if (status.isTerminal() || held.status.isTerminal()) {
             return status.compareTo(held.status) > 0;
         }
@@ -37,7 +37,8 @@
         return order > 0 || (order == 0 && status.compareTo(held.status) > 0);
     }
 
-    MemberUpdate as(MemberStatus other, String claimant) {
-        return new MemberUpdate(name, address, zone, incarnation, other, claimant);
+    /** The same member and incarnation with another status, claimed by {@code claimant}. */
+    MemberUpdate as(MemberStatus claimedStatus, String claimant) {
+        return new MemberUpdate(name, address, zone, incarnation, claimedStatus, claimant);
     }
 }
--- a/src/main/java/tinroad/fleet/MembershipConfig.java
+++ b/src/main/java/tinroad/fleet/MembershipConfig.java
@@ -1,26 +1,30 @@
 package tinroad.fleet;
 
 /**
- * How a membership probes and suspects; times in ms.
+ * The parameters of the membership protocol; times in ms.
  *
- * @param period between two probes
- * @param timeout for the answer to a direct probe; the rest of the period is for the indirect ones
- * @param indirect members asked to probe for one that did not answer
- * @param suspicionLeast so long a suspected member has at least to speak for itself
- * @param suspicionMost so long while nobody else has suspected it
- * @param confirmations others' suspicions after which the least time holds
- * @param health how far the own health may fall: times are multiplied by 1 to this plus 1
- * @param spread members that news go to at once
- * @param pause between two such spreads, so that what comes in can't make this member send without
- *     bound
- * @param repeats claims are sent on this often, times the logarithm of the fleet's size
- * @param riding claims in one message at most
- * @param sync between two exchanges of all that is held
- * @param cutPart share of the members whose common silence is a cut, and no death of each
- * @param cutLeast members that have to be silent together for it
- * @param cutKept how long members that are cut off are waited for
- * @param kept how long what is over is remembered
- * @param most members that are known at most
+ * @param probePeriodMillis between two probes
+ * @param probeTimeoutMillis for the ack of a direct ping; the rest of the period is left to the
+ *     indirect probes
+ * @param indirectProbes members asked for an indirect probe
+ * @param minSuspicionMillis time to refute once {@code confirmations} others suspect the member,
+ *     too
+ * @param maxSuspicionMillis time to refute while nobody else suspects it
+ * @param confirmations suspicions by others after which the minimum holds
+ * @param maxHealthPenalty bound of the local health penalty: period and timeouts of probes are
+ *     multiplied by 1 to this plus 1; 0 turns off local health and nacks
+ * @param gossipFanout members that news are sent to at once
+ * @param gossipPauseMillis between two such rounds; bounds what incoming news can make a member
+ *     send
+ * @param retransmitMultiplier an update is sent this often, times the binary logarithm of the
+ *     fleet's size
+ * @param maxPiggybackedUpdates in one message
+ * @param syncPeriodMillis between two anti-entropy syncs
+ * @param partitionShare share of the members that, suspected at once, is taken for a partition
+ * @param partitionMinMembers and at least so many
+ * @param partitionWaitMillis while a partition is assumed, no suspect is declared dead this long
+ * @param terminalRetentionMillis how long a terminal member is remembered
+ * @param maxMembers other members known at most
  */
 public record MembershipConfig(
         double probePeriodMillis,
@@ -41,15 +45,14 @@
         double terminalRetentionMillis,
         int maxMembers) {
     /**
-     * Probes four times a second; a member may stand still for two seconds and is not taken for
-     * dead.
+     * Probes four times a second; a member may be paused for two seconds and is not declared dead.
      */
     public static final MembershipConfig DEFAULT =
             new MembershipConfig(
                     250, 90, 4, 2300, 5000, 2, 3, 3, 100, 2, 18, 1000, 0.2, 3, 60_000, 60_000,
                     2000);
 
-    /** SWIM as of 2002: fixed suspicion, no own health, no negative answers. */
+    /** Plain SWIM: a fixed suspicion timeout, no local health, no nacks. */
     public static final MembershipConfig SWIM_2002 =
             new MembershipConfig(
                     250, 90, 4, 2300, 2300, 2, 0, 3, 100, 2, 18, 1000, 2, 3, 0, 60_000, 2000);
--- a/src/main/java/tinroad/fleet/MembershipView.java
+++ b/src/main/java/tinroad/fleet/MembershipView.java
@@ -8,109 +8,114 @@
 import org.pcollections.PMap;
 
 /**
- * What the members say of themselves, as one of them knows it: a value that never changes, so that
- * whoever decides by it decides all of a matter by the same. Merging is a join of a lattice by stay
- * and number. Nobody gets a value without its age, nor one that is older than he allows. Times in
- * ms, of the reader's own clock.
+ * The latest load digest of each member, as one of them knows it: an immutable value, so that all
+ * parts of a decision see the same. Merging is a join of a lattice by membership and number. A
+ * reader states the age that it accepts, and gets a value with its age or nothing. Times in ms, of
+ * the reader's own clock.
  */
 public final class MembershipView {
-    /** A value, and how old it is. */
+    /** A value and its age. */
     public record FreshValue(String name, double value, double ageMillis) {}
 
-    private record Held(LoadDigest digest, double saidAt) {}
+    private record ReceivedDigest(LoadDigest digest, double advertisedAtMillis) {
+        double ageMillis(double nowMillis) {
+            return Math.max(0, nowMillis - advertisedAtMillis);
+        }
+
+        boolean sameAs(ReceivedDigest other) {
+            return other != null
+                    && other.digest.incarnation().sameMembership(digest.incarnation())
+                    && other.digest.number() == digest.number();
+        }
+    }
 
-    /** Knows nobody. */
-    public static final MembershipView EMPTY = new MembershipView(HashTreePMap.empty(), 2000);
+    private static final int MAX_MEMBERS = 2_000;
 
-    private final PMap<String, Held> held;
-    private final int most;
+    /** Without any member. */
+    public static final MembershipView EMPTY = new MembershipView(HashTreePMap.empty());
 
-    private MembershipView(PMap<String, Held> held, int most) {
-        this.held = held;
-        this.most = most;
+    private final PMap<String, ReceivedDigest> digests;
+
+    private MembershipView(PMap<String, ReceivedDigest> digests) {
+        this.digests = digests;
     }
 
-    /** With this digest, if it is the later one; bounded in the members that it names. */
+    /** With this digest, if it is later than the one held; members beyond a bound are left out. */
     public MembershipView merge(double nowMillis, LoadDigest digest) {
-        Held before = held.get(digest.name());
+        ReceivedDigest before = digests.get(digest.name());
         if (!digest.laterThan(before == null ? null : before.digest)
-                || (before == null && held.size() >= most)) {
+                || (before == null && digests.size() >= MAX_MEMBERS)) {
             return this;
         }
-        // Never from the future: an age that somebody made up makes it no younger than it can be.
+        // Never from the future: a forged age makes a digest no younger than it can be.
+        double advertisedAtMillis = nowMillis - Math.max(0, digest.ageMillis());
         return new MembershipView(
-                held.plus(
-                        digest.name(),
-                        new Held(digest, nowMillis - Math.max(0, digest.ageMillis()))),
-                most);
+                digests.plus(digest.name(), new ReceivedDigest(digest, advertisedAtMillis)));
     }
 
-    /** Without a member whose stay is over. */
+    /** Without a member, whose membership is over. */
     public MembershipView without(String name) {
-        return held.containsKey(name) ? new MembershipView(held.minus(name), most) : this;
+        return digests.containsKey(name) ? new MembershipView(digests.minus(name)) : this;
     }
 
     /**
-     * What this member said of this kind, where that is no older than {@code maxAge}; else null,
-     * and the reader goes on alone.
+     * What this member advertises of this kind, or null where that is unknown or older than {@code
+     * maxAgeMillis}: the reader then decides without it.
      */
-    public FreshValue fresh(double nowMillis, String name, LoadDigest.Kind kind, double maxAge) {
-        Held h = held.get(name);
-        Double value = h == null ? null : h.digest.values().get(kind);
-        double age = h == null ? 0 : Math.max(0, nowMillis - h.saidAt);
-        return value == null || age > maxAge ? null : new FreshValue(name, value, age);
+    public FreshValue fresh(
+            double nowMillis, String name, LoadDigest.Kind kind, double maxAgeMillis) {
+        ReceivedDigest received = digests.get(name);
+        if (received == null) {
+            return null;
+        }
+        Double value = received.digest.values().get(kind);
+        double ageMillis = received.ageMillis(nowMillis);
+        return value == null || ageMillis > maxAgeMillis
+                ? null
+                : new FreshValue(name, value, ageMillis);
     }
 
-    /** The same of all members, those left out of whom nothing so young is known. */
-    public List<FreshValue> fresh(double nowMillis, LoadDigest.Kind kind, double maxAge) {
-        List<FreshValue> all = new ArrayList<>();
-        for (String name : held.keySet()) {
-            FreshValue f = fresh(nowMillis, name, kind, maxAge);
-            if (f != null) {
-                all.add(f);
+    /** The same of all members, without those of which nothing so recent is known. */
+    public List<FreshValue> fresh(double nowMillis, LoadDigest.Kind kind, double maxAgeMillis) {
+        List<FreshValue> values = new ArrayList<>();
+        for (String name : digests.keySet()) {
+            FreshValue value = fresh(nowMillis, name, kind, maxAgeMillis);
+            if (value != null) {
+                values.add(value);
             }
         }
-        return all;
+        return values;
     }
 
-    /** A digest to pass on, with its age as it is now; null where nothing is known. */
+    /** A digest to pass on, with its present age; null where the member is unknown. */
     public LoadDigest relayDigest(double nowMillis, String name) {
-        Held h = held.get(name);
-        return h == null
+        ReceivedDigest received = digests.get(name);
+        return received == null
                 ? null
                 : new LoadDigest(
                         name,
-                        h.digest.incarnation(),
-                        h.digest.number(),
-                        Math.max(0, nowMillis - h.saidAt),
-                        h.digest.values());
+                        received.digest.incarnation(),
+                        received.digest.number(),
+                        received.ageMillis(nowMillis),
+                        received.digest.values());
     }
 
-    /** How many members it knows of. */
+    /** How many members it has. */
     public int size() {
-        return held.size();
+        return digests.size();
     }
 
-    /** Whether both know the same, whenever they heard it. */
+    /** Whether both hold the same digests, whenever they received them. */
     public boolean knowsTheSame(MembershipView other) {
-        return held.size() == other.held.size()
-                && held.entrySet().stream()
-                        .allMatch(
-                                e -> {
-                                    Held o = other.held.get(e.getKey());
-                                    return o != null
-                                            && o.digest
-                                                    .incarnation()
-                                                    .sameMembership(
-                                                            e.getValue().digest.incarnation())
-                                            && o.digest.number() == e.getValue().digest.number();
-                                });
+        return digests.size() == other.digests.size()
+                && digests.entrySet().stream()
+                        .allMatch(e -> e.getValue().sameAs(other.digests.get(e.getKey())));
     }
 
-    /** All that is held, by name, for operators. */
+    /** All digests with their present age, sorted by the member's name. */
     public Map<String, LoadDigest> digests(double nowMillis) {
         Map<String, LoadDigest> all = new TreeMap<>();
-        held.keySet().forEach(name -> all.put(name, relayDigest(nowMillis, name)));
+        digests.keySet().forEach(name -> all.put(name, relayDigest(nowMillis, name)));
         return all;
     }
 }
--- a/src/main/java/tinroad/fleet/Message.java
+++ b/src/main/java/tinroad/fleet/Message.java
@@ -2,24 +2,26 @@
 
 import java.util.List;
 
-/** What members say to each other. Each message carries claims beside its purpose. */
+/** The messages of the membership protocol. Each carries piggybacked updates. */
 public sealed interface Message {
-    /** Claims that ride along. */
+    /** The piggybacked updates. */
     List<MemberUpdate> updates();
 
-    /** Are you there? {@code number} is the asker's. */
+    /** A direct probe; {@code number} is the sender's sequence number. */
     record Ping(long number, List<MemberUpdate> updates) implements Message {}
 
-    /** I am; for the ping of this number, or on behalf of the one who was asked for. */
+    /** The answer to the ping, or to the ping-req, of this number. */
     record Ack(long number, List<MemberUpdate> updates) implements Message {}
 
-    /** Ask the member at {@code address} for me. */
+    /** SWIM's ping-req: asks the receiver to ping the member at {@code address}. */
     record PingRequest(long number, String address, List<MemberUpdate> updates)
             implements Message {}
 
-    /** I asked for you, and have no answer either: at least I am there. */
+    /** Lifeguard's nack: the ping sent on behalf of the ping-req of this number has no ack yet. */
     record Nack(long number, List<MemberUpdate> updates) implements Message {}
 
-    /** A part of all that I hold; {@code wants} yours. */
+    /**
+     * A part of the sender's member table, or news; {@code replyWanted}: the receiver's in turn.
+     */
     record Sync(boolean replyWanted, List<MemberUpdate> updates) implements Message {}
 }
--- a/src/main/java/tinroad/fleet/package-info.java
+++ b/src/main/java/tinroad/fleet/package-info.java
@@ -1,6 +1,8 @@
 /**
- * What gateways know of each other: membership in the manner of SWIM (Das, Gupta, Motivala 2002)
- * with the additions of Lifeguard (Dadgar, Phillips, Currey 2017). Messages are values in and out;
- * no clock, socket, file or thread. Not wired into a gateway yet.
+ * The membership of the fleet by SWIM with Lifeguard's extensions ({@link
+ * tinroad.fleet.Membership}), and what members advertise of their load ({@link
+ * tinroad.fleet.MembershipView}; not in use by the gateway yet). Called by the transport in {@code
+ * tinroad.gossip} and by the simulation; read by the admin endpoint. Messages are values in and
+ * out; knows no clock, socket, file or thread.
  */
 package tinroad.fleet;
--- a/src/test/java/tinroad/fleet/ViewTest.java
+++ b/src/test/java/tinroad/fleet/ViewTest.java
@@ -35,7 +35,7 @@
                                         new MemberIncarnation(life, era, 0),
                                         number,
                                         age,
-                                        Map.of(Kind.ASKED, 1.0 * number)))
+                                        Map.of(Kind.ARRIVALS_PER_SECOND, 1.0 * number)))
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(15);
@@ -73,7 +73,8 @@
             v = next;
         }
         for (LoadDigest d : digests) {
-            MembershipView.FreshValue f = v.fresh(nowMillis, d.name(), Kind.ASKED, 3000);
+            MembershipView.FreshValue f =
+                    v.fresh(nowMillis, d.name(), Kind.ARRIVALS_PER_SECOND, 3000);
             assertTrue(
                     f == null
                             || (f.ageMillis() <= 3000
@@ -92,11 +93,11 @@
                                 new MemberIncarnation(1, 0, 0),
                                 1,
                                 200,
-                                Map.of(Kind.CORES, 4.0, Kind.CUT, Double.NaN)));
+                                Map.of(Kind.CORES, 4.0, Kind.PRIORITY_CUTOFF, Double.NaN)));
         assertEquals(
                 new MembershipView.FreshValue("a", 4, 700), v.fresh(1500, "a", Kind.CORES, 1000));
         assertNull(v.fresh(1900, "a", Kind.CORES, 1000));
-        assertNull(v.fresh(1500, "a", Kind.CUT, 1000));
+        assertNull(v.fresh(1500, "a", Kind.PRIORITY_CUTOFF, 1000));
         assertNull(v.fresh(1500, "b", Kind.CORES, 1000));
         assertEquals(List.of(), v.without("a").fresh(1500, Kind.CORES, 1000));
     }
