--- a/src/main/java/tinroad/cli/StateCommand.java
+++ b/src/main/java/tinroad/cli/StateCommand.java
@@ -7,7 +7,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import tinroad.state.LearnedValue;
@@ -65,7 +64,9 @@
             } else {
                 show(found, out);
             }
-            return found.stream().allMatch(c -> c.readResult().reason() == null) ? FINE : FAILED;
+            return found.stream().allMatch(c -> c.readResult().usable().isPresent())
+                    ? FINE
+                    : FAILED;
         } catch (IOException e) {
             err.println("tinroad: " + folder + ": can't be read: " + e.getMessage());
             return FAILED;
@@ -75,26 +76,20 @@
     private void verify(List<SnapshotSelector.Candidate> found, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
         for (SnapshotSelector.Candidate c : found) {
-            SnapshotReadResult r = c.readResult();
-            Snapshot s = r.snapshot();
-            rows.add(
-                    s == null
-                            ? List.of(
-                                    c.file(),
-                                    r.reason().name().toLowerCase(Locale.ROOT).replace('_', ' ')
-                                            + ": "
-                                            + r.text(),
-                                    "",
-                                    0,
-                                    0,
-                                    0)
-                            : List.of(
-                                    c.file(),
-                                    "good",
-                                    s.name(),
-                                    s.incarnation(),
-                                    s.values().size(),
-                                    s.executedIds().size()));
+            // No switch over patterns in Java 17.
+            if (c.readResult() instanceof SnapshotReadResult.Rejected rejected) {
+                rows.add(List.of(c.file(), rejected.description(), "", 0, 0, 0));
+            } else if (c.readResult() instanceof SnapshotReadResult.Usable usable) {
+                Snapshot s = usable.snapshot();
+                rows.add(
+                        List.of(
+                                c.file(),
+                                "good",
+                                s.name(),
+                                s.incarnation(),
+                                s.values().size(),
+                                s.executedIds().size()));
+            }
         }
         output.print(List.of("file", "is", "gateway", "life", "values", "ran"), rows, out);
     }
@@ -103,7 +98,8 @@
         double nowMillis = System.currentTimeMillis();
         Snapshot s =
                 SnapshotSelector.select(found, name(found), nowMillis, Double.MAX_VALUE, 0, 0)
-                        .snapshot();
+                        .snapshot()
+                        .orElse(null);
         List<List<Object>> rows = new ArrayList<>();
         if (s != null) {
             rows.add(
@@ -132,8 +128,8 @@
 
     private static String name(List<SnapshotSelector.Candidate> found) {
         return found.stream()
-                .filter(c -> c.readResult().snapshot() != null)
-                .map(c -> c.readResult().snapshot().name())
+                .flatMap(c -> c.readResult().usable().stream())
+                .map(Snapshot::name)
                 .reduce("", (a, b) -> b);
     }
 }
--- a/src/main/java/tinroad/node/StatePersistence.java
+++ b/src/main/java/tinroad/node/StatePersistence.java
@@ -58,14 +58,15 @@
     }
 
     private static String words(SnapshotSelector.Decision d, double nowMillis) {
-        Snapshot s = d.snapshot();
         return switch (d.startMode()) {
-            case WARM ->
-                    "with life "
-                            + s.incarnation()
-                            + ", saved "
-                            + Math.round(Math.max(0, nowMillis - s.savedAtMillis()) / 1000)
-                            + " s ago";
+            case WARM -> {
+                Snapshot s = d.snapshot().orElseThrow();
+                yield "with life "
+                        + s.incarnation()
+                        + ", saved "
+                        + Math.round(Math.max(0, nowMillis - s.savedAtMillis()) / 1000)
+                        + " s ago";
+            }
             case FIRST -> "for the first time";
             case COLD -> "cold: nothing of what was there is believed";
         };
--- a/src/main/java/tinroad/recovery/StateRestorer.java
+++ b/src/main/java/tinroad/recovery/StateRestorer.java
@@ -44,7 +44,7 @@
         this.life = life;
         this.oldest = oldest;
         this.halfLife = halfLife;
-        before = decision.snapshot();
+        before = decision.snapshot().orElse(null);
         begin = decision.startMode();
         provenance = new Provenance(life);
     }
@@ -65,7 +65,12 @@
                                 r == null
                                         ? null
                                         : DecayedValue.of(
-                                                r, nowMillis, prior.value(), halfLife, oldest);
+                                                        r,
+                                                        nowMillis,
+                                                        prior.value(),
+                                                        halfLife,
+                                                        oldest)
+                                                .orElse(null);
                         if (aged != null) {
                             used.put(what, r);
                             all.put(
--- a/src/main/java/tinroad/simulation/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -103,7 +103,8 @@
                                     ? List.of()
                                     : List.of(
                                             new SnapshotSelector.Candidate(
-                                                    "state", SnapshotReadResult.of(folder))),
+                                                    "state",
+                                                    new SnapshotReadResult.Usable(folder))),
                             "g" + number,
                             unix,
                             OLDEST,
--- a/src/main/java/tinroad/state/DecayedValue.java
+++ b/src/main/java/tinroad/state/DecayedValue.java
@@ -1,39 +1,49 @@
 package tinroad.state;
 
+import java.util.Optional;
+
 /**
- * A remembered value at the moment of its use. It fades toward the prior, what is assumed where
- * nothing is known: after its half-life half of what was learned is left. Beyond the oldest age
- * there is nothing to use.
+ * A restored value at the moment of its use. It decays toward the prior, which is what is assumed
+ * where nothing was learned: after one half-life half of the difference is left. Beyond its maximum
+ * age a value is not used at all.
  *
- * @param value faded
- * @param weight samples behind it, faded alike
- * @param age ms since it was last true
- * @param life that learned it
+ * @param value decayed toward the prior, in the unit of the learned value
+ * @param weight samples behind it, decayed alike
+ * @param ageMillis time since it was learned
+ * @param incarnation that learned it
  */
 public record DecayedValue(double value, double weight, double ageMillis, long incarnation) {
 
     /**
-     * The value at {@code now}, or null where it is too old, comes from later than now, or is no
-     * number.
+     * The value at {@code nowMillis}; empty where it is too old, comes from later than now, or is
+     * not a finite number.
      *
+     * @param nowMillis Unix time
      * @param prior what is assumed without it, in its unit
-     * @param halfLife ms
-     * @param oldest ms
      */
-    public static DecayedValue of(
-            LearnedValue r, double nowMillis, double prior, double halfLife, double oldest) {
-        double age = Math.max(0, nowMillis - r.learnedAtMillis());
+    public static Optional<DecayedValue> of(
+            LearnedValue learned,
+            double nowMillis,
+            double prior,
+            double halfLifeMillis,
+            double maxAgeMillis) {
+        double ageMillis = Math.max(0, nowMillis - learned.learnedAtMillis());
         boolean usable =
-                r.learnedAtMillis() <= nowMillis + SnapshotSelector.MAX_CLOCK_DIFFERENCE_MILLIS
-                        && age <= oldest
-                        && Double.isFinite(r.value())
-                        && Double.isFinite(r.weight())
-                        && r.weight() >= 0;
+                learned.learnedAtMillis()
+                                <= nowMillis + SnapshotSelector.MAX_CLOCK_DIFFERENCE_MILLIS
+                        && ageMillis <= maxAgeMillis
+                        && Double.isFinite(learned.value())
+                        && Double.isFinite(learned.weight())
+                        && learned.weight() >= 0;
         if (!usable) {
-            return null;
+            return Optional.empty();
         }
-        double left = Math.pow(0.5, age / halfLife);
-        return new DecayedValue(
-                prior + (r.value() - prior) * left, r.weight() * left, age, r.incarnation());
+        double remaining = Math.pow(0.5, ageMillis / halfLifeMillis);
+        return Optional.of(
+                new DecayedValue(
+                        prior + (learned.value() - prior) * remaining,
+                        learned.weight() * remaining,
+                        ageMillis,
+                        learned.incarnation()));
     }
 }
--- a/src/main/java/tinroad/state/LearnedValue.java
+++ b/src/main/java/tinroad/state/LearnedValue.java
@@ -1,11 +1,11 @@
 package tinroad.state;
 
 /**
- * A value that was learned, with what is needed to doubt it.
+ * A learned value, with what is needed to decide whether it can still be used.
  *
  * @param value in the unit that its key names
- * @param weight how many samples stand behind it
- * @param learnedAt when it was last true, in Unix ms
- * @param life number of the life that learned it
+ * @param weight number of samples behind it
+ * @param learnedAtMillis when it was last true, in Unix ms
+ * @param incarnation that learned it
  */
 public record LearnedValue(double value, double weight, double learnedAtMillis, long incarnation) {}
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -3,75 +3,83 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import tinroad.overload.Controller.Estimate;
 
 /**
- * When, and by which life, each value was learned that a life would leave to the next. Guards
- * against old knowledge that looks fresh because it was saved again: a value that has not changed
- * keeps its time and its life, and one that was mixed with what this life saw moves toward now only
- * by the share of its samples that are this life's. Times in Unix ms.
+ * When, and by which incarnation, each value was learned that an incarnation saves. Guards against
+ * old knowledge that looks fresh because it was saved again: a value that has not changed keeps its
+ * time and its incarnation, and one that was mixed with new samples moves toward now only by the
+ * share of its samples that are new. Times in Unix ms. Not thread-safe.
  */
 public final class Provenance {
-    private final long life;
+    private final long incarnation;
 
-    /** What this life began with, and what of that was remembered. */
-    private final Map<String, Estimate> began = new HashMap<>();
+    /** The estimates with which this incarnation started, restored or assumed. */
+    private final Map<String, Estimate> initialEstimates = new HashMap<>();
 
-    private final Map<String, LearnedValue> remembered = new HashMap<>();
-    private final Map<String, LearnedValue> left = new HashMap<>();
+    private final Map<String, LearnedValue> restoredValues = new HashMap<>();
+    private final Map<String, LearnedValue> lastSaved = new HashMap<>();
 
-    /** Of the life with this number. */
-    public Provenance(long life) {
-        this.life = life;
+    /** The provenance of what this incarnation saves. */
+    public Provenance(long incarnation) {
+        this.incarnation = incarnation;
     }
 
     /**
-     * The life begins with {@code values}; those named in {@code from} were remembered, the others
-     * assumed.
+     * The incarnation starts with {@code estimates}; those named in {@code restored} come from a
+     * snapshot, the others are assumed.
      */
-    public void begin(Map<String, Estimate> values, Map<String, LearnedValue> from) {
-        began.putAll(values);
-        remembered.putAll(from);
+    public void begin(Map<String, Estimate> estimates, Map<String, LearnedValue> restored) {
+        initialEstimates.putAll(estimates);
+        restoredValues.putAll(restored);
     }
 
     /**
-     * What to leave at {@code now}, as {@code values} stand; what was only ever assumed is left
-     * out.
+     * What to save at {@code nowMillis}, for {@code estimates} as they are then; what was only ever
+     * assumed is left out.
      */
-    public Map<String, LearnedValue> at(double nowMillis, Map<String, Estimate> values) {
-        Map<String, LearnedValue> all = new LinkedHashMap<>();
-        values.forEach(
-                (name, known) -> {
-                    LearnedValue r = at(nowMillis, name, known);
-                    if (r != null) {
-                        all.put(name, r);
-                        left.put(name, r);
-                    }
-                });
-        return all;
+    public Map<String, LearnedValue> at(double nowMillis, Map<String, Estimate> estimates) {
+        Map<String, LearnedValue> values = new LinkedHashMap<>();
+        estimates.forEach(
+                (name, estimate) ->
+                        learnedValue(nowMillis, name, estimate)
+                                .ifPresent(
+                                        value -> {
+                                            values.put(name, value);
+                                            lastSaved.put(name, value);
+                                        }));
+        return values;
     }
 
-    private LearnedValue at(double nowMillis, String name, Estimate known) {
-        Estimate first = began.get(name);
-        LearnedValue before = remembered.get(name);
-        if (known.equals(first)) {
-            // As it was read: once more faded it would be faded twice.
-            return before;
+    private Optional<LearnedValue> learnedValue(double nowMillis, String name, Estimate estimate) {
+        Estimate initial = initialEstimates.get(name);
+        LearnedValue restored = restoredValues.get(name);
+        if (estimate.equals(initial)) {
+            // As it was read: decayed once more, it would be decayed twice.
+            return Optional.ofNullable(restored);
         }
-        LearnedValue last = left.get(name);
+        LearnedValue last = lastSaved.get(name);
         if (last != null
-                && last.incarnation() == life
-                && last.value() == known.value()
-                && last.weight() == known.weight()) {
-            return last;
+                && last.incarnation() == incarnation
+                && last.value() == estimate.value()
+                && last.weight() == estimate.weight()) {
+            return Optional.of(last);
         }
-        double own = first == null ? known.weight() : known.weight() - first.weight();
-        // Of a value without counted samples it is only known that it moved.
-        double share = before == null || own <= 0 ? 1 : own / (own + first.weight());
-        double learnedAt =
-                before == null
+        double newSamples =
+                initial == null ? estimate.weight() : estimate.weight() - initial.weight();
+        // Of a value without counted samples it is only known that it changed.
+        double newShare =
+                restored == null || newSamples <= 0
+                        ? 1
+                        : newSamples / (newSamples + initial.weight());
+        double learnedAtMillis =
+                restored == null
                         ? nowMillis
-                        : before.learnedAtMillis() + (nowMillis - before.learnedAtMillis()) * share;
-        return new LearnedValue(known.value(), known.weight(), learnedAt, life);
+                        : restored.learnedAtMillis()
+                                + (nowMillis - restored.learnedAtMillis()) * newShare;
+        return Optional.of(
+                new LearnedValue(
+                        estimate.value(), estimate.weight(), learnedAtMillis, incarnation));
     }
 }
--- a/src/main/java/tinroad/state/Snapshot.java
+++ b/src/main/java/tinroad/state/Snapshot.java
@@ -3,17 +3,19 @@
 import java.util.Map;
 
 /**
- * What one gateway knew at one moment.
+ * The state of one gateway at one moment.
  *
- * @param name the gateway's
- * @param life the number of its process, from 1 on: each start has a higher one than all before
- * @param generation counts the snapshots of a life
- * @param savedAt Unix ms
- * @param evacuated operators had it taken off the list
- * @param values what was learned, by key
- * @param ran ids that ran and are not due yet, with their due times in Unix ms: none may run again
- * @param epoch of the catalog of classes and tenants that was in force, 0 where none was told
- * @param number its version within the epoch
+ * @param name of the gateway
+ * @param incarnation number of its process, from 1 on: each start has a higher one than all before
+ * @param generation counts the snapshots of an incarnation
+ * @param savedAtMillis Unix time
+ * @param evacuated whether operators had taken it out of service
+ * @param values learned values by key
+ * @param executedIds ids of requests that ran and whose deadline has not passed, with their
+ *     deadlines in Unix ms: none may run again
+ * @param catalogEpoch of the catalog of classes and tenants that was in force; 0 where none was
+ *     published
+ * @param catalogNumber its version within the epoch
  */
 public record Snapshot(
         String name,
@@ -26,23 +28,23 @@
         long catalogEpoch,
         long catalogNumber) {
     /**
-     * Ids that a snapshot holds at most; beyond it those due last are kept, as they stay dangerous
-     * longest.
+     * Ids that a snapshot holds at most; beyond it those with the latest deadlines are kept, as
+     * they could run twice for longest.
      */
     public static final int MAX_EXECUTED_IDS = 50_000;
 
     /** Values that a snapshot holds at most. */
     public static final int MAX_VALUES = 50_000;
 
-    /** One that tells no catalog. */
+    /** A snapshot without a published catalog. */
     public Snapshot(
             String name,
-            long life,
+            long incarnation,
             long generation,
-            double savedAt,
+            double savedAtMillis,
             boolean evacuated,
             Map<String, LearnedValue> values,
-            Map<String, Double> ran) {
-        this(name, life, generation, savedAt, evacuated, values, ran, 0, 0);
+            Map<String, Double> executedIds) {
+        this(name, incarnation, generation, savedAtMillis, evacuated, values, executedIds, 0, 0);
     }
 }
--- a/src/main/java/tinroad/state/SnapshotCodec.java
+++ b/src/main/java/tinroad/state/SnapshotCodec.java
@@ -13,56 +13,83 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.zip.CRC32C;
+import tinroad.state.SnapshotReadResult.Rejected;
 import tinroad.state.SnapshotReadResult.RejectionReason;
+import tinroad.state.SnapshotReadResult.Usable;
 
 /**
- * Snapshots as bytes: a line that names format and version, the length, CBOR (RFC 8949), and
- * CRC-32C over all of it. Fields that a later version adds are skipped; a later version of the
- * format is not read at all.
+ * Snapshots as bytes: a header line that names format and version, the payload's length, the
+ * payload in CBOR (RFC 8949), and CRC-32C over all of it. Unknown fields are skipped; a later
+ * version of the format is not read at all.
  */
 public final class SnapshotCodec {
     /** The version that is written, and the latest that is read. */
     public static final int VERSION = 1;
 
-    /** A longer file is no state: it is not read. */
+    /** A longer file is rejected unread. */
     public static final int MAX_BYTES = 16 * 1024 * 1024;
 
     private static final String MAGIC = "tinroad-state ";
-    private static final int CHECK = 4;
+    private static final int MAX_HEADER_BYTES = 32;
+    private static final int CHECKSUM_BYTES = 4;
+
+    // The fields' names in the file; what it calls a life is an incarnation, and "ran" holds the
+    // executed ids.
+    private static final String NAME = "name";
+    private static final String INCARNATION = "life";
+    private static final String GENERATION = "generation";
+    private static final String SAVED_AT_MILLIS = "saved_at";
+    private static final String EVACUATED = "evacuated";
+    private static final String CATALOG_EPOCH = "catalog_epoch";
+    private static final String CATALOG_NUMBER = "catalog_number";
+    private static final String VALUES = "values";
+    private static final String EXECUTED_IDS = "ran";
+
     private static final CBORFactory CBOR = new CBORFactory();
 
     private SnapshotCodec() {}
 
     /** The bytes of a snapshot. */
-    public static byte[] write(Snapshot s) {
-        return write(s, VERSION);
+    public static byte[] write(Snapshot snapshot) {
+        return write(snapshot, VERSION);
     }
 
-    static byte[] write(Snapshot s, int version) {
+    static byte[] write(Snapshot snapshot, int version) {
+        byte[] payload = payload(snapshot);
+        byte[] header = (MAGIC + version + "\n").getBytes(StandardCharsets.US_ASCII);
+        ByteBuffer file =
+                ByteBuffer.allocate(
+                        header.length + Integer.BYTES + payload.length + CHECKSUM_BYTES);
+        file.put(header).putInt(payload.length).put(payload);
+        return file.putInt(checksum(file.array(), file.position())).array();
+    }
+
+    private static byte[] payload(Snapshot snapshot) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         try (JsonGenerator out = CBOR.createGenerator(payload)) {
             out.writeStartObject();
-            out.writeStringField("name", s.name());
-            out.writeNumberField("life", s.incarnation());
-            out.writeNumberField("generation", s.generation());
-            out.writeNumberField("saved_at", s.savedAtMillis());
-            out.writeBooleanField("evacuated", s.evacuated());
-            out.writeNumberField("catalog_epoch", s.catalogEpoch());
-            out.writeNumberField("catalog_number", s.catalogNumber());
-            out.writeObjectFieldStart("values");
-            for (Map.Entry<String, LearnedValue> e : s.values().entrySet()) {
-                out.writeFieldName(e.getKey());
+            out.writeStringField(NAME, snapshot.name());
+            out.writeNumberField(INCARNATION, snapshot.incarnation());
+            out.writeNumberField(GENERATION, snapshot.generation());
+            out.writeNumberField(SAVED_AT_MILLIS, snapshot.savedAtMillis());
+            out.writeBooleanField(EVACUATED, snapshot.evacuated());
+            out.writeNumberField(CATALOG_EPOCH, snapshot.catalogEpoch());
+            out.writeNumberField(CATALOG_NUMBER, snapshot.catalogNumber());
+            out.writeObjectFieldStart(VALUES);
+            for (Map.Entry<String, LearnedValue> entry : snapshot.values().entrySet()) {
+                LearnedValue learned = entry.getValue();
+                out.writeFieldName(entry.getKey());
                 out.writeStartArray();
-                out.writeNumber(e.getValue().value());
-                out.writeNumber(e.getValue().weight());
-                out.writeNumber(e.getValue().learnedAtMillis());
-                out.writeNumber(e.getValue().incarnation());
+                out.writeNumber(learned.value());
+                out.writeNumber(learned.weight());
+                out.writeNumber(learned.learnedAtMillis());
+                out.writeNumber(learned.incarnation());
                 out.writeEndArray();
             }
             out.writeEndObject();
-            out.writeObjectFieldStart("ran");
-            for (Map.Entry<String, Double> e : s.executedIds().entrySet()) {
-                out.writeNumberField(e.getKey(), e.getValue());
+            out.writeObjectFieldStart(EXECUTED_IDS);
+            for (Map.Entry<String, Double> entry : snapshot.executedIds().entrySet()) {
+                out.writeNumberField(entry.getKey(), entry.getValue());
             }
             out.writeEndObject();
             out.writeEndObject();
@@ -70,74 +97,70 @@
             // Can't happen: the target is memory.
             throw new UncheckedIOException(e);
         }
-        byte[] head = (MAGIC + version + "\n").getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer all = ByteBuffer.allocate(head.length + Integer.BYTES + payload.size() + CHECK);
-        all.put(head).putInt(payload.size()).put(payload.toByteArray());
-        return all.putInt(check(all.array(), all.position())).array();
+        return payload.toByteArray();
     }
 
-    private static int check(byte[] bytes, int length) {
+    private static int checksum(byte[] bytes, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, 0, length);
         return (int) crc.getValue();
     }
 
-    /** The snapshot in these bytes, whatever they are. */
+    /** The snapshot in these bytes, or why they hold none; never throws, whatever they are. */
     public static SnapshotReadResult read(byte[] bytes) {
-        int line = 0;
-        while (line < Math.min(bytes.length, 32) && bytes[line] != '\n') {
-            line++;
+        int headerEnd = 0;
+        while (headerEnd < Math.min(bytes.length, MAX_HEADER_BYTES) && bytes[headerEnd] != '\n') {
+            headerEnd++;
         }
-        String head = new String(bytes, 0, Math.min(line, bytes.length), StandardCharsets.US_ASCII);
-        if (!head.matches(MAGIC + "\\d{1,6}") || bytes.length < line + 1 + Integer.BYTES + CHECK) {
-            return SnapshotReadResult.not(
-                    RejectionReason.DAMAGED, "no state, or cut short: " + bytes.length + " bytes");
+        String header =
+                new String(bytes, 0, Math.min(headerEnd, bytes.length), StandardCharsets.US_ASCII);
+        int payloadStart = headerEnd + 1 + Integer.BYTES;
+        if (!header.matches(MAGIC + "\\d{1,6}") || bytes.length < payloadStart + CHECKSUM_BYTES) {
+            return corrupt("no state, or cut short: " + bytes.length + " bytes");
         }
-        int end = bytes.length - CHECK;
-        if (ByteBuffer.wrap(bytes).getInt(end) != check(bytes, end)) {
-            return SnapshotReadResult.not(
-                    RejectionReason.DAMAGED,
-                    "its checksum does not fit its " + bytes.length + " bytes");
+        int payloadEnd = bytes.length - CHECKSUM_BYTES;
+        if (ByteBuffer.wrap(bytes).getInt(payloadEnd) != checksum(bytes, payloadEnd)) {
+            return corrupt("its checksum does not fit its " + bytes.length + " bytes");
         }
-        int version = Integer.parseInt(head.substring(MAGIC.length()));
+        int version = Integer.parseInt(header.substring(MAGIC.length()));
         if (version > VERSION) {
-            return SnapshotReadResult.not(
-                    RejectionReason.FOREIGN_VERSION,
+            return new Rejected(
+                    RejectionReason.UNSUPPORTED_VERSION,
                     "version " + version + ", and this program reads " + VERSION);
         }
-        int length = ByteBuffer.wrap(bytes).getInt(line + 1);
-        if (length != end - line - 1 - Integer.BYTES) {
-            return SnapshotReadResult.not(
-                    RejectionReason.DAMAGED,
-                    "its length does not fit its " + bytes.length + " bytes");
+        if (ByteBuffer.wrap(bytes).getInt(headerEnd + 1) != payloadEnd - payloadStart) {
+            return corrupt("its length does not fit its " + bytes.length + " bytes");
         }
         try (JsonParser in =
-                CBOR.createParser(Arrays.copyOfRange(bytes, line + 1 + Integer.BYTES, end))) {
-            return new Fields(in).read();
+                CBOR.createParser(Arrays.copyOfRange(bytes, payloadStart, payloadEnd))) {
+            return new Usable(new PayloadReader(in).read());
         } catch (IOException | IllegalArgumentException e) {
-            return SnapshotReadResult.not(
-                    RejectionReason.DAMAGED, "can't be read: " + e.getMessage());
+            return corrupt("can't be read: " + e.getMessage());
         }
     }
 
-    /** The fields as they come in. */
-    private static final class Fields {
+    private static Rejected corrupt(String detail) {
+        return new Rejected(RejectionReason.CORRUPT, detail);
+    }
+
+    /** Collects the fields in whatever order they come. */
+    private static final class PayloadReader {
         private final JsonParser in;
         private final Map<String, LearnedValue> values = new LinkedHashMap<>();
-        private final Map<String, Double> ran = new LinkedHashMap<>();
+        private final Map<String, Double> executedIds = new LinkedHashMap<>();
         private String name = "";
-        private long life;
+        private long incarnation;
         private long generation;
-        private double savedAt = Double.NaN;
+        private double savedAtMillis = Double.NaN;
         private boolean evacuated;
-        private long epoch;
-        private long number;
+        private long catalogEpoch;
+        private long catalogNumber;
 
-        Fields(JsonParser in) {
+        PayloadReader(JsonParser in) {
             this.in = in;
         }
 
-        SnapshotReadResult read() throws IOException {
+        Snapshot read() throws IOException {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IllegalArgumentException("no object");
             }
@@ -145,59 +168,60 @@
                 String field = in.currentName();
                 in.nextToken();
                 switch (field) {
-                    case "name" -> name = in.getText();
-                    case "life" -> life = in.getLongValue();
-                    case "generation" -> generation = in.getLongValue();
-                    case "saved_at" -> savedAt = in.getDoubleValue();
-                    case "evacuated" -> evacuated = in.getBooleanValue();
-                    case "catalog_epoch" -> epoch = in.getLongValue();
-                    case "catalog_number" -> number = in.getLongValue();
-                    case "values" -> values();
-                    case "ran" -> ran();
+                    case NAME -> name = in.getText();
+                    case INCARNATION -> incarnation = in.getLongValue();
+                    case GENERATION -> generation = in.getLongValue();
+                    case SAVED_AT_MILLIS -> savedAtMillis = in.getDoubleValue();
+                    case EVACUATED -> evacuated = in.getBooleanValue();
+                    case CATALOG_EPOCH -> catalogEpoch = in.getLongValue();
+                    case CATALOG_NUMBER -> catalogNumber = in.getLongValue();
+                    case VALUES -> readValues();
+                    case EXECUTED_IDS -> readExecutedIds();
                     default -> in.skipChildren();
                 }
             }
-            if (name.isEmpty() || life < 1 || !Double.isFinite(savedAt)) {
+            if (name.isEmpty() || incarnation < 1 || !Double.isFinite(savedAtMillis)) {
                 throw new IllegalArgumentException("name, life or time is missing");
             }
-            return SnapshotReadResult.of(
-                    new Snapshot(
-                            name,
-                            life,
-                            generation,
-                            savedAt,
-                            evacuated,
-                            values,
-                            ran,
-                            epoch,
-                            number));
+            return new Snapshot(
+                    name,
+                    incarnation,
+                    generation,
+                    savedAtMillis,
+                    evacuated,
+                    values,
+                    executedIds,
+                    catalogEpoch,
+                    catalogNumber);
         }
 
-        private void values() throws IOException {
+        private void readValues() throws IOException {
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String key = in.currentName();
                 in.nextToken();
-                double[] numbers = new double[3];
-                for (int i = 0; i < numbers.length; i++) {
-                    in.nextToken();
-                    numbers[i] = in.getDoubleValue();
-                }
+                double value = nextDouble();
+                double weight = nextDouble();
+                double learnedAtMillis = nextDouble();
                 in.nextToken();
                 values.put(
-                        key,
-                        new LearnedValue(numbers[0], numbers[1], numbers[2], in.getLongValue()));
-                // A later version may say more of a value.
+                        key, new LearnedValue(value, weight, learnedAtMillis, in.getLongValue()));
+                // A later version of the program may append to the array.
                 while (in.nextToken() != JsonToken.END_ARRAY) {
                     in.skipChildren();
                 }
             }
         }
 
-        private void ran() throws IOException {
+        private double nextDouble() throws IOException {
+            in.nextToken();
+            return in.getDoubleValue();
+        }
+
+        private void readExecutedIds() throws IOException {
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String id = in.currentName();
                 in.nextToken();
-                ran.put(id, in.getDoubleValue());
+                executedIds.put(id, in.getDoubleValue());
             }
         }
     }
--- a/src/main/java/tinroad/state/SnapshotSelector.java
+++ b/src/main/java/tinroad/state/SnapshotSelector.java
@@ -3,43 +3,44 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import java.util.Locale;
+import java.util.Optional;
+import tinroad.state.SnapshotReadResult.Rejected;
 import tinroad.state.SnapshotReadResult.RejectionReason;
 
 /**
- * Which of the snapshots that were found is believed, and which life begins. The latest life's
- * latest snapshot counts, so that a process that was replaced, and wakes and writes, can't make
- * itself heard over the one that came after it.
+ * Decides which of the snapshots that were found is restored, and how the new incarnation starts.
+ * The latest snapshot of the latest incarnation counts, so that a process that was suspended,
+ * replaced and then resumed can't win over its successor.
  */
 public final class SnapshotSelector {
-    /** A clock may differ by this, in ms, from the one that a snapshot was saved by. */
+    /** A clock may differ by this much from the one that stamped a snapshot. */
     public static final double MAX_CLOCK_DIFFERENCE_MILLIS = 1000;
 
-    /** A file and what it turned out to be. */
+    /** The name of a file, and what reading it led to. */
     public record Candidate(String file, SnapshotReadResult readResult) {}
 
-    /** What the new life begins with. */
+    /** What the new incarnation starts with. */
     public enum StartMode {
-        /** With what an earlier life knew. */
+        /** With a snapshot of an earlier incarnation. */
         WARM,
-        /** There was nothing: a first start. */
+        /** There was no state: the first start. */
         FIRST,
-        /** There was something, and nothing of it is believed. */
+        /** There was state, and all of it was rejected or is gone. */
         COLD
     }
 
     /**
-     * What was decided.
+     * The decision.
      *
-     * @param snapshot what is believed, or null
-     * @param lastLife the highest number of a life that is known to have been; the next one is
-     *     higher
-     * @param setAside files that are not believed, each with the reason in words; older snapshots
-     *     are just history
+     * @param snapshot that is restored, if any
+     * @param lastIncarnation the highest incarnation that is known to have existed; the next one
+     *     has to be higher
+     * @param rejectedFiles a line for each rejected file, with its name and the reason; older valid
+     *     snapshots are not listed
      */
     public record Decision(
             StartMode startMode,
-            Snapshot snapshot,
+            Optional<Snapshot> snapshot,
             long lastIncarnation,
             List<String> rejectedFiles) {}
 
@@ -49,79 +50,101 @@
      * Decides.
      *
      * @param name of this gateway
-     * @param now Unix ms
-     * @param oldest ms, the age beyond which nothing is believed
-     * @param knownLife a life that is known from elsewhere to have been: from the markers, or from
-     *     beside the folder; 0 if none
-     * @param fenceLife the same from beside the folder only: what lies below it was rolled back
+     * @param nowMillis Unix time
+     * @param maxAgeMillis age beyond which a snapshot is rejected
+     * @param markedIncarnation an incarnation known from the markers, 0 if none
+     * @param fencedIncarnation an incarnation known from the fence outside the folder, 0 if none:
+     *     snapshots of earlier ones are rejected as rolled back
      */
     public static Decision select(
-            List<Candidate> found,
+            List<Candidate> candidates,
             String name,
             double nowMillis,
-            double oldest,
-            long knownLife,
-            long fenceLife) {
-        List<String> setAside = new ArrayList<>();
-        List<Snapshot> good = new ArrayList<>();
-        long last = Math.max(knownLife, fenceLife);
-        for (Candidate c : found) {
-            SnapshotReadResult r = doubt(c.readResult, name, nowMillis, oldest, fenceLife);
-            if (r.reason() == null) {
-                good.add(r.snapshot());
-            } else {
-                setAside.add(
-                        c.file
-                                + ": "
-                                + r.reason().name().toLowerCase(Locale.ROOT).replace('_', ' ')
-                                + ": "
-                                + r.text());
+            double maxAgeMillis,
+            long markedIncarnation,
+            long fencedIncarnation) {
+        List<String> rejectedFiles = new ArrayList<>();
+        List<Snapshot> accepted = new ArrayList<>();
+        long lastIncarnation = Math.max(markedIncarnation, fencedIncarnation);
+        for (Candidate candidate : candidates) {
+            SnapshotReadResult result =
+                    validate(
+                            candidate.readResult, name, nowMillis, maxAgeMillis, fencedIncarnation);
+            if (result instanceof Rejected rejected) {
+                rejectedFiles.add(candidate.file + ": " + rejected.description());
+            }
+            result.usable().ifPresent(accepted::add);
+            // Rejected or not, a snapshot of this gateway tells that its incarnation existed.
+            Optional<Snapshot> own =
+                    candidate.readResult.usable().filter(found -> found.name().equals(name));
+            if (own.isPresent()) {
+                lastIncarnation = Math.max(lastIncarnation, own.get().incarnation());
             }
-            Snapshot any = c.readResult.snapshot();
-            last =
-                    any != null && any.name().equals(name)
-                            ? Math.max(last, any.incarnation())
-                            : last;
         }
-        Snapshot best =
-                good.stream()
+        Optional<Snapshot> latest =
+                accepted.stream()
                         .max(
                                 Comparator.comparingLong(Snapshot::incarnation)
-                                        .thenComparingLong(Snapshot::generation))
-                        .orElse(null);
-        StartMode begin =
-                best != null
+                                        .thenComparingLong(Snapshot::generation));
+        StartMode startMode =
+                latest.isPresent()
                         ? StartMode.WARM
-                        : found.isEmpty() && last == 0 ? StartMode.FIRST : StartMode.COLD;
-        return new Decision(begin, best, last, List.copyOf(setAside));
+                        : candidates.isEmpty() && lastIncarnation == 0
+                                ? StartMode.FIRST
+                                : StartMode.COLD;
+        return new Decision(startMode, latest, lastIncarnation, List.copyOf(rejectedFiles));
     }
 
-    private static SnapshotReadResult doubt(
-            SnapshotReadResult r, String name, double nowMillis, double oldest, long fenceLife) {
-        Snapshot s = r.snapshot();
-        if (s == null) {
-            return r;
-        }
-        if (!s.name().equals(name)) {
-            return SnapshotReadResult.not(RejectionReason.ANOTHERS, "it is of " + s.name());
+    private static SnapshotReadResult validate(
+            SnapshotReadResult result,
+            String name,
+            double nowMillis,
+            double maxAgeMillis,
+            long fencedIncarnation) {
+        return result.usable()
+                .flatMap(
+                        snapshot ->
+                                rejection(
+                                        snapshot, name, nowMillis, maxAgeMillis, fencedIncarnation))
+                .map(SnapshotReadResult.class::cast)
+                .orElse(result);
+    }
+
+    private static Optional<Rejected> rejection(
+            Snapshot snapshot,
+            String name,
+            double nowMillis,
+            double maxAgeMillis,
+            long fencedIncarnation) {
+        if (!snapshot.name().equals(name)) {
+            return reject(RejectionReason.OTHER_GATEWAY, "it is of " + snapshot.name());
         }
-        if (s.savedAtMillis() > nowMillis + MAX_CLOCK_DIFFERENCE_MILLIS) {
-            return SnapshotReadResult.not(
-                    RejectionReason.FUTURE,
+        if (snapshot.savedAtMillis() > nowMillis + MAX_CLOCK_DIFFERENCE_MILLIS) {
+            return reject(
+                    RejectionReason.IN_FUTURE,
                     "saved "
-                            + Math.round((s.savedAtMillis() - nowMillis) / 1000)
+                            + Math.round((snapshot.savedAtMillis() - nowMillis) / 1000)
                             + " s from now: did the clock go back?");
         }
-        if (nowMillis - s.savedAtMillis() > oldest) {
-            return SnapshotReadResult.not(
+        if (nowMillis - snapshot.savedAtMillis() > maxAgeMillis) {
+            return reject(
                     RejectionReason.TOO_OLD,
-                    "saved " + Math.round((nowMillis - s.savedAtMillis()) / 1000) + " s ago");
+                    "saved "
+                            + Math.round((nowMillis - snapshot.savedAtMillis()) / 1000)
+                            + " s ago");
         }
-        if (s.incarnation() < fenceLife) {
-            return SnapshotReadResult.not(
+        if (snapshot.incarnation() < fencedIncarnation) {
+            return reject(
                     RejectionReason.ROLLED_BACK,
-                    "of life " + s.incarnation() + ", and there was life " + fenceLife);
+                    "of life "
+                            + snapshot.incarnation()
+                            + ", and there was life "
+                            + fencedIncarnation);
         }
-        return r;
+        return Optional.empty();
+    }
+
+    private static Optional<Rejected> reject(RejectionReason reason, String detail) {
+        return Optional.of(new Rejected(reason, detail));
     }
 }
--- a/src/main/java/tinroad/state/SnapshotStore.java
+++ b/src/main/java/tinroad/state/SnapshotStore.java
@@ -1,8 +1,6 @@
 package tinroad.state;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.DirectoryStream;
 import java.nio.file.FileAlreadyExistsException;
@@ -10,199 +8,201 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import tinroad.state.SnapshotReadResult.Rejected;
+import tinroad.state.SnapshotReadResult.RejectionReason;
 
 /**
- * The files of state, and nothing decided about them. A snapshot is written beside, forced to the
- * disk and renamed, so that a name stands for a whole file or for none. Each life has a marker of
- * its own, created by one process only; a process that finds a marker above its own writes no more.
- * No lock: one that a stopped process held would stop the next one, too.
+ * The files of state; decides nothing about their content. A snapshot is written to a temporary
+ * file, forced to the disk and renamed, so that a name stands for a complete file or for none. Each
+ * incarnation has a marker file, created by one process only; a process that finds a marker above
+ * its own stops writing. There is no lock: one held by a suspended process would stop its
+ * successor, too. Blocks; used by one thread at a time.
  */
 public final class SnapshotStore {
+    /** Named by incarnation and generation. */
     private static final Pattern SNAPSHOT = Pattern.compile("state-(\\d{19})-(\\d{19})");
+
+    /** Marker of an incarnation, which the file names call a life. */
     private static final Pattern MARKER = Pattern.compile("life-(\\d{19})");
-    private static final String PART = ".part";
-    private static final Pattern HALF = Pattern.compile("state-\\d{19}-\\d{19}\\.part");
-    private static final String FENCE = "life";
+
+    private static final String MARKER_FORMAT = "life-%019d";
+    private static final String TEMPORARY_SUFFIX = ".part";
+    private static final Pattern TEMPORARY_SNAPSHOT =
+            Pattern.compile("state-\\d{19}-\\d{19}\\.part");
+    private static final String FENCE_FILE = "life";
 
     private final Path folder;
-    private final Path fence;
-    private final int keep;
-    private long life;
+    private final Path fenceFolder;
+    private final int maxSnapshots;
+    private long incarnation;
 
     /** How bytes get to the disk; tests have it fail. */
-    interface Disk {
+    interface FileWriter {
         void write(Path file, byte[] bytes) throws IOException;
     }
 
-    private Disk disk = SnapshotStore::force;
+    private FileWriter fileWriter = DurableFiles::overwrite;
 
     /**
-     * State in {@code folder}, which is made where it is not there.
+     * State in {@code folder}, which is created with the first incarnation.
      *
-     * @param fence a folder elsewhere that remembers the last life, so that an older copy of this
-     *     one is told; null for none
-     * @param keep snapshots that are kept, at least 1
+     * @param fenceFolder a folder elsewhere that keeps the last incarnation, so that an older copy
+     *     of {@code folder} is detected; null for none
+     * @param maxSnapshots snapshots that are kept, at least 1
      */
-    public SnapshotStore(Path folder, Path fence, int keep) {
+    public SnapshotStore(Path folder, Path fenceFolder, int maxSnapshots) {
         this.folder = folder;
-        this.fence = fence;
-        this.keep = Math.max(1, keep);
+        this.fenceFolder = fenceFolder;
+        this.maxSnapshots = Math.max(1, maxSnapshots);
     }
 
-    void disk(Disk other) {
-        disk = other;
+    void setFileWriter(FileWriter other) {
+        fileWriter = other;
     }
 
-    /** All snapshots that are there, whatever they are. */
+    /** All snapshots that are there, usable or not, by file name. */
     public List<SnapshotSelector.Candidate> candidates() throws IOException {
-        List<SnapshotSelector.Candidate> found = new ArrayList<>();
+        List<SnapshotSelector.Candidate> candidates = new ArrayList<>();
         for (Path file : list(SNAPSHOT)) {
             try {
-                found.add(
-                        new SnapshotSelector.Candidate(
-                                file.getFileName().toString(),
-                                Files.size(file) > SnapshotCodec.MAX_BYTES
-                                        ? SnapshotReadResult.not(
-                                                SnapshotReadResult.RejectionReason.DAMAGED,
-                                                "longer than " + SnapshotCodec.MAX_BYTES + " bytes")
-                                        : SnapshotCodec.read(Files.readAllBytes(file))));
+                candidates.add(
+                        new SnapshotSelector.Candidate(file.getFileName().toString(), read(file)));
             } catch (NoSuchFileException e) {
-                // Another process keeps fewer.
+                // Deleted in this moment by a process that keeps fewer.
             }
         }
-        return found;
+        return candidates;
+    }
+
+    private static SnapshotReadResult read(Path file) throws IOException {
+        return Files.size(file) > SnapshotCodec.MAX_BYTES
+                ? new Rejected(
+                        RejectionReason.CORRUPT,
+                        "longer than " + SnapshotCodec.MAX_BYTES + " bytes")
+                : SnapshotCodec.read(Files.readAllBytes(file));
     }
 
     private List<Path> list(Pattern names) throws IOException {
         List<Path> found = new ArrayList<>();
         if (Files.isDirectory(folder)) {
-            try (DirectoryStream<Path> all = Files.newDirectoryStream(folder)) {
-                all.forEach(
-                        p -> {
-                            if (names.matcher(p.getFileName().toString()).matches()) {
-                                found.add(p);
-                            }
-                        });
+            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+                for (Path file : files) {
+                    if (names.matcher(file.getFileName().toString()).matches()) {
+                        found.add(file);
+                    }
+                }
             }
         }
-        found.sort(Comparator.comparing(p -> p.getFileName().toString()));
+        found.sort(Comparator.comparing(file -> file.getFileName().toString()));
         return found;
     }
 
-    /** The highest life that a marker or a snapshot's name tells of; 0 without any. */
+    /** The highest incarnation that a marker or a snapshot is named after; 0 without any. */
     public long latestMarkedIncarnation() throws IOException {
-        long most = 0;
+        long latest = 0;
         for (Pattern names : List.of(MARKER, SNAPSHOT)) {
             for (Path file : list(names)) {
-                Matcher m = names.matcher(file.getFileName().toString());
-                if (m.matches()) {
-                    most = Math.max(most, number(m.group(1)));
+                Matcher name = names.matcher(file.getFileName().toString());
+                if (name.matches()) {
+                    latest = Math.max(latest, parseIncarnation(name.group(1)));
                 }
             }
         }
-        return most;
+        return latest;
     }
 
-    private static long number(String digits) {
+    private static long parseIncarnation(String digits) {
         try {
             return Long.parseLong(digits);
         } catch (NumberFormatException e) {
-            // More than any life: no name of ours.
+            // Above any incarnation: not a name that this class gave.
             return 0;
         }
     }
 
-    /** The last life that the fence knows of; 0 without one. */
+    /** The last incarnation that the fence knows; 0 without a fence. */
     public long fencedIncarnation() throws IOException {
-        Path file = fence == null ? null : fence.resolve(FENCE);
-        return file == null || !Files.exists(file) ? 0 : number(Files.readString(file).strip());
+        if (fenceFolder == null) {
+            return 0;
+        }
+        Path file = fenceFolder.resolve(FENCE_FILE);
+        return Files.exists(file) ? parseIncarnation(Files.readString(file).strip()) : 0;
     }
 
-    /** Begins a life with a higher number than {@code last}, which no other process gets. */
+    /** Claims an incarnation above {@code last}, which no other process gets, and returns it. */
     public long claimIncarnation(long last) throws IOException {
         Files.createDirectories(folder);
-        for (long n = Math.max(last, 0) + 1; ; n++) {
+        incarnation = createMarker(Math.max(last, 0) + 1);
+        if (fenceFolder != null) {
+            Files.createDirectories(fenceFolder);
+            replace(
+                    fenceFolder.resolve(FENCE_FILE),
+                    (incarnation + "\n").getBytes(StandardCharsets.US_ASCII));
+        }
+        deleteBefore(MARKER, String.format(MARKER_FORMAT, incarnation));
+        // Left by killed processes; one of this incarnation may be in progress.
+        deleteBefore(TEMPORARY_SNAPSHOT, String.format("state-%019d", incarnation));
+        return incarnation;
+    }
+
+    private long createMarker(long lowest) throws IOException {
+        for (long candidate = lowest; ; candidate++) {
             try {
-                Files.createFile(folder.resolve(String.format("life-%019d", n)));
-                life = n;
-                break;
+                Files.createFile(folder.resolve(String.format(MARKER_FORMAT, candidate)));
+                return candidate;
             } catch (FileAlreadyExistsException e) {
-                // Another process began in the same moment.
+                // Another process started in the same moment.
             }
         }
-        if (fence != null) {
-            Files.createDirectories(fence);
-            replace(fence.resolve(FENCE), (life + "\n").getBytes(StandardCharsets.US_ASCII));
-        }
-        for (Path marker : list(MARKER)) {
-            if (marker.getFileName().toString().compareTo(String.format("life-%019d", life)) < 0) {
-                Files.deleteIfExists(marker);
-            }
-        }
-        // What a killed process left half written; one of this life may be on its way.
-        for (Path part : list(HALF)) {
-            if (part.getFileName().toString().compareTo(String.format("state-%019d", life)) < 0) {
-                Files.deleteIfExists(part);
+    }
+
+    private void deleteBefore(Pattern names, String first) throws IOException {
+        for (Path file : list(names)) {
+            if (file.getFileName().toString().compareTo(first) < 0) {
+                Files.deleteIfExists(file);
             }
         }
-        return life;
     }
 
     /**
-     * Saves a snapshot of this life; false where a later life has begun, and this one has nothing
-     * to say any more.
+     * Saves a snapshot of the claimed incarnation, and deletes the oldest beyond those to keep;
+     * false, without saving, where a later incarnation exists.
      */
-    public boolean save(Snapshot s) throws IOException {
-        if (latestMarkedIncarnation() > life || s.incarnation() != life) {
+    public boolean save(Snapshot snapshot) throws IOException {
+        if (latestMarkedIncarnation() > incarnation || snapshot.incarnation() != incarnation) {
             return false;
         }
         replace(
-                folder.resolve(String.format("state-%019d-%019d", s.incarnation(), s.generation())),
-                SnapshotCodec.write(s));
-        List<Path> all = list(SNAPSHOT);
-        for (Path old : all.subList(0, Math.max(0, all.size() - keep))) {
+                folder.resolve(
+                        String.format(
+                                "state-%019d-%019d",
+                                snapshot.incarnation(), snapshot.generation())),
+                SnapshotCodec.write(snapshot));
+        List<Path> snapshots = list(SNAPSHOT);
+        for (Path old : snapshots.subList(0, Math.max(0, snapshots.size() - maxSnapshots))) {
             Files.deleteIfExists(old);
         }
         return true;
     }
 
     private void replace(Path file, byte[] bytes) throws IOException {
-        Path part = file.resolveSibling(file.getFileName() + PART);
+        Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
         try {
-            disk.write(part, bytes);
+            fileWriter.write(temporary, bytes);
             Files.move(
-                    part,
+                    temporary,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
-            try (FileChannel directory =
-                    FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-                directory.force(true);
-            }
+            DurableFiles.forceFolder(file.getParent());
         } catch (IOException e) {
-            Files.deleteIfExists(part);
+            Files.deleteIfExists(temporary);
             throw e;
         }
     }
-
-    private static void force(Path file, byte[] bytes) throws IOException {
-        try (FileChannel out =
-                FileChannel.open(
-                        file,
-                        StandardOpenOption.CREATE,
-                        StandardOpenOption.WRITE,
-                        StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer left = ByteBuffer.wrap(bytes);
-            while (left.hasRemaining()) {
-                out.write(left);
-            }
-            out.force(true);
-        }
-    }
 }
--- a/src/main/java/tinroad/state/SnapshotWriter.java
+++ b/src/main/java/tinroad/state/SnapshotWriter.java
@@ -4,61 +4,64 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Saves snapshots on a thread of its own: whoever offers one never waits. Of several that a slow
- * disk leaves waiting only the latest is written. What goes wrong is told once, and once that it is
- * over.
+ * Saves snapshots on a thread of its own: whoever offers one never waits. Of several that wait for
+ * a slow disk only the latest is written. A failure is logged once, and once more when it is over.
  */
 public final class SnapshotWriter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("state");
-    private static final long LAST_MS = 500;
+    private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
-    private final SnapshotStore folder;
-    private final AtomicReference<Snapshot> waiting = new AtomicReference<>();
-    private final ExecutorService thread =
+    private final SnapshotStore store;
+    private final AtomicReference<Snapshot> pending = new AtomicReference<>();
+    private final AtomicLong savedCount = new AtomicLong();
+    private final ExecutorService executor =
             Executors.newSingleThreadExecutor(
                     task -> {
-                        Thread t = new Thread(task, "state");
-                        t.setDaemon(true);
-                        return t;
+                        Thread thread = new Thread(task, "state");
+                        thread.setDaemon(true);
+                        return thread;
                     });
-    private volatile long saved;
+
+    /** Used on the writer's thread only, like {@code fenced}. */
     private boolean failing;
+
     private boolean fenced;
 
-    /** Saves into this folder. */
-    public SnapshotWriter(SnapshotStore folder) {
-        this.folder = folder;
+    /** Saves into this store, whose incarnation was claimed. */
+    public SnapshotWriter(SnapshotStore store) {
+        this.store = store;
     }
 
-    /** Has this snapshot saved, unless a later one comes first. */
-    public void offer(Snapshot s) {
-        if (waiting.getAndSet(s) == null && !thread.isShutdown()) {
-            thread.execute(this::save);
+    /** Has this snapshot saved, unless a later one is offered first; on any thread. */
+    public void offer(Snapshot snapshot) {
+        if (pending.getAndSet(snapshot) == null && !executor.isShutdown()) {
+            executor.execute(this::savePending);
         }
     }
 
-    /** How many were saved. */
+    /** How many snapshots were saved. */
     public long saved() {
-        return saved;
+        return savedCount.get();
     }
 
-    private void save() {
-        Snapshot s = waiting.getAndSet(null);
-        if (s == null || fenced) {
+    private void savePending() {
+        Snapshot snapshot = pending.getAndSet(null);
+        if (snapshot == null || fenced) {
             return;
         }
         try {
-            fenced = !folder.save(s);
+            fenced = !store.save(snapshot);
             if (fenced) {
                 LOG.warn("state is saved no more: a later process of this gateway has begun");
                 return;
             }
-            saved++;
+            savedCount.incrementAndGet();
             if (failing) {
                 failing = false;
                 LOG.info("state is saved again");
@@ -71,12 +74,12 @@
         }
     }
 
-    /** Saves what waits, for as long as the end of a process may take. */
+    /** Saves what is pending, for as long as the end of a process may take. */
     @Override
     public void close() {
-        thread.shutdown();
+        executor.shutdown();
         try {
-            if (!thread.awaitTermination(LAST_MS, TimeUnit.MILLISECONDS)) {
+            if (!executor.awaitTermination(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 LOG.warn("state can't be saved in time: the disk is slow");
             }
         } catch (InterruptedException e) {
--- a/src/test/java/tinroad/changelog/KillLogWrites.java
+++ b/src/test/java/tinroad/changelog/KillLogWrites.java
@@ -116,7 +116,7 @@
         for (int k = 0; k < kills; k++) {
             Reader reader = new Reader(follower, editor);
             reader.start();
-            String last = KillWrites.lastSaid(KillLogWrites.class, folder, random);
+            String last = KillWrites.lastReported(KillLogWrites.class, folder, random);
             reader.done = true;
             reader.join();
             damaged += reader.trouble + follow(follower, editor).length() > 0 ? 1 : 0;
@@ -127,8 +127,7 @@
             lost +=
                     t != null
                                     && t.quotaPerSecond() == editor.current().number()
-                                    && editor.current().number()
-                                            >= Long.parseLong(last.split(" ")[1])
+                                    && editor.current().number() >= KillWrites.numbers(last)[1]
                             ? 0
                             : 1;
         }
--- a/src/test/java/tinroad/state/KillWrites.java
+++ b/src/test/java/tinroad/state/KillWrites.java
@@ -5,6 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.SplittableRandom;
+import java.util.regex.Pattern;
 
 /**
  * Kills processes while they write state: {@code KillWrites FOLDER KILLS SEED} from the command
@@ -23,51 +24,61 @@
                     campaign(Path.of(args[0]), Integer.parseInt(args[1]), Long.parseLong(args[2])));
             return;
         }
-        SnapshotStore f = new SnapshotStore(Path.of(args[0]), null, 3);
-        long life =
-                f.claimIncarnation(
+        SnapshotStore store = new SnapshotStore(Path.of(args[0]), null, 3);
+        long incarnation =
+                store.claimIncarnation(
                         SnapshotSelector.select(
-                                        f.candidates(),
+                                        store.candidates(),
                                         "n3",
                                         NOW,
                                         600_000,
-                                        f.latestMarkedIncarnation(),
+                                        store.latestMarkedIncarnation(),
                                         0)
                                 .lastIncarnation());
-        for (long g = 1; ; g++) {
-            f.save(StateTest.snapshot(life, g, NOW));
-            System.out.println(life + " " + g);
+        for (long generation = 1; ; generation++) {
+            store.save(SnapshotTest.snapshot(incarnation, generation, NOW));
+            System.out.println(incarnation + " " + generation);
         }
     }
 
     static String campaign(Path folder, int kills, long seed)
             throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
-        int damaged = 0;
+        int corrupt = 0;
         int lost = 0;
         for (int k = 0; k < kills; k++) {
-            String last = lastSaid(KillWrites.class, folder, random);
-            SnapshotStore f = new SnapshotStore(folder, null, 3);
-            SnapshotSelector.Decision d =
+            String last = lastReported(KillWrites.class, folder, random);
+            SnapshotStore store = new SnapshotStore(folder, null, 3);
+            SnapshotSelector.Decision decision =
                     SnapshotSelector.select(
-                            f.candidates(), "n3", NOW, 600_000, f.latestMarkedIncarnation(), 0);
-            damaged += d.rejectedFiles().isEmpty() ? 0 : 1;
-            String[] words = last.split(" ");
-            Snapshot s = d.snapshot();
-            boolean kept =
-                    s != null
-                            && s.incarnation() == Long.parseLong(words[0])
-                            && s.generation() >= Long.parseLong(words[1]);
-            lost += kept ? 0 : 1;
+                            store.candidates(),
+                            "n3",
+                            NOW,
+                            600_000,
+                            store.latestMarkedIncarnation(),
+                            0);
+            corrupt += decision.rejectedFiles().isEmpty() ? 0 : 1;
+            long[] reported = numbers(last);
+            boolean restored =
+                    decision.snapshot()
+                            .filter(snapshot -> snapshot.incarnation() == reported[0])
+                            .filter(snapshot -> snapshot.generation() >= reported[1])
+                            .isPresent();
+            lost += restored ? 0 : 1;
         }
-        return "kills " + kills + ", damaged " + damaged + ", lost " + lost;
+        return "kills " + kills + ", damaged " + corrupt + ", lost " + lost;
+    }
+
+    /** The numbers in a line of {@link #lastReported}. */
+    public static long[] numbers(String line) {
+        return Pattern.compile(" ").splitAsStream(line).mapToLong(Long::parseLong).toArray();
     }
 
     /**
      * Runs the main method of {@code writer} in a process of its own, kills it while it writes, and
-     * returns its last whole line of two numbers.
+     * returns its last complete line of two numbers.
      */
-    public static String lastSaid(Class<?> writer, Path folder, SplittableRandom random)
+    public static String lastReported(Class<?> writer, Path folder, SplittableRandom random)
             throws IOException, InterruptedException {
         Process process =
                 new ProcessBuilder(
--- a/src/test/java/tinroad/state/ProvenanceTest.java
+++ b/src/test/java/tinroad/state/ProvenanceTest.java
@@ -16,74 +16,81 @@
     private static final double NOW = 1.8e12;
 
     @Test
-    void whatWasOnlyAssumedIsNotLeft() {
-        Provenance p = new Provenance(1);
-        p.begin(Map.of("run.a", new Estimate(375, 2)), Map.of());
-        assertEquals(Map.of(), p.at(NOW, Map.of("run.a", new Estimate(375, 2))));
+    void doesNotSaveAssumedValues() {
+        Provenance provenance = new Provenance(1);
+        provenance.begin(Map.of("run.a", new Estimate(375, 2)), Map.of());
+        assertEquals(Map.of(), provenance.at(NOW, Map.of("run.a", new Estimate(375, 2))));
         assertEquals(
                 Map.of("run.a", new LearnedValue(30, 12, NOW, 1)),
-                p.at(NOW, Map.of("run.a", new Estimate(30, 12))));
+                provenance.at(NOW, Map.of("run.a", new Estimate(30, 12))));
     }
 
     @Test
-    void whatWasOnlyReadIsLeftAsItWasRead() {
-        LearnedValue r = new LearnedValue(24, 900, NOW - 60_000, 4);
-        Provenance p = new Provenance(5);
-        p.begin(Map.of("run.a", new Estimate(29, 4)), Map.of("run.a", r));
-        assertEquals(Map.of("run.a", r), p.at(NOW + 5000, Map.of("run.a", new Estimate(29, 4))));
+    void savesUnchangedRestoredValuesAsTheyWere() {
+        LearnedValue restored = new LearnedValue(24, 900, NOW - 60_000, 4);
+        Provenance provenance = new Provenance(5);
+        provenance.begin(Map.of("run.a", new Estimate(29, 4)), Map.of("run.a", restored));
+        assertEquals(
+                Map.of("run.a", restored),
+                provenance.at(NOW + 5000, Map.of("run.a", new Estimate(29, 4))));
     }
 
     @Test
-    void aMixtureIsAsOldAsItsSamplesAre() {
-        Provenance p = new Provenance(5);
-        p.begin(
+    void agesMixedValuesByTheShareOfNewSamples() {
+        Provenance provenance = new Provenance(5);
+        provenance.begin(
                 Map.of("run.a", new Estimate(29, 4)),
                 Map.of("run.a", new LearnedValue(24, 900, NOW - 60_000, 4)));
         assertEquals(
                 new LearnedValue(31, 8, NOW - 30_000, 5),
-                p.at(NOW, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
-        // Nothing came meanwhile: it grows old all the same.
+                provenance.at(NOW, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
+        // It ages without new samples, too.
         assertEquals(
                 new LearnedValue(31, 8, NOW - 30_000, 5),
-                p.at(NOW + 9000, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
+                provenance.at(NOW + 9000, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
     }
 
     /**
-     * Lives that read, learn a little or nothing, and save: no value is used beyond its age,
-     * counted from its true samples.
+     * Incarnations that restore, learn a little or nothing, and save: no value is used beyond its
+     * age, counted from its true samples.
      */
     @Property(tries = 200, seed = "31")
-    void overManyLivesNoValueIsUsedBeyondItsAge(@ForAll long seed) {
+    void usesNoValueBeyondItsMaximumAgeOverManyIncarnations(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double oldest = 600_000;
+        double maxAgeMillis = 600_000;
         double nowMillis = NOW;
-        double lastSample = Double.NEGATIVE_INFINITY;
+        double lastSampleMillis = Double.NEGATIVE_INFINITY;
         Map<String, LearnedValue> folder = new HashMap<>();
-        for (int life = 1; life < 40; life++) {
-            LearnedValue r = folder.get("run.a");
-            DecayedValue aged =
-                    r == null ? null : DecayedValue.of(r, nowMillis, 375, 300_000, oldest);
-            // The checker: what is used stands on a sample that is no older than is allowed.
+        for (int incarnation = 1; incarnation < 40; incarnation++) {
+            LearnedValue restored = folder.get("run.a");
+            DecayedValue decayed =
+                    restored == null
+                            ? null
+                            : DecayedValue.of(restored, nowMillis, 375, 300_000, maxAgeMillis)
+                                    .orElse(null);
+            // What is used rests on a sample that is no older than is allowed.
             assertTrue(
-                    aged == null || nowMillis - lastSample <= oldest + 1e-6,
-                    "used at " + (nowMillis - lastSample));
-            Estimate known =
-                    aged == null
+                    decayed == null || nowMillis - lastSampleMillis <= maxAgeMillis + 1e-6,
+                    "used at " + (nowMillis - lastSampleMillis));
+            Estimate estimate =
+                    decayed == null
                             ? new Estimate(375, 2)
-                            : new Estimate(aged.value(), Math.min(4, aged.weight()));
-            Provenance p = new Provenance(life);
-            p.begin(Map.of("run.a", known), aged == null ? Map.of() : Map.of("run.a", r));
+                            : new Estimate(decayed.value(), Math.min(4, decayed.weight()));
+            Provenance provenance = new Provenance(incarnation);
+            provenance.begin(
+                    Map.of("run.a", estimate),
+                    decayed == null ? Map.of() : Map.of("run.a", restored));
             for (int save = random.nextInt(5); save > 0; save--) {
                 nowMillis += random.nextDouble(200_000);
                 if (random.nextInt(3) == 0) {
                     int samples = 1 + random.nextInt(30);
-                    known =
+                    estimate =
                             new Estimate(
-                                    known.value() + random.nextDouble(-5, 5),
-                                    known.weight() + samples);
-                    lastSample = nowMillis;
+                                    estimate.value() + random.nextDouble(-5, 5),
+                                    estimate.weight() + samples);
+                    lastSampleMillis = nowMillis;
                 }
-                folder = new HashMap<>(p.at(nowMillis, Map.of("run.a", known)));
+                folder = new HashMap<>(provenance.at(nowMillis, Map.of("run.a", estimate)));
             }
             nowMillis += random.nextDouble(400_000);
         }
