--- a/src/main/java/tinroad/node/JitWarmup.java
+++ b/src/main/java/tinroad/node/JitWarmup.java
@@ -81,7 +81,7 @@
         front = new FastCgiFrontend(() -> now, gateway, Integer.MAX_VALUE, Double.MAX_VALUE);
         gateway.addFrontend(front);
         control = new AdminServer(gateway);
-        link.listen(gateway);
+        link.setListener(gateway);
         engine = new EmbeddedChannel(link.handlers());
         for (int i = 0; i < CONNECTIONS; i++) {
             callers.add(new EmbeddedChannel(front.handlers()));
--- a/src/test/java/tinroad/engine/EngineLinkTest.java
+++ b/src/test/java/tinroad/engine/EngineLinkTest.java
@@ -244,7 +244,7 @@
                         + "{\"type\":5}\n"
                         + "{\"type\":\"DONE\",\"data\":\"%%%\"}\n"
                         + "\u0001\n"
-                        + "x".repeat(EngineLink.LONGEST_LINE + 10)
+                        + "x".repeat(EngineProtocol.MAX_LINE_BYTES + 10)
                         + "\n{\"type\":\"NO\",\"state\":\"STAT\"}\n"
                         + "{\"type\":\"NO\",\"state\":\"RUN\",\"job\":\"0a\"}\n");
         hears("0a REJECTED 0.0 ");
@@ -255,7 +255,7 @@
             @ForAll long seed, @ForAll @Size(max = 100) byte[] garbage) {
         EngineLink cut = new EngineLink(null, null, GAUGES, "n3", 1);
         List<String> ended = new ArrayList<>();
-        cut.listen(
+        cut.setListener(
                 new Heard() {
                     @Override
                     public void onRunEnded(
