--- /dev/null
+++ b/src/main/java/tinroad/admin/AdminRouter.java
@@ -0,0 +1,59 @@
+package tinroad.admin;
+
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.QueryStringDecoder;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Supplier;
+import tinroad.core.Gateway;
+import tinroad.fleet.Membership;
+
+/** Finds the resource that a request is for, by path and method. */
+final class AdminRouter {
+    private record Route(HttpMethod method, Supplier<FullHttpResponse> resource) {}
+
+    private final Map<String, Route> routes;
+
+    AdminRouter(Gateway gateway, Supplier<Optional<Membership>> membership) {
+        EvacuationResource evacuation = new EvacuationResource(gateway);
+        routes =
+                Map.of(
+                        "/api/ready", get(new ReadinessResource(gateway)::respond),
+                        "/api/telemetry", get(new MetricsResource(gateway)::respond),
+                        "/api/recovery", get(new RecoveryResource(gateway)::respond),
+                        "/api/settings", get(new CatalogResource(gateway)::respond),
+                        "/api/members", get(new MembersResource(gateway, membership)::respond),
+                        "/api/evacuate", post(evacuation::evacuate),
+                        "/api/rejoin", post(evacuation::rejoin));
+    }
+
+    private static Route get(Supplier<FullHttpResponse> resource) {
+        return new Route(HttpMethod.GET, resource);
+    }
+
+    private static Route post(Supplier<FullHttpResponse> resource) {
+        return new Route(HttpMethod.POST, resource);
+    }
+
+    FullHttpResponse respond(FullHttpRequest request) {
+        if (request.decoderResult().isFailure()) {
+            return AdminResponses.text(HttpResponseStatus.BAD_REQUEST, "not a call");
+        }
+        Route route = routes.get(new QueryStringDecoder(request.uri()).path());
+        if (route == null) {
+            return AdminResponses.text(HttpResponseStatus.NOT_FOUND, "no such call");
+        }
+        if (!route.method().equals(request.method())) {
+            FullHttpResponse wrongMethod =
+                    AdminResponses.text(
+                            HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + route.method());
+            wrongMethod.headers().set(HttpHeaderNames.ALLOW, route.method().name());
+            return wrongMethod;
+        }
+        return route.resource().get();
+    }
+}
--- a/src/main/java/tinroad/admin/AdminServer.java
+++ b/src/main/java/tinroad/admin/AdminServer.java
@@ -13,38 +13,40 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Supplier;
 import tinroad.core.Gateway;
 import tinroad.fleet.Membership;
 
-/** The operators' door: HTTP/1.1, one call for each connection. */
+/**
+ * The admin endpoint: HTTP/1.1, one request for each connection. Everything runs on the event loop
+ * that owns the gateway.
+ */
 public final class AdminServer {
     /**
-     * Bounds the connections, and so the descriptors, that operators take: the oldest makes room
-     * for a new one.
+     * Bounds the connections, and so the descriptors, that operators take: the oldest is closed for
+     * a new one.
      */
-    static final int MOST_OPEN = 24;
+    static final int MAX_CONNECTIONS = 24;
 
-    /** Bounds the body of a call; none needs one. */
-    static final int LONGEST_BODY = 4096;
+    /** Bounds the body of a request; none needs one. */
+    static final int MAX_BODY_BYTES = 4096;
 
-    private final Gateway gateway;
-    private final Supplier<Membership> fleet;
+    private final AdminRouter router;
     private final Set<Channel> open = new LinkedHashSet<>();
 
-    /** A door to {@code gateway}. */
+    /** An endpoint of a gateway that is not a member of a fleet. */
     public AdminServer(Gateway gateway) {
-        this(gateway, () -> null);
+        this(gateway, Optional::empty);
     }
 
     /**
-     * A door to {@code gateway} and to what it knows of others; {@code fleet} tells null where it
-     * speaks with nobody.
+     * An endpoint of {@code gateway} and of its membership, which is empty while the gateway is not
+     * a member of a fleet.
      */
-    public AdminServer(Gateway gateway, Supplier<Membership> fleet) {
-        this.gateway = gateway;
-        this.fleet = fleet;
+    public AdminServer(Gateway gateway, Supplier<Optional<Membership>> membership) {
+        router = new AdminRouter(gateway, membership);
     }
 
     /** Begins to listen, on the one event loop that owns the gateway. */
@@ -57,7 +59,7 @@
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel channel) {
-                                opened(channel);
+                                onOpened(channel);
                                 channel.pipeline().addLast(handlers());
                             }
                         })
@@ -68,17 +70,19 @@
     public ChannelHandler[] handlers() {
         return new ChannelHandler[] {
             new HttpServerCodec(),
-            new HttpObjectAggregator(LONGEST_BODY, true),
-            new AdminRequestHandler(gateway, fleet)
+            new HttpObjectAggregator(MAX_BODY_BYTES, true),
+            new AdminRequestHandler(router)
         };
     }
 
-    /** Guards against callers that connect and say nothing: they never keep the others out. */
-    private void opened(Channel channel) {
+    /** Guards against clients that connect and send nothing: they never keep the others out. */
+    private void onOpened(Channel channel) {
         open.add(channel);
-        channel.closeFuture().addListener(closed -> open.remove(channel));
-        if (open.size() > MOST_OPEN) {
-            open.iterator().next().close();
+        ChannelFuture unusedFuture =
+                channel.closeFuture().addListener(closed -> open.remove(channel));
+        if (open.size() > MAX_CONNECTIONS) {
+            // The listener above sees its end.
+            ChannelFuture unused = open.iterator().next().close();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/tinroad/admin/ReadinessResource.java
@@ -0,0 +1,14 @@
+package tinroad.admin;
+
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import tinroad.core.Gateway;
+
+/** Whether the gateway admits requests. */
+record ReadinessResource(Gateway gateway) {
+    FullHttpResponse respond() {
+        return gateway.ready()
+                ? AdminResponses.text(HttpResponseStatus.OK, "ready")
+                : AdminResponses.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
+    }
+}
--- a/src/main/java/tinroad/node/GatewayNode.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -9,6 +9,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
@@ -244,7 +245,7 @@
     public InetSocketAddress start() throws IOException, InterruptedException {
         if (config.control() != null) {
             listening(
-                    new AdminServer(gateway, () -> fleet == null ? null : fleet.membership())
+                    new AdminServer(gateway, () -> Optional.ofNullable(fleet).map(UdpTransport::membership))
                             .listen(loop, config.control()),
                     config.control());
         }
