--- a/src/main/java/tinroad/node/GatewayNode.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -245,7 +245,9 @@
     public InetSocketAddress start() throws IOException, InterruptedException {
         if (config.control() != null) {
             listening(
-                    new AdminServer(gateway, () -> Optional.ofNullable(fleet).map(UdpTransport::membership))
+                    new AdminServer(
+                                    gateway,
+                                    () -> Optional.ofNullable(fleet).map(UdpTransport::membership))
                             .listen(loop, config.control()),
                     config.control());
         }
