--- a/src/main/java/tinroad/cli/AdminClient.java
+++ b/src/main/java/tinroad/cli/AdminClient.java
@@ -10,43 +10,47 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** A gateway's operators' door, as commands call it. */
+/** Calls the admin endpoint of a running gateway. */
 final class AdminClient {
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
-    /** What is made of the answer. */
-    interface Reader {
+    /** Takes the body of a successful response. */
+    interface ResponseReader {
         void read(JsonNode answer) throws IOException;
     }
 
     private AdminClient() {}
 
     /**
-     * Asks for {@code path}, and tells in one line what went wrong; {@code what} names what was
-     * asked for.
+     * Gets {@code path} and reports failures in one line.
+     *
+     * @param control the endpoint, ADDRESS:PORT
+     * @param what names the thing asked for, in the line that reports a failure
+     * @return the exit status
      */
-    static int ask(String control, String path, String what, PrintStream err, Reader reader) {
+    static int get(
+            String control, String path, String what, PrintStream errors, ResponseReader reader) {
         try {
-            HttpRequest call =
+            HttpRequest request =
                     HttpRequest.newBuilder(URI.create("http://" + control + path))
-                            .timeout(PATIENCE)
+                            .timeout(TIMEOUT)
                             .build();
-            HttpResponse<byte[]> answer =
+            HttpResponse<byte[]> response =
                     HttpClient.newBuilder()
                             .version(HttpClient.Version.HTTP_1_1)
-                            .connectTimeout(PATIENCE)
+                            .connectTimeout(TIMEOUT)
                             .build()
-                            .send(call, HttpResponse.BodyHandlers.ofByteArray());
-            if (answer.statusCode() != 200) {
-                throw new IOException("status " + answer.statusCode() + ", no " + what);
+                            .send(request, HttpResponse.BodyHandlers.ofByteArray());
+            if (response.statusCode() != 200) {
+                throw new IOException("status " + response.statusCode() + ", no " + what);
             }
-            reader.read(new ObjectMapper().readTree(answer.body()));
-            return Command.FINE;
+            reader.read(new ObjectMapper().readTree(response.body()));
+            return Command.SUCCESS;
         } catch (IllegalArgumentException e) {
-            err.println("tinroad: --control is no ADDRESS:PORT: '" + control + "'");
-            return Command.WRONG;
+            errors.println("tinroad: --control is no ADDRESS:PORT: '" + control + "'");
+            return Command.USAGE_ERROR;
         } catch (IOException e) {
-            err.println(
+            errors.println(
                     "tinroad: no "
                             + what
                             + " from "
@@ -56,6 +60,6 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return Command.FAILED;
+        return Command.FAILURE;
     }
 }
--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -7,40 +7,28 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.function.Function;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import tinroad.catalog.Catalog;
 import tinroad.catalog.CatalogBuilder;
 import tinroad.catalog.CatalogBuilder.ChangeResult;
 import tinroad.catalog.CatalogChange;
-import tinroad.catalog.CatalogEntry;
 import tinroad.catalog.FullSnapshotDiff;
 import tinroad.changelog.ChangeLogFollower;
 import tinroad.changelog.ChangeLogStore;
 import tinroad.changelog.LogPosition;
 import tinroad.config.ConfigException;
 import tinroad.config.GatewayConfig;
-import tinroad.config.SettingsValidator;
-import tinroad.config.SiteWriter;
-import tinroad.overload.Controller.RequestClass;
 
 /**
- * {@code catalog}: routes and tenants of configuration files, what differs between two, and the log
- * of their changes.
+ * {@code catalog}: classes and tenants of configuration files, what differs between two, and the
+ * log of their changes.
  */
 public final class CatalogCommand extends Command {
-    private static final int ENTRIES = 100;
-
-    /** What is wanted. */
-    enum Act {
+    /** What to do, by the word typed, and the paths that it takes. */
+    enum Action {
         SHOW(1, "FILE"),
         DIFF(2, "OLD NEW"),
         CHECK(1, "FILE or FOLDER"),
@@ -49,7 +37,7 @@
         private final int paths;
         private final String names;
 
-        Act(int paths, String names) {
+        Action(int paths, String names) {
             this.paths = paths;
             this.names = names;
         }
@@ -63,7 +51,7 @@
                     "show FILE: what is in a configuration; diff OLD NEW: what would change; check"
                         + " FILE or FOLDER: whether it can be used; publish OLD NEW FOLDER: write"
                         + " what differs as the next change of a log")
-    private Act act;
+    private Action action;
 
     @Argument(
             index = 1,
@@ -102,57 +90,50 @@
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
-        if (paths.size() != act.paths || (epoch != null && epoch < 1) || keep < 1) {
+        if (paths.size() != action.paths || (epoch != null && epoch < 1) || keep < 1) {
             err.println(
                     "tinroad: catalog "
-                            + act.name().toLowerCase(Locale.ROOT)
+                            + action.name().toLowerCase(Locale.ROOT)
                             + " takes "
-                            + act.names
+                            + action.names
                             + ", and numbers from 1 on ('tinroad help catalog' tells more)");
-            return WRONG;
+            return USAGE_ERROR;
         }
         try {
-            switch (act) {
+            switch (action) {
                 case SHOW -> show(out);
                 case DIFF -> diff(out);
                 case CHECK -> {
                     if (Files.isDirectory(Path.of(paths.get(0)))) {
                         return checkLog(out);
                     }
-                    Catalog c = read(paths.get(0));
-                    out.println(
-                            "ok: "
-                                    + c.classCount()
-                                    + " classes, "
-                                    + c.tenantCount()
-                                    + " orgs, content "
-                                    + c.contentHash());
+                    checkFile(out);
                 }
                 default -> publish(out);
             }
-            return FINE;
-        } catch (ConfigException e) {
-            e.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
-        } catch (NoSuchFileException e) {
-            err.println("tinroad: " + e.getMessage() + ": no such file or folder");
-        } catch (IOException e) {
-            err.println("tinroad: " + e.getMessage());
+            return SUCCESS;
+        } catch (ConfigException entry) {
+            entry.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
+        } catch (NoSuchFileException entry) {
+            err.println("tinroad: " + entry.getMessage() + ": no such file or folder");
+        } catch (IOException entry) {
+            err.println("tinroad: " + entry.getMessage());
         }
-        return FAILED;
+        return FAILURE;
     }
 
     private static Catalog read(String file) throws ConfigException {
-        GatewayConfig c = GatewayConfig.read(Path.of(file));
+        GatewayConfig config = GatewayConfig.read(Path.of(file));
         return Catalog.of(
                 0,
                 0,
-                c.site().classNames(),
-                c.site().settings().classes(),
-                c.site().tenantNames(),
-                c.site().settings().tenants());
+                config.site().classNames(),
+                config.site().settings().classes(),
+                config.site().tenantNames(),
+                config.site().settings().tenants());
     }
 
-    /** What leads from a version to a file; the file is never held whole. */
+    /** What leads from a version to a file, which is read as a stream. */
     private static CatalogChange change(Catalog from, String file, LogPosition as)
             throws ConfigException {
         FullSnapshotDiff whole = new FullSnapshotDiff(from);
@@ -161,146 +142,72 @@
     }
 
     private void show(PrintStream out) throws ConfigException, IOException {
-        Catalog c = read(paths.get(0));
+        Catalog catalog = read(paths.get(0));
         output.print(
                 List.of("what", "value"),
                 List.of(
-                        List.of("classes", c.classCount()),
-                        List.of("orgs", c.tenantCount()),
-                        List.of("content", c.contentHash()),
+                        List.of("classes", catalog.classCount()),
+                        List.of("orgs", catalog.tenantCount()),
+                        List.of("content", catalog.contentHash()),
                         List.of("bytes", Files.size(Path.of(paths.get(0))))),
                 out);
     }
 
     private void diff(PrintStream out) throws ConfigException {
         Catalog old = read(paths.get(0));
-        CatalogChange c = change(old, paths.get(1), new LogPosition(0, 1));
-        List<List<Object>> rows = new ArrayList<>();
-        rows(
-                "class",
-                c.putClasses(),
-                c.removedClasses(),
-                old::classEntry,
-                CatalogCommand::fields,
-                rows);
-        rows("org", c.putTenants(), c.removedTenants(), old::tenantEntry, SiteWriter::fields, rows);
-        int more = rows.size() - ENTRIES;
-        if (more > 0) {
-            rows.subList(ENTRIES, rows.size()).clear();
-            rows.add(List.of("", "and " + more + " more", "", "", ""));
-        }
-        output.print(List.of("entry", "name", "change", "from", "to"), rows, out);
-    }
-
-    private static Map<String, Object> fields(RequestClass c) {
-        Map<String, Object> fields = new LinkedHashMap<>(SiteWriter.fields(c));
-        fields.put("class_calls", c.callsDependency());
-        fields.put("degraded_worth", c.degradedWeightShare());
-        return fields;
-    }
-
-    private static <S> void rows(
-            String word,
-            Map<String, S> put,
-            Set<String> removed,
-            Function<String, ? extends CatalogEntry<S>> old,
-            Function<S, Map<String, Object>> fields,
-            List<List<Object>> rows) {
-        for (String name : new TreeSet<>(removed)) {
-            rows.add(List.of(word, SettingsValidator.shown(name), "removed", "", ""));
-        }
-        for (Map.Entry<String, S> e : new TreeMap<>(put).entrySet()) {
-            CatalogEntry<S> before = old.apply(e.getKey());
-            Map<String, Object> from = before == null ? Map.of() : fields.apply(before.spec());
-            Map<String, Object> to = fields.apply(e.getValue());
-            rows.add(
-                    List.of(
-                            word,
-                            SettingsValidator.shown(e.getKey()),
-                            before == null ? "new" : "changed",
-                            unlike(from, to),
-                            unlike(to, from)));
-        }
+        CatalogChange change = change(old, paths.get(1), new LogPosition(0, 1));
+        output.print(CatalogDiff.COLUMNS, new CatalogDiff(old, change).rows(), out);
     }
 
-    /** What {@code one} says otherwise than {@code other}. */
-    private static String unlike(Map<String, Object> one, Map<String, Object> other) {
-        Map<String, Object> rest = new LinkedHashMap<>(one);
-        rest.entrySet().removeIf(e -> e.getValue().equals(other.get(e.getKey())));
-        return rest.toString().replaceAll("^.|.$", "");
+    private void checkFile(PrintStream out) throws ConfigException {
+        Catalog catalog = read(paths.get(0));
+        out.println(
+                "ok: "
+                        + catalog.classCount()
+                        + " classes, "
+                        + catalog.tenantCount()
+                        + " orgs, content "
+                        + catalog.contentHash());
     }
 
-    /** Each file by itself, and whether each leads on from the one before. */
     private int checkLog(PrintStream out) throws IOException {
-        ChangeLogStore folder = new ChangeLogStore(Path.of(paths.get(0)), keep);
-        List<List<Object>> rows = new ArrayList<>();
-        boolean good = true;
-        LogPosition last = null;
-        String content = null;
-        for (LogPosition at : folder.positions()) {
-            String is = "good";
-            int size = 0;
-            try {
-                ChangeLogStore.ChangeReadResult batch = folder.read(at);
-                CatalogChange c = batch.change();
-                size = c.size();
-                if (!batch.errors().isEmpty()) {
-                    is = String.join("; ", batch.errors().lines());
-                } else if (last != null && !at.follows(last)) {
-                    is = "does not follow " + last;
-                } else if (content != null
-                        && !content.equals(c.hashBefore())
-                        && at.epoch() > last.epoch()) {
-                    is = "good, from another content: " + c.hashBefore();
-                } else if (content != null && !content.equals(c.hashBefore())) {
-                    is =
-                            "leads on from content "
-                                    + c.hashBefore()
-                                    + ", and "
-                                    + last
-                                    + " led to "
-                                    + content;
-                }
-                content = c.hashAfter();
-            } catch (IOException e) {
-                is = "damaged: " + e.getMessage();
-                content = null;
-            }
-            good &= is.startsWith("good");
-            last = at;
-            rows.add(List.of(at.toString(), is, size, content == null ? "" : content));
-        }
-        output.print(List.of("change", "is", "entries", "content"), rows, out);
-        return good ? FINE : FAILED;
+        ChangeLogCheck check = ChangeLogCheck.of(new ChangeLogStore(Path.of(paths.get(0)), keep));
+        output.print(ChangeLogCheck.COLUMNS, check.rows(), out);
+        return check.good() ? SUCCESS : FAILURE;
     }
 
     private void publish(PrintStream out) throws ConfigException, IOException {
         Path folder = Path.of(paths.get(2));
         ChangeLogStore log = new ChangeLogStore(folder, keep);
-        List<LogPosition> there = Files.isDirectory(folder) ? log.positions() : List.of();
+        List<LogPosition> existing = Files.isDirectory(folder) ? log.positions() : List.of();
         LogPosition newest =
-                there.isEmpty()
+                existing.isEmpty()
                         ? new LogPosition(epoch == null ? 1 : epoch, 0)
-                        : there.get(there.size() - 1);
+                        : existing.get(existing.size() - 1);
         LogPosition next =
                 epoch == null || epoch == newest.epoch()
                         ? newest.next()
                         : new LogPosition(epoch, 1);
         Catalog old = read(paths.get(0)).withVersion(newest.epoch(), newest.number());
-        CatalogChange c = change(old, paths.get(1), next);
-        if (c.size() == 0) {
+        CatalogChange change = change(old, paths.get(1), next);
+        if (change.size() == 0) {
             out.println("nothing differs: no change written");
             return;
         }
-        // As a gateway would take it: what it would refuse is not written.
-        ChangeResult outcome = new CatalogBuilder(old).apply(c);
-        if (outcome instanceof ChangeResult.Rejected refused) {
-            throw new ConfigException(String.join("\n", refused.errors()));
-        } else if (!(outcome instanceof ChangeResult.Applied)) {
-            throw new IOException(ChangeLogFollower.describe(c, outcome));
+        // Applied as a gateway would: a change that it would reject is not written.
+        ChangeResult result = new CatalogBuilder(old).apply(change);
+        if (result instanceof ChangeResult.Rejected rejected) {
+            throw new ConfigException(String.join("\n", rejected.errors()));
+        } else if (!(result instanceof ChangeResult.Applied)) {
+            throw new IOException(ChangeLogFollower.describe(change, result));
         }
-        log.append(c);
+        log.append(change);
         out.println(
-                "change " + next + " written: " + c.size() + " entries, content " + c.hashAfter());
+                "change "
+                        + next
+                        + " written: "
+                        + change.size()
+                        + " entries, content "
+                        + change.hashAfter());
     }
 }
--- a/src/main/java/tinroad/cli/CheckCommand.java
+++ b/src/main/java/tinroad/cli/CheckCommand.java
@@ -34,17 +34,17 @@
     void run(ConfigFile source, GatewayConfig config, OperatorConfig operator, PrintStream out)
             throws IOException, InterruptedException {
         if (start) {
-            // Guards a gateway that serves there: a second one beside it would take its engine and
-            // half its callers.
+            // Guards a gateway that serves there: a second process would take its engine and half
+            // of its clients.
             if (FastCgiFrontend.isAddressTaken(config.listen(), false)) {
                 throw new IOException(
                         "can't listen on " + config.listen() + ": another process does");
             }
-            try (GatewayNode server =
+            try (GatewayNode node =
                     new GatewayNode(config, null, StateSettings.NONE, FleetSettings.NONE)) {
-                server.warmUpJit();
-                server.start();
-                server.shutDownGracefully();
+                node.warmUpJit();
+                node.start();
+                node.shutDownGracefully();
             }
         }
         out.println("ok: " + config.name() + " with classes " + config.site().classNames());
--- a/src/main/java/tinroad/cli/ClassArchive.java
+++ b/src/main/java/tinroad/cli/ClassArchive.java
@@ -7,10 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Whether this process runs from the archive of classes that its command line names. The virtual
- * machine goes on without one that it can't use, one of a jar whose time has changed among them,
- * and tells no reason, or nothing; the system tells what is mapped, in proc(5). Guards against a
- * folder whose every start takes longer than it need, unseen.
+ * Whether this process runs from the class-data archive that its command line names. The virtual
+ * machine silently ignores an archive that it can't use, such as one of a jar whose time has
+ * changed; proc(5) shows whether it is mapped. Guards against starts that are slow unnoticed.
  */
 final class ClassArchive {
     private static final Path ARGUMENTS = Path.of("/proc/self/cmdline");
--- a/src/main/java/tinroad/cli/CompletionCommand.java
+++ b/src/main/java/tinroad/cli/CompletionCommand.java
@@ -27,6 +27,6 @@
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
         out.print(Usage.completion(shell == Shell.ZSH ? "zsh" : "bash"));
-        return FINE;
+        return SUCCESS;
     }
 }
--- a/src/main/java/tinroad/cli/GatewayCommand.java
+++ b/src/main/java/tinroad/cli/GatewayCommand.java
@@ -12,8 +12,8 @@
 import tinroad.operator.OperatorException;
 
 /**
- * A command that needs a gateway's configuration: finds it, and tells in one line for each fault
- * what is wrong.
+ * A command that needs a gateway's configuration and operator file: finds and reads them, and
+ * prints one line for each error in them.
  */
 abstract class GatewayCommand extends Command {
     private static final String VARIABLE = "GW_CONFIG";
@@ -33,13 +33,13 @@
     @Override
     final int run(InputStream in, PrintStream out, PrintStream err) {
         try {
-            OperatorConfig set = readOperator();
+            OperatorConfig operatorConfig = readOperator();
             ConfigFile source = configFile();
-            run(source, source.read(null), set, out);
-            return FINE;
+            run(source, source.read(null), operatorConfig, out);
+            return SUCCESS;
         } catch (OperatorException e) {
             e.errors().forEach(fault -> err.println("tinroad: " + fault));
-            return WRONG;
+            return USAGE_ERROR;
         } catch (ConfigException e) {
             e.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
         } catch (IOException e) {
@@ -47,15 +47,19 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return FAILED;
+        return FAILURE;
     }
 
-    /** Does what the command is for; {@code operator} is null where no such file is named. */
+    /**
+     * Runs the command.
+     *
+     * @param operator null if no operator file is named
+     */
     abstract void run(
             ConfigFile source, GatewayConfig config, OperatorConfig operator, PrintStream out)
             throws IOException, InterruptedException;
 
-    /** The configuration's file. */
+    /** The file that {@code --config} or GW_CONFIG names. */
     final ConfigFile configFile() throws ConfigException {
         String path = file != null ? file : System.getenv(VARIABLE);
         if (path == null || path.isEmpty()) {
@@ -64,7 +68,7 @@
         return new ConfigFile(Path.of(path));
     }
 
-    /** Reads the operator file, as it is now; null where none is named. */
+    /** Reads the operator file; null if none is named. */
     final OperatorConfig readOperator() throws OperatorException {
         return operator == null ? null : OperatorConfig.read(Path.of(operator));
     }
--- a/src/main/java/tinroad/cli/HelpCommand.java
+++ b/src/main/java/tinroad/cli/HelpCommand.java
@@ -21,12 +21,12 @@
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
         if (name == null) {
-            Usage.all(out);
+            Usage.printOverview(out);
         } else if (Main.COMMANDS.containsKey(name)) {
-            Usage.of(name, out);
+            Usage.printCommand(name, out);
         } else {
-            return Main.noCommand(name, err);
+            return Main.reportUnknownCommand(name, err);
         }
-        return FINE;
+        return SUCCESS;
     }
 }
--- a/src/main/java/tinroad/cli/IgnoredSignals.java
+++ b/src/main/java/tinroad/cli/IgnoredSignals.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 
 /**
- * Which signals this process ignores. The virtual machine leaves some of those ignored that were so
- * at its start, and says nothing; the system tells, as the line {@code SigIgn} of proc(5).
+ * Which signals this process ignores. The virtual machine keeps some signals ignored that were
+ * ignored when it started, without notice; the line {@code SigIgn} of proc(5) shows them.
  */
 final class IgnoredSignals {
     /** Number of SIGHUP. */
@@ -19,8 +19,8 @@
 
     private IgnoredSignals() {}
 
-    /** Whether the signal of this number is ignored; false where the system does not tell. */
-    static boolean signal(int number) {
+    /** Whether the signal with this number is ignored; false if the system does not say. */
+    static boolean isIgnored(int number) {
         try {
             return Files.readAllLines(STATUS, StandardCharsets.ISO_8859_1).stream()
                     .filter(line -> line.startsWith(FIELD))
--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -157,16 +157,16 @@
             };
         } catch (OperatorException e) {
             e.errors().forEach(fault -> err.println("tinroad: " + fault));
-            return WRONG;
+            return USAGE_ERROR;
         } catch (IllegalArgumentException e) {
             err.println("tinroad: " + e.getMessage());
-            return WRONG;
+            return USAGE_ERROR;
         } catch (IOException e) {
             err.println("tinroad: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return FAILED;
+        return FAILURE;
     }
 
     private int list(PrintStream out) throws IOException, OperatorException {
@@ -193,7 +193,7 @@
             }
         }
         output.print(List.of("script", "gateways", "seconds", "title"), rows, out);
-        return FINE;
+        return SUCCESS;
     }
 
     private Script script() throws OperatorException {
@@ -273,7 +273,7 @@
                 out.println(report.line());
                 broken += report.broken().size();
             }
-            return broken == 0 ? FINE : FAILED;
+            return broken == 0 ? SUCCESS : FAILURE;
         }
         Report report = new Report(new FleetModel(Plan.of(script(), seed), remembers).play());
         if (folder != null) {
@@ -281,7 +281,7 @@
         }
         print(report, out);
         out.println(report.fates());
-        return report.broken().isEmpty() ? FINE : FAILED;
+        return report.broken().isEmpty() ? SUCCESS : FAILURE;
     }
 
     /**
@@ -300,7 +300,7 @@
             }
         }
         output.print(MembersSweep.NAMES, rows, out);
-        return FINE;
+        return SUCCESS;
     }
 
     /** Writes or checks the tables of a page; what is out of step is a line each. */
@@ -311,11 +311,11 @@
         }
         if (!check) {
             CapacityPage.write(Path.of(script));
-            return FINE;
+            return SUCCESS;
         }
         List<ValidationError> found = CapacityPage.check(Path.of(script));
         found.forEach(fault -> err.println("tinroad: " + fault));
-        return found.isEmpty() ? FINE : FAILED;
+        return found.isEmpty() ? SUCCESS : FAILURE;
     }
 
     private int play(PrintStream out, PrintStream err)
@@ -336,7 +336,7 @@
                             b.way().forEach(err::println);
                         });
         out.println(report.fates());
-        return report.broken().isEmpty() ? FINE : FAILED;
+        return report.broken().isEmpty() ? SUCCESS : FAILURE;
     }
 
     private void print(Report report, PrintStream out) {
@@ -396,7 +396,7 @@
                         sweep.rows(),
                         out);
             }
-            return sweep.refused() ? FAILED : FINE;
+            return sweep.refused() ? FAILURE : SUCCESS;
         } finally {
             Lab.delete(work);
         }
@@ -446,6 +446,6 @@
                 List.of("figure", "first", "second", "low", "high", "pairs", "verdict"),
                 comparison.rows(),
                 out);
-        return broken == 0 ? FINE : FAILED;
+        return broken == 0 ? SUCCESS : FAILURE;
     }
 }
--- a/src/main/java/tinroad/cli/Main.java
+++ b/src/main/java/tinroad/cli/Main.java
@@ -12,9 +12,9 @@
 import tinroad.log.LogBackend;
 import tinroad.operator.SpellingSuggestion;
 
-/** The command line. */
+/** The entry point: finds the command, parses its options and runs it. */
 public final class Main {
-    /** All commands, in the order that help tells them. */
+    /** All commands by the word typed, in the order of {@code help}. */
     static final Map<String, Supplier<Command>> COMMANDS = new LinkedHashMap<>();
 
     static {
@@ -42,14 +42,14 @@
     static int run(String[] args, InputStream in, PrintStream out, PrintStream err) {
         if (args.length == 0) {
             err.println("tinroad: no command" + commands());
-            return Command.WRONG;
+            return Command.USAGE_ERROR;
         }
         if (args[0].equals("--help") || args[0].equals("-h")) {
-            Usage.all(out);
-            return Command.FINE;
+            Usage.printOverview(out);
+            return Command.SUCCESS;
         }
         if (!COMMANDS.containsKey(args[0])) {
-            return noCommand(args[0], err);
+            return reportUnknownCommand(args[0], err);
         }
         Command command = COMMANDS.get(args[0]).get();
         try {
@@ -62,24 +62,24 @@
                             + " ('tinroad help "
                             + args[0]
                             + "' tells more)");
-            return Command.WRONG;
+            return Command.USAGE_ERROR;
         }
-        if (command.wantsHelp()) {
-            Usage.of(args[0], out);
-            return Command.FINE;
+        if (command.helpRequested()) {
+            Usage.printCommand(args[0], out);
+            return Command.SUCCESS;
         }
         return command.run(in, out, err);
     }
 
-    static int noCommand(String name, PrintStream err) {
-        String near = SpellingSuggestion.to(name, COMMANDS.keySet());
+    static int reportUnknownCommand(String name, PrintStream err) {
+        String suggestion = SpellingSuggestion.to(name, COMMANDS.keySet());
         err.println(
                 "tinroad: no command '"
                         + name
                         + "'"
-                        + (near == null ? "" : ": is '" + near + "' meant?")
+                        + (suggestion == null ? "" : ": is '" + suggestion + "' meant?")
                         + commands());
-        return Command.WRONG;
+        return Command.USAGE_ERROR;
     }
 
     private static String commands() {
--- a/src/main/java/tinroad/cli/MembersCommand.java
+++ b/src/main/java/tinroad/cli/MembersCommand.java
@@ -8,9 +8,7 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/**
- * {@code members}: asks a running gateway, through its operators' door, whom it knows of its fleet.
- */
+/** {@code members}: prints the fleet as a running gateway sees it, from its admin endpoint. */
 public final class MembersCommand extends Command {
     @Option(
             name = "--control",
@@ -34,7 +32,7 @@
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
-        return AdminClient.ask(
+        return AdminClient.get(
                 control,
                 "/api/members",
                 "members",
@@ -46,16 +44,16 @@
                     List<List<Object>> rows = new ArrayList<>();
                     answer.path("members")
                             .forEach(
-                                    m ->
+                                    member ->
                                             rows.add(
                                                     List.of(
-                                                            m.path("name").asText(),
-                                                            m.path("status").asText(),
-                                                            m.path("zone").asText(),
-                                                            m.path("address").asText(),
-                                                            m.path("life").asLong(),
-                                                            m.path("since_ms").asLong() / 1000,
-                                                            m.path("by").asText())));
+                                                            member.path("name").asText(),
+                                                            member.path("status").asText(),
+                                                            member.path("zone").asText(),
+                                                            member.path("address").asText(),
+                                                            member.path("life").asLong(),
+                                                            member.path("since_ms").asLong() / 1000,
+                                                            member.path("by").asText())));
                     output.print(
                             List.of("member", "status", "zone", "address", "life", "since_s", "by"),
                             rows,
--- a/src/main/java/tinroad/cli/MetricsCommand.java
+++ b/src/main/java/tinroad/cli/MetricsCommand.java
@@ -8,9 +8,7 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/**
- * {@code figures}: asks a running gateway, through its operators' door, what it has done so far.
- */
+/** {@code figures}: prints metrics of a running gateway, from its admin endpoint. */
 public final class MetricsCommand extends Command {
     @Option(
             name = "--control",
@@ -19,15 +17,15 @@
             usage = "the gateway's operators' door")
     private String control;
 
-    /** What is wanted. */
-    enum What {
+    /** What to print, by the word typed, and the path where it is. */
+    enum Topic {
         ANSWERS("/api/telemetry"),
         RECOVERY("/api/recovery"),
         SETTINGS("/api/settings");
 
         private final String path;
 
-        What(String path) {
+        Topic(String path) {
             this.path = path;
         }
     }
@@ -37,7 +35,7 @@
             usage =
                     "answers: what it has done so far; recovery: how it comes back, and what it"
                             + " remembers; settings: which classes and tenants are in force")
-    private What what = What.ANSWERS;
+    private Topic topic = Topic.ANSWERS;
 
     @Option(name = "--output", usage = "table or json")
     private Output output = Output.TABLE;
@@ -54,66 +52,66 @@
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
-        return AdminClient.ask(
+        return AdminClient.get(
                 control,
-                what.path,
+                topic.path,
                 "figures",
                 err,
-                figures -> {
-                    if (figures.path(what == What.RECOVERY ? "phase" : "hash").isTextual()) {
-                        values(figures, out);
-                    } else if (figures.path("success").isObject()) {
-                        answers(figures, out);
+                metrics -> {
+                    if (metrics.path(topic == Topic.RECOVERY ? "phase" : "hash").isTextual()) {
+                        values(metrics, out);
+                    } else if (metrics.path("success").isObject()) {
+                        answers(metrics, out);
                     } else {
                         throw new IOException("no figures");
                     }
                 });
     }
 
-    private void answers(JsonNode figures, PrintStream out) {
+    private void answers(JsonNode metrics, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
-        figures.get("success")
+        metrics.get("success")
                 .fieldNames()
                 .forEachRemaining(
                         name ->
                                 rows.add(
                                         List.of(
                                                 name,
-                                                figures.at("/success/" + name).asLong(),
-                                                figures.at("/busy/" + name).asLong(),
-                                                figures.at("/failure/" + name).asLong())));
+                                                metrics.at("/success/" + name).asLong(),
+                                                metrics.at("/busy/" + name).asLong(),
+                                                metrics.at("/failure/" + name).asLong())));
         output.print(List.of("class", "success", "busy", "failure"), rows, out);
     }
 
     /**
-     * Each value by its name; of recovery, each value of an earlier life that this one began with
-     * comes last.
+     * Each value by its name; of recovery, the values restored from an earlier incarnation come
+     * last.
      */
-    private void values(JsonNode figures, PrintStream out) {
+    private void values(JsonNode metrics, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
-        figures.properties()
+        metrics.properties()
                 .forEach(
-                        f -> {
-                            if (f.getValue().isValueNode()) {
+                        field -> {
+                            if (field.getValue().isValueNode()) {
                                 rows.add(
                                         List.of(
-                                                f.getKey(),
-                                                f.getValue().isNull()
+                                                field.getKey(),
+                                                field.getValue().isNull()
                                                         ? "-"
-                                                        : f.getValue().asText()));
+                                                        : field.getValue().asText()));
                             }
                         });
-        figures.path("remembered")
+        metrics.path("remembered")
                 .forEach(
-                        r ->
+                        restored ->
                                 rows.add(
                                         List.of(
-                                                "remembered " + r.path("what").asText(),
-                                                r.path("value").asDouble()
+                                                "remembered " + restored.path("what").asText(),
+                                                restored.path("value").asDouble()
                                                         + ", "
-                                                        + r.path("age_ms").asLong() / 1000
+                                                        + restored.path("age_ms").asLong() / 1000
                                                         + " s old, of life "
-                                                        + r.path("life").asLong())));
+                                                        + restored.path("life").asLong())));
         output.print(List.of("what", "is"), rows, out);
     }
 }
--- a/src/main/java/tinroad/cli/Output.java
+++ b/src/main/java/tinroad/cli/Output.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** How a command prints figures. */
+/** How a command prints rows. */
 public enum Output {
     /** Columns, for people. */
     TABLE,
@@ -25,37 +25,25 @@
     }
 
     private static String table(List<String> names, List<List<Object>> rows) {
-        List<Column> columns =
-                names.stream()
-                        .map(
-                                name ->
-                                        new Column()
-                                                .header(name)
-                                                .headerAlign(HorizontalAlign.LEFT)
-                                                .dataAlign(
-                                                        rows.stream()
-                                                                        .anyMatch(
-                                                                                row ->
-                                                                                        row.get(
-                                                                                                        names
-                                                                                                                .indexOf(
-                                                                                                                        name))
-                                                                                                instanceof
-                                                                                                Number)
-                                                                ? HorizontalAlign.RIGHT
-                                                                : HorizontalAlign.LEFT))
-                        .toList();
-        return AsciiTable.getTable(
-                        AsciiTable.NO_BORDERS,
-                        columns.toArray(Column[]::new),
-                        rows.stream()
-                                .map(
-                                        row ->
-                                                row.stream()
-                                                        .map(v -> v == null ? "-" : v.toString())
-                                                        .toArray())
-                                .toArray(Object[][]::new))
-                .stripTrailing();
+        Column[] columns = new Column[names.size()];
+        for (int i = 0; i < columns.length; i++) {
+            columns[i] = column(names.get(i), i, rows);
+        }
+        Object[][] cells = rows.stream().map(Output::texts).toArray(Object[][]::new);
+        return AsciiTable.getTable(AsciiTable.NO_BORDERS, columns, cells).stripTrailing();
+    }
+
+    /** Columns that hold a number are aligned to the right. */
+    private static Column column(String name, int index, List<List<Object>> rows) {
+        boolean numeric = rows.stream().anyMatch(row -> row.get(index) instanceof Number);
+        return new Column()
+                .header(name)
+                .headerAlign(HorizontalAlign.LEFT)
+                .dataAlign(numeric ? HorizontalAlign.RIGHT : HorizontalAlign.LEFT);
+    }
+
+    private static Object[] texts(List<Object> row) {
+        return row.stream().map(value -> value == null ? "-" : value.toString()).toArray();
     }
 
     private static String json(List<String> names, List<List<Object>> rows) {
--- a/src/main/java/tinroad/cli/ServeCommand.java
+++ b/src/main/java/tinroad/cli/ServeCommand.java
@@ -15,9 +15,7 @@
 import tinroad.operator.OperatorException;
 import tinroad.operator.StateSettings;
 
-/**
- * {@code serve}: one real gateway, until it is told to leave. SIGHUP has it read its files again.
- */
+/** {@code serve}: one gateway, until SIGTERM. SIGHUP reloads its files. */
 public final class ServeCommand extends GatewayCommand {
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
@@ -34,22 +32,21 @@
     @Override
     void run(ConfigFile source, GatewayConfig config, OperatorConfig operator, PrintStream out)
             throws IOException, InterruptedException {
-        LogSink sink = LogSink.of(operator);
-        try (GatewayNode server =
+        ProcessLog processLog = ProcessLog.of(operator);
+        try (GatewayNode node =
                 new GatewayNode(
                         config,
                         System.getenv("TMPDIR"),
                         operator == null ? StateSettings.NONE : operator.state(),
                         operator == null ? FleetSettings.NONE : operator.fleet(),
                         operator == null ? CatalogSettings.DEFAULT : operator.catalog())) {
-            // Before anything can reach this process: a virtual machine that nobody handles the
-            // signals for ends on them.
-            if (!leaveOnNotice(server, sink)) {
+            // First: without handlers the virtual machine ends on these signals.
+            if (!shutDownOnSigterm(node, processLog)) {
                 return;
             }
-            if (Signals.register("HUP", () -> reload(server, source, sink)) == null) {
+            if (Signals.register("HUP", () -> reload(node, source, processLog)) == null) {
                 LOG.warn("SIGHUP can't be handled here: it would end this process");
-            } else if (IgnoredSignals.signal(IgnoredSignals.HUP)) {
+            } else if (IgnoredSignals.isIgnored(IgnoredSignals.HUP)) {
                 LOG.warn(
                         "SIGHUP is ignored, as this process was started so: the configuration is"
                                 + " read again only while the engine is gone");
@@ -61,50 +58,47 @@
                                 + " it anew",
                         unused);
             }
-            server.warmUpJit();
-            if (server.start() != null) {
-                server.awaitEnd(source);
+            node.warmUpJit();
+            if (node.start() != null) {
+                node.awaitEnd(source);
             }
         } finally {
-            sink.end();
+            processLog.close();
         }
     }
 
-    /**
-     * Has a notice to leave drain the gateway; false where one has come already, and the process is
-     * about to end.
-     */
-    private static boolean leaveOnNotice(GatewayNode server, LogSink sink) {
+    /** Shuts the gateway down gracefully on SIGTERM; false if the process is already ending. */
+    private static boolean shutDownOnSigterm(GatewayNode node, ProcessLog processLog) {
         try {
             Runtime.getRuntime()
                     .addShutdownHook(
                             new Thread(
                                     () -> {
-                                        server.shutDownGracefully();
-                                        sink.end();
+                                        node.shutDownGracefully();
+                                        processLog.close();
                                     },
                                     "leave"));
             return true;
         } catch (IllegalStateException e) {
-            // Nothing listens yet, so there is nothing to answer.
+            // Nothing listens yet, so there is nothing to drain.
             return false;
         }
     }
 
     /**
-     * Guards against a file that is half written, gone or wrong: the gateway goes on with what it
-     * has of it.
+     * Reloads both files. A file that is missing, half written or not valid is reported, and the
+     * last good one stays in force.
      */
-    private synchronized void reload(GatewayNode server, ConfigFile source, LogSink sink) {
+    private synchronized void reload(GatewayNode node, ConfigFile source, ProcessLog processLog) {
         try {
-            server.reload(source);
+            node.reload(source);
         } catch (ConfigException e) {
             e.getMessage().lines().forEach(fault -> LOG.warn("configuration kept: {}", fault));
         }
         try {
             OperatorConfig operator = readOperator();
             if (operator != null) {
-                sink.set(operator.log());
+                processLog.configure(operator.log());
                 LOG.info("operator file read again");
             }
         } catch (OperatorException e) {
--- a/src/main/java/tinroad/cli/SimulatorCommand.java
+++ b/src/main/java/tinroad/cli/SimulatorCommand.java
@@ -6,7 +6,7 @@
 import tinroad.overload.OverloadController;
 import tinroad.simulator.SimulatorAdapter;
 
-/** {@code wirehost}: the same decisions on the simulator's wire, on standard input and output. */
+/** {@code wirehost}: runs controllers for the simulator, on standard input and output. */
 public final class SimulatorCommand extends Command {
     @Override
     About about() {
@@ -21,10 +21,10 @@
     int run(InputStream in, PrintStream out, PrintStream err) {
         try {
             new SimulatorAdapter(OverloadController::new, in, out, err).run();
-            return FINE;
+            return SUCCESS;
         } catch (IOException e) {
             err.println(e.getMessage());
-            return FAILED;
+            return FAILURE;
         }
     }
 }
--- a/src/main/java/tinroad/cli/StateCommand.java
+++ b/src/main/java/tinroad/cli/StateCommand.java
@@ -15,10 +15,10 @@
 import tinroad.state.SnapshotSelector;
 import tinroad.state.SnapshotStore;
 
-/** {@code state}: what lasts of a gateway in a folder; reads only. */
+/** {@code state}: shows or checks the snapshots in a state folder; reads only. */
 public final class StateCommand extends Command {
-    /** What is wanted. */
-    enum Act {
+    /** What to do, by the word typed. */
+    enum Action {
         SHOW,
         VERIFY
     }
@@ -28,7 +28,7 @@
             metaVar = "show|verify",
             required = true,
             usage = "show what the latest snapshot holds, or check all of them")
-    private Act act;
+    private Action action;
 
     @Argument(index = 1, metaVar = "FOLDER", required = true, usage = "the folder of state")
     private String folder;
@@ -51,44 +51,44 @@
         Path path = Path.of(folder);
         if (!Files.isDirectory(path)) {
             err.println("tinroad: " + folder + ": no such folder");
-            return FAILED;
+            return FAILURE;
         }
         try {
             List<SnapshotSelector.Candidate> found = new SnapshotStore(path, null, 1).candidates();
             if (found.isEmpty()) {
                 err.println("tinroad: " + folder + ": no state");
-                return FAILED;
+                return FAILURE;
             }
-            if (act == Act.VERIFY) {
+            if (action == Action.VERIFY) {
                 verify(found, out);
             } else {
                 show(found, out);
             }
-            return found.stream().allMatch(c -> c.readResult().usable().isPresent())
-                    ? FINE
-                    : FAILED;
-        } catch (IOException e) {
-            err.println("tinroad: " + folder + ": can't be read: " + e.getMessage());
-            return FAILED;
+            return found.stream().allMatch(candidate -> candidate.readResult().usable().isPresent())
+                    ? SUCCESS
+                    : FAILURE;
+        } catch (IOException entry) {
+            err.println("tinroad: " + folder + ": can't be read: " + entry.getMessage());
+            return FAILURE;
         }
     }
 
     private void verify(List<SnapshotSelector.Candidate> found, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
-        for (SnapshotSelector.Candidate c : found) {
+        for (SnapshotSelector.Candidate candidate : found) {
             // No switch over patterns in Java 17.
-            if (c.readResult() instanceof SnapshotReadResult.Rejected rejected) {
-                rows.add(List.of(c.file(), rejected.description(), "", 0, 0, 0));
-            } else if (c.readResult() instanceof SnapshotReadResult.Usable usable) {
-                Snapshot s = usable.snapshot();
+            if (candidate.readResult() instanceof SnapshotReadResult.Rejected rejected) {
+                rows.add(List.of(candidate.file(), rejected.description(), "", 0, 0, 0));
+            } else if (candidate.readResult() instanceof SnapshotReadResult.Usable usable) {
+                Snapshot snapshot = usable.snapshot();
                 rows.add(
                         List.of(
-                                c.file(),
+                                candidate.file(),
                                 "good",
-                                s.name(),
-                                s.incarnation(),
-                                s.values().size(),
-                                s.executedIds().size()));
+                                snapshot.name(),
+                                snapshot.incarnation(),
+                                snapshot.values().size(),
+                                snapshot.executedIds().size()));
             }
         }
         output.print(List.of("file", "is", "gateway", "life", "values", "ran"), rows, out);
@@ -96,31 +96,31 @@
 
     private void show(List<SnapshotSelector.Candidate> found, PrintStream out) {
         double nowMillis = System.currentTimeMillis();
-        Snapshot s =
+        Snapshot snapshot =
                 SnapshotSelector.select(found, name(found), nowMillis, Double.MAX_VALUE, 0, 0)
                         .snapshot()
                         .orElse(null);
         List<List<Object>> rows = new ArrayList<>();
-        if (s != null) {
+        if (snapshot != null) {
             rows.add(
                     List.of(
                             "gateway "
-                                    + s.name()
-                                    + (s.evacuated() ? ", evacuated" : "")
+                                    + snapshot.name()
+                                    + (snapshot.evacuated() ? ", evacuated" : "")
                                     + ", ids that ran",
-                            s.executedIds().size(),
+                            snapshot.executedIds().size(),
                             0,
-                            Math.round((nowMillis - s.savedAtMillis()) / 1000),
-                            s.incarnation()));
-            for (var e : s.values().entrySet()) {
-                LearnedValue r = e.getValue();
+                            Math.round((nowMillis - snapshot.savedAtMillis()) / 1000),
+                            snapshot.incarnation()));
+            for (var entry : snapshot.values().entrySet()) {
+                LearnedValue learned = entry.getValue();
                 rows.add(
                         List.of(
-                                e.getKey(),
-                                r.value(),
-                                r.weight(),
-                                Math.round((nowMillis - r.learnedAtMillis()) / 1000),
-                                r.incarnation()));
+                                entry.getKey(),
+                                learned.value(),
+                                learned.weight(),
+                                Math.round((nowMillis - learned.learnedAtMillis()) / 1000),
+                                learned.incarnation()));
             }
         }
         output.print(List.of("what", "value", "weight", "age_s", "life"), rows, out);
@@ -128,7 +128,7 @@
 
     private static String name(List<SnapshotSelector.Candidate> found) {
         return found.stream()
-                .flatMap(c -> c.readResult().usable().stream())
+                .flatMap(candidate -> candidate.readResult().usable().stream())
                 .map(Snapshot::name)
                 .reduce("", (a, b) -> b);
     }
--- a/src/main/java/tinroad/cli/Usage.java
+++ b/src/main/java/tinroad/cli/Usage.java
@@ -10,20 +10,21 @@
 
 /** Help texts and completion scripts, made from what the parser knows of the commands. */
 final class Usage {
-    private static final int WIDTH = 110;
+    private static final int WIDTH_COLUMNS = 110;
 
     private Usage() {}
 
     private static CmdLineParser parser(Command command) {
         return new CmdLineParser(
-                command, ParserProperties.defaults().withShowDefaults(true).withUsageWidth(WIDTH));
+                command,
+                ParserProperties.defaults().withShowDefaults(true).withUsageWidth(WIDTH_COLUMNS));
     }
 
     /** All commands. */
-    static void all(PrintStream out) {
+    static void printOverview(PrintStream out) {
         out.println("usage: tinroad COMMAND [OPTIONS]\n\ncommands:");
         Main.COMMANDS.forEach(
-                (name, make) -> out.printf("  %-12s %s%n", name, make.get().about().does()));
+                (name, make) -> out.printf("  %-12s %s%n", name, make.get().about().summary()));
         out.println(
                 "\n'tinroad help COMMAND' or 'tinroad COMMAND --help' tells of one.\n"
                         + "\nexample:\n  tinroad check --config deploy/example.json\n"
@@ -32,7 +33,7 @@
     }
 
     /** One command. */
-    static void of(String name, PrintStream out) {
+    static void printCommand(String name, PrintStream out) {
         Command command = Main.COMMANDS.get(name).get();
         Command.About about = command.about();
         CmdLineParser parser = parser(command);
@@ -45,7 +46,7 @@
                         + name
                         + line
                         + "\n\n"
-                        + about.does()
+                        + about.summary()
                         + "\n\noptions:\n"
                         + options
                         + "\nexample:\n  "
@@ -73,7 +74,8 @@
         String bash =
                 """
                 _tinroad() {
-                  local word="${COMP_WORDS[COMP_CWORD]}" before="${COMP_WORDS[COMP_CWORD-1]}" words=""
+                  local word="${COMP_WORDS[COMP_CWORD]}"
+                  local before="${COMP_WORDS[COMP_CWORD-1]}" words=""
                   COMPREPLY=()
                   case "$before" in
                     --config|--operator|--jar|--out) COMPREPLY=($(compgen -f -- "$word")); return ;;
--- a/src/main/java/tinroad/cli/VersionCommand.java
+++ b/src/main/java/tinroad/cli/VersionCommand.java
@@ -14,6 +14,6 @@
     int run(InputStream in, PrintStream out, PrintStream err) {
         String version = VersionCommand.class.getPackage().getImplementationVersion();
         out.println("tinroad " + (version == null ? "(not packaged)" : version));
-        return FINE;
+        return SUCCESS;
     }
 }
--- a/src/main/java/tinroad/lab/capacity/Figures.java
+++ b/src/main/java/tinroad/lab/capacity/Figures.java
@@ -315,7 +315,8 @@
                     ofCode(
                             constant(c),
                             c.getString(key).replaceAll(".*/", "") + "." + c.getString("name"));
-            case "tuning" -> ofCode(tuning(c.getString(key)), "MembershipConfig." + c.getString(key));
+            case "tuning" ->
+                    ofCode(tuning(c.getString(key)), "MembershipConfig." + c.getString(key));
             case "row" -> other(c.getString(key));
             default -> among(sharing(c, key), c, key, "places");
         };
@@ -495,7 +496,9 @@
                         .filter(r -> r.getName().equals(name))
                         .findFirst()
                         .orElseThrow(
-                                () -> new IllegalArgumentException("no " + name + " in MembershipConfig"));
+                                () ->
+                                        new IllegalArgumentException(
+                                                "no " + name + " in MembershipConfig"));
         try {
             return ((Number) component.getAccessor().invoke(MembershipConfig.DEFAULT))
                     .doubleValue();
