--- a/src/test/java/tinroad/cli/ServeTest.java
+++ b/src/test/java/tinroad/cli/ServeTest.java
@@ -405,7 +405,7 @@
         assertTrue(
                 plain.startsWith(
                         "AT [INFO] server - listening on /127.0.0.1:PORT as n3\n"
-                                + "AT [INFO] gateway - draining: 0 requests in hand, N ms left\n"),
+                            + "AT [INFO] gateway - draining: 0 requests in flight, N ms left\n"),
                 plain);
         assertEquals(plain, life(dir, "--operator", "deploy/operator.conf"));
     }
--- a/src/test/java/tinroad/core/ChangesTest.java
+++ b/src/test/java/tinroad/core/ChangesTest.java
@@ -197,7 +197,10 @@
         assertEquals(3, h.module.commits);
         h.pass(
                 SlotReferences.REUSE_DELAY_MILLIS
-                        + 2 * Gateway.GUARD_PERIOD * 10_000 / SlotReferences.MAX_FREED_PER_SWEEP);
+                        + 2
+                                * DeadlineGuard.PERIOD_MILLIS
+                                * 10_000
+                                / SlotReferences.MAX_FREED_PER_SWEEP);
         assertEquals(10_000, new HashSet<>(freeClasses).size());
         assertEquals(10_000, freeClasses.size());
     }
@@ -222,21 +225,21 @@
         h.pass(400);
         assertEquals(List.of(), answers.got);
         ask("read");
-        h.pass(101 + Gateway.GUARD_PERIOD);
+        h.pass(101 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("FAILED NOT_SENT"), answers.got);
-        h.pass(100 + Gateway.GUARD_PERIOD);
+        h.pass(100 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(2, answers.got.size());
     }
 
     @Test
     void anArrivalIsNotTooFarOffForALongerDeadlineThatCameLater() {
-        put("slow", spec(10 * Gateway.FAR_OFF, Idempotency.IDEMPOTENT));
+        put("slow", spec(10 * ActiveCatalog.MAX_ARRIVAL_OFFSET_MILLIS, Idempotency.IDEMPOTENT));
         h.pass(0);
         h.module.onRequest = r -> h.module.act.run(r.id());
         h.gateway.handle(
                 new IncomingRequest(
                         "00000000000000aa",
-                        h.now - 5 * Gateway.FAR_OFF,
+                        h.now - 5 * ActiveCatalog.MAX_ARRIVAL_OFFSET_MILLIS,
                         "slow",
                         "acme",
                         4,
@@ -264,7 +267,7 @@
         done(running);
         h.pass(SlotReferences.REUSE_DELAY_MILLIS - 1);
         assertEquals(List.of(), freeClasses);
-        h.pass(1 + Gateway.GUARD_PERIOD);
+        h.pass(1 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of(0), freeTenants);
         h.pass(SlotReferences.REUSE_DELAY_MILLIS * 4);
@@ -278,14 +281,14 @@
         String waiting = ask("order");
         h.module.act.run(waiting);
         remove("order");
-        h.pass(Gateway.GUARD_PERIOD);
+        h.pass(DeadlineGuard.PERIOD_MILLIS);
         assertEquals(1, h.gateway.catalog().number());
         assertEquals(List.of(), freeClasses);
         h.linkUp = true;
         h.gateway.onAttached(false, 1e6);
         assertEquals(List.of("RUN " + waiting + " order body"), h.runs);
         done(waiting);
-        h.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * Gateway.GUARD_PERIOD);
+        h.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of("SERVED RAN result"), answers.got);
     }
@@ -314,7 +317,7 @@
         h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
         ask("order");
         remove("order");
-        h.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * Gateway.GUARD_PERIOD);
+        h.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         freeClasses.forEach(editor::releaseClassSlot);
         put("other", spec(500, Idempotency.IDEMPOTENT));
         h.pass(0);
--- a/src/test/java/tinroad/core/GatewayTest.java
+++ b/src/test/java/tinroad/core/GatewayTest.java
@@ -114,7 +114,7 @@
         ask("read");
         h.pass(999);
         assertEquals(List.of(), answers.got);
-        h.pass(Gateway.GUARD_PERIOD + 1);
+        h.pass(DeadlineGuard.PERIOD_MILLIS + 1);
         assertEquals(List.of("FAILED NOT_SENT"), answers.got);
         // Run after its answer went out: it must not start, and the module gets its place back.
         h.module.act.run(ID);
@@ -126,11 +126,11 @@
     void timeIsCountedFromTheArrivalAndNeverNegative() {
         ask(h, ID, "read", h.now - 900);
         assertEquals(900, h.module.last.ageMillis());
-        h.pass(100 + Gateway.GUARD_PERIOD);
+        h.pass(100 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(1, answers.got.size());
         ask(h, OTHER, "read", h.now + 5000);
         assertEquals(0, h.module.last.ageMillis());
-        h.pass(1000 + Gateway.GUARD_PERIOD);
+        h.pass(1000 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(2, answers.got.size());
     }
 
@@ -213,7 +213,7 @@
         h.gateway.onAttached(false, 0);
         h.module.act.reject(ID, 0, false);
         assertEquals(List.of("FAILED SENT"), answers.got);
-        h.pass(1000 + Gateway.LOST_RUN_KEPT + 2 * Gateway.GUARD_PERIOD);
+        h.pass(1000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("ended " + ID + " IGNORED"), h.module.heard);
         assertEquals(1, h.runs.size());
     }
@@ -245,7 +245,7 @@
         h.gateway.onAttached(true, 10);
         h.gateway.onCaughtUp();
         assertEquals(1, h.runs.size());
-        h.pass(2000 + Gateway.LOST_RUN_KEPT + 2 * Gateway.GUARD_PERIOD);
+        h.pass(2000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("FAILED SENT"), answers.got);
         assertEquals(List.of("ended " + ID + " IGNORED"), h.module.heard);
     }
@@ -303,8 +303,8 @@
     @Test
     void whatWasDueBeforeItWasReadOrCameAtNoTimeNeverReachesTheModule() {
         ask(h, ID, "read", h.now - 1000);
-        ask(h, ID, "read", h.now - Gateway.FAR_OFF - 1);
-        ask(h, ID, "read", h.now + Gateway.FAR_OFF + 1);
+        ask(h, ID, "read", h.now - ActiveCatalog.MAX_ARRIVAL_OFFSET_MILLIS - 1);
+        ask(h, ID, "read", h.now + ActiveCatalog.MAX_ARRIVAL_OFFSET_MILLIS + 1);
         assertEquals(
                 List.of("REJECTED NOT_SENT", "INVALID NOT_SENT", "INVALID NOT_SENT"), answers.got);
         assertNull(h.module.last);
@@ -317,13 +317,13 @@
         h.gateway.onGauges(h.gaugesAsked.get(0), new Gauges(0.5, 3, 0.1, 9));
         assertEquals(List.of("timer tick 3.0"), h.module.heard);
         h.module.act.scheduleTimer("late", 20);
-        h.pass(20 + Gateway.GAUGES_WAIT);
+        h.pass(20 + ControllerDriver.GAUGES_WAIT_MILLIS);
         assertEquals("timer late 3.0", h.module.heard.get(1));
         h.gateway.onGauges(h.gaugesAsked.get(1), new Gauges(0.5, 4, 0.1, 9));
         assertEquals(2, h.module.heard.size());
         h.linkUp = false;
-        h.module.act.scheduleTimer("none", Gateway.GAUGES_VALID + 1);
-        h.pass(Gateway.GAUGES_VALID + 1);
+        h.module.act.scheduleTimer("none", ControllerDriver.GAUGES_VALID_MILLIS + 1);
+        h.pass(ControllerDriver.GAUGES_VALID_MILLIS + 1);
         assertEquals("timer none NaN", h.module.heard.get(2));
     }
 
@@ -384,13 +384,13 @@
         h.pass(200);
         double before = h.now;
         h.now += 5000;
-        h.pass(Gateway.GUARD_PERIOD / 2);
+        h.pass(DeadlineGuard.PERIOD_MILLIS / 2);
         assertTrue(
                 h.gateway.lastSeenAliveMillis() <= before,
                 "a notice may have come during the stall");
-        assertTrue(h.gateway.lastSeenAliveMillis() >= before - 2 * Gateway.GUARD_PERIOD);
+        assertTrue(h.gateway.lastSeenAliveMillis() >= before - 2 * DeadlineGuard.PERIOD_MILLIS);
         h.pass(100);
-        assertTrue(h.gateway.lastSeenAliveMillis() >= h.now - 2 * Gateway.GUARD_PERIOD - 1);
+        assertTrue(h.gateway.lastSeenAliveMillis() >= h.now - 2 * DeadlineGuard.PERIOD_MILLIS - 1);
     }
 
     @Test
