--- a/src/main/java/tinroad/core/ActiveRequest.java
+++ b/src/main/java/tinroad/core/ActiveRequest.java
@@ -9,47 +9,51 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.RequestClass;
 
-/** One request in hand: from its reading until it is answered and no run of it can end any more. */
+/**
+ * One request in flight: from its arrival until it is answered and no run of it can end any more.
+ * Owned by the event loop; times in Unix ms.
+ */
 final class ActiveRequest {
     final String id;
 
-    /** The class that it came under, whatever became of it since. */
+    /** Its class as it was in force at the arrival, whatever was changed since. */
     final Catalog.ClassEntry classEntry;
 
-    /** The place of its tenant. */
+    /** The slot of its tenant. */
     final int tenantSlot;
 
     final double deadlineAtMillis;
 
-    /** When it came to the machine, as it says itself. */
+    /** When it came to the machine, as it states itself. */
     final double arrivedAtMillis;
 
     final String resultKey;
 
-    /** Names all tries of one request of a keyed class; null in any other class. */
+    /** The same in all attempts of one request of a keyed class; null in any other class. */
     final String idempotencyKey;
 
     final ResponseSink responseSink;
 
     /**
-     * The bytes to run with, null once it is answered: until then the order may have to be
-     * repeated.
+     * The body, null once the request is answered: until then the run may have to be sent again.
      */
     ByteBuf body;
 
     Progress progress = Progress.NOT_SENT;
     boolean answered;
 
-    /** The link that its RUN was written to is gone: the engine may never have read it. */
+    /** The link that its run was sent on is lost: the engine may never have read it. */
     boolean sentOnLostLink;
 
-    /** Its own entry in the table of keys, or null. */
+    /** Its own entry in the idempotency table, or null. */
     IdempotencyTable.Entry ownEntry;
 
-    /** The kept request that this one repeats, or null, and since when it waits for its result. */
+    /** The entry that this request is a duplicate of, or null. */
     IdempotencyTable.Entry duplicateOf;
 
+    /** Since when it waits for the result of its original. */
     double replayRequestedAtMillis;
+
     private byte[] bodyDigest;
 
     ActiveRequest(
@@ -82,14 +86,14 @@
     }
 
     /**
-     * Whether it was sent to run, or another try of it was: then no answer may say that nothing
+     * Whether it was sent to run, or another attempt of it was: then no answer may say that nothing
      * ran.
      */
     boolean mayHaveRun() {
         return progress != Progress.NOT_SENT || (duplicateOf != null && duplicateOf.runSubmitted());
     }
 
-    /** Tells whether two tries carry the same body; asked for while the body is there. */
+    /** Tells whether two attempts carry the same body; first called while the body is there. */
     byte[] bodyDigest() {
         if (bodyDigest == null) {
             try {
@@ -102,7 +106,7 @@
         return bodyDigest;
     }
 
-    /** Copies the body where it has to outlive the buffer that it was read into. */
+    /** Copies the body, if still needed, as it has to outlive the buffer that it was read into. */
     void copyBody() {
         if (body != null) {
             body = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(body));
--- a/src/main/java/tinroad/core/CatalogRollout.java
+++ b/src/main/java/tinroad/core/CatalogRollout.java
@@ -9,28 +9,26 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * Brings versions of the catalog in force, one after the other: what a version changes is prepared
- * in slices, with other events between them, and counts at one instant. Guards the requests against
- * a wait for a large change. Owned by the event loop.
+ * Brings versions of the catalog in force, one after the other: the changes of a version are staged
+ * in slices, with other events between them, committed at one instant, and then settled in slices.
+ * Guards requests against waiting for a large change. Owned by the event loop.
  */
 final class CatalogRollout {
-    /**
-     * Entries that one slice prepares. Bounds what an event waits for: well under a millisecond.
-     */
+    /** Entries in a slice. Bounds how long other events wait for it: well under a millisecond. */
     static final int SLICE_ENTRIES = 256;
 
-    /** Whose catalog it is. */
+    /** What a version of the catalog is applied to. */
     interface Target {
-        /** Prepares these entries; false where that failed. */
+        /** Prepares these entries, with no effect yet; false where that failed. */
         boolean stage(List<ClassSlot> classes, List<TenantSlot> tenants);
 
-        /** All that was prepared counts from now on; false where that failed. */
+        /** Puts all that was staged in force; false where that failed. */
         boolean commit(Catalog next);
 
-        /** What was prepared never counts. */
+        /** Drops all that was staged since the last commit. */
         void discardStaged();
 
-        /** Does for these entries what can wait until after the commit. */
+        /** Does what remains to be done for these entries after the commit. */
         void settle(List<ClassSlot> classes, List<TenantSlot> tenants);
     }
 
@@ -47,10 +45,10 @@
     private final ArrayDeque<Pending> pending = new ArrayDeque<>();
     private Step step = Step.STAGING;
 
-    /** So many entries of the first that waits are through this step. */
+    /** How many entries of the first pending version are through the current step. */
     private int processedEntries;
 
-    /** The longest slice of the version that came last, in ms: what an event had to wait for. */
+    /** The longest slice of the last version, in ms: so long another event had to wait. */
     private double longestSliceMillis;
 
     CatalogRollout(Target target, Timers timers, Clock clock) {
@@ -60,11 +58,11 @@
     }
 
     /**
-     * Takes a version in its turn; {@code end} hears whether it came in force, once nothing is left
-     * to do for it.
+     * Applies a version once those before it are done. {@code completion} gets whether it came in
+     * force, once it is settled.
      */
-    void add(Catalog next, CatalogDelta delta, Consumer<Boolean> end) {
-        pending.add(new Pending(next, delta, end));
+    void add(Catalog next, CatalogDelta delta, Consumer<Boolean> completion) {
+        pending.add(new Pending(next, delta, completion));
         if (pending.size() == 1) {
             timers.after(0, this::processSlice);
         }
@@ -75,7 +73,10 @@
         return pending.size() - (step == Step.SETTLING ? 1 : 0);
     }
 
-    /** What was prepared is lost: it begins anew. What counts already is settled to its end. */
+    /**
+     * What was staged is lost, and is staged again; a version that is in force already is settled
+     * at once.
+     */
     void restage() {
         if (step == Step.STAGING) {
             processedEntries = 0;
@@ -150,7 +151,7 @@
         return slice(delta.tenants(), processedEntries - delta.classes().size());
     }
 
-    /** What of these the slice holds that begins at {@code from}, counted from their first. */
+    /** The entries of the slice that begins at {@code from}, which may lie outside of the list. */
     private static <T> List<T> slice(List<T> all, int from) {
         int begin = Math.min(all.size(), Math.max(0, from));
         int end = Math.min(all.size(), Math.max(0, from + SLICE_ENTRIES));
--- a/src/main/java/tinroad/core/Clock.java
+++ b/src/main/java/tinroad/core/Clock.java
@@ -11,16 +11,17 @@
     double nowMillis();
 
     /**
-     * A monotonic clock, anchored to Unix time once: a stepped system clock then moves no due time.
+     * A monotonic clock, anchored to Unix time once: a step of the system clock then moves no
+     * deadline.
      */
     static Clock anchored() {
         return anchored(Clock::unixMillis, System::nanoTime);
     }
 
     /**
-     * Anchors at the closest of several pairs of readings. Guards against a process that is set
-     * aside between the two readings, as at a crowded start: its clock would run behind for good,
-     * and its answers be late.
+     * Anchors at the closest of several pairs of readings. Guards against a process that is
+     * descheduled between the two readings, as at a start under load: its clock would run behind
+     * for good, and its answers be late.
      */
     static Clock anchored(DoubleSupplier unixMillis, LongSupplier nanoTime) {
         final int attempts = 20;
--- a/src/main/java/tinroad/core/Frontend.java
+++ b/src/main/java/tinroad/core/Frontend.java
@@ -1,14 +1,17 @@
 package tinroad.core;
 
-/** A protocol's side of the gateway: hands requests in, takes answers, keeps the connections. */
+/**
+ * The side of the gateway that speaks the clients' protocol: owns the connections, hands requests
+ * to the gateway and writes the answers. Called on the event loop.
+ */
 public interface Frontend {
     /**
-     * Closes connections with nothing open that were unused for this long; 0 leaves them to the
-     * callers.
+     * Closes connections without an open request once they were unused for this long; 0 leaves that
+     * to the clients.
      */
     void setIdleTimeout(double idleMillis);
 
-    /** Takes no more connections, and closes each one as soon as it is empty. */
+    /** Accepts no more connections, and closes each one once it has no open request. */
     void closeGracefully();
 
     /** How many connections are open. */
--- a/src/main/java/tinroad/core/GatewayMetrics.java
+++ b/src/main/java/tinroad/core/GatewayMetrics.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * What a gateway has done since its process started, counted where it happens; read by operators.
- * Counts stand at the place of their class: those of a removed class stay under its name until the
- * place is given anew, and so bound the table.
+ * Counts of what a gateway has done since its process started; read by operators. Counts are held
+ * by the slot of their class: those of a removed class stay under its name until the slot is
+ * assigned again, which bounds the table. Owned by the event loop.
  */
 public final class GatewayMetrics {
-    /** With more classes than this at the start, one has a row only from its first answer on. */
+    /** With more classes than this at the start, a class has a row from its first answer on. */
     static final int MAX_EMPTY_ROWS = 256;
 
     private String[] names;
@@ -21,7 +21,7 @@
     private long[] failed;
     private long runs;
 
-    /** A class and its answers. */
+    /** A class and how many of its answers were of each kind; invalid ones count as failed. */
     public record Row(String name, long served, long rejected, long failed) {
         private static Row sum(Row first, Row second) {
             return new Row(
@@ -42,7 +42,7 @@
         failed = new long[names.length];
     }
 
-    /** An answer leaves to a request of the class that has this place. */
+    /** An answer leaves to a request of the class in this slot. */
     void countResponse(int slot, String name, Response.Kind kind) {
         ensureRow(slot, name);
         long[] counts =
@@ -70,12 +70,14 @@
         }
     }
 
-    /** A run is handed to the engine; its repetition on a later link is the same run. */
+    /** A run was sent to the engine; sending it again on a later link is the same run. */
     void countRun() {
         runs++;
     }
 
-    /** The classes in the order of their places; one that was removed and came back is one row. */
+    /**
+     * One row a class, in the order of slots; a class that was removed and added again is one row.
+     */
     public List<Row> rows() {
         Map<String, Row> rows = new LinkedHashMap<>();
         for (int slot = 0; slot < names.length; slot++) {
@@ -89,7 +91,7 @@
         return new ArrayList<>(rows.values());
     }
 
-    /** Runs handed to the engine. */
+    /** How many runs were sent to the engine. */
     public long runs() {
         return runs;
     }
--- a/src/main/java/tinroad/core/IdempotencyTable.java
+++ b/src/main/java/tinroad/core/IdempotencyTable.java
@@ -11,34 +11,37 @@
 import java.util.Map;
 
 /**
- * What repeats what. Reads that the module keeps are known by class and key, while the first runs
- * and for the settings' fresh time after it; none where that time is 0. Tries of keyed classes are
- * known by their token, from the first that is held until no try of the same request may run any
- * more: no memory that runs short, and no failure of the module, makes one of them run twice. See
- * docs/keyed-requests.md for what a repeat gets in each state.
+ * Which requests are duplicates of which, and the results that may be replayed to them. Reads whose
+ * key the controller retains are found by class and result key, while the first of them runs and
+ * for the configured time that results stay fresh; none where that time is 0. Attempts of keyed
+ * classes are found by their idempotency key, from the first that is queued until no attempt of the
+ * same request may run any more: neither a full table nor a failure of the controller makes one of
+ * them run twice. See docs/keyed-requests.md for what a duplicate gets in each state. Owned by the
+ * event loop; times in Unix ms.
  */
 final class IdempotencyTable {
-    /** Bounds the reads kept, whatever the module asks for. */
+    /** Bounds the reads retained, whatever the controller asks for: further ones are not. */
     private static final int MAX_READS = 2000;
 
     /**
-     * Bounds the tokens kept. Where all are taken a new request of a keyed class is turned away:
-     * none is forgotten early.
+     * Bounds the idempotency keys. Where the table is full a new request of a keyed class is
+     * rejected: no key is dropped early.
      */
     static final int MAX_KEYS = 16_384;
 
     /**
-     * Bounds the results of keyed runs in bytes: beyond it the oldest goes, and its repeats fail.
+     * Bounds the results of keyed runs, in bytes: beyond it the oldest is dropped, and its
+     * duplicates fail.
      */
     static final int MAX_RESULT_BYTES = 4 * 1024 * 1024;
 
     /**
-     * Guards the window against clocks and readings that are a little off, in ms: so much longer
-     * nothing runs again.
+     * Extends the window in which nothing runs again, in ms. Guards against clocks and readings
+     * that are a little off.
      */
     static final double WINDOW_MARGIN_MILLIS = 100;
 
-    /** Period of the look for tokens that may be forgotten, in ms. */
+    /** Period of the sweep for keys that have expired, in ms. */
     private static final double SWEEP_INTERVAL_MILLIS = 1000;
 
     private final double resultFreshMillis;
@@ -47,7 +50,7 @@
     private final Map<String, Entry> reads = new LinkedHashMap<>();
     private final Map<String, Entry> keyedRequests = new HashMap<>();
 
-    /** Keyed runs whose result is kept, the oldest first. */
+    /** Keyed requests whose result is retained, oldest first. */
     private final ArrayDeque<Entry> keyedResults = new ArrayDeque<>();
 
     private int resultBytes;
@@ -63,11 +66,11 @@
         this.maxResultBytes = maxResultBytes;
     }
 
-    /** An entry: one request, whichever of its tries runs. */
+    /** One request, whichever of its attempts runs. */
     static final class Entry {
         final String requestId;
 
-        /** The token that names it, and what its tries carry; null for reads. */
+        /** What all its attempts carry; null for reads. */
         private final String idempotencyKey;
 
         private final String className;
@@ -75,12 +78,12 @@
         private double validUntilMillis;
 
         /**
-         * Keyed: a run was ordered, perhaps without effect; from then on none is ordered again
+         * Keyed: a run was submitted, perhaps without effect; from then on none is submitted again
          * within the window.
          */
         private boolean runSubmitted;
 
-        /** Keyed: a try that is due later than this can't be there any more. */
+        /** Keyed: no attempt with a deadline before this can still arrive. */
         private double expiresAtMillis = Double.MAX_VALUE;
 
         private boolean completed;
@@ -99,12 +102,12 @@
             return completed;
         }
 
-        /** Whether a run was ordered for it: then no try of it may be told that nothing ran. */
+        /** Whether a run was submitted: then no attempt may get the answer that nothing ran. */
         boolean runSubmitted() {
             return runSubmitted;
         }
 
-        /** The result that the run made, or null where there is none. */
+        /** The result of the run, or null where there is none. */
         byte[] result() {
             return result;
         }
@@ -118,7 +121,7 @@
         return request.className() + ' ' + request.resultKey;
     }
 
-    /** What this request repeats, or null. */
+    /** The entry that this request is a duplicate of, or null. */
     Entry findOriginal(ActiveRequest request, double nowMillis) {
         if (request.idempotencyKey != null) {
             Entry entry = keyedRequests.get(request.idempotencyKey);
@@ -139,8 +142,9 @@
     }
 
     /**
-     * Whether the window is over for this try. Guards against a try that was written within the
-     * window and is read after it: what it says of its own arrival counts where that is earlier.
+     * Whether the window is over for this attempt. Guards against an attempt that was written
+     * within the window and is read after it: the arrival that it states counts where that is
+     * earlier.
      */
     private static boolean isWindowOver(Entry entry, ActiveRequest request, double nowMillis) {
         return entry.runSubmitted
@@ -149,7 +153,10 @@
                         > entry.validUntilMillis + WINDOW_MARGIN_MILLIS;
     }
 
-    /** Whether the token that it carries names another request: another class, or another body. */
+    /**
+     * Whether the idempotency key of this request stands for another one: of another class, or with
+     * another body.
+     */
     static boolean conflicts(ActiveRequest request, Entry original) {
         return request.idempotencyKey != null
                 && original != null
@@ -158,15 +165,15 @@
     }
 
     /**
-     * Whether a run was ordered for the request that this token, perhaps null, names, and no try of
-     * it may run again yet.
+     * Whether a run was submitted for the request with this key, and no attempt of it may run again
+     * yet; false for null.
      */
     boolean isRunSubmitted(String idempotencyKey) {
         Entry entry = idempotencyKey == null ? null : keyedRequests.get(idempotencyKey);
         return entry != null && entry.runSubmitted;
     }
 
-    /** Whether there is no room for one more token. */
+    /** Whether there is no capacity for one more idempotency key. */
     boolean isFull() {
         return keyedRequests.size() >= maxKeys;
     }
@@ -200,8 +207,8 @@
     }
 
     /**
-     * A run of this request is about to be ordered; false where it must not be: another try of it
-     * has the token. Counts the window from the arrival of this try.
+     * Claims the run that is about to be submitted; false where it must not be, as another attempt
+     * has claimed it. The window counts from the arrival of this attempt.
      */
     boolean claimRun(
             ActiveRequest request, double windowMillis, double deadlineMillis, double nowMillis) {
@@ -221,7 +228,7 @@
         return true;
     }
 
-    /** The run that was to be ordered was not: nothing ran yet. */
+    /** The run that was claimed was not submitted: nothing ran yet. */
     void revokeRun(ActiveRequest request) {
         if (request.ownEntry != null) {
             request.ownEntry.runSubmitted = false;
@@ -232,7 +239,10 @@
         reads.values().removeIf(entry -> entry.requestId.equals(id));
     }
 
-    /** A kept request came to its end; returns the repeats that waited for it. */
+    /**
+     * A request is over, with this result or, where it has none, null; returns the duplicates that
+     * waited for it.
+     */
     List<ActiveRequest> complete(ActiveRequest request, ByteBuf result, double nowMillis) {
         Entry entry = request.ownEntry;
         if (entry == null || entry.completed) {
@@ -245,7 +255,7 @@
         entry.waitingDuplicates.clear();
         if (entry.idempotencyKey != null) {
             if (request.progress == Progress.NOT_SENT) {
-                // It never ran: the next try is a new one.
+                // It never ran: the next attempt is a new request.
                 remove(entry);
             } else if (entry.result != null) {
                 keyedResults.add(entry);
--- a/src/main/java/tinroad/core/IncomingRequest.java
+++ b/src/main/java/tinroad/core/IncomingRequest.java
@@ -3,18 +3,22 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A request as a front read it, free of its protocol.
+ * A request as a frontend read it, free of its protocol.
  *
- * @param id the try's id, 16 hex digits, new with every try
- * @param arrivedAt when it came to the machine, in Unix milliseconds
- * @param kind the name of its class
- * @param owner the name of its tenant
- * @param key what a read is about, or null
- * @param token names all tries of one request of a keyed class; null where none was given
- * @param waitMs how long its caller waits for this try, in ms from {@code arrivedAt}; NaN where it
- *     doesn't tell
- * @param resent whether it is marked as a further try, or a second copy
- * @param body its bytes, only valid during the call that hands it over
+ * @param id of this attempt, 16 hex digits, new with every attempt
+ * @param arrivedAtMillis when it came to the machine, in Unix ms, as the request states
+ * @param className the name of its class
+ * @param tenantName the name of its tenant
+ * @param caller the number of the client proxy
+ * @param memoryKb the memory that is reserved for it while it is in flight, in KB
+ * @param priority from 0 to under 1; under overload the lowest are rejected first
+ * @param resultKey what a read is about, or null
+ * @param idempotencyKey the same in all attempts of one request of a keyed class; null where none
+ *     was given
+ * @param clientTimeoutMillis how long the client waits for this attempt, from {@code
+ *     arrivedAtMillis}; NaN where it doesn't say
+ * @param retry whether it is marked as a retry or a hedged request
+ * @param body its bytes, valid only during the call that passes them
  */
 public record IncomingRequest(
         String id,
@@ -30,7 +34,7 @@
         boolean retry,
         ByteBuf body) {
 
-    /** A first try, so far as it tells, whose caller tells neither a token nor its wait. */
+    /** A request that is not marked as a retry, with neither idempotency key nor timeout. */
     public IncomingRequest(
             String id,
             double arrivedAtMillis,
--- a/src/main/java/tinroad/core/Progress.java
+++ b/src/main/java/tinroad/core/Progress.java
@@ -4,8 +4,8 @@
 public enum Progress {
     /** Nothing was written to the engine. */
     NOT_SENT,
-    /** A RUN was written, perhaps to a link that broke: it may have run. */
+    /** A run command was written, perhaps to a link that broke: it may have run. */
     SENT,
-    /** The engine told how the run ended. */
+    /** The engine reported how the run ended. */
     RAN
 }
--- a/src/main/java/tinroad/core/Response.java
+++ b/src/main/java/tinroad/core/Response.java
@@ -4,24 +4,25 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * A final answer. Errors are values: {@code progress} tells how far the attempt came.
+ * The final answer to a request.
  *
- * @param result the engine's own bytes, empty unless served; only valid during the call that hands
- *     it over
- * @param stayAway how long the caller should stay away, in milliseconds; 0: no advice
- * @param last whether no other gateway should be tried
+ * @param progress how far the attempt came
+ * @param result the engine's own bytes, empty unless served; valid only during the call that passes
+ *     it
+ * @param retryAfterMillis how long the client should send this gateway nothing; 0: no advice
+ * @param doNotRetry whether no other gateway should be tried
  */
 public record Response(
         Kind kind, Progress progress, ByteBuf result, double retryAfterMillis, boolean doNotRetry) {
-    /** What the answer says. */
+    /** What an answer states. */
     public enum Kind {
-        /** The engine's result. */
+        /** It carries the engine's result. */
         SERVED,
-        /** This try never ran. */
+        /** The request was rejected: this attempt never ran. */
         REJECTED,
-        /** No promise. */
+        /** An error; the request may or may not have run. */
         FAILED,
-        /** Not a request that a gateway takes; it never ran. */
+        /** The request is malformed, unknown or already known; this attempt never ran. */
         INVALID
     }
 
@@ -42,7 +43,7 @@
         return new Response(Kind.FAILED, progress, Unpooled.EMPTY_BUFFER, 0, false);
     }
 
-    /** For a request that was malformed. */
+    /** The answer to an invalid request. */
     public static Response invalid() {
         return new Response(Kind.INVALID, Progress.NOT_SENT, Unpooled.EMPTY_BUFFER, 0, false);
     }
--- a/src/main/java/tinroad/core/ResponseSink.java
+++ b/src/main/java/tinroad/core/ResponseSink.java
@@ -3,6 +3,6 @@
 /** Where the one final answer of a request goes. */
 @FunctionalInterface
 public interface ResponseSink {
-    /** Takes the answer; drops it where nobody is left to read it. */
+    /** Takes the answer; drops it where the client has disconnected. */
     void respond(Response response);
 }
--- a/src/main/java/tinroad/core/SlotReferences.java
+++ b/src/main/java/tinroad/core/SlotReferences.java
@@ -6,32 +6,32 @@
 import java.util.function.Consumer;
 
 /**
- * How many requests in hand name each place of classes, or of tenants, and which removed places
- * nothing names any more. Guards against a place that is given anew while a request of the one
- * before still goes by it. Its size is that of the highest place that was named; a request costs
- * two steps, whatever else there is.
+ * How many requests in flight refer to each slot of classes, or of tenants, and which removed slots
+ * none refers to any more. Guards against a slot that is assigned again while a request of its
+ * former class still refers to it. The size is that of the highest slot referred to; a request
+ * costs two steps, whatever the size. Owned by the event loop.
  */
 final class SlotReferences {
     /**
-     * So long, in ms, after nothing names it the module may still know what this gateway has
-     * answered in its stead.
+     * A removed slot stays reserved this long, in ms, after its last reference: the controller may
+     * still know a request that the gateway has answered on its own.
      */
     static final double REUSE_DELAY_MILLIS = 2000;
 
-    /** So many are told free at once. */
+    /** Bounds how many slots are reported free at once; the others follow at the next sweep. */
     static final int MAX_FREED_PER_SWEEP = 256;
 
     private record Unreferenced(int slot, double sinceMillis) {}
 
     private final BitSet removed = new BitSet();
 
-    /** Removed ones that nothing named when they were put here, in the order of time. */
+    /** Removed slots that nothing referred to when they were added here, oldest first. */
     private final ArrayDeque<Unreferenced> unreferenced = new ArrayDeque<>();
 
     private int[] counts = new int[16];
     private Consumer<int[]> freeListener = slots -> {};
 
-    /** Sets who hears of the places that may be given anew. */
+    /** Sets who is notified of the slots that may be assigned again. */
     void onFree(Consumer<int[]> listener) {
         freeListener = listener;
     }
@@ -49,7 +49,7 @@
         }
     }
 
-    /** No request comes under this place any more. */
+    /** The class or tenant of this slot was removed: no further request will refer to it. */
     void remove(int slot, double nowMillis) {
         removed.set(slot);
         if (count(slot) == 0) {
@@ -61,7 +61,7 @@
         return slot < counts.length ? counts[slot] : 0;
     }
 
-    /** Tells the places that were left long enough ago, a bounded part of them. */
+    /** Reports slots that have been without a reference long enough, a bounded number of them. */
     void releaseUnreferenced(double nowMillis) {
         int[] freed = new int[Math.min(MAX_FREED_PER_SWEEP, unreferenced.size())];
         int freedCount = 0;
@@ -69,7 +69,7 @@
                 && !unreferenced.isEmpty()
                 && nowMillis - unreferenced.peek().sinceMillis >= REUSE_DELAY_MILLIS) {
             int slot = unreferenced.remove().slot;
-            // Named anew meanwhile: whoever lets go of it last puts it here again.
+            // Referred to again meanwhile: the last release adds it again.
             if (count(slot) == 0 && removed.get(slot)) {
                 removed.clear(slot);
                 freed[freedCount++] = slot;
