--- a/src/main/java/tinroad/core/IdempotencyTable.java
+++ b/src/main/java/tinroad/core/IdempotencyTable.java
@@ -45,8 +45,6 @@
     private static final double SWEEP_INTERVAL_MILLIS = 1000;
 
     private final double resultFreshMillis;
-    private final int maxKeys;
-    private final int maxResultBytes;
     private final Map<String, Entry> reads = new LinkedHashMap<>();
     private final Map<String, Entry> keyedRequests = new HashMap<>();
 
@@ -57,13 +55,7 @@
     private double nextSweepAtMillis;
 
     IdempotencyTable(double resultFreshMillis) {
-        this(resultFreshMillis, MAX_KEYS, MAX_RESULT_BYTES);
-    }
-
-    IdempotencyTable(double resultFreshMillis, int maxKeys, int maxResultBytes) {
         this.resultFreshMillis = resultFreshMillis;
-        this.maxKeys = maxKeys;
-        this.maxResultBytes = maxResultBytes;
     }
 
     /** One request, whichever of its attempts runs. */
@@ -175,7 +167,7 @@
 
     /** Whether there is no capacity for one more idempotency key. */
     boolean isFull() {
-        return keyedRequests.size() >= maxKeys;
+        return keyedRequests.size() >= MAX_KEYS;
     }
 
     void retain(ActiveRequest request, double validUntilMillis, double nowMillis) {
@@ -260,7 +252,7 @@
             } else if (entry.result != null) {
                 keyedResults.add(entry);
                 resultBytes += entry.result.length;
-                while (resultBytes > maxResultBytes) {
+                while (resultBytes > MAX_RESULT_BYTES) {
                     dropResult(keyedResults.peek());
                 }
             }
