--- a/src/test/java/tinroad/core/ColdFleetTest.java
+++ b/src/test/java/tinroad/core/ColdStartFleetTest.java
@@ -8,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
@@ -22,18 +21,18 @@
 import tinroad.overload.OverloadController;
 
 /**
- * Thirty gateways, each with the real module, before thirty engines that start cold under several
- * times the load that they bear. What reaches an engine is counted where it arrives: all that any
- * process orders, in each span that the settings name. Beyond what they allow there at that moment
- * only two roots and two count as chance, for each engine and for all of them together.
+ * Thirty gateways, each with the real overload controller, in front of thirty engines that start
+ * cold under several times the load that they can take. Runs are counted where they arrive at an
+ * engine, over the window that the settings name. What goes beyond the limit at that moment by no
+ * more than twice its square root, and two, counts as chance, for each engine and for all together.
  */
-class ColdFleetTest {
+class ColdStartFleetTest {
     private static final int GATEWAYS = 30;
     private static final int CORES = 6;
-    private static final double WORK = 250;
+    private static final double WORK_MILLIS = 250;
     private static final Controller.Rules RULES =
             new Controller.Rules(100, 0.2, 16_000, 2500, 8, 1500);
-    private static final double STEP = 5;
+    private static final double STEP_MILLIS = 5;
 
     private record Task(double at, long order, Runnable run) {}
 
@@ -43,22 +42,52 @@
     private double now = 1_000_000;
     private long order;
 
-    /** Six cores that run what they are told, slowly at first; counts what comes. */
+    /** What is left to do of a run: first on a core, then on the disk. */
+    private static final class Run {
+        private final double startedAtMillis;
+        private double coreMillis;
+        private double diskMillis;
+
+        Run(double startedAtMillis, double coreMillis, double diskMillis) {
+            this.startedAtMillis = startedAtMillis;
+            this.coreMillis = coreMillis;
+            this.diskMillis = diskMillis;
+        }
+
+        boolean isOnCore() {
+            return coreMillis > 0;
+        }
+
+        /** The disk is as fast on a cold server as on a warm one. */
+        void progress(double coreStepMillis) {
+            if (isOnCore()) {
+                coreMillis -= coreStepMillis;
+            } else {
+                diskMillis -= STEP_MILLIS;
+            }
+        }
+
+        boolean isOver() {
+            return coreMillis <= 0 && diskMillis <= 0;
+        }
+    }
+
+    /** Six cores that run what is sent, slowly at first; counts the runs that arrive. */
     private final class ColdEngine implements Engine {
-        private final Map<String, double[]> running = new HashMap<>();
-        private final ArrayDeque<Double> came = new ArrayDeque<>();
+        private final Map<String, Run> running = new HashMap<>();
+        private final ArrayDeque<Double> arrivals = new ArrayDeque<>();
         private final Random random;
         private double startedAt = Double.NEGATIVE_INFINITY;
         private Gateway gateway;
-        private final double waits;
-        private double worst;
+        private final double diskMillis;
+        private double worstExcess;
 
-        ColdEngine(long seed, double waits) {
-            this.waits = waits;
+        ColdEngine(long seed, double diskMillis) {
+            this.diskMillis = diskMillis;
             random = new Random(seed);
         }
 
-        double warmth() {
+        double speed() {
             return Math.min(
                     1,
                     RULES.coldStartSpeed()
@@ -67,14 +96,15 @@
                                     / RULES.slowStartMillis());
         }
 
-        double allowed() {
-            return (1 + (RULES.concurrencyPerCore() - 1) * warmth()) * CORES;
+        double limit() {
+            return (1 + (RULES.concurrencyPerCore() - 1) * speed()) * CORES;
         }
 
         @Override
-        public Progress run(String id, String kind, ByteBuf body) {
-            running.put(id, new double[] {-Math.log(1 - random.nextDouble()) * WORK, now, waits});
-            came.add(now);
+        public Progress run(String id, String className, ByteBuf body) {
+            running.put(
+                    id, new Run(now, -Math.log(1 - random.nextDouble()) * WORK_MILLIS, diskMillis));
+            arrivals.add(now);
             return Progress.SENT;
         }
 
@@ -86,40 +116,38 @@
         }
 
         private long onCores() {
-            return running.values().stream().filter(r -> r[0] > 0).count();
+            return running.values().stream().filter(Run::isOnCore).count();
         }
 
         void step() {
-            double rate = warmth() * Math.min(1, CORES / Math.max(1.0, onCores())) * STEP;
-            List<String> over = new ArrayList<>();
-            for (Iterator<Map.Entry<String, double[]>> it = running.entrySet().iterator();
-                    it.hasNext(); ) {
-                Map.Entry<String, double[]> run = it.next();
-                // First the cores, then the disk, which is as fast on a cold server as on a warm
-                // one.
-                run.getValue()[run.getValue()[0] > 0 ? 0 : 2] -=
-                        run.getValue()[0] > 0 ? rate : STEP;
-                if (run.getValue()[0] <= 0 && run.getValue()[2] <= 0) {
-                    over.add(run.getKey());
-                }
-            }
-            for (String id : over.stream().sorted().toList()) {
-                double since = running.remove(id)[1];
-                gateway.onRunEnded(id, RunOutcome.DONE, now - since, Unpooled.EMPTY_BUFFER);
+            double rate = speed() * Math.min(1, CORES / Math.max(1.0, onCores())) * STEP_MILLIS;
+            List<String> ended = new ArrayList<>();
+            running.forEach(
+                    (id, run) -> {
+                        run.progress(rate);
+                        if (run.isOver()) {
+                            ended.add(id);
+                        }
+                    });
+            for (String id : ended.stream().sorted().toList()) {
+                double startedAtMillis = running.remove(id).startedAtMillis;
+                gateway.onRunEnded(
+                        id, RunOutcome.DONE, now - startedAtMillis, Unpooled.EMPTY_BUFFER);
             }
-            while (!came.isEmpty() && came.peek() <= now - RULES.concurrencyWindowMillis()) {
-                came.poll();
+            while (!arrivals.isEmpty()
+                    && arrivals.peek() <= now - RULES.concurrencyWindowMillis()) {
+                arrivals.poll();
             }
-            worst = Math.max(worst, over(came.size(), allowed()));
+            worstExcess = Math.max(worstExcess, excess(arrivals.size(), limit()));
         }
     }
 
-    /** How far beyond what is allowed, in parts of what counts as chance. */
-    private static double over(double came, double allowed) {
-        return (came - allowed) / (2 * Math.sqrt(allowed) + 2);
+    /** How far beyond the limit, as a multiple of what counts as chance. */
+    private static double excess(double arrivals, double limit) {
+        return (arrivals - limit) / (2 * Math.sqrt(limit) + 2);
     }
 
-    private static Site site(boolean tellsCold) {
+    private static Site site(boolean coldStart) {
         Controller.Settings settings =
                 new Controller.Settings(
                         List.of(
@@ -142,7 +170,7 @@
                         CORES,
                         GATEWAYS,
                         10,
-                        tellsCold,
+                        coldStart,
                         false,
                         15000,
                         90_000,
@@ -162,15 +190,15 @@
                 List.of("core_use", "on_cores", "heap_share", "links"));
     }
 
-    private void until(double end, double perSecond, List<ColdEngine> engines, Random random) {
+    private void playUntil(double end, double perSecond, List<ColdEngine> engines, Random random) {
         while (now < end) {
-            now += STEP;
+            now += STEP_MILLIS;
             while (!tasks.isEmpty() && tasks.peek().at() <= now) {
                 tasks.poll().run().run();
             }
             engines.forEach(ColdEngine::step);
             for (ColdEngine engine : engines) {
-                if (random.nextDouble() < perSecond * STEP / 1000) {
+                if (random.nextDouble() < perSecond * STEP_MILLIS / 1000) {
                     String id = String.format("%016x", ++order);
                     engine.gateway.handle(
                             new IncomingRequest(
@@ -190,8 +218,8 @@
     }
 
     /**
-     * Whether the settings tell that the server was just started, or only the engine; or engines
-     * restart under gateways that live on.
+     * Either the settings say that the server was just started, or only the engine says so of
+     * itself; or engines restart under gateways that keep running.
      */
     @ParameterizedTest
     @CsvSource({
@@ -202,15 +230,15 @@
         "5,false,true,0",
         "6,false,true,400"
     })
-    void noColdEngineGetsMoreThanItBears(
-            long seed, boolean settingsTell, boolean engineAlone, double waits) {
+    void sendsNoColdEngineMoreThanItsLimit(
+            long seed, boolean settingsSayCold, boolean onlyEnginesRestart, double diskMillis) {
         Random random = new Random(seed);
         List<ColdEngine> engines = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            ColdEngine engine = new ColdEngine(seed * 1000 + i, waits);
+            ColdEngine engine = new ColdEngine(seed * 1000 + i, diskMillis);
             engine.gateway =
                     new Gateway(
-                            site(settingsTell),
+                            site(settingsSayCold),
                             seed + i,
                             () -> now,
                             (ms, task) -> tasks.add(new Task(now + ms, order++, task)),
@@ -219,15 +247,15 @@
                             NOPLogger.NOP_LOGGER);
             engines.add(engine);
         }
-        if (engineAlone) {
+        if (onlyEnginesRestart) {
             engines.forEach(e -> e.gateway.onAttached(false, 1e6));
-            until(now + 20_000, 40, engines, random);
+            playUntil(now + 20_000, 40, engines, random);
             engines.forEach(
                     e -> {
                         e.gateway.onDetached();
                         e.running.clear();
-                        e.came.clear();
-                        e.worst = 0;
+                        e.arrivals.clear();
+                        e.worstExcess = 0;
                     });
         }
         engines.forEach(
@@ -236,27 +264,29 @@
                     e.gateway.onAttached(true, 0);
                     e.gateway.onCaughtUp();
                 });
-        double allOver = 0;
+        double worstFleetExcess = 0;
         for (double end = now + RULES.slowStartMillis() + 4000; now < end; ) {
-            until(now + 100, 60, engines, random);
-            allOver =
+            playUntil(now + 100, 60, engines, random);
+            worstFleetExcess =
                     Math.max(
-                            allOver,
-                            over(
-                                    engines.stream().mapToInt(e -> e.came.size()).sum(),
-                                    engines.stream().mapToDouble(ColdEngine::allowed).sum()));
+                            worstFleetExcess,
+                            excess(
+                                    engines.stream().mapToInt(e -> e.arrivals.size()).sum(),
+                                    engines.stream().mapToDouble(ColdEngine::limit).sum()));
         }
-        double worst = engines.stream().mapToDouble(e -> e.worst).max().orElseThrow();
+        double worstExcess = engines.stream().mapToDouble(e -> e.worstExcess).max().orElseThrow();
         assertTrue(
-                worst <= 1,
-                "an engine got " + worst + " times what counts as chance beyond what it bears");
+                worstExcess <= 1,
+                "an engine got "
+                        + worstExcess
+                        + " times what counts as chance beyond what it bears");
         assertTrue(
-                allOver <= 1,
+                worstFleetExcess <= 1,
                 "all engines got "
-                        + allOver
+                        + worstFleetExcess
                         + " times what counts as chance beyond what they bear");
         assertTrue(
-                engines.stream().mapToInt(e -> e.came.size()).sum() > GATEWAYS * CORES,
+                engines.stream().mapToInt(e -> e.arrivals.size()).sum() > GATEWAYS * CORES,
                 "they serve in the end");
     }
 }
--- a/src/test/java/tinroad/core/Harness.java
+++ b/src/test/java/tinroad/core/Harness.java
@@ -15,25 +15,25 @@
 import tinroad.overload.Controller;
 
 /**
- * A gateway on a clock that the test moves, between an engine that records and a module that
- * follows a script.
+ * A gateway on a clock that the test advances, with an engine that records its commands and an
+ * overload controller that follows a script.
  */
 public final class Harness implements Clock, Engine {
-    /** How long a request of the keyed class may come again, in ms. */
-    public static final double WINDOW = 3000;
+    /** The window of the keyed class, in ms. */
+    public static final double KEY_WINDOW_MILLIS = 3000;
 
     private record Task(double at, long order, Runnable run) {}
 
     public final Script module = new Script();
 
-    /** What was written to the engine: {@code RUN id kind body}. */
+    /** The run commands sent to the engine: {@code RUN id class body}. */
     public final List<String> runs = new ArrayList<>();
 
-    public final List<String> gaugesAsked = new ArrayList<>();
+    public final List<String> gaugesRequested = new ArrayList<>();
     public boolean linkUp = true;
 
-    /** The next order can't be written: no memory is left for it. */
-    public boolean outOfMemory;
+    /** The next run command can't be written: no memory is left for it. */
+    public boolean failNextRunOutOfMemory;
 
     public double now = 1_000_000;
     public final Gateway gateway;
@@ -43,8 +43,10 @@
     private long order;
 
     /**
-     * With one free class {@code read} (deadline 1 s), one single-shot class {@code order} (2 s), a
-     * tenant.
+     * A gateway that is not attached yet, with an idempotent class {@code read} (deadline 1 s), a
+     * non-idempotent class {@code order} (2 s) and the tenant {@code acme}.
+     *
+     * @param freshFor how long results of reads may be replayed, in ms
      */
     public Harness(double freshFor) {
         this(site(freshFor, false));
@@ -65,7 +67,7 @@
                         NOPLogger.NOP_LOGGER);
     }
 
-    /** An attached gateway that is healthy. */
+    /** An attached gateway that is healthy, with the classes of {@link #Harness}. */
     public static Harness started() {
         Harness harness = new Harness(0);
         harness.gateway.onAttached(false, 0);
@@ -73,8 +75,8 @@
     }
 
     /**
-     * An attached gateway with a keyed class {@code pay} too (deadline 2 s, window {@link
-     * #WINDOW}), whose callers tell their wait.
+     * An attached gateway that also has a keyed class {@code pay} (deadline 2 s, window {@link
+     * #KEY_WINDOW_MILLIS}), and whose clients state their timeout.
      */
     public static Harness keyed() {
         Harness harness = new Harness(site(0, true));
@@ -87,12 +89,13 @@
                 new Controller.Settings(
                         keyed
                                 ? List.of(
-                                        cls(1000, Controller.Idempotency.IDEMPOTENT),
-                                        cls(2000, Controller.Idempotency.NON_IDEMPOTENT),
-                                        cls(2000, Controller.Idempotency.IDEMPOTENT_WITH_KEY))
+                                        requestClass(1000, Controller.Idempotency.IDEMPOTENT),
+                                        requestClass(2000, Controller.Idempotency.NON_IDEMPOTENT),
+                                        requestClass(
+                                                2000, Controller.Idempotency.IDEMPOTENT_WITH_KEY))
                                 : List.of(
-                                        cls(1000, Controller.Idempotency.IDEMPOTENT),
-                                        cls(2000, Controller.Idempotency.NON_IDEMPOTENT)),
+                                        requestClass(1000, Controller.Idempotency.IDEMPOTENT),
+                                        requestClass(2000, Controller.Idempotency.NON_IDEMPOTENT)),
                         List.of(new Controller.Tenant(100, 1)),
                         new Controller.ObjectiveWeights(1, 0, 0, 0),
                         new Controller.Rules(100, 1, 0, 2500, 8, 1500),
@@ -122,7 +125,8 @@
                 List.of("core_use", "on_cores", "heap_share", "links"));
     }
 
-    private static Controller.RequestClass cls(double deadline, Controller.Idempotency semantics) {
+    private static Controller.RequestClass requestClass(
+            double deadline, Controller.Idempotency semantics) {
         return new Controller.RequestClass(
                 deadline / 2,
                 0,
@@ -130,12 +134,12 @@
                 1,
                 0,
                 semantics,
-                semantics == Controller.Idempotency.IDEMPOTENT_WITH_KEY ? WINDOW : 0,
+                semantics == Controller.Idempotency.IDEMPOTENT_WITH_KEY ? KEY_WINDOW_MILLIS : 0,
                 false,
                 0);
     }
 
-    /** Moves the clock on, running what falls due on the way. */
+    /** Advances the clock, running the tasks that become due on the way. */
     public void pass(double ms) {
         double end = now + ms;
         while (!tasks.isEmpty() && tasks.peek().at() <= end) {
@@ -147,7 +151,7 @@
     }
 
     /** Runs the next task, if one is due now. */
-    public boolean step() {
+    public boolean runNextDueTask() {
         if (tasks.isEmpty() || tasks.peek().at() > now) {
             return false;
         }
@@ -162,8 +166,8 @@
 
     @Override
     public Progress run(String id, String kind, ByteBuf body) {
-        if (outOfMemory) {
-            outOfMemory = false;
+        if (failNextRunOutOfMemory) {
+            failNextRunOutOfMemory = false;
             throw new OutOfMemoryError("direct memory");
         }
         if (!linkUp) {
@@ -175,40 +179,35 @@
 
     @Override
     public boolean requestGauges(String tag) {
-        gaugesAsked.add(tag);
+        gaugesRequested.add(tag);
         return linkUp;
     }
 
-    /** A module whose decisions the test writes. */
+    /** An overload controller whose decisions the test scripts. */
     public static final class Script implements Controller {
         public Actions act;
         public Consumer<Request> onRequest = r -> {};
 
-        /** What the module heard, one line an event. */
+        /** The events that the controller got, one line each. */
         public final List<String> heard = new ArrayList<>();
 
         public Request last;
 
-        /**
-         * Entries of each part of a change that it was told of, and how often one came in force.
-         */
-        public final List<Integer> staged = new ArrayList<>();
+        /** How many entries each staged part of a change had, and how often one was committed. */
+        public final List<Integer> stagedEntries = new ArrayList<>();
 
         public int commits;
 
-        /**
-         * Classes and tenants by place, as they are in force by what it was told since its start;
-         * null: removed.
-         */
+        /** Classes and tenants in force, by slot; null: removed. */
         public final Map<Integer, RequestClass> classes = new HashMap<>();
 
         public final Map<Integer, Tenant> tenants = new HashMap<>();
         private final List<Runnable> prepared = new ArrayList<>();
 
-        /** The next part of a change fails. */
-        public boolean failsToStage;
+        /** The next call of {@link #stage} fails. */
+        public boolean failNextStage;
 
-        /** What it was given of an earlier life: run times by class. */
+        /** The restored statistics that it got: run times by class slot. */
         public final Map<String, Double> restored = new HashMap<>();
 
         @Override
@@ -231,11 +230,11 @@
 
         @Override
         public void stage(List<ClassSlot> parts, List<TenantSlot> quotas) {
-            if (failsToStage) {
-                failsToStage = false;
-                throw new IllegalStateException("fails, as the test wants");
+            if (failNextStage) {
+                failNextStage = false;
+                throw new IllegalStateException("fails on purpose");
             }
-            staged.add(parts.size() + quotas.size());
+            stagedEntries.add(parts.size() + quotas.size());
             parts.forEach(c -> prepared.add(() -> classes.put(c.slot(), c.spec())));
             quotas.forEach(t -> prepared.add(() -> tenants.put(t.slot(), t.spec())));
         }
@@ -291,14 +290,14 @@
         }
     }
 
-    /** A requester that notes each answer it gets as {@code KIND progress body}. */
-    public static final class Answers implements ResponseSink {
-        public final List<String> got = new ArrayList<>();
+    /** Records each answer as {@code KIND progress body}. */
+    public static final class ResponseRecorder implements ResponseSink {
+        public final List<String> responses = new ArrayList<>();
 
         @Override
         public void respond(Response a) {
             byte[] body = ByteBufUtil.getBytes(a.result());
-            got.add(
+            responses.add(
                     (a.kind()
                                     + " "
                                     + a.progress()
