--- a/src/main/java/tinroad/gossip/MessageCodec.java
+++ b/src/main/java/tinroad/gossip/MessageCodec.java
@@ -7,205 +7,223 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.security.GeneralSecurityException;
-import java.security.MessageDigest;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
-import javax.crypto.Mac;
-import javax.crypto.spec.SecretKeySpec;
 import tinroad.fleet.MemberIncarnation;
 import tinroad.fleet.MemberStatus;
 import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Message;
 
 /**
- * Messages as datagrams: a byte for the format, CBOR (RFC 8949), and the first 16 bytes of
- * HMAC-SHA-256 (RFC 2104) over both. Two keys are valid, so that one can be exchanged without a
- * moment in which members don't hear each other; the first one signs. Fields that a later version
- * adds are skipped. Owned by one thread.
+ * Messages as datagrams: a byte for the format, CBOR (RFC 8949), and an authentication tag over
+ * both. Fields that a later version adds are skipped. Owned by one thread.
  */
 public final class MessageCodec {
-    /** Longest datagram, in bytes: fits any path without being split. */
+    /** Longest datagram, in bytes: fits any path without fragmentation. */
     public static final int MAX_DATAGRAM_BYTES = 1200;
 
     private static final byte FORMAT = 1;
-    private static final int MAC = 16;
-    private static final String ALGORITHM = "HmacSHA256";
-    private static final int LONGEST_NAME = 64;
+    private static final int MAX_TEXT_CHARS = 64;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private final List<Mac> macs = new ArrayList<>();
+    // The types of messages on the wire.
+    private static final String PING = "ping";
+    private static final String ACK = "ack";
+    private static final String NACK = "nack";
+    private static final String PING_REQUEST = "ask";
+    private static final String SYNC = "sync";
+    private static final String SYNC_WITH_REPLY = "sync?";
+
+    // The codes of a member's status on the wire.
+    private static final int STATUS_ALIVE = 0;
+    private static final int STATUS_SUSPECT = 1;
+    private static final int STATUS_DEAD = 2;
+    private static final int STATUS_LEFT = 3;
+
+    private final DatagramAuthenticator authenticator;
 
     /**
-     * With these keys, each of at least 16 bytes; what is sent bears the first, what comes may bear
-     * any.
+     * With these keys, each of at least 16 bytes: the first one signs what is sent, any of them is
+     * accepted in what is received.
      */
     public MessageCodec(List<byte[]> keys) {
-        try {
-            for (byte[] key : keys) {
-                Mac mac = Mac.getInstance(ALGORITHM);
-                mac.init(new SecretKeySpec(key, ALGORITHM));
-                macs.add(mac);
-            }
-        } catch (GeneralSecurityException e) {
-            // Can't happen: every Java platform has it, and any key of one byte and more will do.
-            throw new IllegalStateException(e);
-        }
+        authenticator = new DatagramAuthenticator(keys);
     }
 
     /**
-     * The datagram; claims that find no room are left out, the last ones first: they ride along
-     * again.
+     * The datagram; updates that it has no room for are left out, the last ones first: they are
+     * piggybacked again.
      */
     public byte[] write(Message message) {
-        int claims = message.updates().size();
-        byte[] all = write(message, claims);
-        while (all.length > MAX_DATAGRAM_BYTES && claims > 0) {
-            claims -= Math.max(1, claims / 8);
-            all = write(message, claims);
+        int updates = message.updates().size();
+        byte[] datagram = write(message, updates);
+        while (datagram.length > MAX_DATAGRAM_BYTES && updates > 0) {
+            updates -= Math.max(1, updates / 8);
+            datagram = write(message, updates);
         }
-        return all;
+        return datagram;
     }
 
-    private byte[] write(Message message, int claims) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(FORMAT);
-        try (JsonGenerator to = CBOR.createGenerator(out)) {
-            to.writeStartArray();
-            if (message instanceof Message.Ping p) {
-                head(to, "ping", p.number(), null);
-            } else if (message instanceof Message.Ack a) {
-                head(to, "ack", a.number(), null);
-            } else if (message instanceof Message.Nack n) {
-                head(to, "nack", n.number(), null);
-            } else if (message instanceof Message.PingRequest a) {
-                head(to, "ask", a.number(), a.address());
-            } else if (message instanceof Message.Sync s) {
-                head(to, s.replyWanted() ? "sync?" : "sync", 0, null);
-            }
-            to.writeStartArray();
-            for (MemberUpdate c : message.updates().subList(0, claims)) {
-                to.writeStartArray();
-                to.writeString(c.name());
-                to.writeString(c.address());
-                to.writeString(c.zone());
-                to.writeNumber(c.incarnation().process());
-                to.writeNumber(c.incarnation().restart());
-                to.writeNumber(c.incarnation().refutation());
-                to.writeNumber(c.status().ordinal());
-                to.writeString(c.by());
-                to.writeEndArray();
+    private byte[] write(Message message, int updates) {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        body.write(FORMAT);
+        try (JsonGenerator cbor = CBOR.createGenerator(body)) {
+            cbor.writeStartArray();
+            writeHeader(cbor, message);
+            cbor.writeStartArray();
+            for (MemberUpdate update : message.updates().subList(0, updates)) {
+                writeUpdate(cbor, update);
             }
-            to.writeEndArray();
-            to.writeEndArray();
+            cbor.writeEndArray();
+            cbor.writeEndArray();
         } catch (IOException e) {
             // Can't happen: the target is memory.
             throw new UncheckedIOException(e);
         }
-        byte[] body = out.toByteArray();
-        byte[] all = Arrays.copyOf(body, body.length + MAC);
-        System.arraycopy(macs.get(0).doFinal(body), 0, all, body.length, MAC);
-        return all;
+        return authenticator.sign(body.toByteArray());
+    }
+
+    private static void writeHeader(JsonGenerator cbor, Message message) throws IOException {
+        if (message instanceof Message.Ping ping) {
+            writeHeader(cbor, PING, ping.number(), "");
+        } else if (message instanceof Message.Ack ack) {
+            writeHeader(cbor, ACK, ack.number(), "");
+        } else if (message instanceof Message.Nack nack) {
+            writeHeader(cbor, NACK, nack.number(), "");
+        } else if (message instanceof Message.PingRequest request) {
+            String address = request.address();
+            writeHeader(cbor, PING_REQUEST, request.number(), address == null ? "" : address);
+        } else if (message instanceof Message.Sync sync) {
+            writeHeader(cbor, sync.replyWanted() ? SYNC_WITH_REPLY : SYNC, 0, "");
+        }
     }
 
-    private static void head(JsonGenerator to, String kind, long number, String address)
+    private static void writeHeader(JsonGenerator cbor, String type, long number, String address)
             throws IOException {
-        to.writeString(kind);
-        to.writeNumber(number);
-        to.writeString(address == null ? "" : address);
+        cbor.writeString(type);
+        cbor.writeNumber(number);
+        cbor.writeString(address);
+    }
+
+    private static void writeUpdate(JsonGenerator cbor, MemberUpdate update) throws IOException {
+        cbor.writeStartArray();
+        cbor.writeString(update.name());
+        cbor.writeString(update.address());
+        cbor.writeString(update.zone());
+        cbor.writeNumber(update.incarnation().process());
+        cbor.writeNumber(update.incarnation().restart());
+        cbor.writeNumber(update.incarnation().refutation());
+        cbor.writeNumber(statusCode(update.status()));
+        cbor.writeString(update.by());
+        cbor.writeEndArray();
+    }
+
+    private static int statusCode(MemberStatus status) {
+        return switch (status) {
+            case ALIVE -> STATUS_ALIVE;
+            case SUSPECT -> STATUS_SUSPECT;
+            case DEAD -> STATUS_DEAD;
+            case LEFT -> STATUS_LEFT;
+        };
+    }
+
+    /** The status of this code, or null where a later version has added it. */
+    private static MemberStatus status(int code) {
+        return switch (code) {
+            case STATUS_ALIVE -> MemberStatus.ALIVE;
+            case STATUS_SUSPECT -> MemberStatus.SUSPECT;
+            case STATUS_DEAD -> MemberStatus.DEAD;
+            case STATUS_LEFT -> MemberStatus.LEFT;
+            default -> null;
+        };
     }
 
     /**
-     * The message in these bytes, or null where they are none of ours: too long, forged, damaged,
-     * of an unknown kind.
+     * The message in a datagram, or null where it is not valid: too long, forged, damaged, or of an
+     * unknown type.
      */
-    public Message read(byte[] all) {
-        int length = all.length - MAC;
-        if (length < 2
-                || all.length > MAX_DATAGRAM_BYTES
-                || all[0] != FORMAT
-                || !signed(all, length)) {
+    public Message read(byte[] datagram) {
+        int bodyLength = datagram.length - DatagramAuthenticator.TAG_BYTES;
+        if (bodyLength < 2
+                || datagram.length > MAX_DATAGRAM_BYTES
+                || datagram[0] != FORMAT
+                || !authenticator.verify(datagram, bodyLength)) {
             return null;
         }
-        try (JsonParser in = CBOR.createParser(all, 1, length - 1)) {
-            return message(in);
+        try (JsonParser cbor = CBOR.createParser(datagram, 1, bodyLength - 1)) {
+            return readMessage(cbor);
         } catch (IOException | IllegalArgumentException e) {
             return null;
         }
     }
 
-    private boolean signed(byte[] all, int length) {
-        byte[] found = Arrays.copyOfRange(all, length, all.length);
-        boolean valid = false;
-        for (Mac mac : macs) {
-            mac.update(all, 0, length);
-            // Both are tried whatever the first says, in constant time.
-            valid |= MessageDigest.isEqual(found, Arrays.copyOf(mac.doFinal(), MAC));
-        }
-        return valid;
-    }
-
-    private static Message message(JsonParser in) throws IOException {
-        expect(in, JsonToken.START_ARRAY);
-        String kind = text(in);
-        long number = number(in);
-        String address = text(in);
-        List<MemberUpdate> claims = new ArrayList<>();
-        expect(in, JsonToken.START_ARRAY);
-        while (in.nextToken() == JsonToken.START_ARRAY) {
-            String name = text(in);
-            String at = text(in);
-            String zone = text(in);
-            MemberIncarnation version = new MemberIncarnation(number(in), small(in), small(in));
-            int status = small(in);
-            String by = text(in);
-            // A later version may say more of a claim, or know a status that this one does not:
-            // then it is no claim here.
-            while (in.nextToken() != JsonToken.END_ARRAY) {
-                in.skipChildren();
-            }
-            if (status < MemberStatus.values().length && !name.isEmpty()) {
-                claims.add(
-                        new MemberUpdate(
-                                name, at, zone, version, MemberStatus.values()[status], by));
+    private static Message readMessage(JsonParser cbor) throws IOException {
+        expect(cbor, JsonToken.START_ARRAY);
+        String type = readText(cbor);
+        long number = readLong(cbor);
+        String address = readText(cbor);
+        List<MemberUpdate> updates = new ArrayList<>();
+        expect(cbor, JsonToken.START_ARRAY);
+        while (cbor.nextToken() == JsonToken.START_ARRAY) {
+            MemberUpdate update = readUpdate(cbor);
+            if (update != null) {
+                updates.add(update);
             }
         }
-        return switch (kind) {
-            case "ping" -> new Message.Ping(number, claims);
-            case "ack" -> new Message.Ack(number, claims);
-            case "nack" -> new Message.Nack(number, claims);
-            case "ask" -> new Message.PingRequest(number, address, claims);
-            case "sync" -> new Message.Sync(false, claims);
-            case "sync?" -> new Message.Sync(true, claims);
+        return switch (type) {
+            case PING -> new Message.Ping(number, updates);
+            case ACK -> new Message.Ack(number, updates);
+            case NACK -> new Message.Nack(number, updates);
+            case PING_REQUEST -> new Message.PingRequest(number, address, updates);
+            case SYNC -> new Message.Sync(false, updates);
+            case SYNC_WITH_REPLY -> new Message.Sync(true, updates);
             default -> null;
         };
     }
 
-    private static void expect(JsonParser in, JsonToken token) throws IOException {
-        if (in.nextToken() != token) {
-            throw new IllegalArgumentException("no " + token);
+    /** The update that the array holds, or null where it has no name or an unknown status. */
+    private static MemberUpdate readUpdate(JsonParser cbor) throws IOException {
+        String name = readText(cbor);
+        String address = readText(cbor);
+        String zone = readText(cbor);
+        MemberIncarnation incarnation =
+                new MemberIncarnation(readLong(cbor), readCount(cbor), readCount(cbor));
+        MemberStatus status = status(readCount(cbor));
+        String by = readText(cbor);
+        // A later version may add fields.
+        while (cbor.nextToken() != JsonToken.END_ARRAY) {
+            cbor.skipChildren();
+        }
+        return status == null || name.isEmpty()
+                ? null
+                : new MemberUpdate(name, address, zone, incarnation, status, by);
+    }
+
+    private static void expect(JsonParser cbor, JsonToken expected) throws IOException {
+        JsonToken found = cbor.nextToken();
+        if (found != expected) {
+            throw new IllegalArgumentException("expected " + expected + ", found " + found);
         }
     }
 
-    private static String text(JsonParser in) throws IOException {
-        expect(in, JsonToken.VALUE_STRING);
-        String text = in.getText();
-        if (text.length() > LONGEST_NAME) {
-            throw new IllegalArgumentException("a name of " + text.length());
+    private static String readText(JsonParser cbor) throws IOException {
+        expect(cbor, JsonToken.VALUE_STRING);
+        String text = cbor.getText();
+        if (text.length() > MAX_TEXT_CHARS) {
+            throw new IllegalArgumentException("text of " + text.length() + " characters");
         }
         return text;
     }
 
-    private static long number(JsonParser in) throws IOException {
-        expect(in, JsonToken.VALUE_NUMBER_INT);
-        return in.getLongValue();
+    private static long readLong(JsonParser cbor) throws IOException {
+        expect(cbor, JsonToken.VALUE_NUMBER_INT);
+        return cbor.getLongValue();
     }
 
-    private static int small(JsonParser in) throws IOException {
-        long value = number(in);
+    private static int readCount(JsonParser cbor) throws IOException {
+        long value = readLong(cbor);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw new IllegalArgumentException("out of range");
+            throw new IllegalArgumentException("out of range: " + value);
         }
         return (int) value;
     }
--- a/src/main/java/tinroad/gossip/UdpTransport.java
+++ b/src/main/java/tinroad/gossip/UdpTransport.java
@@ -31,60 +31,80 @@
 import tinroad.fleet.Message;
 
 /**
- * Brings a membership's messages over UDP, on the event loop; bounded in what it sends and reads,
- * whatever comes in.
+ * Sends and receives a membership's messages over UDP, and drives its timers, on one event loop;
+ * bounded in what it sends and reads, whatever comes in.
  */
 public final class UdpTransport implements Membership.Transport {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
-    private static final long TICK_MS = 20;
+    private static final long TICK_MILLIS = 20;
 
     /**
-     * Datagrams a second at most: what a member sends while a fleet of a hundred loses two fifths
-     * of all is a sixth of it.
+     * A member of a fleet of a hundred that loses two fifths of all datagrams sends a sixth of
+     * this.
      */
-    private static final int MOST_SENT = 300;
+    private static final int MAX_SENT_PER_SECOND = 300;
 
-    private static final int MOST_READ = 1000;
-    private static final double CUT_TOLD = 5000;
-    private static final int MOST_ADDRESSES = 4096;
+    private static final int MAX_READ_PER_SECOND = 1000;
+
+    /** Least time between two log lines on a suspected partition. */
+    private static final double PARTITION_LOG_INTERVAL_MILLIS = 5000;
+
+    /** Parsed addresses that are cached. */
+    private static final int MAX_ADDRESSES = 4096;
 
     private final EventLoop loop;
-    private final InetSocketAddress at;
-    private final MessageCodec datagrams;
+    private final InetSocketAddress bindAddress;
+    private final MessageCodec codec;
     private final DoubleSupplier clock;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private Channel channel;
     private Membership membership;
-    private double second;
-    private int sent;
-    private int read;
-    private boolean cut;
-    private double cutToldAt;
+    private double secondStartMillis;
+    private int sentInSecond;
+    private int readInSecond;
+    private boolean loggedPartition;
+    private double partitionLoggedAtMillis;
 
-    /** A carrier that hears at this address; {@code clock} is Unix ms that never step back. */
+    /**
+     * A transport that is not open yet.
+     *
+     * @param bindAddress to receive on
+     * @param keys that sign datagrams, see {@link MessageCodec}
+     * @param clock Unix ms that never step back
+     */
     public UdpTransport(
-            EventLoop loop, InetSocketAddress at, List<byte[]> keys, DoubleSupplier clock) {
+            EventLoop loop,
+            InetSocketAddress bindAddress,
+            List<byte[]> keys,
+            DoubleSupplier clock) {
         this.loop = loop;
-        this.at = at;
+        this.bindAddress = bindAddress;
         this.clock = clock;
-        datagrams = new MessageCodec(keys);
+        codec = new MessageCodec(keys);
     }
 
     /**
-     * Opens the socket and begins, as this member that knows these addresses; on the event loop.
+     * Opens the socket and joins the fleet.
+     *
+     * @param name of this member
+     * @param process number of this process, see {@link MemberIncarnation}
+     * @param seeds addresses of members that are known to begin with
+     * @param seed of the membership's random draws
+     * @return done once the socket is bound, or failed where it can't be
      */
-    public ChannelFuture start(String name, String zone, long life, List<String> seeds, long seed) {
-        return start(name, zone, life, seeds, seed, new ChannelHandler[0]);
+    public ChannelFuture start(
+            String name, String zone, long process, List<String> seeds, long seed) {
+        return start(name, zone, process, seeds, seed, new ChannelHandler[0]);
     }
 
     /**
      * The same with handlers between the socket and this, for the lab: they count, lose and delay
-     * what goes through.
+     * datagrams.
      */
     public ChannelFuture start(
             String name,
             String zone,
-            long life,
+            long process,
             List<String> seeds,
             long seed,
             ChannelHandler... between) {
@@ -95,87 +115,102 @@
                         .handler(
                                 new ChannelInitializer<NioDatagramChannel>() {
                                     @Override
-                                    protected void initChannel(NioDatagramChannel ch) {
-                                        ch.pipeline().addLast(between).addLast(new Packets());
+                                    protected void initChannel(NioDatagramChannel datagrams) {
+                                        datagrams
+                                                .pipeline()
+                                                .addLast(between)
+                                                .addLast(new DatagramHandler());
                                     }
                                 })
-                        .bind(at);
+                        .bind(bindAddress);
         bound.addListener(
                 done -> {
                     if (done.isSuccess()) {
                         channel = bound.channel();
-                        MemberUpdate self =
-                                new MemberUpdate(
-                                        name,
-                                        text((InetSocketAddress) channel.localAddress()),
-                                        zone,
-                                        new MemberIncarnation(life, 0, 0),
-                                        MemberStatus.ALIVE,
-                                        name);
-                        membership =
-                                new Membership(self, seeds, MembershipConfig.DEFAULT, seed, this);
-                        membership.start(clock.getAsDouble());
-                        loop.scheduleAtFixedRate(
-                                this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-                        LOG.info("hearing on {}", self.address());
+                        join(name, zone, process, seeds, seed);
                     }
                 });
         return bound;
     }
 
-    /** What the socket brings. */
-    private final class Packets extends SimpleChannelInboundHandler<DatagramPacket> {
+    /** The timer's future is dropped: it ends with the event loop. */
+    @SuppressWarnings("FutureReturnValueIgnored")
+    private void join(String name, String zone, long process, List<String> seeds, long seed) {
+        MemberUpdate self =
+                new MemberUpdate(
+                        name,
+                        format((InetSocketAddress) channel.localAddress()),
+                        zone,
+                        new MemberIncarnation(process, 0, 0),
+                        MemberStatus.ALIVE,
+                        name);
+        membership = new Membership(self, seeds, MembershipConfig.DEFAULT, seed, this);
+        membership.start(clock.getAsDouble());
+        loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        LOG.info("receiving on {}", self.address());
+    }
+
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            heard(packet);
+        protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
+            receive(packet);
         }
 
-        /** A member that is gone answers with an ICMP error: probes tell of it. */
+        /** Such as the ICMP error of a member that is gone: its failed probes say it, too. */
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     private void tick() {
         double nowMillis = clock.getAsDouble();
-        if (nowMillis - second >= 1000) {
-            second = nowMillis;
-            sent = 0;
-            read = 0;
+        if (nowMillis - secondStartMillis >= 1000) {
+            secondStartMillis = nowMillis;
+            sentInSecond = 0;
+            readInSecond = 0;
         }
-        guarded(() -> membership.tick(nowMillis));
-        // Told at most every few seconds: at the edge of it both follow each other quickly.
-        if (membership.suspectsPartition() != cut && nowMillis - cutToldAt >= CUT_TOLD) {
-            cutToldAt = nowMillis;
-            cut = membership.suspectsPartition();
+        logFailure(() -> membership.tick(nowMillis));
+        logPartition(nowMillis);
+    }
+
+    /** Logs at most every few seconds: near the threshold the answer changes quickly. */
+    private void logPartition(double nowMillis) {
+        if (membership.suspectsPartition() != loggedPartition
+                && nowMillis - partitionLoggedAtMillis >= PARTITION_LOG_INTERVAL_MILLIS) {
+            partitionLoggedAtMillis = nowMillis;
+            loggedPartition = membership.suspectsPartition();
             LOG.warn(
-                    cut
-                            ? "many are silent together: a cut, or a restart of many"
-                            : "healed: few are silent");
+                    loggedPartition
+                            ? "many members suspected at once: a network partition, or a restart"
+                                    + " of many"
+                            : "partition over: few members are suspected");
         }
     }
 
-    private void heard(DatagramPacket packet) {
-        // Guards the loop: what comes beyond this is not even checked.
+    private void receive(DatagramPacket packet) {
+        // Guards the event loop: datagrams beyond this are dropped before they are verified.
         if (membership == null
-                || ++read > MOST_READ
+                || ++readInSecond > MAX_READ_PER_SECOND
                 || packet.content().readableBytes() > MessageCodec.MAX_DATAGRAM_BYTES) {
             return;
         }
-        Message message = datagrams.read(ByteBufUtil.getBytes(packet.content()));
+        Message message = codec.read(ByteBufUtil.getBytes(packet.content()));
         if (message != null) {
-            guarded(() -> membership.receive(clock.getAsDouble(), text(packet.sender()), message));
+            logFailure(
+                    () ->
+                            membership.receive(
+                                    clock.getAsDouble(), format(packet.sender()), message));
         }
     }
 
     /**
-     * Guards against a fault of the decisions: the timer goes on, and the gateway without its
-     * fleet.
+     * Guards against a fault of the membership: an exception would end the timer. The gateway goes
+     * on alone.
      */
-    private static void guarded(Runnable event) {
+    private static void logFailure(Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
@@ -183,20 +218,22 @@
         }
     }
 
+    /** The write's future is dropped: a datagram may be lost, the protocol allows for it. */
+    @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void send(String address, Message message) {
-        InetSocketAddress to = addresses.computeIfAbsent(address, UdpTransport::address);
-        if (addresses.size() > MOST_ADDRESSES) {
+        InetSocketAddress to = addresses.computeIfAbsent(address, UdpTransport::parse);
+        if (addresses.size() > MAX_ADDRESSES) {
             addresses.remove(addresses.keySet().iterator().next());
         }
-        if (to != null && ++sent <= MOST_SENT) {
+        if (to != null && ++sentInSecond <= MAX_SENT_PER_SECOND) {
             channel.writeAndFlush(
-                    new DatagramPacket(Unpooled.wrappedBuffer(datagrams.write(message)), to));
+                    new DatagramPacket(Unpooled.wrappedBuffer(codec.write(message)), to));
         }
     }
 
-    /** An address in numbers, or null: no name is looked up for what a stranger says. */
-    private static InetSocketAddress address(String text) {
+    /** A numeric address, or null: no host name is resolved that came over the wire. */
+    private static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip =
                 colon < 0
@@ -216,30 +253,30 @@
     @Override
     public void memberChanged(double nowMillis, MemberUpdate before, MemberUpdate after) {
         if (after.name().equals(membership.self().name())) {
-            LOG.debug("of itself: {} {}", after.status(), after.incarnation());
+            LOG.debug("self: {} {}", after.status(), after.incarnation());
         } else if (after.status().isTerminal()) {
             LOG.info(
-                    "{} {}, says {}",
+                    "{} {}, reported by {}",
                     after.name(),
                     after.status() == MemberStatus.LEFT ? "left" : "is dead",
                     after.by());
         } else if (before == null) {
-            LOG.info("{} joined, life {}", after.name(), after.incarnation().process());
+            LOG.info("{} joined, incarnation {}", after.name(), after.incarnation().process());
         } else if (!after.incarnation().sameMembership(before.incarnation())) {
-            LOG.info("{} is back, life {}", after.name(), after.incarnation().process());
+            LOG.info("{} rejoined, incarnation {}", after.name(), after.incarnation().process());
         } else {
             LOG.debug("{} {} by {}", after.name(), after.status(), after.by());
         }
     }
 
-    /** Says that this member leaves. */
+    /** Leaves the fleet, see {@link Membership#leave}; does nothing before the socket is open. */
     public void leave() {
         if (membership != null) {
             membership.leave(clock.getAsDouble());
         }
     }
 
-    /** What is known, or null before the socket is open. */
+    /** The membership, or null before the socket is open. */
     public Membership membership() {
         return membership;
     }
--- a/src/test/java/tinroad/lab/RememberingTest.java
+++ b/src/test/java/tinroad/lab/RememberingTest.java
@@ -69,12 +69,13 @@
             String log = Files.readString(dir.resolve("run/g" + g + "/log"));
             for (int other = 0; other < 5; other++) {
                 assertTrue(
-                        other == g || log.contains("fleet - g" + other + " joined, life 1"), log);
+                        other == g || log.contains("fleet - g" + other + " joined, incarnation 1"),
+                        log);
             }
             assertTrue(
-                    log.contains("fleet - g2 is back, life 2")
-                            && log.contains("fleet - g4 left, says g4")
-                            && log.contains("fleet - g4 is back, life 2"),
+                    log.contains("fleet - g2 rejoined, incarnation 2")
+                            && log.contains("fleet - g4 left, reported by g4")
+                            && log.contains("fleet - g4 rejoined, incarnation 2"),
                     log);
             assertTrue(!log.contains("g3 is dead"), log);
         }
