--- a/src/main/java/tinroad/recovery/ConfigReloadBackoff.java
+++ b/src/main/java/tinroad/recovery/ConfigReloadBackoff.java
@@ -3,54 +3,47 @@
 import java.util.SplittableRandom;
 
 /**
- * When to read the configuration again without being told to, as the engine is gone and may have
- * moved. Guards against a signal that never came: it then costs seconds and not the day. While the
- * engine stays away the readings grow rarer, at the gaps of {@link DecorrelatedJitterBackoff},
- * which keep the gateways of a fleet that all lost their engines at once out of step. Owned by the
- * thread that asks.
+ * When to reload the configuration without a signal, while the engine is unreachable and may have
+ * moved: guards against a SIGHUP that never came. Reloads grow rarer at the intervals of {@link
+ * DecorrelatedJitterBackoff}, which keeps gateways that lost their engines at once out of step.
+ * Times in ms. Owned by one thread.
  */
 public final class ConfigReloadBackoff {
-    /**
-     * So long, in ms, the engine is away before the first reading: links break and come back all
-     * the time.
-     */
+    /** The engine is unreachable this long before the first reload: links break all the time. */
     public static final double FIRST_MILLIS = 1000;
 
-    /** The first reading is spread over this time, in ms. */
+    /** The first reload is spread over this time. */
     public static final double SPREAD_MILLIS = 500;
 
-    /** The longest time between two readings, in ms. */
+    /** The longest interval between two reloads. */
     public static final double CAP_MILLIS = 8000;
 
     private final SplittableRandom random;
-    private final DecorrelatedJitterBackoff gaps;
-    private boolean gone;
-    private double nextAt;
+    private final DecorrelatedJitterBackoff backoff;
+    private boolean engineLost;
+    private double nextReloadMillis;
 
-    /** Readings out of step with those of any other name or seed. */
+    /** Out of step with the reloads of any other name or seed. */
     public ConfigReloadBackoff(String name, long seed) {
         random = SeededRandom.of(name, seed);
-        gaps = new DecorrelatedJitterBackoff(name, seed, FIRST_MILLIS, CAP_MILLIS);
+        backoff = new DecorrelatedJitterBackoff(name, seed, FIRST_MILLIS, CAP_MILLIS);
     }
 
-    /**
-     * Whether to read at {@code now}, in ms; asked again and again, {@code reached} telling whether
-     * the engine is there.
-     */
-    public boolean due(double nowMillis, boolean reached) {
-        if (reached) {
-            gone = false;
+    /** Whether to reload now; to be called every few hundred ms. */
+    public boolean due(double nowMillis, boolean engineReachable) {
+        if (engineReachable) {
+            engineLost = false;
             return false;
         }
-        if (!gone) {
-            gone = true;
-            gaps.reset();
-            nextAt = nowMillis + FIRST_MILLIS + random.nextDouble(SPREAD_MILLIS);
+        if (!engineLost) {
+            engineLost = true;
+            backoff.reset();
+            nextReloadMillis = nowMillis + FIRST_MILLIS + random.nextDouble(SPREAD_MILLIS);
         }
-        if (nowMillis < nextAt) {
+        if (nowMillis < nextReloadMillis) {
             return false;
         }
-        nextAt = nowMillis + gaps.nextMillis();
+        nextReloadMillis = nowMillis + backoff.nextMillis();
         return true;
     }
 }
--- a/src/main/java/tinroad/recovery/DecorrelatedJitterBackoff.java
+++ b/src/main/java/tinroad/recovery/DecorrelatedJitterBackoff.java
@@ -3,36 +3,36 @@
 import java.util.SplittableRandom;
 
 /**
- * When to try a lost link again: decorrelated jitter, where the next gap is drawn from the first
- * one to three times the last one, up to a cap. Only proof of life begins it anew, not a connection
- * that came about: a peer that accepts and says nothing is tried ever more rarely. Name and seed
- * keep the gateways of a fleet out of step that lost their links in the same moment. Owned by the
- * thread that connects; times in ms.
+ * Backoff with decorrelated jitter: the next delay is drawn from the first one to three times the
+ * last one, up to a cap. To be reset only once the other side has proven that it is alive, not by a
+ * connection alone: a peer that accepts and stays silent is retried ever more rarely. Name and seed
+ * keep gateways out of step that lost their links at once. Times in ms. Owned by one thread.
  */
 public final class DecorrelatedJitterBackoff {
     private static final double GROWTH = 3;
 
     private final SplittableRandom random;
-    private final double first;
-    private final double cap;
-    private double gap;
+    private final double firstMillis;
+    private final double capMillis;
+    private double delayMillis;
 
-    /** Gaps from {@code first} to {@code cap}, drawn by what tells this gateway from all others. */
-    public DecorrelatedJitterBackoff(String name, long seed, double first, double cap) {
+    /** Delays from {@code firstMillis} to {@code capMillis}. */
+    public DecorrelatedJitterBackoff(String name, long seed, double firstMillis, double capMillis) {
         random = SeededRandom.of(name, seed);
-        this.first = first;
-        this.cap = cap;
-        gap = first;
+        this.firstMillis = firstMillis;
+        this.capMillis = capMillis;
+        delayMillis = firstMillis;
     }
 
-    /** How long to wait before the next attempt. */
+    /** The delay before the next attempt. */
     public double nextMillis() {
-        gap = Math.min(cap, random.nextDouble(first, Math.max(GROWTH * gap, Math.nextUp(first))));
-        return gap;
+        double boundMillis = Math.max(GROWTH * delayMillis, Math.nextUp(firstMillis));
+        delayMillis = Math.min(capMillis, random.nextDouble(firstMillis, boundMillis));
+        return delayMillis;
     }
 
-    /** The other side has proven that it lives, or another address is tried. */
+    /** Begins anew: the other side is alive, or another address is tried. */
     public void reset() {
-        gap = first;
+        delayMillis = firstMillis;
     }
 }
--- a/src/main/java/tinroad/recovery/JitteredInterval.java
+++ b/src/main/java/tinroad/recovery/JitteredInterval.java
@@ -3,23 +3,24 @@
 import java.util.SplittableRandom;
 
 /**
- * A period that keeps no two gateways in step: each gap is drawn anew, so that a fleet that started
- * in one moment has spread over the whole period after a few gaps, and stays so. Times in ms.
+ * A period with jitter: each interval is drawn anew, so that gateways that started at once are
+ * spread over the whole period after a few intervals, and stay so. Times in ms. Owned by one
+ * thread.
  */
 public final class JitteredInterval {
     private final SplittableRandom random;
-    private final double period;
+    private final double periodMillis;
     private final double spread;
 
-    /** Gaps of {@code period} more or less {@code spread}, a share of it. */
-    public JitteredInterval(String name, long seed, double period, double spread) {
+    /** Intervals of a period, plus or minus at most {@code spread}, a part of it. */
+    public JitteredInterval(String name, long seed, double periodMillis, double spread) {
         random = SeededRandom.of(name, seed);
-        this.period = period;
+        this.periodMillis = periodMillis;
         this.spread = spread;
     }
 
-    /** How long to wait until the next time. */
+    /** The time until the next event. */
     public double nextMillis() {
-        return period * (1 + spread * random.nextDouble(-1, 1));
+        return periodMillis * (1 + spread * random.nextDouble(-1, 1));
     }
 }
--- a/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
+++ b/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
@@ -1,80 +1,79 @@
 package tinroad.recovery;
 
 /**
- * The phases of one life of a gateway. An engine that was started, at the gateway's own start or
- * later, is watched until it has shown what it can do; one that was up all the time is taken at its
- * word, unless what this gateway remembers can't be trusted. Times in ms. Owned by one thread.
+ * The recovery phase of a gateway process. An engine that was started, with the gateway or later,
+ * is watched through {@link SlowStart}; one that was already running counts as recovered, unless
+ * the restored state was rejected. It observes and reports only: nothing is limited by it. Times in
+ * ms. Owned by one thread.
  */
 public final class RecoveryPhaseTracker {
-    /** Where a gateway stands. */
+    /** The phases. Their names in lower case are values that the admin endpoint reports. */
     public enum Phase {
-        /** The engine was never there: nothing is taken. */
+        /** The engine has not been attached yet. */
         STARTING,
-        /** The engine has shown nothing yet. */
+        /** A new engine process, of which no run has completed. */
         COLD,
-        /** The engine shows more and more. */
+        /** Slow start: the engine shows more and more throughput. */
         RAMPING,
-        /** It has shown what it can do. */
+        /** Slow start is over, or was not needed. */
         FULL,
-        /** A notice to leave has come; what the engine shows changes nothing any more. */
+        /** Graceful shutdown; the last phase, whatever the engine does. */
         DRAINING
     }
 
     private final int cores;
-    private double usualRun;
-    private final boolean distrusts;
-    private SlowStart ramp;
+    private final boolean distrustsState;
+    private double expectedRunMillis;
+
+    /** Of the engine that is watched, else null. */
+    private SlowStart slowStart;
+
     private Phase phase = Phase.STARTING;
     private double since;
+    private double attachedAtMillis;
     private double fullAfterMillis = Double.NaN;
-    private double engineAt;
     private String reason = "the engine was never there";
 
     /**
-     * A life that begins at {@code now}.
+     * A process that starts now.
      *
-     * @param usualRun ms that a run is expected to take, by what is known before any has ended
-     * @param distrusts what was remembered is not believed: an engine that was up all the time is
-     *     watched, too
+     * @param expectedRunMillis of a run, by what is known before any has completed
+     * @param distrustsState whether restored state was rejected: then an engine that was already
+     *     running is watched, too
      */
-    public RecoveryPhaseTracker(double nowMillis, int cores, double usualRun, boolean distrusts) {
+    public RecoveryPhaseTracker(
+            double nowMillis, int cores, double expectedRunMillis, boolean distrustsState) {
         this.cores = cores;
-        this.usualRun = usualRun;
-        this.distrusts = distrusts;
+        this.expectedRunMillis = expectedRunMillis;
+        this.distrustsState = distrustsState;
         since = nowMillis;
     }
 
-    /**
-     * What a run is expected to take by what is told now: an engine that is watched from now on is
-     * judged by it.
-     */
-    public void setExpectedRunMillis(double ms) {
-        usualRun = ms;
+    /** Changes what a run is expected to take, for an engine that is watched from now on. */
+    public void setExpectedRunMillis(double millis) {
+        expectedRunMillis = millis;
     }
 
-    /**
-     * The engine is there; {@code started} is whether that is a start of it which this gateway has
-     * not seen yet.
-     */
+    /** The engine is attached; {@code started}: as a process not seen before by this gateway. */
     public void engineAttached(double nowMillis, boolean started) {
         if (phase == Phase.DRAINING || (phase != Phase.STARTING && !started)) {
             return;
         }
-        engineAt = nowMillis;
-        if (started || distrusts) {
-            ramp = new SlowStart(nowMillis, cores, usualRun);
-            become(
+        attachedAtMillis = nowMillis;
+        if (started || distrustsState) {
+            slowStart = new SlowStart(nowMillis, cores, expectedRunMillis);
+            enter(
                     Phase.COLD,
                     nowMillis,
-                    started ? "the engine has started" : "what was remembered is not believed");
+                    started ? "the engine has started" : "the restored state was rejected");
         } else {
-            ramp = null;
+            slowStart = null;
             fullAfterMillis = 0;
-            become(Phase.FULL, nowMillis, "the engine was up all the time");
+            enter(Phase.FULL, nowMillis, "the engine was already running");
         }
     }
 
-    private void become(Phase next, double nowMillis, String reason) {
+    private void enter(Phase next, double nowMillis, String reason) {
         if (phase != next) {
             phase = next;
             since = nowMillis;
@@ -82,77 +81,77 @@
         this.reason = reason;
     }
 
-    /** A request came, and was taken in or turned away. */
-    public void requestArrived(boolean in) {
-        if (ramp != null) {
-            ramp.requestArrived(in);
+    /** A request arrived, and was admitted or rejected. */
+    public void requestArrived(boolean admitted) {
+        if (slowStart != null) {
+            slowStart.requestArrived(admitted);
         }
     }
 
-    /** A run ended after {@code took}, where its class is expected to take {@code usual}. */
-    public void runCompleted(double nowMillis, double took, double usual) {
-        if (ramp != null) {
-            ramp.runCompleted(nowMillis, took, usual);
-            follow(nowMillis);
+    /** A run has completed, whose class is expected to take {@code expectedMillis}. */
+    public void runCompleted(double nowMillis, double tookMillis, double expectedMillis) {
+        if (slowStart != null) {
+            slowStart.runCompleted(nowMillis, tookMillis, expectedMillis);
+            followSlowStart(nowMillis);
         }
     }
 
-    /** Time passes. */
+    /** Lets time pass; to be called every few ms. */
     public void tick(double nowMillis) {
-        if (ramp != null) {
-            ramp.tick(nowMillis);
-            follow(nowMillis);
+        if (slowStart != null) {
+            slowStart.tick(nowMillis);
+            followSlowStart(nowMillis);
         }
     }
 
-    private void follow(double nowMillis) {
+    private void followSlowStart(double nowMillis) {
         if (phase == Phase.DRAINING) {
             return;
         }
-        switch (ramp.phase()) {
-            case COLD -> reason = ramp.reason();
-            case RAMPING -> become(Phase.RAMPING, nowMillis, ramp.reason());
-            default -> {
-                fullAfterMillis = nowMillis - engineAt;
-                become(Phase.FULL, nowMillis, ramp.reason());
-                ramp = null;
+        switch (slowStart.phase()) {
+            case COLD -> reason = slowStart.reason();
+            case RAMPING -> enter(Phase.RAMPING, nowMillis, slowStart.reason());
+            case FULL -> {
+                fullAfterMillis = nowMillis - attachedAtMillis;
+                enter(Phase.FULL, nowMillis, slowStart.reason());
+                slowStart = null;
             }
         }
     }
 
-    /** The notice to leave has come. */
+    /** Graceful shutdown has begun. */
     public void drainingBegan(double nowMillis) {
-        ramp = null;
-        become(Phase.DRAINING, nowMillis, "told to leave");
+        slowStart = null;
+        enter(Phase.DRAINING, nowMillis, "shutdown notice received");
     }
 
-    /** Where it stands. */
+    /** The phase now. */
     public Phase phase() {
         return phase;
     }
 
-    /** Since when. */
+    /** When the phase began, in ms. */
     public double since() {
         return since;
     }
 
     /**
-     * What the watched engine has shown itself good for, in requests a second; NaN while none is
-     * watched.
+     * The request rate that the watched engine has shown itself good for, a second; NaN while none
+     * is watched.
      */
     public double demonstratedRatePerSecond() {
-        return ramp == null ? Double.NaN : ramp.ratePerSecondLimit();
+        return slowStart == null ? Double.NaN : slowStart.ratePerSecondLimit();
     }
 
     /**
-     * Time from the engine's last start to the end of the watch; 0 where there was none, NaN while
-     * it is not over.
+     * Time from the attachment of the engine to the end of slow start; 0 where there was none, NaN
+     * while it is not over.
      */
     public double fullAfterMillis() {
         return phase == Phase.COLD || phase == Phase.RAMPING ? Double.NaN : fullAfterMillis;
     }
 
-    /** Why it stands there, for operators. */
+    /** What the phase rests on, for operators. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/tinroad/recovery/RestoredState.java
+++ b/src/main/java/tinroad/recovery/RestoredState.java
@@ -3,57 +3,59 @@
 import java.util.Map;
 import tinroad.overload.Controller.Estimate;
 
-/** What an earlier life of this gateway left, for the one that begins. */
+/** State that earlier processes of this gateway stored, for the one that starts. */
 public interface RestoredState {
     /**
-     * A value that is used again.
+     * A learned value that is used again.
      *
-     * @param known faded by its age
-     * @param age ms since it was last true, at the moment of its use
-     * @param life that learned it
+     * @param estimate decayed by its age
+     * @param ageMillis since it was last true, at the moment of its use
+     * @param incarnation of the process that learned it
      */
     record RestoredValue(Estimate estimate, double ageMillis, long incarnation) {}
 
     /**
-     * What may be used at {@code now}, Unix ms, of what this life would begin with otherwise,
-     * {@code priors}.
+     * The stored values that may be used in place of {@code priors}, by their names.
+     *
+     * @param priors what this process would start with otherwise
+     * @param nowMillis Unix ms
      */
     Map<String, RestoredValue> restore(Map<String, Estimate> priors, double nowMillis);
 
-    /** The life has begun, with these values: some recalled, the others assumed. */
+    /** The process has started with these values, some of them restored. */
     void started(Map<String, Estimate> values);
 
-    /** Ids that ran or may have, with their due times in Unix ms: none may run again. */
+    /** Ids of requests that were or may have been executed, with their deadlines in Unix ms. */
     Map<String, Double> executedIds();
 
-    /** Whether operators had the gateway taken off the list. */
+    /** Whether operators had evacuated the gateway. */
     boolean evacuated();
 
-    /** Epoch of the catalog of classes and tenants that was in force; 0 where none was told. */
+    /** Epoch of the catalog of classes and tenants that was in force; 0 where there was none. */
     default long catalogEpoch() {
         return 0;
     }
 
-    /** Its version within the epoch. */
+    /** Number of the catalog within its epoch. */
     default long catalogNumber() {
         return 0;
     }
 
-    /** The number of this life; 0 where nothing lasts. */
+    /** Number of this process; 0 where no state is stored. */
     long incarnation();
 
-    /** How the life began, for operators. */
+    /** How the process started: first, warm or cold, or a text where no state is stored. */
     String startMode();
 
     /**
-     * Whether something was remembered and is not believed: then an engine that was up all the time
-     * is watched as one that was started.
+     * Whether state was stored and rejected: then an engine that was already running is watched
+     * like one that was started.
      */
     default boolean distrustsState() {
         return false;
     }
 
-    /** A gateway of which nothing lasts. */
+    /** For a gateway that stores no state. */
     RestoredState NONE =
             new RestoredState() {
                 @Override
--- a/src/main/java/tinroad/recovery/SeededRandom.java
+++ b/src/main/java/tinroad/recovery/SeededRandom.java
@@ -2,13 +2,11 @@
 
 import java.util.SplittableRandom;
 
-/** Random numbers by what tells one gateway from all others. */
+/** Random numbers that differ between gateways, and are the same in each run with one seed. */
 final class SeededRandom {
     private SeededRandom() {}
 
-    /**
-     * The numbers of this gateway and start; none of another's, however near its name or seed is.
-     */
+    /** A generator that depends on every bit of the seed and of the name's hash code. */
     static SplittableRandom of(String name, long seed) {
         return new SplittableRandom(seed ^ (long) name.hashCode() << Integer.SIZE);
     }
--- a/src/main/java/tinroad/recovery/SlowStart.java
+++ b/src/main/java/tinroad/recovery/SlowStart.java
@@ -1,167 +1,191 @@
 package tinroad.recovery;
 
 /**
- * How much a gateway takes in after its engine has started: bounded by what the engine has shown so
- * far, never by the clock. It measures in windows: runs that ended a second, and how long they took
- * against their class. While the bound is what limits, a window without harm raises it by a step,
- * one with harm cuts it back to a part of what ended. It is over once the demand has stayed under
- * the bound, or once more room brings no more ends: then the engine has shown all that it has, at
- * whatever speed, and the module's own admission is enough. Times in ms, rates a second. Owned by
- * one thread.
+ * Slow start of an engine that was started: a limit on the rate of admitted requests, set by what
+ * the engine has shown so far, never by the clock. It measures in windows: the throughput of
+ * completed runs, and their slowdown against what their class usually takes. While the limit binds,
+ * a window without congestion raises it by a factor, a congested one sets it back to a part of the
+ * throughput. Slow start is over once the demand has stayed below the limit, or once a higher limit
+ * has brought no more throughput for a while: then the admission control of the overload controller
+ * is enough. Times in ms, rates a second. Owned by one thread.
  */
 public final class SlowStart {
-    /** What a gateway may do. */
+    /** The phase of slow start. */
     public enum Phase {
-        /** Nothing has ended yet: a few runs at a time, to see. */
+        /** No run has completed yet: the least rate. */
         COLD,
-        /** The bound rises and falls with what is measured. */
+        /** The limit rises and falls with what is measured. */
         RAMPING,
-        /** No bound. */
+        /** Over: no limit. */
         FULL
     }
 
-    /**
-     * A window is at least this long, and has at least so many ends a core, or this long without
-     * them.
-     */
-    private static final double WINDOW = 200;
+    /** A window is at least this long, and has this many completions a core ... */
+    private static final double MIN_WINDOW_MILLIS = 200;
+
+    private static final int COMPLETIONS_PER_CORE = 3;
 
-    private static final int ENDS_PER_CORE = 3;
-    private static final double LONGEST_WINDOW = 1000;
+    /** ... or is this long. */
+    private static final double MAX_WINDOW_MILLIS = 1000;
 
-    /** Steps of the bound: up without harm, and what of the ends is left after harm. */
-    private static final double STEP = 1.5;
+    /** The limit's factor after a window in which it was binding, without congestion. */
+    private static final double INCREASE_FACTOR = 1.5;
 
-    private static final double CUT = 0.85;
+    /** The limit after a congested window, as a part of its throughput. */
+    private static final double DECREASE_FACTOR = 0.85;
 
-    /** Runs this much slower than the quickest lately, with no more of them ending, are harm. */
-    private static final double HARM = 1.8;
+    /** Runs this much slower than the fastest lately, without more throughput, are congestion. */
+    private static final double CONGESTED_SLOWDOWN = 1.8;
 
-    private static final double NO_MORE = 1.05;
+    private static final double MORE_THAN_PREVIOUS = 1.05;
 
     /**
-     * Runs this much slower are harm whatever ends: a crowd has formed, and the ends come of what
-     * was taken before.
+     * Runs this much slower are congestion whatever the throughput, which then comes from requests
+     * admitted earlier.
      */
-    private static final double CROWD = 3;
+    private static final double SEVERE_SLOWDOWN = 3;
 
-    /** The bound limits when this part of it was taken. */
-    private static final double LIMITS = 0.85;
+    /** The limit is binding when this part of it was admitted. */
+    private static final double BINDING_PART = 0.85;
 
-    /** Windows in a row under the bound that end the ramp. */
-    private static final int QUIET = 5;
+    /** Windows in a row below the limit that end slow start. */
+    private static final int WINDOWS_BELOW_LIMIT = 5;
 
-    /** Time in which more room brings no more ends by this factor: the engine has no more. */
-    private static final double PLATEAU = 4000;
+    /** Slow start ends where the best throughput has not grown by this factor for this time. */
+    private static final double PLATEAU_MILLIS = 4000;
 
-    private static final double MORE = 1.08;
+    private static final double MORE_THAN_BEST = 1.08;
 
-    /** How fast the memory of the quickest runs fades, a window. */
-    private static final double FADE = 1.02;
+    /** The fastest slowdown is forgotten by this factor a window. */
+    private static final double FASTEST_DECAY = 1.02;
+
+    /** What was counted since the window began. */
+    private static final class Window {
+        private double startMillis;
+        private int admitted;
+        private int rejected;
+        private int completions;
+        private double slowdownSum;
+
+        void restart(double nowMillis) {
+            startMillis = nowMillis;
+            completions = 0;
+            admitted = 0;
+            rejected = 0;
+            slowdownSum = 0;
+        }
+    }
 
     private final int cores;
-    private final double least;
+    private final double minRatePerSecond;
+    private final Window window = new Window();
     private Phase phase = Phase.COLD;
-    private double rate;
-    private double windowAt;
-    private int taken;
-    private int turnedAway;
-    private int ends;
-    private double stretch;
-    private double quickest = Double.POSITIVE_INFINITY;
-    private double endsBefore;
-    private double best;
-    private double bestAt;
-    private int quiet;
-    private String reason = "nothing has ended yet";
+    private double ratePerSecond;
+    private double fastestSlowdown = Double.POSITIVE_INFINITY;
+    private double previousThroughput;
+    private double bestThroughput;
+    private double bestThroughputAtMillis;
+    private int windowsBelowLimit;
+    private String reason = "no run has completed yet";
 
     /**
-     * A ramp that begins at {@code now}.
+     * Slow start of an engine with so many cores.
      *
-     * @param usualRun ms that a run is expected to take, by what is known before any has ended
+     * @param expectedRunMillis of a run, by what is known before any has completed
      */
-    public SlowStart(double nowMillis, int cores, double usualRun) {
+    public SlowStart(double nowMillis, int cores, double expectedRunMillis) {
         this.cores = cores;
-        least = cores * 1000 / usualRun;
-        rate = least;
-        windowAt = nowMillis;
-        bestAt = nowMillis;
+        minRatePerSecond = cores * 1000 / expectedRunMillis;
+        ratePerSecond = minRatePerSecond;
+        window.startMillis = nowMillis;
+        bestThroughputAtMillis = nowMillis;
     }
 
-    /** A request came, and was taken in or turned away. */
-    public void requestArrived(boolean in) {
-        taken += in ? 1 : 0;
-        turnedAway += in ? 0 : 1;
+    /** A request arrived, and was admitted or rejected. */
+    public void requestArrived(boolean admitted) {
+        window.admitted += admitted ? 1 : 0;
+        window.rejected += admitted ? 0 : 1;
     }
 
-    /** A run ended after {@code took} ms, where its class usually takes {@code usual}. */
-    public void runCompleted(double nowMillis, double took, double usual) {
-        ends++;
-        stretch += took / usual;
+    /** A run has completed, whose class usually takes {@code expectedMillis}. */
+    public void runCompleted(double nowMillis, double tookMillis, double expectedMillis) {
+        window.completions++;
+        window.slowdownSum += tookMillis / expectedMillis;
         if (phase == Phase.COLD) {
             phase = Phase.RAMPING;
-            bestAt = nowMillis;
+            bestThroughputAtMillis = nowMillis;
         }
     }
 
-    /** Time passes: ends a window that has seen enough. */
+    /** Evaluates the window where it has seen enough; to be called every few ms. */
     public void tick(double nowMillis) {
-        double length = nowMillis - windowAt;
+        double lengthMillis = nowMillis - window.startMillis;
         if (phase == Phase.FULL
-                || length < WINDOW
-                || (ends < ENDS_PER_CORE * cores && length < LONGEST_WINDOW)) {
+                || lengthMillis < MIN_WINDOW_MILLIS
+                || (window.completions < COMPLETIONS_PER_CORE * cores
+                        && lengthMillis < MAX_WINDOW_MILLIS)) {
             return;
         }
-        double perSecond = ends * 1000 / length;
-        boolean limits =
-                turnedAway > 0
-                        && taken * 1000 / length
-                                >= LIMITS * Math.min(rate, taken * 1000 / length + rate / 10);
-        if (ends == 0) {
-            // Nothing ends: as little as at the start, until something does.
-            rate = least;
-            reason = "nothing ends";
-            quiet = 0;
+        if (window.completions == 0) {
+            ratePerSecond = minRatePerSecond;
+            reason = "no run completes";
+            windowsBelowLimit = 0;
         } else {
-            measured(nowMillis, perSecond, stretch / ends, limits);
+            evaluate(
+                    nowMillis,
+                    window.completions * 1000 / lengthMillis,
+                    window.slowdownSum / window.completions,
+                    limitIsBinding(lengthMillis));
         }
-        windowAt = nowMillis;
-        ends = 0;
-        taken = 0;
-        turnedAway = 0;
-        stretch = 0;
+        window.restart(nowMillis);
+    }
+
+    private boolean limitIsBinding(double lengthMillis) {
+        return window.rejected > 0
+                && window.admitted * 1000 / lengthMillis
+                        >= BINDING_PART
+                                * Math.min(
+                                        ratePerSecond,
+                                        window.admitted * 1000 / lengthMillis + ratePerSecond / 10);
     }
 
-    private void measured(double nowMillis, double perSecond, double slow, boolean limits) {
-        quickest = Math.min(quickest * FADE, slow);
-        boolean harm =
-                slow > CROWD * quickest
-                        || (slow > HARM * quickest && perSecond < NO_MORE * endsBefore);
-        if (perSecond > MORE * best) {
-            best = perSecond;
-            bestAt = nowMillis;
+    private void evaluate(
+            double nowMillis, double throughput, double slowdown, boolean limitIsBinding) {
+        fastestSlowdown = Math.min(fastestSlowdown * FASTEST_DECAY, slowdown);
+        boolean congested =
+                slowdown > SEVERE_SLOWDOWN * fastestSlowdown
+                        || (slowdown > CONGESTED_SLOWDOWN * fastestSlowdown
+                                && throughput < MORE_THAN_PREVIOUS * previousThroughput);
+        if (throughput > MORE_THAN_BEST * bestThroughput) {
+            bestThroughput = throughput;
+            bestThroughputAtMillis = nowMillis;
         }
-        endsBefore = perSecond;
-        if (harm) {
-            rate = Math.max(least, CUT * perSecond);
+        previousThroughput = throughput;
+        adjustRate(throughput, slowdown, congested, limitIsBinding);
+        if (windowsBelowLimit >= WINDOWS_BELOW_LIMIT) {
+            phase = Phase.FULL;
+        } else if (nowMillis - bestThroughputAtMillis > PLATEAU_MILLIS && bestThroughput > 0) {
+            phase = Phase.FULL;
+            reason = "a higher limit brings no more throughput";
+        }
+    }
+
+    private void adjustRate(
+            double throughput, double slowdown, boolean congested, boolean limitIsBinding) {
+        if (congested) {
+            ratePerSecond = Math.max(minRatePerSecond, DECREASE_FACTOR * throughput);
             reason =
                     "runs take "
-                            + Math.round(10 * slow / quickest) / 10.0
-                            + " times as long as the quickest";
-            quiet = 0;
-        } else if (limits) {
-            rate = Math.max(rate, perSecond) * STEP;
-            reason = "runs end, and the bound limits";
-            quiet = 0;
+                            + Math.round(10 * slowdown / fastestSlowdown) / 10.0
+                            + " times as long as the fastest";
+            windowsBelowLimit = 0;
+        } else if (limitIsBinding) {
+            ratePerSecond = Math.max(ratePerSecond, throughput) * INCREASE_FACTOR;
+            reason = "runs complete, and the limit is reached";
+            windowsBelowLimit = 0;
         } else {
-            reason = "the demand is under the bound";
-            quiet++;
-        }
-        if (quiet >= QUIET) {
-            phase = Phase.FULL;
-        } else if (nowMillis - bestAt > PLATEAU && best > 0) {
-            phase = Phase.FULL;
-            reason = "more room brings no more ends";
+            reason = "the demand is below the limit";
+            windowsBelowLimit++;
         }
     }
 
@@ -170,12 +194,12 @@
         return phase;
     }
 
-    /** What may be taken in a second; infinite once it is over. */
+    /** The limit in requests a second; infinite once slow start is over. */
     public double ratePerSecondLimit() {
-        return phase == Phase.FULL ? Double.POSITIVE_INFINITY : rate;
+        return phase == Phase.FULL ? Double.POSITIVE_INFINITY : ratePerSecond;
     }
 
-    /** Why the bound is what it is, for operators. */
+    /** Why the limit is what it is, for operators. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/tinroad/recovery/StateRestorer.java
+++ b/src/main/java/tinroad/recovery/StateRestorer.java
@@ -3,7 +3,6 @@
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
-import java.util.Locale;
 import java.util.Map;
 import tinroad.overload.Controller.Estimate;
 import tinroad.state.DecayedValue;
@@ -13,141 +12,163 @@
 import tinroad.state.SnapshotSelector;
 
 /**
- * What one life uses of the lives before, and what it leaves to the next. Every value that is used
- * carries when it was learned and by whom; nothing is used beyond its age, and nothing gets younger
- * by being saved. Times in Unix ms.
+ * What a process uses of the last accepted snapshot, and the snapshots that it leaves itself. Each
+ * restored value carries when it was learned and by which process; none is used beyond its maximum
+ * age, and none gets younger by being stored again. Times in Unix ms.
  */
 public final class StateRestorer implements RestoredState {
     private final String name;
-    private final Snapshot before;
-    private final SnapshotSelector.StartMode begin;
-    private final long life;
-    private final double oldest;
-    private final double halfLife;
+    private final long incarnation;
+    private final double maxAgeMillis;
+    private final double halfLifeMillis;
+
+    /** Null where none was accepted. */
+    private final Snapshot snapshot;
+
+    private final SnapshotSelector.StartMode startMode;
     private final Provenance provenance;
-    private final Map<String, LearnedValue> used = new HashMap<>();
+    private final Map<String, LearnedValue> restored = new HashMap<>();
     private long generation;
 
     /**
-     * A life of the gateway {@code name} that begins by this decision.
+     * Restores by this decision.
      *
-     * @param oldest ms, the age beyond which nothing is used
-     * @param halfLife ms in which half of what was learned fades
+     * @param name of the gateway
+     * @param incarnation number of this process
+     * @param maxAgeMillis age beyond which no value is used
+     * @param halfLifeMillis in which half of a learned value decays
      */
     public StateRestorer(
             String name,
             SnapshotSelector.Decision decision,
-            long life,
-            double oldest,
-            double halfLife) {
+            long incarnation,
+            double maxAgeMillis,
+            double halfLifeMillis) {
         this.name = name;
-        this.life = life;
-        this.oldest = oldest;
-        this.halfLife = halfLife;
-        before = decision.snapshot();
-        begin = decision.startMode();
-        provenance = new Provenance(life);
+        this.incarnation = incarnation;
+        this.maxAgeMillis = maxAgeMillis;
+        this.halfLifeMillis = halfLifeMillis;
+        snapshot = decision.snapshot();
+        startMode = decision.startMode();
+        provenance = new Provenance(incarnation);
     }
 
     @Override
     public boolean distrustsState() {
-        return begin == SnapshotSelector.StartMode.COLD;
+        return startMode == SnapshotSelector.StartMode.COLD;
     }
 
     @Override
     public Map<String, RestoredValue> restore(Map<String, Estimate> priors, double nowMillis) {
-        Map<String, RestoredValue> all = new LinkedHashMap<>();
-        if (before != null) {
-            priors.forEach(
-                    (what, prior) -> {
-                        LearnedValue r = before.values().get(what);
-                        DecayedValue aged =
-                                r == null
-                                        ? null
-                                        : DecayedValue.of(
-                                                r, nowMillis, prior.value(), halfLife, oldest);
-                        if (aged != null) {
-                            used.put(what, r);
-                            all.put(
-                                    what,
-                                    new RestoredValue(
-                                            new Estimate(aged.value(), aged.weight()),
-                                            aged.ageMillis(),
-                                            aged.incarnation()));
-                        }
-                    });
+        Map<String, RestoredValue> values = new LinkedHashMap<>();
+        if (snapshot == null) {
+            return values;
         }
-        return all;
+        priors.forEach(
+                (valueName, prior) -> {
+                    LearnedValue learned = snapshot.values().get(valueName);
+                    DecayedValue decayed =
+                            learned == null
+                                    ? null
+                                    : DecayedValue.of(
+                                            learned,
+                                            nowMillis,
+                                            prior.value(),
+                                            halfLifeMillis,
+                                            maxAgeMillis);
+                    if (decayed != null) {
+                        restored.put(valueName, learned);
+                        values.put(valueName, restoredValue(decayed));
+                    }
+                });
+        return values;
+    }
+
+    private static RestoredValue restoredValue(DecayedValue decayed) {
+        return new RestoredValue(
+                new Estimate(decayed.value(), decayed.weight()),
+                decayed.ageMillis(),
+                decayed.incarnation());
     }
 
     @Override
     public void started(Map<String, Estimate> values) {
-        provenance.begin(values, used);
+        provenance.begin(values, restored);
     }
 
     @Override
     public Map<String, Double> executedIds() {
-        return before == null ? Map.of() : before.executedIds();
+        return snapshot == null ? Map.of() : snapshot.executedIds();
     }
 
     @Override
     public boolean evacuated() {
-        return before != null && before.evacuated();
+        return snapshot != null && snapshot.evacuated();
     }
 
     @Override
     public long catalogEpoch() {
-        return before == null ? 0 : before.catalogEpoch();
+        return snapshot == null ? 0 : snapshot.catalogEpoch();
     }
 
     @Override
     public long catalogNumber() {
-        return before == null ? 0 : before.catalogNumber();
+        return snapshot == null ? 0 : snapshot.catalogNumber();
     }
 
     @Override
     public long incarnation() {
-        return life;
+        return incarnation;
     }
 
     @Override
     public String startMode() {
-        return begin.name().toLowerCase(Locale.ROOT);
+        // Words of the admin endpoint.
+        return switch (startMode) {
+            case FIRST -> "first";
+            case WARM -> "warm";
+            case COLD -> "cold";
+        };
     }
 
     /**
-     * What this life leaves, as it stands now: learned values, ids that ran with their due times,
-     * operators' word, its catalog.
+     * The next snapshot of this process.
+     *
+     * @param values the learned values as they are now
+     * @param executedIds ids of requests that were executed, with their deadlines
+     * @param evacuated whether operators have evacuated the gateway
+     * @param catalogEpoch epoch of the catalog in force
+     * @param catalogNumber its number within the epoch
      */
     public Snapshot toSnapshot(
             double nowMillis,
             Map<String, Estimate> values,
-            Map<String, Double> ran,
+            Map<String, Double> executedIds,
             boolean evacuated,
-            long epoch,
-            long number) {
+            long catalogEpoch,
+            long catalogNumber) {
         return new Snapshot(
                 name,
-                life,
+                incarnation,
                 ++generation,
                 nowMillis,
                 evacuated,
                 provenance.at(nowMillis, values),
-                bounded(ran),
-                epoch,
-                number);
+                bounded(executedIds),
+                catalogEpoch,
+                catalogNumber);
     }
 
-    /** Guards the size of what is saved: of too many ids, those due last stay dangerous longest. */
-    private static Map<String, Double> bounded(Map<String, Double> ran) {
-        if (ran.size() <= Snapshot.MAX_EXECUTED_IDS) {
-            return ran;
+    /** Bounds the size of a snapshot: of too many ids, those with the latest deadlines stay. */
+    private static Map<String, Double> bounded(Map<String, Double> executedIds) {
+        if (executedIds.size() <= Snapshot.MAX_EXECUTED_IDS) {
+            return executedIds;
         }
-        Map<String, Double> kept = new LinkedHashMap<>();
-        ran.entrySet().stream()
+        Map<String, Double> latest = new LinkedHashMap<>();
+        executedIds.entrySet().stream()
                 .sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder()))
                 .limit(Snapshot.MAX_EXECUTED_IDS)
-                .forEach(e -> kept.put(e.getKey(), e.getValue()));
-        return kept;
+                .forEach(e -> latest.put(e.getKey(), e.getValue()));
+        return latest;
     }
 }
--- a/src/main/java/tinroad/recovery/package-info.java
+++ b/src/main/java/tinroad/recovery/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decisions on how a gateway comes back from what failed round it. Called by the edges and by the
- * start; knows no file, socket, thread or clock: times come in, in ms.
+ * How a gateway recovers after a start or a fault around it: recovery phases, backoff and jitter,
+ * and the state restored from earlier processes. Called by the core, the edges and the node; knows
+ * no file, socket, thread or clock: times come in, in ms.
  */
 package tinroad.recovery;
--- a/src/test/java/tinroad/recovery/ReconnectsTest.java
+++ b/src/test/java/tinroad/recovery/DecorrelatedJitterBackoffTest.java
@@ -13,78 +13,85 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** Gaps between attempts, for one gateway and for a fleet of 200 on virtual time. */
-class ReconnectsTest {
-    private static final double FIRST = 1;
-    private static final double CAP = 250;
+/** Delays between attempts, for one gateway and for a fleet of 200 on virtual time. */
+class DecorrelatedJitterBackoffTest {
+    private static final double FIRST_MILLIS = 1;
+    private static final double CAP_MILLIS = 250;
     private static final int FLEET = 200;
 
     private record Attempt(double at, int gateway) {}
 
-    /**
-     * All attempts of a fleet whose links went down in one moment and can be had again after {@code
-     * cut} ms.
-     */
-    private static List<Attempt> afterACutOf(double cut, long seed) {
+    /** All attempts of a fleet whose links were lost at once, in an outage of so many ms. */
+    private static List<Attempt> attemptsInOutage(double outageMillis, long seed) {
         PriorityQueue<Attempt> next =
                 new PriorityQueue<>(
                         Comparator.comparingDouble(Attempt::at).thenComparingInt(Attempt::gateway));
         DecorrelatedJitterBackoff[] fleet = new DecorrelatedJitterBackoff[FLEET];
         for (int g = 0; g < FLEET; g++) {
-            fleet[g] = new DecorrelatedJitterBackoff("g" + g, seed, FIRST, CAP);
+            fleet[g] = new DecorrelatedJitterBackoff("g" + g, seed, FIRST_MILLIS, CAP_MILLIS);
             next.add(new Attempt(fleet[g].nextMillis(), g));
         }
         List<Attempt> made = new ArrayList<>();
         while (!next.isEmpty()) {
-            Attempt a = next.poll();
-            made.add(a);
-            if (a.at < cut) {
-                next.add(new Attempt(a.at + fleet[a.gateway].nextMillis(), a.gateway));
+            Attempt attempt = next.poll();
+            made.add(attempt);
+            if (attempt.at < outageMillis) {
+                next.add(
+                        new Attempt(
+                                attempt.at + fleet[attempt.gateway].nextMillis(), attempt.gateway));
             }
         }
         return made;
     }
 
     @Test
-    void aFleetComesBackWithinTheCapAndNotInOneMoment() {
-        for (double cut : new double[] {1000, 30_000, 600_000}) {
-            List<Attempt> back = afterACutOf(cut, 7).stream().filter(a -> a.at >= cut).toList();
+    void fleetReconnectsWithinTheCapAndSpreadOut() {
+        for (double outageMillis : new double[] {1000, 30_000, 600_000}) {
+            List<Attempt> back =
+                    attemptsInOutage(outageMillis, 7).stream()
+                            .filter(attempt -> attempt.at >= outageMillis)
+                            .toList();
             assertEquals(FLEET, back.size());
             int[] bins = new int[10];
-            back.forEach(a -> bins[(int) ((a.at - cut) / CAP * bins.length)]++);
+            back.forEach(
+                    attempt ->
+                            bins[(int) ((attempt.at - outageMillis) / CAP_MILLIS * bins.length)]++);
             for (int bin : bins) {
-                // A tenth of the cap: even would be 20 of 200, all at once 200. Short gaps put more
+                // A tenth of the cap: even would be 20 of 200, all at once 200. Short delays put
+                // more
                 // at the front.
-                assertTrue(bin <= 60, bin + " of " + FLEET + " in 25 ms after a cut of " + cut);
+                assertTrue(
+                        bin <= 60,
+                        bin + " of " + FLEET + " in 25 ms after an outage of " + outageMillis);
             }
         }
     }
 
     @Test
-    void aLongCutCostsFewAttempts() {
-        // Gaps are a third of the cap or more in the mean, once they have grown.
-        assertTrue(afterACutOf(600_000, 7).size() < FLEET * 600_000 / (CAP / 3));
+    void longOutageCostsFewAttempts() {
+        // Delays are a third of the cap or more in the mean, once they have grown.
+        assertTrue(attemptsInOutage(600_000, 7).size() < FLEET * 600_000 / (CAP_MILLIS / 3));
     }
 
     @Property(tries = 200, seed = "1")
-    void gapsStayWithinTheirBounds(
+    void delaysStayWithinTheirBounds(
             @ForAll long seed, @ForAll @DoubleRange(min = 1, max = 100) double first) {
-        DecorrelatedJitterBackoff reconnects =
+        DecorrelatedJitterBackoff backoff =
                 new DecorrelatedJitterBackoff("n3", seed, first, 10 * first);
         double before = first;
         for (int i = 0; i < 100; i++) {
-            double gap = reconnects.nextMillis();
+            double delay = backoff.nextMillis();
             assertTrue(
-                    gap >= first && gap <= Math.min(10 * first, 3 * before),
-                    "gap " + gap + " after " + before);
-            before = gap;
+                    delay >= first && delay <= Math.min(10 * first, 3 * before),
+                    "delay " + delay + " after " + before);
+            before = delay;
         }
-        reconnects.reset();
-        assertTrue(reconnects.nextMillis() <= 3 * first);
+        backoff.reset();
+        assertTrue(backoff.nextMillis() <= 3 * first);
     }
 
     @Test
-    void nameAndSeedEachTellGatewaysApart() {
+    void delaysDifferByNameAndBySeed() {
         assertNotEquals(
                 new DecorrelatedJitterBackoff("a", 1, 1, 1000).nextMillis(),
                 new DecorrelatedJitterBackoff("b", 1, 1, 1000).nextMillis());
@@ -97,11 +104,11 @@
     }
 
     @Test
-    void aFleetThatStartsInOneMomentReportsAtAnEvenPace() {
+    void jitteredIntervalsSpreadAFleetEvenly() {
         int[] bins = new int[2000];
         for (int g = 0; g < FLEET; g++) {
-            JitteredInterval pace = new JitteredInterval("g" + g, 7, 250, 0.2);
-            for (double at = 0; at < 50_000; at += pace.nextMillis()) {
+            JitteredInterval interval = new JitteredInterval("g" + g, 7, 250, 0.2);
+            for (double at = 0; at < 50_000; at += interval.nextMillis()) {
                 bins[(int) (at / 25)]++;
             }
         }
