--- a/src/main/java/tinroad/catalog/Catalog.java
+++ b/src/main/java/tinroad/catalog/Catalog.java
@@ -6,51 +6,50 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * One version of all routes and tenants, which never changes. A later version shares with it what
- * both have.
+ * One version of all classes and tenants; immutable. A later version shares with it what both have.
  */
 public final class Catalog {
     private final long epoch;
     private final long number;
-    private final EntryTable<RequestClass, ClassEntry> classCount;
-    private final EntryTable<Tenant, TenantEntry> tenantCount;
+    private final EntryTable<RequestClass, ClassEntry> classes;
+    private final EntryTable<Tenant, TenantEntry> tenants;
 
-    /** A route: a class of requests, at the place by which the module knows it. */
+    /** A class of requests, in the slot by which the module knows it. */
     public record ClassEntry(String name, int slot, RequestClass spec)
             implements CatalogEntry<RequestClass> {}
 
-    /** A tenant, at the place by which the module knows it. */
+    /** A tenant, in the slot by which the module knows it. */
     public record TenantEntry(String name, int slot, Tenant spec) implements CatalogEntry<Tenant> {}
 
     Catalog(
             long epoch,
             long number,
-            EntryTable<RequestClass, ClassEntry> routes,
+            EntryTable<RequestClass, ClassEntry> classes,
             EntryTable<Tenant, TenantEntry> tenants) {
         this.epoch = epoch;
         this.number = number;
-        this.classCount = routes;
-        this.tenantCount = tenants;
+        this.classes = classes;
+        this.tenants = tenants;
     }
 
-    /** The catalog of settings read whole: the places are those of the lists. */
+    /** The catalog of a full snapshot of the settings: slots are the indexes in the lists. */
     public static Catalog of(
             long epoch,
             long number,
-            List<String> routeNames,
-            List<RequestClass> specs,
+            List<String> classNames,
+            List<RequestClass> classSpecs,
             List<String> tenantNames,
-            List<Tenant> quotas) {
+            List<Tenant> tenantSpecs) {
         return new Catalog(
                 epoch,
                 number,
-                EntryTable.of(EntryType.ROUTES, routeNames, specs),
-                EntryTable.of(EntryType.TENANTS, tenantNames, quotas));
+                EntryTable.of(EntryType.CLASSES, classNames, classSpecs),
+                EntryTable.of(EntryType.TENANTS, tenantNames, tenantSpecs));
     }
 
     /** The same content, known to be that of another version. */
     public Catalog withVersion(long otherEpoch, long otherNumber) {
-        return new Catalog(otherEpoch, otherNumber, classCount, tenantCount);
+        return new Catalog(otherEpoch, otherNumber, classes, tenants);
     }
 
     /** The publisher's epoch. */
@@ -64,64 +63,63 @@
     }
 
     /**
-     * What is in it, as a hash: two catalogs with the same routes and tenants, whatever their
-     * places, have the same one.
+     * The hash of its content: two catalogs with the same classes and tenants, whatever their
+     * slots, have the same one.
      */
     public String contentHash() {
-        return classCount.hash().plus(tenantCount.hash()).toString();
+        return classes.hash().plus(tenants.hash()).toString();
     }
 
-    /** The hash of what a change, which may not have been checked, would lead to. */
-    public String hashAfter(CatalogChange c) {
-        return classCount
-                .after(c.putClasses(), c.removedClasses())
-                .plus(tenantCount.after(c.putTenants(), c.removedTenants()))
+    /** The hash of the content after a change, which need not be valid. */
+    public String hashAfter(CatalogChange change) {
+        return classes.hashAfter(change.putClasses(), change.removedClasses())
+                .plus(tenants.hashAfter(change.putTenants(), change.removedTenants()))
                 .toString();
     }
 
-    /** Whether it holds already what a change leads to. */
-    boolean holds(CatalogChange c) {
-        return c.hashAfter() != null
-                ? c.hashAfter().equals(contentHash())
-                : classCount.has(c.putClasses(), c.removedClasses())
-                        && tenantCount.has(c.putTenants(), c.removedTenants());
+    /** Whether a change leads to the content that it has already. */
+    boolean contains(CatalogChange change) {
+        return change.hashAfter() != null
+                ? change.hashAfter().equals(contentHash())
+                : classes.isUnchangedBy(change.putClasses(), change.removedClasses())
+                        && tenants.isUnchangedBy(change.putTenants(), change.removedTenants());
     }
 
-    /** How many routes there are. */
+    /** How many classes there are. */
     public int classCount() {
-        return classCount.size();
+        return classes.size();
     }
 
     /** How many tenants there are. */
     public int tenantCount() {
-        return tenantCount.size();
+        return tenants.size();
     }
 
-    /** The route of this name, or null. */
+    /** The class of this name, or null; per request, so nothing is allocated. */
     public ClassEntry classEntry(String name) {
-        return classCount.get(name);
+        return classes.get(name);
     }
 
-    /** The tenant of this name, or null. */
+    /** The tenant of this name, or null; per request, so nothing is allocated. */
     public TenantEntry tenantEntry(String name) {
-        return tenantCount.get(name);
+        return tenants.get(name);
     }
 
-    /** All routes, by name. */
+    /** All classes, ordered by name. */
     public Collection<ClassEntry> classEntries() {
-        return classCount.entries().values();
+        return classes.entries().values();
     }
 
-    /** All tenants, by name. */
+    /** All tenants, ordered by name. */
     public Collection<TenantEntry> tenantEntries() {
-        return tenantCount.entries().values();
+        return tenants.entries().values();
     }
 
     EntryTable<RequestClass, ClassEntry> classTable() {
-        return classCount;
+        return classes;
     }
 
     EntryTable<Tenant, TenantEntry> tenantTable() {
-        return tenantCount;
+        return tenants;
     }
 }
--- a/src/main/java/tinroad/catalog/CatalogDelta.java
+++ b/src/main/java/tinroad/catalog/CatalogDelta.java
@@ -4,9 +4,9 @@
 import tinroad.overload.Controller.ClassSlot;
 import tinroad.overload.Controller.TenantSlot;
 
-/** What a version changes of the one before it, by place: what the module is told. */
+/** What a version changes compared with the one before it, by slot, as the module needs it. */
 public record CatalogDelta(List<ClassSlot> classes, List<TenantSlot> tenants) {
-    /** How many entries it touches. */
+    /** How many slots it changes. */
     public int size() {
         return classes.size() + tenants.size();
     }
--- a/src/main/java/tinroad/catalog/CatalogEntry.java
+++ b/src/main/java/tinroad/catalog/CatalogEntry.java
@@ -1,13 +1,13 @@
 package tinroad.catalog;
 
-/** What is known under a name, at the place by which the module knows it. */
+/** A named class or tenant, in the slot by which the module knows it. */
 public sealed interface CatalogEntry<S> permits Catalog.ClassEntry, Catalog.TenantEntry {
-    /** Its name. */
+    /** The name in the settings. */
     String name();
 
-    /** Its place. */
+    /** The index by which the module knows it. */
     int slot();
 
-    /** What the module is told of it. */
+    /** Its settings. */
     S spec();
 }
--- a/src/main/java/tinroad/catalog/ContentHash.java
+++ b/src/main/java/tinroad/catalog/ContentHash.java
@@ -4,19 +4,19 @@
 
 /**
  * A hash of a set of entries: the sum of the entries' own hashes modulo 2^128 (AdHash, Bellare and
- * Micciancio 1997). So it knows no order, and an entry that is put or removed is added or
- * subtracted, whatever the size of the table. It tells contents apart that differ by mistake or by
- * another publisher; it is no protection from someone who wants two contents to look alike.
+ * Micciancio 1997). So it knows no order, and putting or removing an entry adds or subtracts its
+ * hash, whatever the size of the table. It distinguishes contents that differ by mistake or by
+ * another publisher; it is no protection from someone who constructs two contents with one hash.
  */
 record ContentHash(long high, long low) {
     static final ContentHash EMPTY = new ContentHash(0, 0);
     private static final int SEED = 0;
 
-    /** Of one entry: its kind, its name, and what is told of it. */
-    static ContentHash of(char kind, String name, double... values) {
+    /** The hash of one entry: the code of its type, its name, and the numbers of its settings. */
+    static ContentHash of(char typeCode, String name, double... values) {
         byte[] bytes = new byte[Character.BYTES * (1 + name.length()) + Long.BYTES * values.length];
-        int at = put(bytes, 0, kind, Character.BYTES);
-        // The number of values is the kind's, so the name needs no length.
+        int at = put(bytes, 0, typeCode, Character.BYTES);
+        // The number of values is fixed by the type, so the name needs no length.
         for (int i = 0; i < name.length(); i++) {
             at = put(bytes, at, name.charAt(i), Character.BYTES);
         }
--- a/src/main/java/tinroad/catalog/EntryType.java
+++ b/src/main/java/tinroad/catalog/EntryType.java
@@ -7,75 +7,81 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * What differs between the two tables of a catalog; all else is written once. The words are those
- * of the settings file.
+ * What differs between the two tables of a catalog; all else is written once. Its keywords are
+ * those of the settings file.
  */
 interface EntryType<S, E extends CatalogEntry<S>> {
-    EntryType<RequestClass, Catalog.ClassEntry> ROUTES =
+    /** The character by which the content hash knows a class; stored logs depend on it. */
+    char CLASS_CODE = 'c';
+
+    /** The character by which the content hash knows a tenant; stored logs depend on it. */
+    char TENANT_CODE = 'o';
+
+    EntryType<RequestClass, Catalog.ClassEntry> CLASSES =
             new EntryType<>() {
                 @Override
-                public String word() {
+                public String keyword() {
                     return "class";
                 }
 
                 @Override
-                public Catalog.ClassEntry entry(String name, int place, RequestClass spec) {
-                    return new Catalog.ClassEntry(name, place, spec);
+                public Catalog.ClassEntry entry(String name, int slot, RequestClass spec) {
+                    return new Catalog.ClassEntry(name, slot, spec);
                 }
 
                 @Override
-                public ContentHash hash(String name, RequestClass s) {
+                public ContentHash hash(String name, RequestClass spec) {
                     return ContentHash.of(
-                            'c',
+                            CLASS_CODE,
                             name,
-                            s.objectiveMillis(),
-                            s.objectivePerWork(),
-                            s.deadlineMillis(),
-                            s.priorityWeight(),
-                            s.lateWeightShare(),
-                            hashedCode(s.idempotency()),
-                            s.keyWindowMillis(),
-                            s.callsDependency() ? 1 : 0,
-                            s.degradedWeightShare());
+                            spec.objectiveMillis(),
+                            spec.objectivePerWork(),
+                            spec.deadlineMillis(),
+                            spec.priorityWeight(),
+                            spec.lateWeightShare(),
+                            hashedCode(spec.idempotency()),
+                            spec.keyWindowMillis(),
+                            spec.callsDependency() ? 1 : 0,
+                            spec.degradedWeightShare());
                 }
 
                 @Override
-                public void check(String name, RequestClass spec, ValidationErrors faults) {
-                    SettingsValidator.requestClass(name, spec, faults);
+                public void validate(String name, RequestClass spec, ValidationErrors errors) {
+                    SettingsValidator.requestClass(name, spec, errors);
                 }
             };
 
     EntryType<Tenant, Catalog.TenantEntry> TENANTS =
             new EntryType<>() {
                 @Override
-                public String word() {
+                public String keyword() {
                     return "org";
                 }
 
                 @Override
-                public Catalog.TenantEntry entry(String name, int place, Tenant spec) {
-                    return new Catalog.TenantEntry(name, place, spec);
+                public Catalog.TenantEntry entry(String name, int slot, Tenant spec) {
+                    return new Catalog.TenantEntry(name, slot, spec);
                 }
 
                 @Override
-                public ContentHash hash(String name, Tenant s) {
-                    return ContentHash.of('o', name, s.quotaPerSecond(), s.share());
+                public ContentHash hash(String name, Tenant spec) {
+                    return ContentHash.of(TENANT_CODE, name, spec.quotaPerSecond(), spec.share());
                 }
 
                 @Override
-                public void check(String name, Tenant spec, ValidationErrors faults) {
-                    SettingsValidator.tenant(name, spec, faults);
+                public void validate(String name, Tenant spec, ValidationErrors errors) {
+                    SettingsValidator.tenant(name, spec, errors);
                 }
             };
 
-    /** As the settings file calls one. */
-    String word();
+    /** The word for one in the settings file. */
+    String keyword();
 
-    E entry(String name, int place, S spec);
+    E entry(String name, int slot, S spec);
 
     ContentHash hash(String name, S spec);
 
-    void check(String name, S spec, ValidationErrors faults);
+    void validate(String name, S spec, ValidationErrors errors);
 
     /** The character by which the content hash knows an idempotency; stored logs depend on it. */
     private static char hashedCode(Idempotency idempotency) {
--- a/src/main/java/tinroad/catalog/FullSnapshotDiff.java
+++ b/src/main/java/tinroad/catalog/FullSnapshotDiff.java
@@ -10,84 +10,84 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * A settings file that comes in entry by entry, against the catalog that serves. Holds only what
- * differs, and a bit for each entry that was seen again; what was not seen by the end is removed.
- * Used once, by one thread.
+ * Compares a full snapshot of the settings, which is read entry by entry, with the catalog in use.
+ * Holds only what differs, and a bit for each entry that was seen; what was not seen by the end is
+ * removed. Used once, by one thread.
  */
 public final class FullSnapshotDiff implements SiteVisitor {
     private final Catalog base;
-    private final Seen<RequestClass, Catalog.ClassEntry> routes;
-    private final Seen<Tenant, Catalog.TenantEntry> tenants;
+    private final TableDiff<RequestClass, Catalog.ClassEntry> classes;
+    private final TableDiff<Tenant, Catalog.TenantEntry> tenants;
 
-    /** Against this catalog, which stays what it is. */
+    /** A comparison with this catalog. */
     public FullSnapshotDiff(Catalog base) {
         this.base = base;
-        routes = new Seen<>(base.classTable());
-        tenants = new Seen<>(base.tenantTable());
+        classes = new TableDiff<>(base.classTable());
+        tenants = new TableDiff<>(base.tenantTable());
     }
 
     @Override
     public boolean requestClass(String name, RequestClass spec) {
-        return routes.take(name, spec);
+        return classes.add(name, spec);
     }
 
     @Override
     public boolean tenant(String name, Tenant spec) {
-        return tenants.take(name, spec);
+        return tenants.add(name, spec);
     }
 
-    /** What leads from the catalog to the file, as this version. */
+    /** The change that leads from the catalog to the settings that were read, as this version. */
     public CatalogChange change(long epoch, long number) {
-        CatalogChange c =
+        CatalogChange withoutHashes =
                 new CatalogChange(
                         epoch,
                         number,
-                        routes.put,
-                        routes.removed(),
+                        classes.put,
+                        classes.removed(),
                         tenants.put,
                         tenants.removed());
         return new CatalogChange(
                 epoch,
                 number,
-                c.putClasses(),
-                c.removedClasses(),
-                c.putTenants(),
-                c.removedTenants(),
+                withoutHashes.putClasses(),
+                withoutHashes.removedClasses(),
+                withoutHashes.putTenants(),
+                withoutHashes.removedTenants(),
                 base.contentHash(),
-                base.hashAfter(c));
+                base.hashAfter(withoutHashes));
     }
 
-    /** One table of it. */
-    private static final class Seen<S, E extends CatalogEntry<S>> {
+    /** The comparison of one table. */
+    private static final class TableDiff<S, E extends CatalogEntry<S>> {
         private final EntryTable<S, E> table;
-        private final BitSet places = new BitSet();
+        private final BitSet seenSlots = new BitSet();
         private final Map<String, S> put = new HashMap<>();
 
-        Seen(EntryTable<S, E> table) {
+        TableDiff(EntryTable<S, E> table) {
             this.table = table;
         }
 
-        boolean take(String name, S spec) {
-            E there = table.get(name);
-            if (there == null) {
+        boolean add(String name, S spec) {
+            E existing = table.get(name);
+            if (existing == null) {
                 return put.put(name, spec) == null;
             }
-            if (places.get(there.slot())) {
+            if (seenSlots.get(existing.slot())) {
                 return false;
             }
-            places.set(there.slot());
-            if (!there.spec().equals(spec)) {
-                put.put(there.name(), spec);
+            seenSlots.set(existing.slot());
+            if (!existing.spec().equals(spec)) {
+                put.put(existing.name(), spec);
             }
             return true;
         }
 
         Set<String> removed() {
             Set<String> unseen = new HashSet<>();
-            if (places.cardinality() < table.size()) {
-                for (E e : table.entries().values()) {
-                    if (!places.get(e.slot())) {
-                        unseen.add(e.name());
+            if (seenSlots.cardinality() < table.size()) {
+                for (E entry : table.entries().values()) {
+                    if (!seenSlots.get(entry.slot())) {
+                        unseen.add(entry.name());
                     }
                 }
             }
--- a/src/main/java/tinroad/catalog/SlotAllocator.java
+++ b/src/main/java/tinroad/catalog/SlotAllocator.java
@@ -4,43 +4,45 @@
 import java.util.BitSet;
 
 /**
- * Which places of a table are given out. Guards against two entries at one place: a place is given
- * anew only once it was left and then said to be free, each once.
+ * Allocates the slots of a table. Guards against two entries in one slot: a slot is allocated again
+ * only after it was retired and then released, each once.
  */
 final class SlotAllocator {
-    private final int most;
+    private final int maxSlots;
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
-    private final BitSet left = new BitSet();
-    private int next;
+    private final BitSet retired = new BitSet();
+    private int nextUnused;
 
-    /** {@code first} are given out; there are {@code most}. */
-    SlotAllocator(int first, int most) {
-        next = first;
-        this.most = most;
+    /** Slots from 0 to {@code allocated} are in use; there are {@code maxSlots}. */
+    SlotAllocator(int allocated, int maxSlots) {
+        nextUnused = allocated;
+        this.maxSlots = maxSlots;
     }
 
-    /** How many can be given out now. */
-    int room() {
-        return free.size() + most - next;
+    /** How many slots can be allocated now. */
+    int available() {
+        return free.size() + maxSlots - nextUnused;
     }
 
-    /** Places that were left and may still be named by something in hand. */
-    int waiting() {
-        return left.cardinality();
+    /** Slots without an entry that requests in flight may still refer to. */
+    int retiredCount() {
+        return retired.cardinality();
     }
 
-    int give() {
-        return free.isEmpty() ? next++ : free.remove();
+    int allocate() {
+        return free.isEmpty() ? nextUnused++ : free.remove();
     }
 
-    void leave(int place) {
-        left.set(place);
+    /** The slot's entry was removed; requests in flight may still refer to it. */
+    void retire(int slot) {
+        retired.set(slot);
     }
 
-    void free(int place) {
-        if (left.get(place)) {
-            left.clear(place);
-            free.add(place);
+    /** Nothing refers to the slot any more; without effect on one that was not retired. */
+    void release(int slot) {
+        if (retired.get(slot)) {
+            retired.clear(slot);
+            free.add(slot);
         }
     }
 }
--- a/src/main/java/tinroad/catalog/package-info.java
+++ b/src/main/java/tinroad/catalog/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What a gateway is told of routes (classes of requests) and tenants, as versions that follow each
+ * The catalog: the classes of requests and the tenants of a site, as versions that follow each
  * other. {@code CatalogBuilder} alone makes versions, {@code FullSnapshotDiff} compares a settings
- * file with one. Called by {@code node}, {@code core}, {@code changelog} and commands; decides
- * without clock, file, socket or thread.
+ * file with one. A class or tenant keeps its slot, the index by which the module knows it, until it
+ * is removed and no request refers to it. Called by {@code node}, {@code core}, {@code changelog}
+ * and commands; decides without clock, file, socket or thread.
  */
 package tinroad.catalog;
--- a/src/main/java/tinroad/changelog/ChangeLogFollower.java
+++ b/src/main/java/tinroad/changelog/ChangeLogFollower.java
@@ -323,11 +323,15 @@
         if (outcome instanceof ChangeResult.Rejected refused) {
             return refused(p, refused.errors());
         } else if (outcome instanceof ChangeResult.Fenced fenced) {
-            return "change " + p + " refused: its epoch is over, " + fenced.epoch() + " goes on";
+            return "change "
+                    + p
+                    + " refused: its epoch is over, "
+                    + fenced.currentEpoch()
+                    + " goes on";
         } else if (outcome instanceof ChangeResult.Gap gap) {
-            return "change " + p + " refused: " + gap.missing() + " is missing before it";
+            return "change " + p + " refused: " + gap.firstMissing() + " is missing before it";
         } else if (outcome instanceof ChangeResult.Diverged diverged) {
-            return diverged(p, diverged.known());
+            return diverged(p, diverged.currentHash());
         }
         return "change "
                 + p
--- a/src/test/java/tinroad/catalog/CatalogMemory.java
+++ b/src/test/java/tinroad/catalog/CatalogMemory.java
@@ -1,5 +1,6 @@
 package tinroad.catalog;
 
+import java.lang.ref.Reference;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -8,41 +9,49 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * What a catalog costs: {@code CatalogMemory TENANTS ROUTES} from the command line prints heap by
+ * What a catalog costs: {@code CatalogMemory TENANTS CLASSES} from the command line prints heap per
  * entry, and times.
  */
 public final class CatalogMemory {
-    private static final int DIFFERENT = 100;
+    private static final int DISTINCT_SPECS = 100;
 
     private CatalogMemory() {}
 
-    /** Prints a line for each figure. */
+    /** Prints a line for each measurement. */
     public static void main(String[] args) {
         int tenants = Integer.parseInt(args[0]);
-        int routes = Integer.parseInt(args[1]);
+        int classes = Integer.parseInt(args[1]);
         List<String> tenantNames = names("tenant-", tenants);
-        List<String> routeNames = names("route-", routes);
+        List<String> classNames = names("route-", classes);
         List<Tenant> quotas = new ArrayList<>();
         List<Tenant> sharedQuotas = new ArrayList<>();
         for (int i = 0; i < tenants; i++) {
-            quotas.add(new Tenant(i % DIFFERENT, 0.5));
-            sharedQuotas.add(quotas.get(i % DIFFERENT));
+            quotas.add(new Tenant(i % DISTINCT_SPECS, 0.5));
+            sharedQuotas.add(quotas.get(i % DISTINCT_SPECS));
         }
         List<RequestClass> specs = new ArrayList<>();
-        for (int i = 0; i < routes; i++) {
+        for (int i = 0; i < classes; i++) {
             specs.add(
                     new RequestClass(
-                            0, 0, 1 + i % DIFFERENT, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0));
+                            0,
+                            0,
+                            1 + i % DISTINCT_SPECS,
+                            1,
+                            0,
+                            Idempotency.IDEMPOTENT,
+                            0,
+                            false,
+                            0));
         }
-        say(
+        measure(
                 "tenant, catalog alone",
                 tenants,
                 () -> Catalog.of(0, 0, List.of(), List.of(), tenantNames, quotas));
-        say(
-                "route, catalog alone",
-                routes,
-                () -> Catalog.of(0, 0, routeNames, specs, List.of(), List.of()));
-        say(
+        measure(
+                "class, catalog alone",
+                classes,
+                () -> Catalog.of(0, 0, classNames, specs, List.of(), List.of()));
+        measure(
                 "tenant, with its name, quotas shared",
                 tenants,
                 () ->
@@ -53,7 +62,7 @@
                                 List.of(),
                                 names("tenant-", tenants),
                                 sharedQuotas));
-        say(
+        measure(
                 "tenant, with its name and a quota of its own",
                 tenants,
                 () ->
@@ -66,14 +75,14 @@
                                 sharedQuotas.stream()
                                         .map(t -> new Tenant(t.quotaPerSecond(), t.share()))
                                         .toList()));
-        say(
-                "route, with its name and a spec of its own",
-                routes,
+        measure(
+                "class, with its name and a spec of its own",
+                classes,
                 () ->
                         Catalog.of(
                                 0,
                                 0,
-                                names("route-", routes),
+                                names("route-", classes),
                                 specs.stream()
                                         .map(
                                                 s ->
@@ -90,12 +99,12 @@
                                         .toList(),
                                 List.of(),
                                 List.of()));
-        Catalog whole = Catalog.of(0, 0, routeNames, specs, tenantNames, quotas);
-        say(
+        Catalog full = Catalog.of(0, 0, classNames, specs, tenantNames, quotas);
+        measure(
                 "tenant, of a re-read that is equal",
                 tenants,
                 () -> {
-                    FullSnapshotDiff same = new FullSnapshotDiff(whole);
+                    FullSnapshotDiff same = new FullSnapshotDiff(full);
                     for (int i = 0; i < tenants; i++) {
                         same.tenant(tenantNames.get(i), quotas.get(i));
                     }
@@ -103,27 +112,32 @@
                 });
     }
 
-    private static List<String> names(String word, int count) {
+    private static List<String> names(String prefix, int count) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            names.add(word + String.format("%05d", i));
+            names.add(prefix + String.format("%05d", i));
         }
         return names;
     }
 
-    private static void say(String what, int entries, Supplier<Object> make) {
-        Object unused = make.get();
-        long before = used();
-        long from = System.nanoTime();
-        Object made = make.get();
-        long ms = (System.nanoTime() - from) / 1_000_000;
-        long bytes = used() - before;
-        System.out.printf(
-                "%s: %.1f bytes, %d ms for %d%n", what, (double) bytes / entries, ms, entries);
-        java.lang.ref.Reference.reachabilityFence(made);
+    private static void measure(String what, int entries, Supplier<Object> make) {
+        Object warmup = make.get();
+        long before = usedBytes();
+        long startNanos = System.nanoTime();
+        Object measured = make.get();
+        try {
+            long millis = (System.nanoTime() - startNanos) / 1_000_000;
+            long bytes = usedBytes() - before;
+            System.out.printf(
+                    "%s: %.1f bytes, %d ms for %d%n",
+                    what, (double) bytes / entries, millis, entries);
+        } finally {
+            Reference.reachabilityFence(warmup);
+            Reference.reachabilityFence(measured);
+        }
     }
 
-    private static long used() {
+    private static long usedBytes() {
         for (int i = 0; i < 4; i++) {
             System.gc();
         }
