--- a/src/main/java/tinroad/changelog/ChangeCodec.java
+++ b/src/main/java/tinroad/changelog/ChangeCodec.java
@@ -33,64 +33,75 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * A change as bytes: a line that names format, version and CRC-32C of version and rest, then one
- * JSON object. Its {@code put} is in the words of the settings, and read by their reader. What is
- * read counts only once the checksum fits to the last byte.
+ * A change as bytes: a header line that names format, version and CRC-32C of version and body, then
+ * the body, one JSON object. Its {@code put} has the form of the settings, and is read by their
+ * reader. What is read counts only once the checksum of all bytes is right.
  */
 final class ChangeCodec {
     /** The version that is written, and the latest that is read. */
     static final int VERSION = 1;
 
-    /** A longer file is no batch: it is neither written nor read. */
-    static final int LONGEST = 32 * 1024 * 1024;
+    /** A longer file is neither written nor read. */
+    static final int MAX_BYTES = 32 * 1024 * 1024;
 
     private static final String MAGIC = "tinroad-change";
-    private static final Pattern HEAD = Pattern.compile(MAGIC + " (\\d{1,6}) ([0-9a-f]{8})");
-    private static final int LONGEST_HEAD = 64;
+    private static final Pattern HEADER = Pattern.compile(MAGIC + " (\\d{1,6}) ([0-9a-f]{8})");
+    private static final int MAX_HEADER_BYTES = 64;
+
+    // The fields' names in the file; what it calls orgs are tenants.
+    private static final String EPOCH = "epoch";
+    private static final String NUMBER = "number";
+    private static final String HASH_BEFORE = "before";
+    private static final String HASH_AFTER = "after";
+    private static final String REMOVED = "remove";
+    private static final String REMOVED_CLASSES = "classes";
+    private static final String REMOVED_TENANTS = "orgs";
+    private static final String PUT = "put";
+
     private static final JsonFactory JSON =
             JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
 
     private ChangeCodec() {}
 
     /** The bytes of a change. */
-    static byte[] write(CatalogChange c) throws IOException {
+    static byte[] write(CatalogChange change) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator((OutputStream) body)) {
             out.writeStartObject();
-            out.writeNumberField("epoch", c.epoch());
-            out.writeNumberField("number", c.number());
-            out.writeStringField("before", c.hashBefore());
-            out.writeStringField("after", c.hashAfter());
-            out.writeObjectFieldStart("remove");
-            names(out, "classes", c.removedClasses());
-            names(out, "orgs", c.removedTenants());
+            out.writeNumberField(EPOCH, change.epoch());
+            out.writeNumberField(NUMBER, change.number());
+            out.writeStringField(HASH_BEFORE, change.hashBefore());
+            out.writeStringField(HASH_AFTER, change.hashAfter());
+            out.writeObjectFieldStart(REMOVED);
+            writeNames(out, REMOVED_CLASSES, change.removedClasses());
+            writeNames(out, REMOVED_TENANTS, change.removedTenants());
             out.writeEndObject();
-            out.writeFieldName("put");
-            SiteWriter.write(out, c.putClasses(), c.putTenants());
+            out.writeFieldName(PUT);
+            SiteWriter.write(out, change.putClasses(), change.putTenants());
             out.writeEndObject();
         }
-        if (body.size() > LONGEST - LONGEST_HEAD) {
+        if (body.size() > MAX_BYTES - MAX_HEADER_BYTES) {
             throw new IOException(
-                    "a change of " + body.size() + " bytes is longer than " + LONGEST);
+                    "a change of " + body.size() + " bytes is longer than " + MAX_BYTES);
         }
         CRC32C crc = checksum(VERSION);
         crc.update(body.toByteArray());
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(
+        ByteArrayOutputStream file = new ByteArrayOutputStream();
+        file.write(
                 String.format("%s %d %08x\n", MAGIC, VERSION, crc.getValue())
                         .getBytes(StandardCharsets.US_ASCII));
-        body.writeTo(all);
-        return all.toByteArray();
+        body.writeTo(file);
+        return file.toByteArray();
     }
 
-    /** Begins with the version: one that is damaged is none. */
+    /** Begins with the version, so that a corrupt version is noticed, too. */
     private static CRC32C checksum(int version) {
         CRC32C crc = new CRC32C();
         crc.update(version);
         return crc;
     }
 
-    private static void names(JsonGenerator out, String field, Set<String> names)
+    private static void writeNames(JsonGenerator out, String field, Set<String> names)
             throws IOException {
         out.writeArrayFieldStart(field);
         for (String name : new TreeSet<>(names)) {
@@ -100,68 +111,69 @@
     }
 
     /**
-     * Reads what its name says is the change at this position; a {@link CorruptChangeException}
-     * where it is none.
+     * Reads the file that is named after this position.
+     *
+     * @throws CorruptChangeException where it does not hold the change of that position
      */
     static ChangeLogStore.ChangeReadResult read(InputStream in, LogPosition at) throws IOException {
-        Matcher head = head(in);
+        Matcher header = readHeader(in);
         CheckedInputStream body =
-                new CheckedInputStream(in, checksum(Integer.parseInt(head.group(1))));
-        Fields fields = new Fields();
-        fields.read(body, null);
+                new CheckedInputStream(in, checksum(Integer.parseInt(header.group(1))));
+        BodyReader reader = new BodyReader();
+        reader.read(body, null);
         body.transferTo(OutputStream.nullOutputStream());
-        if (!String.format("%08x", body.getChecksum().getValue()).equals(head.group(2))) {
+        if (!String.format("%08x", body.getChecksum().getValue()).equals(header.group(2))) {
             throw new CorruptChangeException("its checksum does not fit");
         }
-        if (!at.equals(new LogPosition(fields.epoch, fields.number))) {
+        if (!at.equals(new LogPosition(reader.epoch, reader.number))) {
             throw new CorruptChangeException(
-                    "it says that it is " + fields.epoch + "-" + fields.number);
+                    "it says that it is " + reader.epoch + "-" + reader.number);
         }
-        return fields.batch();
+        return reader.result();
     }
 
     /**
-     * What comes before the entries: the hashes before and after. Costs the same for any change;
-     * the checksum is not looked at.
+     * The change without its entries, with the hashes before and after. Costs the same for any
+     * change, as the checksum is not checked.
      */
-    static CatalogChange readHead(InputStream in) throws IOException {
-        head(in);
-        Fields fields = new Fields();
-        fields.read(in, "after");
-        return fields.batch().change();
+    static CatalogChange readHashes(InputStream in) throws IOException {
+        readHeader(in);
+        BodyReader reader = new BodyReader();
+        reader.read(in, HASH_AFTER);
+        return reader.result().change();
     }
 
-    private static Matcher head(InputStream in) throws IOException {
+    private static Matcher readHeader(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read();
-                c >= 0 && c != '\n' && line.length() < LONGEST_HEAD;
+                c >= 0 && c != '\n' && line.length() < MAX_HEADER_BYTES;
                 c = in.read()) {
             line.append((char) c);
         }
-        Matcher m = HEAD.matcher(line);
-        if (!m.matches()) {
+        Matcher header = HEADER.matcher(line);
+        if (!header.matches()) {
             throw new CorruptChangeException("no change, or cut short");
         }
-        if (Integer.parseInt(m.group(1)) > VERSION) {
+        if (Integer.parseInt(header.group(1)) > VERSION) {
             throw new CorruptChangeException(
-                    "version " + m.group(1) + ", and this program reads " + VERSION);
+                    "version " + header.group(1) + ", and this program reads " + VERSION);
         }
-        return m;
+        return header;
     }
 
-    /** The fields as they come in. */
-    private static final class Fields implements SiteVisitor {
-        private final Map<String, RequestClass> classes = new HashMap<>();
-        private final Map<String, Tenant> tenants = new HashMap<>();
-        private final Set<String> noClasses = new HashSet<>();
-        private final Set<String> noTenants = new HashSet<>();
-        private final ValidationErrors faults = new ValidationErrors();
+    /** Collects the fields in whatever order they come. */
+    private static final class BodyReader implements SiteVisitor {
+        private final Map<String, RequestClass> putClasses = new HashMap<>();
+        private final Map<String, Tenant> putTenants = new HashMap<>();
+        private final Set<String> removedClasses = new HashSet<>();
+        private final Set<String> removedTenants = new HashSet<>();
+        private final ValidationErrors errors = new ValidationErrors();
         private long epoch = -1;
         private long number = -1;
-        private String before = "";
-        private String after = "";
+        private String hashBefore = "";
+        private String hashAfter = "";
 
-        /** Reads up to the field named {@code last}; null: all. */
+        /** Reads up to and with the field named {@code last}; null: all. */
         void read(InputStream body, String last) throws IOException {
             try (JsonParser in = JSON.createParser(body)) {
                 if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -171,7 +183,7 @@
                 while (!field.equals(last) && in.nextToken() == JsonToken.FIELD_NAME) {
                     field = in.currentName();
                     in.nextToken();
-                    field(in, field);
+                    readField(in, field);
                 }
             } catch (JsonProcessingException e) {
                 throw new CorruptChangeException(
@@ -181,40 +193,49 @@
             }
         }
 
-        private void field(JsonParser in, String field) throws IOException {
+        private void readField(JsonParser in, String field) throws IOException {
             switch (field) {
-                case "epoch" -> epoch = in.getValueAsLong(-1);
-                case "number" -> number = in.getValueAsLong(-1);
-                case "before" -> before = text(in);
-                case "after" -> after = text(in);
-                case "remove" ->
+                case EPOCH -> epoch = in.getValueAsLong(-1);
+                case NUMBER -> number = in.getValueAsLong(-1);
+                case HASH_BEFORE -> hashBefore = text(in);
+                case HASH_AFTER -> hashAfter = text(in);
+                case REMOVED ->
                         each(
                                 in,
                                 table -> {
                                     Set<String> names =
-                                            table.equals("classes") ? noClasses : noTenants;
+                                            table.equals(REMOVED_CLASSES)
+                                                    ? removedClasses
+                                                    : removedTenants;
                                     items(in, i -> names.add(text(in)));
                                 });
-                case "put" -> SiteReader.read(in, this, faults);
+                case PUT -> SiteReader.read(in, this, errors);
                 default -> in.skipChildren();
             }
         }
 
         @Override
         public boolean requestClass(String name, RequestClass spec) {
-            return classes.put(name, spec) == null;
+            return putClasses.put(name, spec) == null;
         }
 
         @Override
         public boolean tenant(String name, Tenant spec) {
-            return tenants.put(name, spec) == null;
+            return putTenants.put(name, spec) == null;
         }
 
-        ChangeLogStore.ChangeReadResult batch() {
+        ChangeLogStore.ChangeReadResult result() {
             return new ChangeLogStore.ChangeReadResult(
                     new CatalogChange(
-                            epoch, number, classes, noClasses, tenants, noTenants, before, after),
-                    faults);
+                            epoch,
+                            number,
+                            putClasses,
+                            removedClasses,
+                            putTenants,
+                            removedTenants,
+                            hashBefore,
+                            hashAfter),
+                    errors);
         }
     }
 }
--- a/src/main/java/tinroad/changelog/ChangeLogFollower.java
+++ b/src/main/java/tinroad/changelog/ChangeLogFollower.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
 import java.util.List;
+import java.util.Optional;
 import tinroad.catalog.Catalog;
 import tinroad.catalog.CatalogBuilder;
 import tinroad.catalog.CatalogBuilder.ChangeResult;
@@ -11,57 +12,51 @@
 
 /**
  * Follows a change log, a change at a time and in order. Where the log can't be followed, the
- * catalog that serves stays, and one line tells why, once until it changes. A look that finds
- * nothing costs two questions to the file system: the next name, and whether the folder changed;
- * names are listed only then, and now and again all the same. Used by one thread, which owns the
- * editor, too.
+ * catalog in use stays, and one line says why, once until it changes. A poll that finds nothing
+ * costs two system calls: the next name, and whether the folder changed; names are listed only
+ * then, and now and again all the same. Used by one thread, which owns the builder, too; blocks.
  */
 public final class ChangeLogFollower {
+    private final ChangeLogStore store;
+    private final String logName;
+    private final PollMemory memory = new PollMemory();
+
     /**
-     * Looks after which the folder is listed, and a refused change is tried again, though nothing
-     * seems to have changed.
+     * What an earlier incarnation had applied, null once it was found: the log may not end before.
      */
-    static final int ANYWAY = 64;
-
-    private final ChangeLogStore folder;
-    private final String name;
-
-    /** What an earlier life had: the log may not end before it. */
-    private LogPosition least;
+    private LogPosition expected;
 
-    /** The last position of earlier epochs that was there when this one began. */
-    private LogPosition over;
+    /** The last position of earlier epochs that was there when the current epoch began. */
+    private LogPosition endOfEarlierEpochs;
 
     private LogPosition newest;
-    private String told;
-    private List<Object> listed = List.of();
-    private boolean settled;
-    private List<Object> tried = List.of();
-    private int looks;
+    private String problem;
 
     /**
-     * Follows the log in {@code folder}, which lines call {@code name}.
+     * Follows the log in {@code store}, which lines call {@code logName}.
      *
-     * @param least the last position that is known to have been there, from an earlier life; null:
-     *     not known
+     * @param expected the last position that an earlier incarnation had applied; null: not known
      */
-    public ChangeLogFollower(ChangeLogStore folder, String name, LogPosition least) {
-        this.folder = folder;
-        this.name = name;
-        this.least = least;
+    public ChangeLogFollower(ChangeLogStore store, String logName, LogPosition expected) {
+        this.store = store;
+        this.logName = logName;
+        this.expected = expected;
     }
 
-    /** What one look led to; both null: nothing new. {@code line} is one for the operators' log. */
-    public record PollResult(ChangeResult.Applied applied, String logLine) {
-        static final PollResult NOTHING = new PollResult(null, null);
-    }
+    /**
+     * What one poll led to; both empty: nothing new.
+     *
+     * @param logLine a line for the operators' log
+     */
+    public record PollResult(Optional<ChangeResult.Applied> applied, Optional<String> logLine) {
+        static final PollResult NOTHING = new PollResult(Optional.empty(), Optional.empty());
 
-    /** What can't be followed; the message is the line. */
-    private static final class TroubleException extends Exception {
-        private static final long serialVersionUID = 1L;
+        static PollResult applied(ChangeResult.Applied change) {
+            return new PollResult(Optional.of(change), Optional.empty());
+        }
 
-        TroubleException(String line) {
-            super(line);
+        static PollResult line(String line) {
+            return new PollResult(Optional.empty(), Optional.of(line));
         }
     }
 
@@ -69,272 +64,209 @@
      * The same content as the version of the log that it is; unchanged where the log does not know
      * it, or can't be read.
      */
-    public Catalog locate(Catalog read) {
+    public Catalog locate(Catalog catalog) {
         try {
-            LogPosition at = folder.locate(read.contentHash());
-            return at == null ? read : read.withVersion(at.epoch(), at.number());
+            return store.locate(catalog.contentHash())
+                    .map(position -> catalog.withVersion(position.epoch(), position.number()))
+                    .orElse(catalog);
         } catch (IOException e) {
-            // Told by the first step.
-            return read;
+            // The first poll says so.
+            return catalog;
         }
     }
 
-    /** The newest change that the log was seen to hold; null: none was seen. */
-    public LogPosition newest() {
-        return newest;
+    /** The newest change that the log was seen to hold, if any was seen. */
+    public Optional<LogPosition> newest() {
+        return Optional.ofNullable(newest);
     }
 
-    /** Why the log can't be followed; null where it can. */
-    public String lastProblem() {
-        return told;
+    /** Why the log can't be followed; empty where it can. */
+    public Optional<String> lastProblem() {
+        return Optional.ofNullable(problem);
     }
 
-    /** Takes the next change into the editor, if it is there and can be taken. */
-    public PollResult poll(CatalogBuilder editor) {
-        looks++;
+    /** Applies the next change to the builder, if it is there and can be applied. */
+    public PollResult poll(CatalogBuilder builder) {
+        memory.pollStarted();
         try {
-            return look(editor);
-        } catch (TroubleException e) {
-            return tell(e.getMessage());
+            return applyNext(builder);
+        } catch (ChangeLogException e) {
+            return report(e.getMessage());
         } catch (NoSuchFileException e) {
-            return tell(name + " is not there");
+            return report(logName + " is not there");
         } catch (IOException e) {
-            return tell(name + " can't be read: " + e);
+            return report(logName + " can't be read: " + e);
         }
     }
 
-    private PollResult tell(String line) {
-        if (line.equals(told)) {
+    private PollResult report(String line) {
+        if (line.equals(problem)) {
             return PollResult.NOTHING;
         }
-        told = line;
-        return new PollResult(null, line);
+        problem = line;
+        return PollResult.line(line);
     }
 
-    private PollResult look(CatalogBuilder editor) throws IOException, TroubleException {
-        LogPosition at = position(editor.current());
-        LogPosition next = at.next();
-        Object stamp = folder.stamp(next);
-        if (stamp != null) {
+    private PollResult applyNext(CatalogBuilder builder) throws IOException, ChangeLogException {
+        LogPosition current = position(builder.current());
+        LogPosition next = current.next();
+        Optional<FileStamp> stamp = store.stamp(next);
+        if (stamp.isPresent()) {
             try {
-                return take(editor, next, stamp);
-            } catch (TroubleException e) {
-                LogPosition instead = instead(editor.current());
-                if (instead == null) {
-                    throw e;
-                }
-                return take(editor, instead, folder.stamp(instead));
+                return apply(builder, next, stamp);
+            } catch (ChangeLogException e) {
+                LogPosition higherEpoch = findHigherEpoch(builder.current()).orElseThrow(() -> e);
+                return apply(builder, higherEpoch, store.stamp(higherEpoch));
             }
         }
-        List<Object> seen = List.of(String.valueOf(folder.stamp()), at);
-        boolean same = seen.equals(listed);
-        if (same && settled && looks % ANYWAY != 0) {
-            return PollResult.NOTHING;
-        }
-        // Once more after each change: what comes within one tick of the folder's time leaves no
-        // trace in it.
-        settled = same;
-        listed = seen;
-        return list(editor, at);
+        return memory.shouldList(store.stamp(), current)
+                ? applyFromListing(builder, current)
+                : PollResult.NOTHING;
     }
 
-    private PollResult list(CatalogBuilder editor, LogPosition at)
-            throws IOException, TroubleException {
-        List<LogPosition> there = folder.positions();
-        LogPosition last = there.isEmpty() ? null : there.get(there.size() - 1);
-        newest = last;
-        LogPosition following =
-                there.stream().filter(p -> p.compareTo(at) > 0).findFirst().orElse(null);
-        if (following != null && following.follows(at)) {
-            return take(editor, following, folder.stamp(following));
+    private PollResult applyFromListing(CatalogBuilder builder, LogPosition current)
+            throws IOException, ChangeLogException {
+        List<LogPosition> positions = store.positions();
+        newest = positions.isEmpty() ? null : positions.get(positions.size() - 1);
+        Optional<LogPosition> following =
+                positions.stream().filter(position -> position.compareTo(current) > 0).findFirst();
+        if (following.isPresent()) {
+            if (!following.get().follows(current)) {
+                throw new ChangeLogException.Missing(logName, current.next(), following.get());
+            }
+            return apply(builder, following.get(), store.stamp(following.get()));
         }
-        if (following != null) {
-            throw new TroubleException(
-                    name
-                            + ": "
-                            + at.next()
-                            + " is missing, the oldest change after it is "
-                            + following
-                            + ": the settings file as it is now has to be read, by SIGHUP");
+        checkUnchanged(builder.current(), current, positions);
+        expected = null;
+        if (problem != null) {
+            problem = null;
+            return PollResult.line(logName + " is followed again from " + current);
         }
-        if (there.contains(at)
-                && !editor.current().contentHash().equals(folder.head(at).hashAfter())) {
-            throw new TroubleException(diverged(at, editor.current().contentHash()));
+        return PollResult.NOTHING;
+    }
+
+    /** Checks a log without a later change: it has to be the one that was applied. */
+    private void checkUnchanged(Catalog catalog, LogPosition current, List<LogPosition> positions)
+            throws IOException, ChangeLogException {
+        if (positions.contains(current)
+                && !catalog.contentHash().equals(store.readHashes(current).hashAfter())) {
+            throw new ChangeLogException.Diverged(current, catalog.contentHash());
         }
-        for (LogPosition p : there) {
-            if (over != null && p.epoch() < at.epoch() && p.compareTo(over) > 0) {
-                throw new TroubleException(
-                        name
-                                + ": change "
-                                + p
-                                + " came after its epoch was over: not taken, "
-                                + at.epoch()
-                                + " goes on");
+        for (LogPosition position : positions) {
+            if (endOfEarlierEpochs != null
+                    && position.epoch() < current.epoch()
+                    && position.compareTo(endOfEarlierEpochs) > 0) {
+                throw new ChangeLogException.EpochOver(logName, position, current.epoch());
             }
         }
-        LogPosition had = least != null && least.compareTo(at) > 0 ? least : at;
-        if (had.epoch() > 0 && (last == null || last.compareTo(had) < 0)) {
-            throw new TroubleException(
-                    name
-                            + " was rolled back: "
-                            + had
-                            + " was taken, and "
-                            + (last == null ? "it is empty" : "the newest is " + last));
-        }
-        least = null;
-        if (told != null) {
-            told = null;
-            return new PollResult(null, name + " is followed again from " + at);
+        LogPosition applied =
+                expected != null && expected.compareTo(current) > 0 ? expected : current;
+        if (applied.epoch() > 0 && (newest == null || newest.compareTo(applied) < 0)) {
+            throw new ChangeLogException.RolledBack(logName, applied, Optional.ofNullable(newest));
         }
-        return PollResult.NOTHING;
     }
 
     /**
-     * A higher epoch that leads on from what serves, where the next change of this one can't be
-     * taken.
+     * The first change of a higher epoch that follows the content in use, for where the next change
+     * of the current epoch can't be applied.
      */
-    private LogPosition instead(Catalog now) throws IOException {
-        for (LogPosition p : folder.positions()) {
-            if (p.epoch() > now.epoch() && p.number() == 1) {
+    private Optional<LogPosition> findHigherEpoch(Catalog catalog) throws IOException {
+        for (LogPosition position : store.positions()) {
+            if (position.epoch() > catalog.epoch() && position.number() == 1) {
                 try {
-                    if (now.contentHash().equals(folder.head(p).hashBefore())) {
-                        return p;
+                    if (catalog.contentHash().equals(store.readHashes(position).hashBefore())) {
+                        return Optional.of(position);
                     }
                 } catch (CorruptChangeException e) {
                     // Not this one, then.
                 }
             }
         }
-        return null;
+        return Optional.empty();
     }
 
-    private PollResult take(CatalogBuilder editor, LogPosition p, Object stamp)
-            throws IOException, TroubleException {
-        List<Object> attempt = List.of(p, String.valueOf(stamp), editor.current().contentHash());
-        if (attempt.equals(tried) && looks % ANYWAY != 0) {
+    private PollResult apply(
+            CatalogBuilder builder, LogPosition position, Optional<FileStamp> stamp)
+            throws IOException, ChangeLogException {
+        if (!memory.shouldAttempt(position, stamp, builder.current().contentHash())) {
             return PollResult.NOTHING;
         }
-        tried = attempt;
-        ChangeLogStore.ChangeReadResult batch;
+        ChangeLogStore.ChangeReadResult read;
         try {
-            batch = folder.read(p);
+            read = store.read(position);
         } catch (CorruptChangeException e) {
-            throw new TroubleException(name + ": change " + p + " is damaged: " + e.getMessage());
+            throw new ChangeLogException.Corrupt(logName, position, e);
         } catch (NoSuchFileException e) {
-            // Pruned in this moment; the next look finds what is left.
-            tried = List.of();
+            // Pruned in this moment; the next poll finds what is left.
+            memory.forgetAttempt();
             return PollResult.NOTHING;
         }
-        if (!batch.errors().isEmpty()) {
-            throw new TroubleException(refused(p, batch.errors().lines()));
+        if (!read.errors().isEmpty()) {
+            throw new ChangeLogException.Rejected(position, read.errors().lines());
         }
-        // Asked before: once the editor has taken it, nothing may fail any more.
-        LogPosition end = lastBefore(p.epoch(), position(editor.current()));
-        ChangeResult outcome = editor.apply(batch.change());
-        if (!(outcome instanceof ChangeResult.Applied taken)) {
-            throw new TroubleException(describe(batch.change(), outcome));
+        // Read before: once the builder has applied the change, nothing may fail any more.
+        LogPosition endBefore = endOfEpochsBefore(position.epoch(), position(builder.current()));
+        ChangeResult result = builder.apply(read.change());
+        if (!(result instanceof ChangeResult.Applied applied)) {
+            throw new ChangeLogException.Rejected(
+                    position, ChangeDescription.of(read.change(), result));
         }
-        over = end;
-        newest = newest == null || newest.compareTo(p) < 0 ? p : newest;
-        told = null;
-        return new PollResult(taken, null);
+        endOfEarlierEpochs = endBefore;
+        newest = newest == null || newest.compareTo(position) < 0 ? position : newest;
+        problem = null;
+        return PollResult.applied(applied);
     }
 
-    /** What {@link #over} is once this epoch serves. */
-    private LogPosition lastBefore(long epoch, LogPosition at) throws IOException {
-        return epoch <= at.epoch()
-                ? over
-                : folder.positions().stream()
-                        .filter(p -> p.epoch() < epoch)
-                        .reduce(at, (a, b) -> b);
+    /** What {@link #endOfEarlierEpochs} is once this epoch is in use; null: not known. */
+    private LogPosition endOfEpochsBefore(long epoch, LogPosition current) throws IOException {
+        return epoch <= current.epoch()
+                ? endOfEarlierEpochs
+                : store.positions().stream()
+                        .filter(position -> position.epoch() < epoch)
+                        .reduce(current, (earlier, later) -> later);
     }
 
     /**
-     * Takes a settings file that was read again. The log leads: of a file that differs from what
-     * serves only one is taken whose content the log knows as a later one, or any while the log is
-     * empty.
+     * Applies a settings file that was read again. The log leads: a file that differs from the
+     * catalog in use is applied only if the log knows its content as a later version, or while the
+     * log is empty.
      */
-    public PollResult applyFile(CatalogBuilder editor, FullSnapshotDiff file) {
-        LogPosition at = position(editor.current());
-        CatalogChange next = file.change(at.epoch(), at.number() + 1);
+    public PollResult applyFile(CatalogBuilder builder, FullSnapshotDiff file) {
+        LogPosition current = position(builder.current());
+        CatalogChange asNext = file.change(current.epoch(), current.number() + 1);
         try {
-            LogPosition known = folder.locate(next.hashAfter());
-            if (next.size() == 0 && (known == null || known.compareTo(at) <= 0)) {
+            Optional<LogPosition> known = store.locate(asNext.hashAfter());
+            boolean later = known.filter(found -> found.compareTo(current) > 0).isPresent();
+            if (asNext.size() == 0 && !later) {
                 return PollResult.NOTHING;
             }
-            if (known == null && !folder.positions().isEmpty()) {
-                return new PollResult(
-                        null,
-                        "settings file not taken: "
-                                + name
-                                + " knows no change to its content, "
-                                + next.hashAfter());
+            if (known.isEmpty() && !store.positions().isEmpty()) {
+                return fileRejected(
+                        logName + " knows no change to its content, " + asNext.hashAfter());
             }
-            if (known != null && known.compareTo(at) <= 0) {
-                return new PollResult(
-                        null,
-                        "settings file not taken: it is that of "
-                                + known
-                                + ", and "
-                                + at
-                                + " serves");
+            if (known.isPresent() && !later) {
+                return fileRejected(
+                        "it is that of " + known.get() + ", and " + current + " serves");
             }
             CatalogChange change =
-                    known == null ? next : file.change(known.epoch(), known.number());
-            LogPosition end = lastBefore(change.epoch(), at);
-            ChangeResult outcome = editor.applyFullSnapshot(change);
-            if (!(outcome instanceof ChangeResult.Applied taken)) {
-                return new PollResult(
-                        null, "settings file not taken: " + describe(change, outcome));
+                    known.map(found -> file.change(found.epoch(), found.number())).orElse(asNext);
+            LogPosition endBefore = endOfEpochsBefore(change.epoch(), current);
+            ChangeResult result = builder.applyFullSnapshot(change);
+            if (!(result instanceof ChangeResult.Applied applied)) {
+                return fileRejected(ChangeDescription.of(change, result));
             }
-            over = end;
-            return new PollResult(taken, null);
+            endOfEarlierEpochs = endBefore;
+            return PollResult.applied(applied);
         } catch (IOException e) {
-            return new PollResult(
-                    null, "settings file not taken: " + name + " can't be read: " + e);
+            return fileRejected(logName + " can't be read: " + e);
         }
     }
 
-    private static LogPosition position(Catalog c) {
-        return new LogPosition(c.epoch(), c.number());
+    private static PollResult fileRejected(String reason) {
+        return PollResult.line("settings file not taken: " + reason);
     }
 
-    private static String refused(LogPosition p, List<String> faults) {
-        return "change "
-                + p
-                + " refused: "
-                + faults.get(0)
-                + (faults.size() > 1 ? " (and more: 'tinroad catalog check' tells all)" : "");
-    }
-
-    private static String diverged(LogPosition p, String known) {
-        return "change "
-                + p
-                + " belongs to another content than "
-                + known
-                + ", which serves: two publish with one epoch, the log was rewritten, or the"
-                + " settings file is another one's";
-    }
-
-    /** What became of a change, in one line. */
-    public static String describe(CatalogChange c, ChangeResult outcome) {
-        LogPosition p = new LogPosition(c.epoch(), c.number());
-        // No switch over patterns in Java 17.
-        if (outcome instanceof ChangeResult.Rejected refused) {
-            return refused(p, refused.errors());
-        } else if (outcome instanceof ChangeResult.Fenced fenced) {
-            return "change "
-                    + p
-                    + " refused: its epoch is over, "
-                    + fenced.currentEpoch()
-                    + " goes on";
-        } else if (outcome instanceof ChangeResult.Gap gap) {
-            return "change " + p + " refused: " + gap.firstMissing() + " is missing before it";
-        } else if (outcome instanceof ChangeResult.Diverged diverged) {
-            return diverged(p, diverged.currentHash());
-        }
-        return "change "
-                + p
-                + (outcome instanceof ChangeResult.Applied ? " taken" : " was taken before");
+    private static LogPosition position(Catalog catalog) {
+        return new LogPosition(catalog.epoch(), catalog.number());
     }
 }
--- a/src/main/java/tinroad/changelog/ChangeLogStore.java
+++ b/src/main/java/tinroad/changelog/ChangeLogStore.java
@@ -3,7 +3,6 @@
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
-import java.nio.ByteBuffer;
 import java.nio.channels.Channels;
 import java.nio.channels.FileChannel;
 import java.nio.file.DirectoryStream;
@@ -13,45 +12,44 @@
 import java.nio.file.NotDirectoryException;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import java.nio.file.attribute.BasicFileAttributes;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.UUID;
 import tinroad.catalog.CatalogChange;
 import tinroad.config.ValidationErrors;
+import tinroad.state.DurableFiles;
 
 /**
- * The files of a change log. A batch is written beside, forced to the disk, and linked to its name:
- * a name stands for a whole file or for none, and is taken once, whoever comes second. Guards
- * against two publishers, and against a folder that grows for ever.
+ * The files of a change log. A change is written to a temporary file, forced to the disk, and
+ * linked to its name: a name stands for a complete file or for none, and only the first of two
+ * publishers gets it. Guards against two publishers, and against a folder that grows for ever.
+ * Blocks; any thread, any process.
  */
 public final class ChangeLogStore {
-    /** Batches that are kept unless told otherwise: some hours at 2,400 a day. */
+    /** Changes that are kept by default: some hours at 2,400 a day. */
     public static final int DEFAULT_KEPT_CHANGES = 512;
 
-    private static final String PART = ".part";
+    private static final String TEMPORARY_SUFFIX = ".part";
 
     private final Path folder;
-    private final int keep;
+    private final int maxChanges;
 
-    /** A log in {@code folder}; an append leaves the newest {@code keep}, at least 1. */
-    public ChangeLogStore(Path folder, int keep) {
+    /** A log in {@code folder}; an append keeps the newest {@code maxChanges}, at least 1. */
+    public ChangeLogStore(Path folder, int maxChanges) {
         this.folder = folder;
-        this.keep = Math.max(1, keep);
+        this.maxChanges = Math.max(1, maxChanges);
     }
 
-    /** A batch that was read: what can't be meant of it stands in the faults. */
+    /** A change that was read, with what is invalid in it. */
     public record ChangeReadResult(CatalogChange change, ValidationErrors errors) {}
 
     /** All positions that there are, in order. */
     public List<LogPosition> positions() throws IOException {
         List<LogPosition> found = new ArrayList<>();
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(folder)) {
-            for (Path file : all) {
-                LogPosition p = LogPosition.of(file.getFileName().toString());
-                if (p != null) {
-                    found.add(p);
-                }
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+            for (Path file : files) {
+                LogPosition.parse(file.getFileName().toString()).ifPresent(found::add);
             }
         } catch (NotDirectoryException e) {
             throw new NoSuchFileException(folder.toString());
@@ -60,157 +58,148 @@
         return found;
     }
 
-    /** The change at this position; a {@link CorruptChangeException} where the file holds none. */
+    /**
+     * The change at this position.
+     *
+     * @throws CorruptChangeException where the file holds none
+     */
     public ChangeReadResult read(LogPosition at) throws IOException {
         try (InputStream in = open(at)) {
             return ChangeCodec.read(in, at);
         }
     }
 
-    /**
-     * The change at this position without its entries: the hashes of the contents before and after.
-     */
-    CatalogChange head(LogPosition at) throws IOException {
+    /** The change at this position without its entries: the content hashes before and after. */
+    CatalogChange readHashes(LogPosition at) throws IOException {
         try (InputStream in = open(at)) {
-            return ChangeCodec.readHead(in);
+            return ChangeCodec.readHashes(in);
         }
     }
 
     /**
-     * The latest position at which the content had this hash; null where no change that is there
+     * The latest position at which the content had this hash; empty where no change that is there
      * leads to it or from it.
      */
-    public LogPosition locate(String hash) throws IOException {
-        List<LogPosition> there = positions();
-        for (int i = there.size() - 1; i >= 0; i--) {
-            LogPosition at = there.get(i);
+    Optional<LogPosition> locate(String hash) throws IOException {
+        List<LogPosition> positions = positions();
+        for (int i = positions.size() - 1; i >= 0; i--) {
+            LogPosition position = positions.get(i);
             try {
-                CatalogChange c = head(at);
-                if (hash.equals(c.hashAfter())) {
-                    return at;
+                CatalogChange change = readHashes(position);
+                if (hash.equals(change.hashAfter())) {
+                    return Optional.of(position);
                 }
-                if (hash.equals(c.hashBefore())) {
-                    return new LogPosition(at.epoch(), at.number() - 1);
+                if (hash.equals(change.hashBefore())) {
+                    return Optional.of(new LogPosition(position.epoch(), position.number() - 1));
                 }
             } catch (CorruptChangeException | NoSuchFileException e) {
-                // Told when it is its turn, or pruned in this moment.
+                // Reported when it is the next one, or pruned in this moment.
             }
         }
-        return null;
+        return Optional.empty();
     }
 
     private InputStream open(LogPosition at) throws IOException {
-        Path file = folder.resolve(at.file());
-        if (Files.size(file) > ChangeCodec.LONGEST) {
-            throw new CorruptChangeException("it is longer than " + ChangeCodec.LONGEST + " bytes");
+        Path file = folder.resolve(at.fileName());
+        if (Files.size(file) > ChangeCodec.MAX_BYTES) {
+            throw new CorruptChangeException(
+                    "it is longer than " + ChangeCodec.MAX_BYTES + " bytes");
         }
         return new BufferedInputStream(
                 Channels.newInputStream(FileChannel.open(file, StandardOpenOption.READ)));
     }
 
-    /** What tells whether a name stands for the same file as before; null where there is none. */
-    Object stamp(LogPosition at) throws IOException {
-        return stamp(folder.resolve(at.file()));
+    /** The stamp of the file of this change; empty where there is none. */
+    Optional<FileStamp> stamp(LogPosition at) throws IOException {
+        return FileStamp.of(folder.resolve(at.fileName()));
     }
 
-    /** The same of the folder. */
-    Object stamp() throws IOException {
-        return stamp(folder);
-    }
-
-    private static Object stamp(Path file) throws IOException {
-        try {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-            return List.of(a.lastModifiedTime(), a.size(), String.valueOf(a.fileKey()));
-        } catch (NoSuchFileException e) {
-            return null;
-        }
+    /** The stamp of the folder; empty where there is none. */
+    Optional<FileStamp> stamp() throws IOException {
+        return FileStamp.of(folder);
     }
 
     /**
-     * Writes the change that follows the newest one; returns only once it lasts. An {@link
-     * IOException} tells why not: it does not follow, or another publisher took its number.
+     * Appends the change that follows the newest one; returns only once it is on the disk.
+     *
+     * @throws IOException that says why it can't be appended: it does not follow the newest, or
+     *     another publisher took its number
      */
-    public void append(CatalogChange c) throws IOException {
+    public void append(CatalogChange change) throws IOException {
         Files.createDirectories(folder);
-        LogPosition at = new LogPosition(c.epoch(), c.number());
-        List<LogPosition> there = positions();
-        LogPosition newest = there.isEmpty() ? null : there.get(there.size() - 1);
-        if (newest != null) {
-            if (newest.compareTo(at) >= 0) {
-                throw new IOException(
-                        "change "
-                                + at
-                                + " is taken, or its epoch is over: the newest is "
-                                + newest);
-            }
-            if (!at.follows(newest)) {
-                throw new IOException("change " + at + " does not follow the newest, " + newest);
-            }
-            // A higher epoch may go on from another content: that is how a log that was damaged or
-            // rolled back is mended.
-            String after = at.epoch() > newest.epoch() ? c.hashBefore() : after(newest);
-            if (!after.equals(c.hashBefore())) {
-                throw new IOException(
-                        "change "
-                                + at
-                                + " leads on from content "
-                                + c.hashBefore()
-                                + ", and the newest, "
-                                + newest
-                                + ", led to "
-                                + after);
-            }
+        LogPosition position = new LogPosition(change.epoch(), change.number());
+        List<LogPosition> positions = positions();
+        if (!positions.isEmpty()) {
+            checkFollows(position, change, positions.get(positions.size() - 1));
         }
-        link(at, ChangeCodec.write(c));
+        link(position, ChangeCodec.write(change));
         prune();
     }
 
-    private String after(LogPosition newest) throws IOException {
+    private void checkFollows(LogPosition position, CatalogChange change, LogPosition newest)
+            throws IOException {
+        if (newest.compareTo(position) >= 0) {
+            throw new ChangeConflictException(
+                    position, "is taken, or its epoch is over: the newest is " + newest);
+        }
+        if (!position.follows(newest)) {
+            throw new ChangeConflictException(position, "does not follow the newest, " + newest);
+        }
+        if (position.epoch() > newest.epoch()) {
+            // A higher epoch may follow another content: that is how a log that was corrupted or
+            // rolled back is repaired.
+            return;
+        }
+        String newestHash = hashAfter(newest);
+        if (!newestHash.equals(change.hashBefore())) {
+            throw new ChangeConflictException(
+                    position,
+                    "leads on from content "
+                            + change.hashBefore()
+                            + ", and the newest, "
+                            + newest
+                            + ", led to "
+                            + newestHash);
+        }
+    }
+
+    private String hashAfter(LogPosition newest) throws IOException {
         try {
             return read(newest).change().hashAfter();
         } catch (CorruptChangeException e) {
             throw new IOException(
-                    "the newest change, " + newest + ", is damaged: " + e.getMessage());
+                    "the newest change, " + newest + ", is damaged: " + e.getMessage(), e);
         }
     }
 
-    private void link(LogPosition at, byte[] bytes) throws IOException {
-        Path part = folder.resolve(at.file() + "-" + UUID.randomUUID() + PART);
+    private void link(LogPosition position, byte[] bytes) throws IOException {
+        Path temporary =
+                folder.resolve(position.fileName() + "-" + UUID.randomUUID() + TEMPORARY_SUFFIX);
         try {
-            try (FileChannel out =
-                    FileChannel.open(
-                            part, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
-                ByteBuffer left = ByteBuffer.wrap(bytes);
-                while (left.hasRemaining()) {
-                    out.write(left);
-                }
-                out.force(true);
-            }
+            DurableFiles.create(temporary, bytes);
             // Not a rename, which would replace what another publisher wrote in the same moment.
-            Files.createLink(folder.resolve(at.file()), part);
+            Files.createLink(folder.resolve(position.fileName()), temporary);
         } catch (FileAlreadyExistsException e) {
-            throw new IOException(
-                    "change " + at + " was written by another publisher in the same moment");
+            throw new ChangeConflictException(
+                    position, "was written by another publisher in the same moment");
         } finally {
-            Files.deleteIfExists(part);
-        }
-        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
-            directory.force(true);
+            Files.deleteIfExists(temporary);
         }
+        DurableFiles.forceFolder(folder);
     }
 
-    /** Deletes what is beyond the newest few, and what killed publishers left half written. */
+    /** Deletes what is beyond the newest few, and what killed publishers left incomplete. */
     private void prune() throws IOException {
-        List<LogPosition> there = positions();
-        for (LogPosition old : there.subList(0, Math.max(0, there.size() - keep))) {
-            Files.deleteIfExists(folder.resolve(old.file()));
+        List<LogPosition> positions = positions();
+        for (LogPosition old : positions.subList(0, Math.max(0, positions.size() - maxChanges))) {
+            Files.deleteIfExists(folder.resolve(old.fileName()));
         }
-        String newest = there.get(there.size() - 1).file();
-        try (DirectoryStream<Path> parts = Files.newDirectoryStream(folder, "change-*" + PART)) {
-            for (Path part : parts) {
-                if (part.getFileName().toString().compareTo(newest) < 0) {
-                    Files.deleteIfExists(part);
+        String newest = positions.get(positions.size() - 1).fileName();
+        try (DirectoryStream<Path> files =
+                Files.newDirectoryStream(folder, "change-*" + TEMPORARY_SUFFIX)) {
+            for (Path file : files) {
+                if (file.getFileName().toString().compareTo(newest) < 0) {
+                    Files.deleteIfExists(file);
                 }
             }
         }
--- a/src/main/java/tinroad/changelog/CorruptChangeException.java
+++ b/src/main/java/tinroad/changelog/CorruptChangeException.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** A batch that can't be used; the message says why, without the file's name. */
+/**
+ * The file of a change is corrupt, or of a later version. The message says why; whoever reads the
+ * log adds the position, which the command {@code catalog check} prints beside it.
+ */
 public final class CorruptChangeException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- /dev/null
+++ b/src/main/java/tinroad/changelog/FileStamp.java
@@ -0,0 +1,26 @@
+package tinroad.changelog;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import java.nio.file.attribute.BasicFileAttributes;
+import java.nio.file.attribute.FileTime;
+import java.util.Optional;
+
+/** What tells whether a name stands for the same file, unchanged, as before. */
+record FileStamp(FileTime lastModified, long size, String fileKey) {
+    /** The stamp of a file or folder; empty where there is none. */
+    static Optional<FileStamp> of(Path file) throws IOException {
+        try {
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return Optional.of(
+                    new FileStamp(
+                            attributes.lastModifiedTime(),
+                            attributes.size(),
+                            String.valueOf(attributes.fileKey())));
+        } catch (NoSuchFileException e) {
+            return Optional.empty();
+        }
+    }
+}
--- a/src/main/java/tinroad/changelog/LogPosition.java
+++ b/src/main/java/tinroad/changelog/LogPosition.java
@@ -1,41 +1,49 @@
 package tinroad.changelog;
 
 import java.util.Comparator;
+import java.util.Optional;
 
-/** Where a change stands in the log, and by that the name of its file. */
+/**
+ * The position of a change in the log, which names its file.
+ *
+ * @param epoch of the publisher; a higher one fences all lower ones
+ * @param number within the epoch, from 1 on
+ */
 public record LogPosition(long epoch, long number) implements Comparable<LogPosition> {
-    private static final String HEAD = "change-";
+    private static final String PREFIX = "change-";
     private static final int DIGITS = 19;
     private static final Comparator<LogPosition> ORDER =
             Comparator.comparingLong(LogPosition::epoch).thenComparingLong(LogPosition::number);
 
     /**
-     * The position that a file's name stands for; null where it is no batch. Asked for each name of
-     * a folder: no pattern, for its cost.
+     * The position that a file's name stands for; empty where it is not the name of a change.
+     * Called for each name of a folder: no pattern, for its cost.
      */
-    static LogPosition of(String file) {
-        int dash = HEAD.length() + DIGITS;
+    static Optional<LogPosition> parse(String file) {
+        int dash = PREFIX.length() + DIGITS;
         if (file.length() != dash + 1 + DIGITS
-                || !file.startsWith(HEAD)
+                || !file.startsWith(PREFIX)
                 || file.charAt(dash) != '-') {
-            return null;
+            return Optional.empty();
         }
-        for (int i = HEAD.length(); i < file.length(); i++) {
+        for (int i = PREFIX.length(); i < file.length(); i++) {
             if (i != dash && (file.charAt(i) < '0' || file.charAt(i) > '9')) {
-                return null;
+                return Optional.empty();
             }
         }
         try {
-            return new LogPosition(
-                    Long.parseLong(file, HEAD.length(), dash, 10),
-                    Long.parseLong(file, dash + 1, file.length(), 10));
+            return Optional.of(
+                    new LogPosition(
+                            Long.parseLong(file, PREFIX.length(), dash, 10),
+                            Long.parseLong(file, dash + 1, file.length(), 10)));
         } catch (NumberFormatException e) {
-            // More than any number: no name of ours.
-            return null;
+            // Above any number: not a name that this class gave.
+            return Optional.empty();
         }
     }
 
-    String file() {
+    /** The name of the file of the change. */
+    String fileName() {
         return String.format("change-%019d-%019d", epoch, number);
     }
 
@@ -46,7 +54,7 @@
                 : epoch > other.epoch && number == 1;
     }
 
-    /** The one after it in the same epoch. */
+    /** The position after it in the same epoch. */
     public LogPosition next() {
         return new LogPosition(epoch, number + 1);
     }
@@ -56,6 +64,7 @@
         return ORDER.compare(this, other);
     }
 
+    /** As lines for operators have it: {@code EPOCH-NUMBER}. */
     @Override
     public String toString() {
         return epoch + "-" + number;
--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -23,7 +23,7 @@
 import tinroad.catalog.CatalogChange;
 import tinroad.catalog.CatalogEntry;
 import tinroad.catalog.FullSnapshotDiff;
-import tinroad.changelog.ChangeLogFollower;
+import tinroad.changelog.ChangeDescription;
 import tinroad.changelog.ChangeLogStore;
 import tinroad.changelog.LogPosition;
 import tinroad.config.ConfigException;
@@ -297,7 +297,7 @@
         if (outcome instanceof ChangeResult.Rejected refused) {
             throw new ConfigException(String.join("\n", refused.errors()));
         } else if (!(outcome instanceof ChangeResult.Applied)) {
-            throw new IOException(ChangeLogFollower.describe(c, outcome));
+            throw new IOException(ChangeDescription.of(c, outcome));
         }
         log.append(c);
         out.println(
--- a/src/main/java/tinroad/node/CatalogUpdater.java
+++ b/src/main/java/tinroad/node/CatalogUpdater.java
@@ -16,6 +16,7 @@
 import tinroad.catalog.CatalogChange;
 import tinroad.catalog.CatalogDelta;
 import tinroad.catalog.FullSnapshotDiff;
+import tinroad.changelog.ChangeDescription;
 import tinroad.changelog.ChangeLogFollower;
 import tinroad.changelog.LogPosition;
 import tinroad.config.ConfigException;
@@ -84,12 +85,12 @@
             boolean more = true;
             while (more) {
                 ChangeLogFollower.PollResult step = follower.poll(editor);
-                if (follower.lastProblem() != null) {
-                    tell(step.logLine());
-                } else if (step.logLine() != null) {
-                    LOG.info("{}", step.logLine());
+                if (follower.lastProblem().isPresent()) {
+                    tell(step.logLine().orElse(null));
+                } else {
+                    step.logLine().ifPresent(line -> LOG.info("{}", line));
                 }
-                more = step.applied() != null && bring(step.applied());
+                more = step.applied().isPresent() && bring(step.applied().get());
             }
         } catch (RuntimeException e) {
             // Guards the looks to come, which an exception would end.
@@ -141,8 +142,8 @@
                     CatalogBuilder.ChangeResult.Applied taken;
                     if (follower != null) {
                         ChangeLogFollower.PollResult step = follower.applyFile(editor, whole);
-                        tell(asked ? step.logLine() : null);
-                        taken = step.applied();
+                        tell(asked ? step.logLine().orElse(null) : null);
+                        taken = step.applied().orElse(null);
                     } else {
                         taken = offer(change(whole));
                     }
@@ -165,7 +166,7 @@
         throw new ConfigException(
                 outcome instanceof CatalogBuilder.ChangeResult.Rejected refused
                         ? String.join("\n", refused.errors())
-                        : ChangeLogFollower.describe(change, outcome));
+                        : ChangeDescription.of(change, outcome));
     }
 
     private CatalogChange change(FullSnapshotDiff whole) {
@@ -224,7 +225,7 @@
 
     /** How many later versions the log was seen to hold beyond this one. */
     private int untold(Catalog next) {
-        LogPosition newest = follower == null ? null : follower.newest();
+        LogPosition newest = follower == null ? null : follower.newest().orElse(null);
         boolean later = newest != null && newest.epoch() == next.epoch();
         return later
                 ? (int) Math.max(0, Math.min(Integer.MAX_VALUE, newest.number() - next.number()))
--- a/src/test/java/tinroad/changelog/ChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/ChangeLogTest.java
@@ -1,7 +1,6 @@
 package tinroad.changelog;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static tinroad.changelog.KillLogWrites.base;
@@ -15,6 +14,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
@@ -30,8 +30,8 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * The files of a change log, and what a follower makes of whatever it finds: one line, and the last
- * good catalog serves.
+ * The files of a change log, and what a follower does with whatever it finds: one line, and the
+ * last valid catalog stays in use.
  */
 @Timeout(600)
 class ChangeLogTest {
@@ -40,7 +40,7 @@
     private final CatalogBuilder writer = new CatalogBuilder(base());
     private final CatalogBuilder reader = new CatalogBuilder(base());
 
-    private ChangeLogStore folder() {
+    private ChangeLogStore store() {
         return new ChangeLogStore(dir.resolve("log"), 8);
     }
 
@@ -48,7 +48,7 @@
 
     private String follow() {
         if (follower[0] == null) {
-            follower[0] = new ChangeLogFollower(folder(), "log", null);
+            follower[0] = new ChangeLogFollower(store(), "log", null);
         }
         return KillLogWrites.follow(follower[0], reader);
     }
@@ -57,22 +57,22 @@
         for (int i = 0; i < count; i++) {
             long number = writer.current().epoch() == epoch ? writer.current().number() + 1 : 1;
             CatalogChange c = quotas(writer.current(), epoch, number, 2);
-            folder().append(c);
+            store().append(c);
             writer.apply(c);
         }
     }
 
     private Path file(long epoch, long number) {
-        return dir.resolve("log").resolve(new LogPosition(epoch, number).file());
+        return dir.resolve("log").resolve(new LogPosition(epoch, number).fileName());
     }
 
-    private void assertSame() {
+    private void assertFollowed() {
         assertEquals(writer.current().contentHash(), reader.current().contentHash());
         assertEquals(writer.current().number(), reader.current().number());
     }
 
     @Test
-    void whatIsWrittenIsReadAgainToTheLastBit() throws IOException {
+    void readsWhatItWroteToTheLastBit() throws IOException {
         RequestClass odd =
                 new RequestClass(
                         0.1,
@@ -108,59 +108,60 @@
                 "before after",
                 c.hashBefore()
                         + " "
-                        + ChangeCodec.readHead(new ByteArrayInputStream(bytes)).hashAfter());
+                        + ChangeCodec.readHashes(new ByteArrayInputStream(bytes)).hashAfter());
         assertTrue(ChangeCodec.write(quotas(base(), 1, 1, 1)).length < 2048);
     }
 
     @Test
-    void aFollowerEndsWhereTheWriterIsAndOnlyTheNewestStay() throws IOException {
+    void followsThePublisherAndKeepsOnlyTheNewestChanges() throws IOException {
         write(1, 5);
         assertEquals("", follow());
-        assertSame();
+        assertFollowed();
         write(1, 20);
-        assertEquals(8, folder().positions().size());
-        // Fallen behind: the file as it is now leads it on.
+        assertEquals(8, store().positions().size());
+        // Fallen behind: the settings file as it is now brings it up to date.
         assertEquals(
                 "log: 1-6 is missing, the oldest change after it is 1-18: the settings file as it"
                         + " is now has to be read, by SIGHUP\n",
                 follow());
         assertEquals("", follow());
         assertEquals(5, reader.current().number());
-        FullSnapshotDiff now = whole(writer);
-        assertNull(follower[0].applyFile(reader, now).logLine());
-        assertSame();
+        FullSnapshotDiff now = snapshot(writer);
+        assertEquals(Optional.empty(), follower[0].applyFile(reader, now).logLine());
+        assertFollowed();
         write(2, 1);
         assertEquals("", follow());
-        assertSame();
+        assertFollowed();
         assertEquals(2, reader.current().epoch());
-        assertEquals(new LogPosition(2, 1), follower[0].newest());
+        assertEquals(Optional.of(new LogPosition(2, 1)), follower[0].newest());
     }
 
     @Test
-    void aFileThatWasBroughtBeforeItsChangeIsAtItsVersion() throws IOException {
+    void findsTheVersionOfAFileThatWasReadBeforeItsChange() throws IOException {
         CatalogChange c = quotas(base(), 1, 1, 2);
-        CatalogBuilder brought = new CatalogBuilder(base());
-        brought.apply(c);
-        CatalogBuilder early = new CatalogBuilder(brought.current().withVersion(0, 0));
+        CatalogBuilder fromFile = new CatalogBuilder(base());
+        fromFile.apply(c);
+        CatalogBuilder early = new CatalogBuilder(fromFile.current().withVersion(0, 0));
         write(1, 2);
-        ChangeLogFollower f = new ChangeLogFollower(folder(), "log", null);
+        ChangeLogFollower f = new ChangeLogFollower(store(), "log", null);
         assertEquals("", KillLogWrites.follow(f, early));
         assertEquals(writer.current().contentHash(), early.current().contentHash());
-        // And one that fell behind with a content that is back again.
+        // And one that fell behind with a content that is in use again.
         write(1, 9);
         CatalogBuilder late = new CatalogBuilder(writer.current().withVersion(0, 0));
         assertTrue(KillLogWrites.follow(f, late).contains("is missing"));
-        assertEquals(0, f.applyFile(late, whole(late, late)).applied().delta().size());
+        assertEquals(
+                0, f.applyFile(late, snapshot(late, late)).applied().orElseThrow().delta().size());
         assertEquals(11, late.current().number());
         assertEquals("log is followed again from 1-11\n", KillLogWrites.follow(f, late));
     }
 
-    /** An editor's content as a settings file. */
-    private FullSnapshotDiff whole(CatalogBuilder from) {
-        return whole(from, reader);
+    /** A builder's content as a settings file. */
+    private FullSnapshotDiff snapshot(CatalogBuilder from) {
+        return snapshot(from, reader);
     }
 
-    private static FullSnapshotDiff whole(CatalogBuilder from, CatalogBuilder to) {
+    private static FullSnapshotDiff snapshot(CatalogBuilder from, CatalogBuilder to) {
         FullSnapshotDiff file = new FullSnapshotDiff(to.current());
         from.current().classEntries().forEach(r -> file.requestClass(r.name(), r.spec()));
         from.current().tenantEntries().forEach(t -> file.tenant(t.name(), t.spec()));
@@ -168,21 +169,21 @@
     }
 
     @Test
-    void aFileIsTakenOnlyAsAVersionOfTheLog() throws IOException {
+    void appliesAFileOnlyAsAVersionOfTheLog() throws IOException {
         write(1, 3);
         CatalogBuilder old = new CatalogBuilder(base());
         assertEquals("", follow());
         assertEquals(
                 "settings file not taken: it is that of 1-0, and 1-3 serves",
-                follower[0].applyFile(reader, whole(old)).logLine());
-        assertNull(follower[0].applyFile(reader, whole(writer)).applied());
+                follower[0].applyFile(reader, snapshot(old)).logLine().orElseThrow());
+        assertEquals(Optional.empty(), follower[0].applyFile(reader, snapshot(writer)).applied());
         old.apply(quotas(old.current(), 1, 1, 7));
         assertEquals(
                 "settings file not taken: log knows no change to its content, "
                         + old.current().contentHash(),
-                follower[0].applyFile(reader, whole(old)).logLine());
+                follower[0].applyFile(reader, snapshot(old)).logLine().orElseThrow());
         assertEquals("1-3", reader.current().epoch() + "-" + reader.current().number());
-        // A process that starts on a file finds where in the log it is.
+        // A process that starts on a file finds its position in the log.
         assertEquals(3, follower[0].locate(writer.current().withVersion(0, 0)).number());
         assertEquals(
                 List.of(1L, 0L),
@@ -191,7 +192,7 @@
     }
 
     @Test
-    void noByteOfABatchCanBeAnotherOne() throws IOException {
+    void rejectsAChangeWithAnyBitFlippedOrByteMissing() throws IOException {
         byte[] bytes = ChangeCodec.write(quotas(base(), 1, 1, 2));
         LogPosition at = new LogPosition(1, 1);
         for (int i = 0; i < bytes.length; i++) {
@@ -219,55 +220,60 @@
     }
 
     @Test
-    void aDamagedOrHalfWrittenFileIsToldOnceAndWhatServesStays() throws IOException {
+    void reportsACorruptOrIncompleteFileOnceAndKeepsTheCatalog() throws IOException {
         write(1, 2);
         byte[] good = Files.readAllBytes(file(1, 2));
         Files.write(file(1, 2), Arrays.copyOf(good, good.length / 2));
-        // A publisher's file that is not whole has another name.
-        Files.write(dir.resolve("log/" + new LogPosition(1, 3).file() + "-x.part"), good);
-        String told = follow();
-        assertTrue(told.startsWith("log: change 1-2 is damaged: it is not JSON at byte "), told);
+        // A publisher's incomplete file has another name.
+        Files.write(dir.resolve("log/" + new LogPosition(1, 3).fileName() + "-x.part"), good);
+        String line = follow();
+        assertTrue(line.startsWith("log: change 1-2 is damaged: it is not JSON at byte "), line);
         assertEquals("", follow() + follow());
         assertEquals(1, reader.current().number());
-        assertTrue(follower[0].lastProblem().contains("damaged"));
+        assertTrue(follower[0].lastProblem().orElseThrow().contains("damaged"));
         Files.write(file(1, 2), good);
         assertEquals("", follow());
-        assertSame();
-        assertNull(follower[0].lastProblem());
+        assertFollowed();
+        assertEquals(Optional.empty(), follower[0].lastProblem());
     }
 
     @Test
-    void aHigherEpochMendsALogThatIsDamagedOrRolledBack() throws IOException {
+    void repairsACorruptLogByAHigherEpoch() throws IOException {
         write(1, 2);
         assertEquals("", follow());
         CatalogBuilder behind = new CatalogBuilder(base());
         behind.apply(quotas(base(), 1, 1, 2));
         Files.writeString(file(1, 2), "x");
-        String told = assertThrows(IOException.class, () -> write(1, 1)).getMessage();
-        assertEquals("the newest change, 1-2, is damaged: no change, or cut short", told);
-        // One gateway has the damaged change, the other has not; the publisher goes on from where
+        String line = assertThrows(IOException.class, () -> write(1, 1)).getMessage();
+        assertEquals("the newest change, 1-2, is damaged: no change, or cut short", line);
+        // One gateway has the corrupt change, the other has not; the publisher continues from where
         // the second one is.
-        ChangeLogFollower second = new ChangeLogFollower(folder(), "log", null);
+        ChangeLogFollower second = new ChangeLogFollower(store(), "log", null);
         assertTrue(KillLogWrites.follow(second, behind).contains("1-2 is damaged"));
         CatalogChange mended = quotas(behind.current(), 2, 1, 3);
-        folder().append(mended);
+        store().append(mended);
         String lines = "";
-        for (int i = 0; i < ChangeLogFollower.ANYWAY; i++) {
+        for (int i = 0; i < PollMemory.POLLS_BETWEEN_RECHECKS; i++) {
             lines += KillLogWrites.follow(second, behind);
         }
         assertEquals("", lines);
         assertEquals(mended.hashAfter(), behind.current().contentHash());
-        assertNull(second.lastProblem());
-        // The first one is told, and needs the file.
+        assertEquals(Optional.empty(), second.lastProblem());
+        // The first one reports it, and needs the file.
         assertTrue(follow().startsWith("change 2-1 belongs to another content than"));
         assertEquals(
                 mended.hashAfter(),
-                follower[0].applyFile(reader, whole(behind)).applied().next().contentHash());
+                follower[0]
+                        .applyFile(reader, snapshot(behind))
+                        .applied()
+                        .orElseThrow()
+                        .next()
+                        .contentHash());
         assertEquals("log is followed again from 2-1\n", follow());
     }
 
     @Test
-    void aBatchWithAFaultIsRefusedWhole() throws IOException {
+    void rejectsAnInvalidChangeCompletely() throws IOException {
         write(1, 1);
         CatalogChange bad =
                 new CatalogChange(
@@ -282,10 +288,10 @@
                         Set.of(),
                         writer.current().contentHash(),
                         "");
-        folder().append(bad);
+        store().append(bad);
         assertEquals("change 1-2 refused: class b: deadline has to be above 0, not 0\n", follow());
         Files.delete(file(1, 2));
-        // A word that a later version knows, in a file whose checksum fits.
+        // A keyword of a later version, in a file with a correct checksum.
         String text =
                 new String(
                         ChangeCodec.write(quotas(writer.current(), 1, 2, 1)),
@@ -312,7 +318,7 @@
     }
 
     @Test
-    void aFolderThatIsGoneEmptyOrRolledBackIsToldOnce() throws IOException {
+    void reportsAFolderThatIsGoneEmptyOrRolledBackOnce() throws IOException {
         assertEquals("log is not there\n", follow());
         assertEquals("", follow());
         write(1, 3);
@@ -325,59 +331,60 @@
         Files.copy(away.resolve(file(1, 1).getFileName()), file(1, 1));
         assertEquals("log was rolled back: 1-3 was taken, and the newest is 1-1\n", follow());
         assertEquals("", follow());
-        assertSame();
-        // The same, seen by the next life, which knows what this one had.
-        ChangeLogFollower next = new ChangeLogFollower(folder(), "log", new LogPosition(1, 3));
-        CatalogBuilder began = new CatalogBuilder(base());
+        assertFollowed();
+        // The same, seen by the next incarnation, which knows what this one had applied.
+        ChangeLogFollower nextIncarnation =
+                new ChangeLogFollower(store(), "log", new LogPosition(1, 3));
+        CatalogBuilder restarted = new CatalogBuilder(base());
         assertEquals(
                 "log was rolled back: 1-3 was taken, and the newest is 1-1\n",
-                KillLogWrites.follow(next, began));
-        assertEquals(1, began.current().number());
+                KillLogWrites.follow(nextIncarnation, restarted));
+        assertEquals(1, restarted.current().number());
         Files.delete(file(1, 1));
         Files.delete(log);
         Files.move(away, log);
         assertEquals("log is followed again from 1-3\n", follow());
-        assertEquals("", KillLogWrites.follow(next, began));
-        assertEquals(3, began.current().number());
+        assertEquals("", KillLogWrites.follow(nextIncarnation, restarted));
+        assertEquals(3, restarted.current().number());
     }
 
     @Test
-    void anEarlierEpochIsNotTakenAfterItIsOver() throws IOException {
+    void rejectsAnEarlierEpochAfterItIsOver() throws IOException {
         write(1, 2);
         CatalogChange late = quotas(writer.current(), 1, 3, 5);
         write(2, 1);
         assertEquals("", follow());
-        assertThrows(IOException.class, () -> folder().append(late));
+        assertThrows(IOException.class, () -> store().append(late));
         Files.write(file(1, 3), ChangeCodec.write(late));
         assertEquals(
                 "log: change 1-3 came after its epoch was over: not taken, 2 goes on\n", follow());
-        assertSame();
-        // It keeps nobody from what comes next, of this epoch and of a higher one.
+        assertFollowed();
+        // It does not block what comes next, of this epoch and of a higher one.
         write(2, 1);
         write(3, 1);
         follow();
-        assertSame();
+        assertFollowed();
     }
 
     @Test
-    void twoPublishersWithOneEpochAreTold() throws Exception {
+    void reportsTwoPublishersWithOneEpoch() throws Exception {
         write(1, 1);
         assertEquals("", follow());
         String other =
-                assertThrows(IOException.class, () -> folder().append(quotas(base(), 1, 1, 9)))
+                assertThrows(IOException.class, () -> store().append(quotas(base(), 1, 1, 9)))
                         .getMessage();
         assertEquals("change 1-1 is taken, or its epoch is over: the newest is 1-1", other);
         assertTrue(
-                assertThrows(IOException.class, () -> folder().append(quotas(base(), 1, 2, 9)))
+                assertThrows(IOException.class, () -> store().append(quotas(base(), 1, 2, 9)))
                         .getMessage()
                         .startsWith("change 1-2 leads on from content "));
         assertTrue(
                 assertThrows(
                                 IOException.class,
-                                () -> folder().append(quotas(writer.current(), 1, 3, 9)))
+                                () -> store().append(quotas(writer.current(), 1, 3, 9)))
                         .getMessage()
                         .contains("does not follow"));
-        // One that writes past the checks: the reader tells.
+        // One that bypasses the checks: the reader reports it.
         Files.write(file(1, 2), ChangeCodec.write(quotas(base(), 1, 2, 9)));
         assertTrue(
                 follow().startsWith(
@@ -387,11 +394,11 @@
         Files.write(file(1, 1), ChangeCodec.write(quotas(base(), 1, 1, 9)));
         Files.createFile(dir.resolve("log/touched"));
         assertTrue(follow().startsWith("change 1-1 belongs to another content than "));
-        assertSame();
+        assertFollowed();
     }
 
     @Test
-    void ofTwoThatWriteAtOnceOneWritesEachChange() throws Exception {
+    void letsOneOfTwoConcurrentPublishersWriteEachChange() throws Exception {
         ChangeLogStore log = new ChangeLogStore(dir.resolve("log"), 1000);
         AtomicInteger written = new AtomicInteger();
         Thread[] both = new Thread[2];
@@ -414,8 +421,8 @@
                                                         entries));
                                         written.incrementAndGet();
                                     } catch (IOException e) {
-                                        // Told to this one; it goes on from what the other one
-                                        // wrote.
+                                        // Reported to this one; it continues from what the other
+                                        // one wrote.
                                     }
                                     KillLogWrites.follow(f, mine);
                                 }
@@ -436,18 +443,18 @@
     }
 
     @Test
-    void whatAKilledPublisherLeftIsClearedAway() throws IOException {
+    void deletesWhatAKilledPublisherLeft() throws IOException {
         write(1, 1);
-        Path half =
+        Path incomplete =
                 Files.write(
-                        dir.resolve("log/" + new LogPosition(1, 1).file() + "-killed.part"),
+                        dir.resolve("log/" + new LogPosition(1, 1).fileName() + "-killed.part"),
                         new byte[20]);
         write(1, 1);
-        assertTrue(Files.notExists(half));
+        assertTrue(Files.notExists(incomplete));
     }
 
     @Test
-    void fiftyKillsWhileTheLogIsWrittenDamageNothing() throws Exception {
+    void survivesFiftyKillsWhileWriting() throws Exception {
         assertEquals(
                 "kills 50, damaged 0, lost 0",
                 KillLogWrites.campaign(dir.resolve("killed"), 50, 1));
--- a/src/test/java/tinroad/changelog/KillLogWrites.java
+++ b/src/test/java/tinroad/changelog/KillLogWrites.java
@@ -19,7 +19,7 @@
 
 /**
  * Kills processes while they write a change log: {@code KillLogWrites FOLDER KILLS SEED} from the
- * command line. Damaged counts kills after which a reader that follows all the while had trouble,
+ * command line. Damaged counts kills after which a reader that follows all the while had a problem,
  * lost those after which a change reported as written was not there.
  */
 public final class KillLogWrites {
@@ -37,16 +37,18 @@
                     campaign(Path.of(args[0]), Integer.parseInt(args[1]), Long.parseLong(args[2])));
             return;
         }
-        ChangeLogStore folder = new ChangeLogStore(Path.of(args[0]), KEEP);
-        List<LogPosition> there =
-                Files.isDirectory(Path.of(args[0])) ? folder.positions() : List.of();
-        CatalogBuilder editor =
+        ChangeLogStore store = new ChangeLogStore(Path.of(args[0]), KEEP);
+        List<LogPosition> positions =
+                Files.isDirectory(Path.of(args[0])) ? store.positions() : List.of();
+        CatalogBuilder builder =
                 new CatalogBuilder(
-                        there.isEmpty() ? base() : content(there.get(there.size() - 1).number()));
-        for (long n = editor.current().number() + 1; ; n++) {
-            CatalogChange c = quotas(editor.current(), 1, n, ENTRIES);
-            folder.append(c);
-            editor.apply(c);
+                        positions.isEmpty()
+                                ? base()
+                                : content(positions.get(positions.size() - 1).number()));
+        for (long n = builder.current().number() + 1; ; n++) {
+            CatalogChange c = quotas(builder.current(), 1, n, ENTRIES);
+            store.append(c);
+            builder.apply(c);
             System.out.println(1 + " " + n);
         }
     }
@@ -75,7 +77,7 @@
                 names.stream().map(name -> new Tenant(number, 0)).toList());
     }
 
-    /** The next change of the content: so many quotas, each of the change's number. */
+    /** The next change of the content: so many tenants, each with the number as its quota. */
     static CatalogChange quotas(Catalog now, long epoch, long number, int entries) {
         Map<String, Tenant> put = new HashMap<>();
         for (int i = 0; i < entries; i++) {
@@ -93,14 +95,14 @@
                 now.hashAfter(c));
     }
 
-    /** Takes all that is there; returns the lines that were told. */
-    static String follow(ChangeLogFollower follower, CatalogBuilder editor) {
+    /** Applies all that is there; returns the lines for operators. */
+    static String follow(ChangeLogFollower follower, CatalogBuilder builder) {
         StringBuilder lines = new StringBuilder();
-        // Twice more after the last: what is wrong with the folder is looked for then.
+        // Twice more after the last: the folder is checked then.
         for (int idle = 0; idle < 2; ) {
-            ChangeLogFollower.PollResult step = follower.poll(editor);
-            idle = step.applied() == null ? idle + 1 : 0;
-            lines.append(step.logLine() == null ? "" : step.logLine() + "\n");
+            ChangeLogFollower.PollResult result = follower.poll(builder);
+            idle = result.applied().isEmpty() ? idle + 1 : 0;
+            result.logLine().ifPresent(line -> lines.append(line).append('\n'));
         }
         return lines.toString();
     }
@@ -110,24 +112,24 @@
         SplittableRandom random = new SplittableRandom(seed);
         ChangeLogFollower follower =
                 new ChangeLogFollower(new ChangeLogStore(folder, KEEP), "log", null);
-        CatalogBuilder editor = new CatalogBuilder(base());
+        CatalogBuilder builder = new CatalogBuilder(base());
         int damaged = 0;
         int lost = 0;
         for (int k = 0; k < kills; k++) {
-            Reader reader = new Reader(follower, editor);
+            Reader reader = new Reader(follower, builder);
             reader.start();
             String last = KillWrites.lastReported(KillLogWrites.class, folder, random);
-            reader.done = true;
+            reader.stopped = true;
             reader.join();
-            damaged += reader.trouble + follow(follower, editor).length() > 0 ? 1 : 0;
+            damaged += reader.problems + follow(follower, builder).length() > 0 ? 1 : 0;
             Tenant t =
-                    editor.current().number() == 0
+                    builder.current().number() == 0
                             ? null
-                            : editor.current().tenantEntry("t" + (ENTRIES - 1)).spec();
+                            : builder.current().tenantEntry("t" + (ENTRIES - 1)).spec();
             lost +=
                     t != null
-                                    && t.quotaPerSecond() == editor.current().number()
-                                    && editor.current().number() >= KillWrites.numbers(last)[1]
+                                    && t.quotaPerSecond() == builder.current().number()
+                                    && builder.current().number() >= KillWrites.numbers(last)[1]
                             ? 0
                             : 1;
         }
@@ -137,24 +139,24 @@
     /** Follows while it is written. */
     private static final class Reader extends Thread {
         private final ChangeLogFollower follower;
-        private final CatalogBuilder editor;
-        private volatile boolean done;
-        private int trouble;
+        private final CatalogBuilder builder;
+        private volatile boolean stopped;
+        private int problems;
 
-        Reader(ChangeLogFollower follower, CatalogBuilder editor) {
+        Reader(ChangeLogFollower follower, CatalogBuilder builder) {
             this.follower = follower;
-            this.editor = editor;
+            this.builder = builder;
         }
 
         @Override
         public void run() {
-            boolean began = editor.current().number() > 0;
-            while (!done) {
-                ChangeLogFollower.PollResult step = follower.poll(editor);
-                began |= step.applied() != null;
+            boolean applied = builder.current().number() > 0;
+            while (!stopped) {
+                ChangeLogFollower.PollResult result = follower.poll(builder);
+                applied |= result.applied().isPresent();
                 // The folder comes with the first change.
-                trouble += step.logLine() != null && began ? 1 : 0;
-                Thread.yield();
+                problems += result.logLine().isPresent() && applied ? 1 : 0;
+                Thread.onSpinWait();
             }
         }
     }
--- a/src/test/java/tinroad/changelog/StoredChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/StoredChangeLogTest.java
@@ -14,20 +14,22 @@
     private static final Path FILES = Path.of("src/test/resources/stored/0.2.0");
 
     @Test
-    void theReleasesChangeLogLeadsFromItsFirstConfigurationToItsLast() throws Exception {
-        CatalogBuilder editor = new CatalogBuilder(catalog("config.json"));
+    void followsTheReleasesChangeLogFromItsFirstConfigurationToItsLast() throws Exception {
+        CatalogBuilder builder = new CatalogBuilder(catalog("config.json"));
         ChangeLogFollower follower =
                 new ChangeLogFollower(
                         new ChangeLogStore(
                                 FILES.resolve("changes"), ChangeLogStore.DEFAULT_KEPT_CHANGES),
                         "log",
                         null);
-        KillLogWrites.follow(follower, editor);
-        assertEquals(2, editor.current().epoch());
-        assertEquals(1, editor.current().number());
-        assertEquals("fbb16f2c539afdcb22f1e5c9f6ae48a4", editor.current().contentHash().toString());
+        KillLogWrites.follow(follower, builder);
+        assertEquals(2, builder.current().epoch());
+        assertEquals(1, builder.current().number());
         assertEquals(
-                catalog("config-after-changes.json").contentHash(), editor.current().contentHash());
+                "fbb16f2c539afdcb22f1e5c9f6ae48a4", builder.current().contentHash().toString());
+        assertEquals(
+                catalog("config-after-changes.json").contentHash(),
+                builder.current().contentHash());
     }
 
     private static Catalog catalog(String file) throws Exception {
