--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -16,7 +16,7 @@
 import tinroad.catalog.CatalogBuilder.ChangeResult;
 import tinroad.catalog.CatalogChange;
 import tinroad.catalog.FullSnapshotDiff;
-import tinroad.changelog.ChangeLogFollower;
+import tinroad.changelog.ChangeDescription;
 import tinroad.changelog.ChangeLogStore;
 import tinroad.changelog.LogPosition;
 import tinroad.config.ConfigException;
@@ -199,7 +199,7 @@
         if (result instanceof ChangeResult.Rejected rejected) {
             throw new ConfigException(String.join("\n", rejected.errors()));
         } else if (!(result instanceof ChangeResult.Applied)) {
-            throw new IOException(ChangeLogFollower.describe(change, result));
+            throw new IOException(ChangeDescription.of(change, result));
         }
         log.append(change);
         out.println(
