--- a/src/main/java/tinroad/cli/ServeCommand.java
+++ b/src/main/java/tinroad/cli/ServeCommand.java
@@ -62,7 +62,7 @@
                         unused);
             }
             server.warmUpJit();
-            if (server.start() != null) {
+            if (server.start().isPresent()) {
                 server.awaitEnd(source);
             }
         } finally {
--- a/src/main/java/tinroad/node/CatalogUpdater.java
+++ b/src/main/java/tinroad/node/CatalogUpdater.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
@@ -24,162 +25,173 @@
 import tinroad.core.Gateway;
 
 /**
- * Brings later classes and tenants to a gateway that serves. All that reads, checks and compares is
- * done by one thread of its own, whichever source it is from; the event loop only hears what
- * differs. One version is told at a time: the next one waits until it is in force, so that what
- * waits has a bound.
+ * Applies catalog versions, from the configuration file or from a change log, to a gateway that
+ * serves. Reading, validating and comparing happen on one thread of its own, "catalog", whatever
+ * the source; the event loop receives only the differences. One version is handed over at a time:
+ * the next one waits until it is in force, which bounds what is pending.
  */
 final class CatalogUpdater implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("catalog");
+    private static final String THREAD_NAME = "catalog";
 
     private final Gateway gateway;
     private final Executor loop;
-    private final CatalogBuilder editor;
 
-    /** What is followed, or null. */
+    /** Used on the catalog thread only. */
+    private final CatalogBuilder builder;
+
+    /** Null where no change log is followed. */
     private final ChangeLogFollower follower;
 
     private final ScheduledThreadPoolExecutor thread;
 
     /**
-     * What a configuration that was read again says.
+     * The outcome of reading the configuration again.
      *
-     * @param later classes and tenants that differ and count at the next start only
-     * @param taken whether classes and tenants of it are to come in force
+     * @param pendingEntries how many classes and tenants differ and apply at the next start only
+     * @param applied whether its classes and tenants change something now
      */
-    record Reread(GatewayConfig config, int later, boolean taken) {}
+    record Reload(GatewayConfig config, int pendingEntries, boolean applied) {}
 
     /**
-     * Updates of {@code gateway}, which still has its {@code first} catalog; those of a change log
-     * come by {@code follower}, or null.
+     * Updates of {@code gateway}, which still has its {@code startCatalog}; {@code follower} is
+     * null where no change log is followed.
      */
-    CatalogUpdater(Gateway gateway, Catalog first, Executor loop, ChangeLogFollower follower) {
+    CatalogUpdater(
+            Gateway gateway, Catalog startCatalog, Executor loop, ChangeLogFollower follower) {
         this.gateway = gateway;
         this.loop = loop;
         this.follower = follower;
-        editor = new CatalogBuilder(first);
-        thread =
-                new ScheduledThreadPoolExecutor(
-                        1,
-                        task -> {
-                            Thread t = new Thread(task, "catalog");
-                            t.setDaemon(true);
-                            return t;
-                        });
+        builder = new CatalogBuilder(startCatalog);
+        thread = new ScheduledThreadPoolExecutor(1, CatalogUpdater::newThread);
         loop.execute(
                 () ->
                         gateway.onSlotsFree(
-                                places -> free(places, editor::releaseClassSlot),
-                                places -> free(places, editor::releaseTenantSlot)));
+                                slots -> releaseSlots(slots, builder::releaseClassSlot),
+                                slots -> releaseSlots(slots, builder::releaseTenantSlot)));
+    }
+
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, THREAD_NAME);
+        thread.setDaemon(true);
+        return thread;
     }
 
-    /** Begins to look into the log, and does again {@code poll} ms after each look. */
-    void follow(double poll) {
-        thread.scheduleWithFixedDelay(
-                this::look, 0, Math.max(1, (long) poll), TimeUnit.MILLISECONDS);
+    /** Polls the change log now, and again {@code pollMillis} after each poll. */
+    void follow(double pollMillis) {
+        // Ends with the thread; a poll catches its own failures.
+        ScheduledFuture<?> unused =
+                thread.scheduleWithFixedDelay(
+                        this::poll, 0, Math.max(1, (long) pollMillis), TimeUnit.MILLISECONDS);
     }
 
-    private void look() {
+    private void poll() {
         try {
             boolean more = true;
             while (more) {
-                ChangeLogFollower.PollResult step = follower.poll(editor);
+                ChangeLogFollower.PollResult result = follower.poll(builder);
                 if (follower.lastProblem() != null) {
-                    tell(step.logLine());
-                } else if (step.logLine() != null) {
-                    LOG.info("{}", step.logLine());
+                    reportProblem(result.logLine());
+                } else if (result.logLine() != null) {
+                    LOG.info("{}", result.logLine());
                 }
-                more = step.applied() != null && bring(step.applied());
+                more = result.applied() != null && activate(result.applied());
             }
         } catch (RuntimeException e) {
-            // Guards the looks to come, which an exception would end.
+            // Guards the polls to come, which an exception would end.
             LOG.error("can't follow the change log", e);
         }
     }
 
-    private void tell(String line) {
+    /** Logs the problem and has the gateway show it; nothing for null. */
+    private void reportProblem(String line) {
         if (line != null) {
             LOG.warn("{}", line);
-            refused(line);
+            reportRejection(line);
         }
     }
 
-    private void free(int[] places, IntConsumer told) {
+    private void releaseSlots(int[] slots, IntConsumer release) {
         try {
             thread.execute(
                     () -> {
-                        for (int place : places) {
-                            told.accept(place);
+                        for (int slot : slots) {
+                            release.accept(slot);
                         }
                     });
         } catch (RejectedExecutionException e) {
-            // The end of the process: nothing is given out any more.
+            // The process ends: no slot is allocated any more.
         }
     }
 
-    /** Reads the configuration and compares it with the last version that was made; blocks. */
-    Reread read(ConfigSource source) throws ConfigException {
+    /**
+     * Reads the configuration and compares it with the last version that was built; blocks.
+     *
+     * @throws ConfigException if it is invalid, or the process is about to end
+     */
+    Reload read(ConfigSource source) throws ConfigException {
         return onThread(
                 () -> {
-                    FullSnapshotDiff whole = new FullSnapshotDiff(editor.current());
-                    GatewayConfig config = source.read(whole);
-                    return new Reread(config, change(whole).size(), false);
+                    FullSnapshotDiff diff = new FullSnapshotDiff(builder.current());
+                    GatewayConfig config = source.read(diff);
+                    return new Reload(config, changeFrom(diff).size(), false);
                 });
     }
 
     /**
-     * Reads the configuration and has the gateway go on with its classes and tenants; blocks until
-     * they are checked, and not until they are in force.
+     * Reads the configuration and has the gateway change to its classes and tenants; blocks until
+     * they are validated, not until they are in force.
      *
-     * @param asked whether somebody waits to be told why they don't count
+     * @param requested whether somebody waits for the reason if they don't apply
+     * @throws ConfigException if it is invalid, or the process is about to end
      */
-    Reread apply(ConfigSource source, boolean asked) throws ConfigException {
+    Reload apply(ConfigSource source, boolean requested) throws ConfigException {
         return onThread(
                 () -> {
-                    FullSnapshotDiff whole = new FullSnapshotDiff(editor.current());
-                    GatewayConfig config = source.read(whole);
-                    CatalogBuilder.ChangeResult.Applied taken;
+                    FullSnapshotDiff diff = new FullSnapshotDiff(builder.current());
+                    GatewayConfig config = source.read(diff);
+                    CatalogBuilder.ChangeResult.Applied applied;
                     if (follower != null) {
-                        ChangeLogFollower.PollResult step = follower.applyFile(editor, whole);
-                        tell(asked ? step.logLine() : null);
-                        taken = step.applied();
+                        ChangeLogFollower.PollResult result = follower.applyFile(builder, diff);
+                        reportProblem(requested ? result.logLine() : null);
+                        applied = result.applied();
                     } else {
-                        taken = offer(change(whole));
+                        applied = build(changeFrom(diff));
                     }
-                    if (taken != null) {
-                        thread.execute(() -> bring(taken));
+                    if (applied != null) {
+                        thread.execute(() -> activate(applied));
                     }
-                    return new Reread(config, 0, taken != null);
+                    return new Reload(config, 0, applied != null);
                 });
     }
 
     /** Null where nothing differs. */
-    private CatalogBuilder.ChangeResult.Applied offer(CatalogChange change) throws ConfigException {
+    private CatalogBuilder.ChangeResult.Applied build(CatalogChange change) throws ConfigException {
         if (change.size() == 0) {
             return null;
         }
-        CatalogBuilder.ChangeResult outcome = editor.applyFullSnapshot(change);
-        if (outcome instanceof CatalogBuilder.ChangeResult.Applied taken) {
-            return taken;
+        CatalogBuilder.ChangeResult result = builder.applyFullSnapshot(change);
+        if (result instanceof CatalogBuilder.ChangeResult.Applied applied) {
+            return applied;
         }
         throw new ConfigException(
-                outcome instanceof CatalogBuilder.ChangeResult.Rejected refused
-                        ? String.join("\n", refused.errors())
-                        : ChangeLogFollower.describe(change, outcome));
+                result instanceof CatalogBuilder.ChangeResult.Rejected rejected
+                        ? String.join("\n", rejected.errors())
+                        : ChangeLogFollower.describe(change, result));
     }
 
-    private CatalogChange change(FullSnapshotDiff whole) {
-        Catalog base = editor.current();
-        return whole.change(base.epoch(), base.number() + 1);
+    private CatalogChange changeFrom(FullSnapshotDiff diff) {
+        Catalog base = builder.current();
+        return diff.change(base.epoch(), base.number() + 1);
     }
 
     private <T> T onThread(Callable<T> task) throws ConfigException {
         try {
             return thread.submit(task).get();
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof ConfigException wrong) {
-                refused(wrong.getMessage());
-                throw wrong;
+            if (e.getCause() instanceof ConfigException invalid) {
+                reportRejection(invalid.getMessage());
+                throw invalid;
             }
             throw new IllegalStateException(e.getCause());
         } catch (RejectedExecutionException e) {
@@ -190,19 +202,19 @@
         }
     }
 
-    /** Hands the gateway a version, and waits until it is in force; false where it never is. */
-    private boolean bring(CatalogBuilder.ChangeResult.Applied taken) {
-        Catalog next = taken.next();
-        CatalogDelta delta = taken.delta();
-        CompletableFuture<Boolean> end = new CompletableFuture<>();
+    /** Hands the gateway a version and waits until it is in force; false where it never is. */
+    private boolean activate(CatalogBuilder.ChangeResult.Applied applied) {
+        Catalog next = applied.next();
+        CatalogDelta delta = applied.delta();
+        CompletableFuture<Boolean> activated = new CompletableFuture<>();
         try {
-            int untold = untold(next);
+            int unapplied = unappliedAfter(next);
             loop.execute(
                     () -> {
-                        gateway.setUnappliedChanges(untold);
-                        gateway.applyChange(next, delta, end::complete);
+                        gateway.setUnappliedChanges(unapplied);
+                        gateway.applyChange(next, delta, activated::complete);
                     });
-            boolean inForce = end.get();
+            boolean inForce = activated.get();
             if (inForce) {
                 LOG.atLevel(follower == null ? Level.INFO : Level.DEBUG)
                         .log(
@@ -222,16 +234,16 @@
         }
     }
 
-    /** How many later versions the log was seen to hold beyond this one. */
-    private int untold(Catalog next) {
+    /** How many versions beyond this one the change log was seen to have. */
+    private int unappliedAfter(Catalog next) {
         LogPosition newest = follower == null ? null : follower.newest();
-        boolean later = newest != null && newest.epoch() == next.epoch();
-        return later
+        boolean sameEpoch = newest != null && newest.epoch() == next.epoch();
+        return sameEpoch
                 ? (int) Math.max(0, Math.min(Integer.MAX_VALUE, newest.number() - next.number()))
                 : 0;
     }
 
-    private void refused(String text) {
+    private void reportRejection(String text) {
         loop.execute(() -> gateway.changeRejected(text));
     }
 
--- a/src/main/java/tinroad/node/GatewayNode.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -7,8 +7,6 @@
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -20,12 +18,13 @@
 import tinroad.changelog.ChangeLogFollower;
 import tinroad.changelog.ChangeLogStore;
 import tinroad.changelog.LogPosition;
-import tinroad.config.ConfigDiff;
 import tinroad.config.ConfigException;
 import tinroad.config.ConfigSource;
 import tinroad.config.GatewayConfig;
+import tinroad.config.Site;
 import tinroad.core.Clock;
 import tinroad.core.Gateway;
+import tinroad.core.Timers;
 import tinroad.discovery.LoadReporter;
 import tinroad.engine.EngineLink;
 import tinroad.fastcgi.FastCgiFrontend;
@@ -35,46 +34,25 @@
 import tinroad.operator.FleetSettings;
 import tinroad.operator.StateSettings;
 import tinroad.overload.OverloadController;
-import tinroad.recovery.ConfigReloadBackoff;
 import tinroad.recovery.RestoredState;
 
-/** The parts of one gateway put together on one event loop, from its start to its leave. */
+/**
+ * The parts of one gateway put together on one event loop, from start to graceful shutdown.
+ *
+ * <p>That event loop owns all state of the parts. Beside it run the caller's threads, which only
+ * block and hand work to the loop: one starts the node and waits for its end, one brings the
+ * shutdown notice, one requests reloads; and the catalog thread of {@link CatalogUpdater}.
+ */
 public final class GatewayNode implements AutoCloseable {
-    /**
-     * The last part of the time to leave, in ms at least: for the last answers to be taken and the
-     * process to end.
-     */
-    private static final double EXIT_MARGIN = 200;
-
-    /** The same as a part of that time. */
-    private static final double EXIT_PART = 0.1;
-
-    /**
-     * Part of the grace for which a notice may have been on its way from the system to the thread
-     * that hears it.
-     */
-    private static final double UNHEARD_PART = 0.1;
-
-    /**
-     * Neither is more than this, in ms: what a process may be late does not grow with what it is
-     * given.
-     */
-    private static final double MOST_LATE = 500;
-
-    /** So long before that no new connection is taken, and empty ones are closed. */
-    private static final double CLOSING = 250;
-
-    private static final long POLL_MS = 10;
-
-    /** Period of the look for another process, in ms. */
-    private static final long SHARE_MS = 250;
+    /** How often it is checked whether another process shares the address, in ms. */
+    private static final long WATCH_PERIOD_MILLIS = 250;
 
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
-    private enum Begun {
-        NEITHER,
+    private enum Phase {
+        STARTING,
         LISTENING,
-        LEAVING
+        SHUTTING_DOWN
     }
 
     private final GatewayConfig config;
@@ -82,49 +60,34 @@
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
+    private final Timers timers = new LoopTimers(loop);
     private final EngineLink engine;
     private final Gateway gateway;
-    private final FastCgiFrontend front;
-    private final LoadReporter roster;
-    private final ListenerHandover succession;
-    private final ConfigReloadBackoff rereads;
-
-    /** What lasts, or null where nothing does. */
-    private final StatePersistence remembering;
-
-    private final double saveEvery;
-    private final CatalogSettings catalogSettings;
-    private final Catalog first;
-
-    /** Who follows the change log, or null where there is none. */
-    private final ChangeLogFollower follower;
-
-    /**
-     * Made with the first settings that come later: a gateway that never hears of any has no thread
-     * for them.
-     */
-    private CatalogUpdater updates;
-
+    private final FastCgiFrontend frontend;
+    private final LoadReporter reporter;
+    private final ListenerHandover handover;
+    private final StatePersistence persistence;
+    private final double savePeriodMillis;
     private final FleetSettings fleetSettings;
 
-    /** What speaks with the other gateways, or null where nothing does. */
-    private final UdpTransport fleet;
+    /** Null where the gateway is not a member of a fleet. */
+    private final UdpTransport gossip;
 
-    private boolean shared;
+    private final boolean followsChangeLog;
+    private final ConfigReloader reloader;
+    private final NodeShutdown shutdown;
 
-    /** What came first: the listener, or the notice to leave. */
-    private final AtomicReference<Begun> begun = new AtomicReference<>(Begun.NEITHER);
+    /** Decides between listener and shutdown notice: whichever comes first keeps the other out. */
+    private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
-    /** Where engine and roster are, by the configuration that was read last. */
-    private volatile InetSocketAddress engineAt;
+    private final CountDownLatch healthy = new CountDownLatch(1);
 
-    private volatile InetSocketAddress rosterAt;
-    private final CountDownLatch serving = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    /** Whether another process shares the connection limits; on the thread that waits. */
+    private boolean limitsShared;
 
     /**
-     * A gateway that shares {@code directory}, or null, with other processes under the same name.
-     * Reads what lasted, and blocks for it.
+     * A gateway whose catalog changes as by {@link CatalogSettings#DEFAULT}; see the other
+     * constructor.
      */
     public GatewayNode(
             GatewayConfig config,
@@ -134,7 +97,12 @@
         this(config, directory, state, fleetSettings, CatalogSettings.DEFAULT);
     }
 
-    /** The same, with classes and tenants that change as {@code catalogSettings} say. */
+    /**
+     * Puts the parts together and reads the stored state, which blocks.
+     *
+     * @param directory where processes of the same gateway find each other; null or empty if there
+     *     is none
+     */
     public GatewayNode(
             GatewayConfig config,
             String directory,
@@ -142,371 +110,284 @@
             FleetSettings fleetSettings,
             CatalogSettings catalogSettings) {
         this.config = config;
-        remembering =
+        this.fleetSettings = fleetSettings;
+        Site site = config.site();
+        persistence =
                 state.enabled()
                         ? StatePersistence.open(state, config.name(), clock.nowMillis())
-                        : null;
-        saveEvery = state.savePeriodMillis();
-        engineAt = config.engine();
-        rosterAt = config.roster();
-        succession = new ListenerHandover(directory, config.name());
+                        : StatePersistence.DISABLED;
+        savePeriodMillis = state.savePeriodMillis();
+        handover = new ListenerHandover(directory, config.name());
         engine =
                 new EngineLink(
-                        loop,
-                        config.engine(),
-                        config.site().gaugeNames(),
-                        config.name(),
-                        config.seed());
-        this.catalogSettings = catalogSettings;
-        follower = follower(catalogSettings);
-        Catalog read =
-                Catalog.of(
-                        0,
-                        0,
-                        config.site().classNames(),
-                        config.site().settings().classes(),
-                        config.site().tenantNames(),
-                        config.site().settings().tenants());
-        first = follower == null ? read : follower.locate(read);
+                        loop, config.engine(), site.gaugeNames(), config.name(), config.seed());
+        ChangeLogFollower follower = newFollower(catalogSettings, persistence.restoredState());
+        followsChangeLog = follower != null;
+        Catalog startCatalog = startCatalog(site, follower);
         gateway =
                 new Gateway(
-                        config.site(),
-                        first,
+                        site,
+                        startCatalog,
                         config.seed(),
                         clock,
-                        this::after,
+                        timers,
                         engine,
                         OverloadController::new,
                         LoggerFactory.getLogger("gateway"));
-        front = new FastCgiFrontend(clock, gateway, config.sockets(), config.memoryMb());
-        rereads = new ConfigReloadBackoff(config.name(), config.seed());
-        roster = new LoadReporter(loop, config.roster(), config.name(), config.seed());
-        gateway.addFrontend(front);
-        this.fleetSettings = fleetSettings;
-        fleet =
-                fleetSettings.enabled()
-                        ? new UdpTransport(
-                                loop,
-                                fleetSettings.listen(),
-                                fleetSettings.keys(),
-                                clock::nowMillis)
-                        : null;
-        gateway.onHealth(this::health);
-        if (remembering != null) {
-            gateway.restoreFrom(remembering.memory());
-            after(saveEvery, this::save);
+        frontend = new FastCgiFrontend(clock, gateway, config.sockets(), config.memoryMb());
+        reporter = new LoadReporter(loop, config.roster(), config.name(), config.seed());
+        gateway.addFrontend(frontend);
+        gossip = fleetSettings.enabled() ? newGossip() : null;
+        reloader =
+                new ConfigReloader(
+                        config,
+                        clock,
+                        catalogSettings,
+                        loop,
+                        engine,
+                        reporter,
+                        () -> new CatalogUpdater(gateway, startCatalog, loop, follower));
+        shutdown =
+                new NodeShutdown(
+                        config, clock, loop, gateway, frontend, reporter, gossip, persistence);
+        gateway.onHealth(this::onHealth);
+        if (state.enabled()) {
+            gateway.restoreFrom(persistence.restoredState());
+            timers.after(savePeriodMillis, this::save);
         }
     }
 
     /**
-     * Who follows the change log, from no earlier on than what lasted tells; null where there is
-     * none.
+     * The follower of the change log, from the stored state's position on; null where no log is
+     * followed.
      */
-    private ChangeLogFollower follower(CatalogSettings set) {
-        if (set.log() == null) {
+    private static ChangeLogFollower newFollower(CatalogSettings settings, RestoredState restored) {
+        if (settings.log() == null) {
             return null;
         }
-        RestoredState memory = remembering == null ? RestoredState.NONE : remembering.memory();
         return new ChangeLogFollower(
-                new ChangeLogStore(set.log(), ChangeLogStore.DEFAULT_KEPT_CHANGES),
-                "change log " + set.log(),
-                memory.catalogEpoch() > 0
-                        ? new LogPosition(memory.catalogEpoch(), memory.catalogNumber())
+                new ChangeLogStore(settings.log(), ChangeLogStore.DEFAULT_KEPT_CHANGES),
+                "change log " + settings.log(),
+                restored.catalogEpoch() > 0
+                        ? new LogPosition(restored.catalogEpoch(), restored.catalogNumber())
                         : null);
     }
 
+    private static Catalog startCatalog(Site site, ChangeLogFollower follower) {
+        Catalog configured =
+                Catalog.of(
+                        0,
+                        0,
+                        site.classNames(),
+                        site.settings().classes(),
+                        site.tenantNames(),
+                        site.settings().tenants());
+        return follower == null ? configured : follower.locate(configured);
+    }
+
+    private UdpTransport newGossip() {
+        return new UdpTransport(
+                loop, fleetSettings.listen(), fleetSettings.keys(), clock::nowMillis);
+    }
+
     private void save() {
-        // First: guards the saves to come against one that fails.
-        after(saveEvery, this::save);
-        remembering.save(gateway);
+        // First: guards the snapshots to come against one that fails.
+        timers.after(savePeriodMillis, this::save);
+        persistence.save(gateway);
     }
 
-    private void health(boolean good) {
-        roster.report(good);
+    private void onHealth(boolean good) {
+        reporter.report(good);
         if (good) {
-            serving.countDown();
+            healthy.countDown();
         }
     }
 
-    private void after(double ms, Runnable task) {
-        loop.schedule(task, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
-    }
-
-    /** Has the virtual machine see its work before any caller does; blocks until then. */
+    /**
+     * Has the JIT compiler see the hot paths before any client does; blocks until then.
+     *
+     * @throws InterruptedException if the caller is interrupted meanwhile
+     */
     public void warmUpJit() throws InterruptedException {
         LOG.debug("rehearsing");
-        loop.submit(() -> new JitWarmup(config.site()).play()).await();
+        // A failed warm-up costs nothing but the first requests' time: the gateway starts anyway.
+        Future<Integer> unused = loop.submit(() -> new JitWarmup(config.site()).play()).await();
     }
 
     /**
-     * Listens, and begins to connect to the engine; returns the address that it listens on, or null
-     * where the notice to leave came first: then nothing ever listens.
+     * Listens, and begins to connect to the engine; blocks until it listens. Where another process
+     * already listens on the address, that is once the engine is reachable and health is good.
+     *
+     * @return the address that it listens on; empty if the shutdown notice came first: then it
+     *     never listens
+     * @throws IOException if it can't listen on an address
+     * @throws InterruptedException if the caller is interrupted meanwhile
      */
-    public InetSocketAddress start() throws IOException, InterruptedException {
+    public Optional<InetSocketAddress> start() throws IOException, InterruptedException {
         if (config.control() != null) {
-            listening(
-                    new AdminServer(gateway, () -> Optional.ofNullable(fleet).map(UdpTransport::membership))
-                            .listen(loop, config.control()),
-                    config.control());
+            AdminServer admin =
+                    new AdminServer(
+                            gateway,
+                            () -> Optional.ofNullable(gossip).map(UdpTransport::membership));
+            awaitBound(admin.listen(loop, config.control()), config.control());
         }
-        if (follower != null) {
-            updates().follow(catalogSettings.pollMillis());
+        if (followsChangeLog) {
+            reloader.followChangeLog();
         }
-        // Guards the requests that come while a new version starts: until it takes work, all go to
-        // the old one.
-        boolean beside =
-                FastCgiFrontend.taken(config.listen(), false)
-                        && !FastCgiFrontend.taken(config.listen(), true);
-        if (beside) {
+        boolean besideAnother = isServedByAnotherProcess();
+        if (besideAnother) {
             Keys.with(LOG.atInfo(), "listen", config.listen())
                     .log(
                             "another process listens on {}: beside it once the engine is there",
                             config.listen());
-            share(true);
+            shareLimits(true);
+            connect();
+            healthy.await();
+        }
+        Optional<InetSocketAddress> bound = listen();
+        if (bound.isPresent() && !besideAnother) {
             connect();
-            serving.await();
         }
-        // On the loop, as the drain is: whichever comes first, the other sees it whole.
+        return bound;
+    }
+
+    /**
+     * Whether another process listens that lets this one listen beside it. Guards the requests that
+     * come while a new version starts: until it admits requests, all go to the old one.
+     */
+    private boolean isServedByAnotherProcess() throws IOException {
+        return FastCgiFrontend.taken(config.listen(), false)
+                && !FastCgiFrontend.taken(config.listen(), true);
+    }
+
+    @SuppressWarnings("FutureReturnValueIgnored") // Wrong: both futures are awaited here.
+    private Optional<InetSocketAddress> listen() throws IOException, InterruptedException {
+        // On the loop, as the shutdown is: whichever comes first, the other sees all of it.
         Future<ChannelFuture> listen =
                 loop.submit(
                                 () ->
-                                        begun.compareAndSet(Begun.NEITHER, Begun.LISTENING)
-                                                ? front.listen(loop, config.listen())
+                                        phase.compareAndSet(Phase.STARTING, Phase.LISTENING)
+                                                ? frontend.listen(loop, config.listen())
                                                 : null)
                         .await();
         if (listen.getNow() == null) {
-            return null;
+            return Optional.empty();
         }
-        ChannelFuture bound = listening(listen.getNow(), config.listen());
-        succession.take();
+        ChannelFuture bound = listen.getNow();
+        awaitBound(bound, config.listen());
+        handover.recordListening();
         loop.execute(gateway::markListening);
-        Keys.with(
-                        Keys.with(LOG.atInfo(), "listen", bound.channel().localAddress()),
-                        "member",
-                        config.name())
-                .log("listening on {} as {}", bound.channel().localAddress(), config.name());
-        if (!beside) {
-            connect();
+        InetSocketAddress address = (InetSocketAddress) bound.channel().localAddress();
+        Keys.with(Keys.with(LOG.atInfo(), "listen", address), "member", config.name())
+                .log("listening on {} as {}", address, config.name());
+        return Optional.of(address);
+    }
+
+    private static void awaitBound(ChannelFuture bound, InetSocketAddress address)
+            throws IOException, InterruptedException {
+        if (!bound.await().isSuccess()) {
+            throw new IOException("can't listen on " + address + ": " + bound.cause().getMessage());
         }
-        return (InetSocketAddress) bound.channel().localAddress();
     }
 
     private void connect() {
         loop.execute(
                 () -> {
-                    roster.start();
+                    reporter.start();
                     engine.start(gateway);
-                    if (fleet != null) {
-                        join();
+                    if (gossip != null) {
+                        joinFleet();
                     }
                 });
     }
 
-    /**
-     * Its life in the fleet is the one that its state counts, or, without state, the time of its
-     * start.
-     */
-    private void join() {
-        long life =
-                remembering != null && remembering.memory().incarnation() > 0
-                        ? remembering.memory().incarnation()
-                        : (long) clock.nowMillis();
-        fleet.start(config.name(), fleetSettings.zone(), life, fleetSettings.seeds(), config.seed())
-                .addListener(
-                        bound -> {
-                            if (!bound.isSuccess()) {
-                                LOG.warn(
-                                        "can't hear the fleet on {}, goes on alone: {}",
-                                        fleetSettings.listen(),
-                                        bound.cause().getMessage());
-                            }
-                        });
-    }
-
-    private static ChannelFuture listening(ChannelFuture bound, InetSocketAddress address)
-            throws IOException, InterruptedException {
-        if (!bound.await().isSuccess()) {
-            throw new IOException("can't listen on " + address + ": " + bound.cause().getMessage());
-        }
-        return bound;
+    /** The incarnation is the stored state's, or, without state, the time of the start. */
+    private void joinFleet() {
+        long stored = persistence.restoredState().incarnation();
+        long incarnation = stored > 0 ? stored : (long) clock.nowMillis();
+        ChannelFuture unused =
+                gossip.start(
+                                config.name(),
+                                fleetSettings.zone(),
+                                incarnation,
+                                fleetSettings.seeds(),
+                                config.seed())
+                        .addListener(
+                                bound -> {
+                                    if (!bound.isSuccess()) {
+                                        LOG.warn(
+                                                "can't hear the fleet on {}, goes on alone: {}",
+                                                fleetSettings.listen(),
+                                                bound.cause().getMessage());
+                                    }
+                                });
     }
 
     /**
-     * Reads the configuration again and goes on with its addresses of engine and roster, and with
-     * its classes and tenants where these are to count at once; all else in it counts at the next
-     * start. Blocks while it reads.
+     * Reads the configuration again and applies its addresses of engine and service registry, and
+     * its classes and tenants where these are to change in place; everything else in it applies at
+     * the next start. Blocks while it reads; any thread.
+     *
+     * @throws ConfigException if it is invalid: then the one in force stays
      */
     public void reload(ConfigSource source) throws ConfigException {
-        goOnWith(reread(source, true));
-    }
-
-    private CatalogUpdater.Reread reread(ConfigSource source, boolean asked)
-            throws ConfigException {
-        return catalogSettings.inPlace() ? updates().apply(source, asked) : updates().read(source);
-    }
-
-    private synchronized CatalogUpdater updates() {
-        if (updates == null) {
-            updates = new CatalogUpdater(gateway, first, loop, follower);
-        }
-        return updates;
-    }
-
-    private void goOnWith(CatalogUpdater.Reread reread) {
-        GatewayConfig next = reread.config();
-        List<String> later = new ArrayList<>(ConfigDiff.between(config, next));
-        if (reread.later() > 0) {
-            later.add("settings.classes and settings.orgs: " + reread.later() + " differ");
-        }
-        if (!later.isEmpty()) {
-            LOG.info("counts at the next start: {}", String.join(", ", later));
-        }
-        engineAt = next.engine();
-        rosterAt = next.roster();
-        loop.execute(
-                () -> {
-                    Keys.with(
-                                    Keys.with(LOG.atInfo(), "engine", next.engine()),
-                                    "roster",
-                                    next.roster())
-                            .log(
-                                    "configuration read again: engine {}, roster {}",
-                                    next.engine(),
-                                    next.roster());
-                    engine.switchEndpoint(next.engine());
-                    roster.switchEndpoint(next.roster());
-                });
+        reloader.reload(source);
     }
 
     /**
-     * Leaves: answers all that was read, then ends. Blocks its caller, the thread that the notice
-     * comes on. A process that was replaced leaves at once, and quietly: the gateway itself stays.
+     * Graceful shutdown: answers every request that was read, then ends. Blocks its caller, the
+     * thread that the notice arrives on, until then, at most until the process is killed anyway. A
+     * process that was replaced ends as soon as it is empty, and the gateway stays in the service
+     * registry.
      */
     public void shutDownGracefully() {
-        double noticedAt = Math.min(clock.nowMillis(), gateway.lastSeenAliveMillis());
-        if (begun.compareAndSet(Begun.NEITHER, Begun.LEAVING)) {
-            // Guards against a wait for the rehearsal, or for the engine: nobody has asked for
+        double noticedAtMillis = shutdown.noticedAtMillis();
+        if (phase.compareAndSet(Phase.STARTING, Phase.SHUTTING_DOWN)) {
+            // Guards against a wait for the warm-up, or for the engine: no client has sent
             // anything yet.
-            LOG.info("told to leave before it listened");
-            ended.countDown();
+            shutdown.endBeforeListening();
             return;
         }
-        boolean replaced = succession.passedOn();
-        loop.execute(
-                () -> {
-                    if (replaced) {
-                        LOG.info("replaced by another process");
-                        gateway.markReplaced();
-                        roster.stopReporting();
-                        front.closeGracefully();
-                        endOnceEmpty();
-                    }
-                    drain(noticedAt);
-                });
-        try {
-            ended.await((long) config.stopMs(), TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        keep();
-    }
-
-    private void drain(double noticedAt) {
-        double leaveAt =
-                noticedAt
-                        + Math.max(
-                                0,
-                                config.stopMs()
-                                        - Math.max(
-                                                EXIT_MARGIN,
-                                                Math.min(MOST_LATE, EXIT_PART * config.stopMs())));
-        // Guards the grace against a notice that was heard late, as where the process gets little
-        // of a core.
-        double grace = config.site().settings().rules().drainGraceMillis();
-        gateway.beginDraining(noticedAt - Math.min(MOST_LATE, UNHEARD_PART * grace), leaveAt);
-        if (fleet != null) {
-            fleet.leave();
-        }
-        double left = leaveAt - clock.nowMillis();
-        after(Math.max(0, left - CLOSING), front::closeGracefully);
-        after(Math.max(0, left), this::endOnceEmpty);
-    }
-
-    private void endOnceEmpty() {
-        if (gateway.allAnswered() && front.connections() == 0) {
-            LOG.info("drained");
-            if (remembering != null) {
-                remembering.save(gateway);
-            }
-            ended.countDown();
-        } else {
-            after(POLL_MS, this::endOnceEmpty);
-        }
+        shutdown.begin(noticedAtMillis, handover.isReplaced());
+        shutdown.awaitEndOrKill();
+        persistence.close();
     }
 
     /**
-     * Blocks until the end. Meanwhile it looks whether another process shares what this gateway may
-     * hold, and, while the engine is gone, what the configuration says by now.
+     * Blocks until the end. Meanwhile it checks whether another process shares the connection
+     * limits, and, while the engine is unreachable, whether the configuration has changed.
+     *
+     * @throws InterruptedException if the caller is interrupted meanwhile
      */
     public void awaitEnd(ConfigSource source) throws InterruptedException {
         do {
             try {
-                watch(source);
+                shareLimits(handover.isShared());
+                reloader.reloadWhileEngineIsUnreachable(source);
             } catch (RuntimeException e) {
-                // Guards the process: with this thread it would end, whatever it owes.
+                // Guards the process: with this thread it would end, whatever is still in flight.
                 LOG.error("watch failed", e);
             }
-        } while (!ended.await(SHARE_MS, TimeUnit.MILLISECONDS));
-    }
-
-    private void watch(ConfigSource source) {
-        share(succession.shared());
-        if (rereads.due(clock.nowMillis(), engine.engineReachable()) && source.changed()) {
-            try {
-                CatalogUpdater.Reread next = reread(source, false);
-                boolean moved =
-                        !(next.config().engine().equals(engineAt)
-                                && next.config().roster().equals(rosterAt));
-                if (moved || next.taken()) {
-                    LOG.info("engine gone: the configuration has changed unheard");
-                    goOnWith(next);
-                }
-            } catch (ConfigException e) {
-                // Told by whoever is told to read it; unasked, the gateway goes on with what it
-                // has.
-            }
-        }
+        } while (!shutdown.awaitEnd(WATCH_PERIOD_MILLIS));
     }
 
-    private void share(boolean withAnother) {
-        if (withAnother != shared) {
-            shared = withAnother;
+    private void shareLimits(boolean withAnother) {
+        if (withAnother != limitsShared) {
+            limitsShared = withAnother;
             LOG.info(
                     withAnother
                             ? "half of the connections: another process shares the limits"
                             : "all connections: alone again");
-            loop.execute(() -> front.share(withAnother));
-        }
-    }
-
-    /** What waits to be saved is saved. */
-    private void keep() {
-        if (remembering != null) {
-            remembering.close();
-        }
-    }
-
-    private synchronized void stopUpdates() {
-        if (updates != null) {
-            updates.close();
+            loop.execute(() -> frontend.share(withAnother));
         }
     }
 
     @Override
     public void close() {
-        keep();
-        stopUpdates();
-        succession.close();
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        persistence.close();
+        reloader.close();
+        handover.close();
+        // Knowingly dropped: the process ends, and nothing waits for the loop's thread.
+        Future<?> unused = group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/tinroad/node/ListenerHandover.java
+++ b/src/main/java/tinroad/node/ListenerHandover.java
@@ -11,96 +11,113 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which process of a gateway was the last to listen, and whether there is another: told by files in
- * the directory that they share. A process that finds another named there was replaced while it
- * served; the one that came first holds a lock, which the system lets go however that process ends.
+ * How two processes of one gateway that listen on one address (SO_REUSEPORT) know of each other: by
+ * two files in a directory that they share. One names the process that began to listen last; a
+ * process that finds another's name there has been replaced. The other is locked by the older
+ * process; the system releases the lock however that process ends.
+ *
+ * <p>{@link #recordListening} is called on the thread that starts the node, {@link #isShared} on
+ * the one that waits for its end, {@link #isReplaced} on any; none on the event loop, as all touch
+ * files.
  */
 final class ListenerHandover implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("server");
+    private static final String FILE_PREFIX = "tinroad-";
+    private static final String LATEST_SUFFIX = ".latest";
+    private static final String LOCK_SUFFIX = ".lock";
 
-    private final Path file;
-    private final Path lock;
-    private final String self = UUID.randomUUID().toString();
-    private FileChannel held;
-    private volatile boolean taken;
+    /** Holds the id of the process that began to listen last; null without a directory. */
+    private final Path latestFile;
+
+    private final Path lockFile;
+
+    private final String processId = UUID.randomUUID().toString();
+
+    /** Open while this process has the lock. */
+    private FileChannel lockChannel;
+
+    private volatile boolean listening;
 
     /**
-     * The processes named {@code name} that share {@code directory}; null where there is none to
-     * share.
+     * Where the processes of gateway {@code name} find each other.
+     *
+     * @param directory null or empty where there is none: then this process counts as alone
      */
     ListenerHandover(String directory, String name) {
-        boolean shared = directory != null && !directory.isEmpty();
-        file = shared ? Path.of(directory, "tinroad-" + name + ".latest") : null;
-        lock = shared ? Path.of(directory, "tinroad-" + name + ".lock") : null;
+        boolean hasDirectory = directory != null && !directory.isEmpty();
+        latestFile = hasDirectory ? Path.of(directory, FILE_PREFIX + name + LATEST_SUFFIX) : null;
+        lockFile = hasDirectory ? Path.of(directory, FILE_PREFIX + name + LOCK_SUFFIX) : null;
     }
 
-    /** This process listens now. */
-    void take() {
-        taken = true;
-        if (file != null) {
+    /** Names this process as the last that began to listen. */
+    void recordListening() {
+        listening = true;
+        if (latestFile != null) {
             try {
-                Files.writeString(file, self);
+                Files.writeString(latestFile, processId);
             } catch (IOException e) {
                 LOG.warn("can't tell that this process listens: {}", e.toString());
             }
         }
     }
 
-    /** Whether another process listened later. */
-    boolean passedOn() {
+    /** Whether another process began to listen after this one. */
+    boolean isReplaced() {
         try {
-            // Guards a process whose notice comes between its listening and its word: the one named
-            // was there before.
-            return taken && file != null && !Files.readString(file).equals(self);
+            // Guards a process whose shutdown notice comes after it listens and before its name is
+            // written: the process named there is older.
+            return listening
+                    && latestFile != null
+                    && !Files.readString(latestFile).equals(processId);
         } catch (IOException e) {
-            // Nobody can have told so: it leaves as a process that has no successor.
+            // A successor would have written the file: there is none.
             return false;
         }
     }
 
-    /** Whether there are two: this process was replaced, or the one before it still lives. */
-    boolean shared() {
-        return passedOn() || !first();
+    /** Whether two processes serve: this one was replaced, or the one before it still runs. */
+    boolean isShared() {
+        return isReplaced() || !isOldest();
     }
 
-    /**
-     * Whether no process that came before this one is left; from then on later ones see this one.
-     */
-    private boolean first() {
-        if (lock == null || held != null) {
+    /** Whether no older process is left; from then on younger ones see this one. */
+    private boolean isOldest() {
+        if (lockFile == null || lockChannel != null) {
             return true;
         }
         try {
             FileChannel channel =
-                    FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            held = locked(channel) ? channel : null;
-            if (held == null) {
+                    FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            if (tryLock(channel)) {
+                lockChannel = channel;
+            } else {
                 channel.close();
             }
-            return held != null;
+            return lockChannel != null;
         } catch (IOException e) {
-            // Nobody can tell: it serves as a process that is alone.
+            // Nothing is known of other processes: it serves as one that is alone.
             return true;
         }
     }
 
-    private static boolean locked(FileChannel channel) throws IOException {
+    private static boolean tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock() != null;
         } catch (OverlappingFileLockException e) {
-            // Another gateway object of this very process holds it, as in tests.
+            // Another gateway object in this process has it, as in tests.
             return false;
         }
     }
 
+    /** Releases the lock. */
     @Override
     public void close() {
         try {
-            if (held != null) {
-                held.close();
+            if (lockChannel != null) {
+                lockChannel.close();
             }
         } catch (IOException e) {
-            LOG.warn("can't let go of {}: {}", lock, e.toString());
+            LOG.warn("can't let go of {}: {}", lockFile, e.toString());
         }
     }
 }
--- /dev/null
+++ b/src/main/java/tinroad/node/LoopTimers.java
@@ -0,0 +1,15 @@
+package tinroad.node;
+
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import tinroad.core.Timers;
+
+/** Timers on the event loop that owns the gateway's state; may be set from any thread. */
+record LoopTimers(EventLoop loop) implements Timers {
+    @Override
+    public void after(double ms, Runnable task) {
+        // Knowingly dropped: no timer is ever cancelled, and a task that fails has no one to tell.
+        Future<?> unused = loop.schedule(task, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
+    }
+}
--- a/src/main/java/tinroad/node/StatePersistence.java
+++ b/src/main/java/tinroad/node/StatePersistence.java
@@ -15,75 +15,89 @@
 import tinroad.state.SnapshotWriter;
 
 /**
- * Where what lasts of a gateway is read from, once before it listens, and saved to, again and again
- * off the event loop.
+ * The stored state of a gateway: read once before it listens, on the thread that starts it, and
+ * saved periodically from the event loop by a writer with a thread of its own.
  */
 final class StatePersistence implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("state");
 
-    private final StateRestorer remembrance;
-    private final SnapshotWriter saver;
+    /** Restores nothing and saves nothing. */
+    static final StatePersistence DISABLED = new StatePersistence(null, null);
 
-    private StatePersistence(StateRestorer remembrance, SnapshotWriter saver) {
-        this.remembrance = remembrance;
-        this.saver = saver;
+    /** Null where nothing is persisted, as is the writer. */
+    private final StateRestorer restorer;
+
+    private final SnapshotWriter writer;
+
+    private StatePersistence(StateRestorer restorer, SnapshotWriter writer) {
+        this.restorer = restorer;
+        this.writer = writer;
     }
 
     /**
-     * Reads what is there and begins the next life. Where the folder can't be used, nothing is
-     * believed and nothing saved: that is told in one line, and the gateway serves as one of which
-     * nothing lasts.
+     * Reads the snapshots in the folder and claims the next incarnation; blocks. Where the folder
+     * can't be used, that is one log line, and the gateway serves without stored state.
      */
-    static StatePersistence open(StateSettings set, String name, double nowMillis) {
-        SnapshotStore folder = new SnapshotStore(set.folder(), set.fence(), set.keptSnapshots());
+    static StatePersistence open(StateSettings settings, String gatewayName, double nowMillis) {
+        SnapshotStore store =
+                new SnapshotStore(settings.folder(), settings.fence(), settings.keptSnapshots());
         try {
-            SnapshotSelector.Decision d =
+            SnapshotSelector.Decision decision =
                     SnapshotSelector.select(
-                            folder.candidates(),
-                            name,
+                            store.candidates(),
+                            gatewayName,
                             nowMillis,
-                            set.maxAgeMillis(),
-                            folder.latestMarkedIncarnation(),
-                            folder.fencedIncarnation());
-            long life = folder.claimIncarnation(d.lastIncarnation());
-            d.rejectedFiles().forEach(text -> LOG.warn("set aside: {}", text));
-            LOG.info("life {} begins {}", life, words(d, nowMillis));
+                            settings.maxAgeMillis(),
+                            store.latestMarkedIncarnation(),
+                            store.fencedIncarnation());
+            long incarnation = store.claimIncarnation(decision.lastIncarnation());
+            decision.rejectedFiles().forEach(text -> LOG.warn("set aside: {}", text));
+            LOG.info("life {} begins {}", incarnation, describe(decision, nowMillis));
             return new StatePersistence(
-                    new StateRestorer(name, d, life, set.maxAgeMillis(), set.halfLifeMillis()),
-                    new SnapshotWriter(folder));
+                    new StateRestorer(
+                            gatewayName,
+                            decision,
+                            incarnation,
+                            settings.maxAgeMillis(),
+                            settings.halfLifeMillis()),
+                    new SnapshotWriter(store));
         } catch (IOException e) {
             LOG.warn("state can't be used, nothing lasts: {}", e.toString());
-            return new StatePersistence(null, null);
+            return DISABLED;
         }
     }
 
-    private static String words(SnapshotSelector.Decision d, double nowMillis) {
-        Snapshot s = d.snapshot();
-        return switch (d.startMode()) {
+    private static String describe(SnapshotSelector.Decision decision, double nowMillis) {
+        Snapshot snapshot = decision.snapshot();
+        return switch (decision.startMode()) {
             case WARM ->
                     "with life "
-                            + s.incarnation()
+                            + snapshot.incarnation()
                             + ", saved "
-                            + Math.round(Math.max(0, nowMillis - s.savedAtMillis()) / 1000)
+                            + Math.round(Math.max(0, nowMillis - snapshot.savedAtMillis()) / 1000)
                             + " s ago";
             case FIRST -> "for the first time";
             case COLD -> "cold: nothing of what was there is believed";
         };
     }
 
-    RestoredState memory() {
-        return remembrance == null ? RestoredState.NONE : remembrance;
+    /** What earlier incarnations stored, or {@link RestoredState#NONE}. */
+    RestoredState restoredState() {
+        return restorer == null ? RestoredState.NONE : restorer;
     }
 
-    /** Has what the gateway knows now saved; on the event loop, which does not wait for it. */
+    /** Hands the writer a snapshot of what the gateway knows now; on the event loop. */
     void save(Gateway gateway) {
-        Map<String, Estimate> values = gateway.learnedEstimates();
-        // Before its engine was there it knows nothing, and what an earlier life left stays.
-        if (saver != null && !values.isEmpty()) {
-            saver.offer(
-                    remembrance.toSnapshot(
+        if (writer == null) {
+            return;
+        }
+        Map<String, Estimate> estimates = gateway.learnedEstimates();
+        // Before its engine was reachable it has learned nothing: the last snapshot stays.
+        if (!estimates.isEmpty()) {
+            writer.offer(
+                    restorer.toSnapshot(
                             gateway.nowMillis(),
-                            values,
+                            estimates,
                             gateway.executedIds(),
                             gateway.evacuated(),
                             gateway.catalog().epoch(),
@@ -91,10 +105,11 @@
         }
     }
 
+    /** Blocks until the writer has saved what it was handed. */
     @Override
     public void close() {
-        if (saver != null) {
-            saver.close();
+        if (writer != null) {
+            writer.close();
         }
     }
 }
--- a/src/test/java/tinroad/admin/ControlServerTest.java
+++ b/src/test/java/tinroad/admin/AdminServerTest.java
@@ -23,19 +23,17 @@
 import tinroad.overload.Controller.Estimate;
 import tinroad.recovery.RestoredState;
 
-/**
- * What operators call, what they hear, and that whatever comes costs no more than its connection.
- */
-class ControlServerTest {
-    private Harness h = Harness.started();
+/** The requests of operators, their responses, and that garbage costs only its connection. */
+class AdminServerTest {
+    private Harness harness = Harness.started();
 
     /** Each test, and each try of a property, has a gateway that callers reach. */
-    ControlServerTest() {
-        h.gateway.markListening();
+    AdminServerTest() {
+        harness.gateway.markListening();
     }
 
     private EmbeddedChannel connect() {
-        return new EmbeddedChannel(new AdminServer(h.gateway).handlers());
+        return new EmbeddedChannel(new AdminServer(harness.gateway).handlers());
     }
 
     private static byte[] bytes(String text) {
@@ -55,43 +53,44 @@
         return call(head, 1);
     }
 
-    private void ask(String id, String kind) {
-        h.gateway.handle(
+    private void send(String id, String kind) {
+        harness.gateway.handle(
                 new IncomingRequest(
-                        id, h.now, kind, "acme", 4, 20, 0.5, null, Unpooled.EMPTY_BUFFER),
+                        id, harness.now, kind, "acme", 4, 20, 0.5, null, Unpooled.EMPTY_BUFFER),
                 a -> {});
     }
 
     @Test
-    void readinessFollowsTheEngineTheDrainAndTheEnd() {
-        h = new Harness(0);
+    void readinessFollowsEngineEvacuationAndShutdown() {
+        harness = new Harness(0);
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
-        h.gateway.onAttached(true, 0);
+        harness.gateway.onAttached(true, 0);
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
-        h.gateway.markListening();
+        harness.gateway.markListening();
         assertEquals("HTTP/1.1 200 OK\nready\n", call("GET /api/ready"));
         assertEquals("HTTP/1.1 200 OK\ndraining\n", call("POST /api/evacuate"));
-        assertFalse(h.gateway.healthy());
+        assertFalse(harness.gateway.healthy());
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
         assertEquals("HTTP/1.1 200 OK\nback to work\n", call("POST /api/rejoin"));
-        assertTrue(h.gateway.healthy());
-        h.gateway.beginDraining(h.now, h.now + 500);
+        assertTrue(harness.gateway.healthy());
+        harness.gateway.beginDraining(harness.now, harness.now + 500);
         assertEquals(
                 "HTTP/1.1 409 Conflict\nthis process is about to end\n", call("POST /api/rejoin"));
     }
 
     @Test
-    void theFiguresCountAnswersByClassRunsAndWhatIsInHand() {
-        h.module.onRequest = r -> h.module.act.run(r.id());
-        ask("0000000000000001", "read");
-        ask("0000000000000002", "read");
-        ask("0000000000000002", "read");
-        ask("0000000000000003", "order");
-        h.gateway.onRunEnded("0000000000000001", Engine.RunOutcome.DONE, 5, Unpooled.EMPTY_BUFFER);
-        h.gateway.onRunEnded(
+    void telemetryCountsResponsesByClassRunsAndRequestsInFlight() {
+        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        send("0000000000000001", "read");
+        send("0000000000000002", "read");
+        send("0000000000000002", "read");
+        send("0000000000000003", "order");
+        harness.gateway.onRunEnded(
+                "0000000000000001", Engine.RunOutcome.DONE, 5, Unpooled.EMPTY_BUFFER);
+        harness.gateway.onRunEnded(
                 "0000000000000003", Engine.RunOutcome.CRASHED, 5, Unpooled.EMPTY_BUFFER);
-        h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
-        ask("0000000000000004", "order");
+        harness.module.onRequest = r -> harness.module.act.reject(r.id(), 0, false);
+        send("0000000000000004", "order");
         assertEquals(
                 "HTTP/1.1 200 OK\n"
                     + "{\"success\":{\"read\":1,\"order\":0},\"busy\":{\"read\":0,\"order\":1},"
@@ -100,23 +99,23 @@
     }
 
     @Test
-    void settingsTellTheVersionInForceWhatWaitsAndTheLastRefusal() {
-        String hash = h.gateway.catalog().contentHash();
-        h.pass(250);
+    void settingsShowTheVersionInForcePendingOnesAndTheLastRejection() {
+        String hash = harness.gateway.catalog().contentHash();
+        harness.pass(250);
         assertEquals(
                 "HTTP/1.1 200 OK\n{\"epoch\":0,\"number\":0,\"hash\":\""
                         + hash
                         + "\",\"classes\":2,\"tenants\":1,\"since_ms\":250,"
                         + "\"lag\":0,\"longest_slice_ms\":0.0,\"refusal\":null,\"refused_ms\":null}",
                 call("GET /api/settings"));
-        CatalogBuilder editor = new CatalogBuilder(h.gateway.catalog());
-        CatalogBuilder.ChangeResult.Applied taken =
+        CatalogBuilder builder = new CatalogBuilder(harness.gateway.catalog());
+        CatalogBuilder.ChangeResult.Applied applied =
                 (CatalogBuilder.ChangeResult.Applied)
-                        editor.apply(
+                        builder.apply(
                                 new CatalogChange(
                                         0, 1, Map.of(), Set.of("order"), Map.of(), Set.of()));
-        h.gateway.applyChange(taken.next(), taken.delta(), inForce -> {});
-        h.gateway.changeRejected("class \"x\": " + "y".repeat(1000));
+        harness.gateway.applyChange(applied.next(), applied.delta(), inForce -> {});
+        harness.gateway.changeRejected("class \"x\": " + "y".repeat(1000));
         assertTrue(
                 call("GET /api/settings")
                         .contains(
@@ -124,12 +123,12 @@
                                         + hash
                                         + "\",\"classes\":2,\"tenants\":1,\"since_ms\":250,\"lag\":1,\"longest_slice_ms\":0.0,\"refusal\":\"class"
                                         + " \\\"x\\\": yyy"));
-        h.pass(40);
+        harness.pass(40);
         String after = call("GET /api/settings");
         assertTrue(
                 after.contains(
                         "\"number\":1,\"hash\":\""
-                                + taken.next().contentHash()
+                                + applied.next().contentHash()
                                 + "\",\"classes\":1,\"tenants\":1,\"since_ms\":40,\"lag\":0,"),
                 after);
         assertTrue(after.endsWith("y...\",\"refused_ms\":40.0}"), after);
@@ -137,9 +136,9 @@
     }
 
     @Test
-    void recoveryTellsThePhaseAndWhatIsRememberedFromWhen() {
-        h = new Harness(0);
-        h.gateway.restoreFrom(
+    void recoveryShowsThePhaseAndTheRestoredValues() {
+        harness = new Harness(0);
+        harness.gateway.restoreFrom(
                 new RestoredState() {
                     @Override
                     public Map<String, RestoredValue> restore(
@@ -154,7 +153,10 @@
                     @Override
                     public Map<String, Double> executedIds() {
                         return Map.of(
-                                "00000000000000aa", h.now + 500, "00000000000000ab", h.now - 1);
+                                "00000000000000aa",
+                                harness.now + 500,
+                                "00000000000000ab",
+                                harness.now - 1);
                     }
 
                     @Override
@@ -178,7 +180,7 @@
                         "{\"phase\":\"starting\",\"since_ms\":0,\"why\":\"the engine was never"
                                 + " there\",\"shown_per_s\":null"),
                 starting);
-        h.gateway.onAttached(true, 0);
+        harness.gateway.onAttached(true, 0);
         String cold = call("GET /api/recovery");
         assertTrue(
                 cold.contains("\"phase\":\"cold\"")
@@ -186,26 +188,26 @@
                                 "\"life\":4,\"began\":\"warm\",\"remembered\":"
                                     + "[{\"what\":\"run.read\",\"value\":24.0,\"age_ms\":61000,\"life\":3}]}"),
                 cold);
-        assertEquals(Map.of("0", 24.0), h.module.restored);
-        // What an earlier life ran is not run again, until it is due; and operators' word outlives
-        // it.
-        ask("00000000000000aa", "read");
-        ask("00000000000000ab", "read");
-        assertEquals("00000000000000ab", h.module.last.id());
-        assertFalse(h.gateway.healthy());
-        assertTrue(h.gateway.rejoin() && h.gateway.healthy());
+        assertEquals(Map.of("0", 24.0), harness.module.restored);
+        // What an earlier incarnation ran is not run again before its deadline; evacuation outlasts
+        // the process.
+        send("00000000000000aa", "read");
+        send("00000000000000ab", "read");
+        assertEquals("00000000000000ab", harness.module.last.id());
+        assertFalse(harness.gateway.healthy());
+        assertTrue(harness.gateway.rejoin() && harness.gateway.healthy());
     }
 
     @Test
-    void whatIsNoCallIsToldSo() {
+    void rejectsUnknownPathsWrongMethodsAndGarbage() {
         assertEquals("HTTP/1.1 404 Not Found\nno such call\n", call("GET /"));
         assertEquals("HTTP/1.1 405 Method Not Allowed\nuse POST\n", call("GET /api/evacuate"));
         assertEquals("HTTP/1.1 400 Bad Request\nnot a call\n", call("what"));
-        assertTrue(h.gateway.healthy());
+        assertTrue(harness.gateway.healthy());
     }
 
     @Test
-    void aCallerThatNeverFinishesItsCallIsGivenUpOn() {
+    void closesAConnectionWhoseRequestNeverEnds() {
         EmbeddedChannel channel = connect();
         channel.writeInbound(Unpooled.copiedBuffer(bytes("GET /api/rea")));
         channel.advanceTimeBy(1, TimeUnit.HOURS);
@@ -214,12 +216,13 @@
     }
 
     @Property(tries = 50, seed = "11")
-    void aCallIsUnderstoodHoweverItIsCut(@ForAll long seed) {
+    void readsARequestHoweverItIsSplit(@ForAll long seed) {
         assertEquals("HTTP/1.1 200 OK\nready\n", call("GET /api/ready", seed));
     }
 
     @Property(tries = 200, seed = "12")
-    void garbageCostsOnlyItsConnection(@ForAll @Size(max = 400) byte[] garbage, @ForAll long seed) {
+    void garbageClosesOnlyItsConnection(
+            @ForAll @Size(max = 400) byte[] garbage, @ForAll long seed) {
         EmbeddedChannel channel = connect();
         Cuts.feed(channel, Cuts.join(garbage, bytes("\r\n\r\n")), seed);
         channel.finishAndReleaseAll();
--- a/src/test/java/tinroad/discovery/RosterReporterTest.java
+++ b/src/test/java/tinroad/discovery/LoadReporterTest.java
@@ -25,17 +25,17 @@
 import org.junit.jupiter.api.Test;
 
 /** The reports, on an ephemeral loopback port. */
-class RosterReporterTest {
+class LoadReporterTest {
     private static final int HUNG_MS = 60_000;
 
     private static int lastPort;
 
-    /** The system's own provider; notes the selectors, and so what is open. */
-    private static final class Noting extends SelectorProvider {
+    /** The system's own provider; records the selectors, and so what is open. */
+    private static final class RecordingProvider extends SelectorProvider {
         private final SelectorProvider system = SelectorProvider.provider();
         private final List<AbstractSelector> selectors;
 
-        Noting(List<AbstractSelector> selectors) {
+        RecordingProvider(List<AbstractSelector> selectors) {
             this.selectors = selectors;
         }
 
@@ -72,23 +72,23 @@
         }
     }
 
-    private static String receive(DatagramSocket roster) throws IOException {
+    private static String receive(DatagramSocket registry) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
-        roster.receive(packet);
+        registry.receive(packet);
         lastPort = packet.getPort();
         return new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8);
     }
 
     @Test
-    void aChangeIsReportedAtOnceAndThenAgainAndAgain() throws IOException {
+    void reportsAChangeAtOnceAndThenPeriodically() throws IOException {
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            roster.setSoTimeout(HUNG_MS);
+        try (DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            registry.setSoTimeout(HUNG_MS);
             LoadReporter reporter =
                     new LoadReporter(
                             group.next(),
-                            (InetSocketAddress) roster.getLocalSocketAddress(),
+                            (InetSocketAddress) registry.getLocalSocketAddress(),
                             "n3",
                             1);
             group.next()
@@ -99,10 +99,10 @@
                                 // is.
                                 reporter.report(true);
                             });
-            assertEquals("HERE n3 on", receive(roster));
+            assertEquals("HERE n3 on", receive(registry));
             group.next().execute(() -> reporter.report(false));
-            assertEquals("HERE n3 off", receive(roster));
-            assertEquals("HERE n3 off", receive(roster), "the periodic one");
+            assertEquals("HERE n3 off", receive(registry));
+            assertEquals("HERE n3 off", receive(registry), "the periodic one");
             try (DatagramSocket next = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
                 next.setSoTimeout(HUNG_MS);
                 group.next()
@@ -113,24 +113,25 @@
                 assertEquals("HERE n3 off", receive(next), "at a new address");
             }
         } finally {
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 
     @Test
-    void theReportsGoOnWhereTheirSocketFails() throws Exception {
+    void reopensASocketThatWasClosed() throws Exception {
         List<AbstractSelector> selectors = new ArrayList<>();
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(
                         1,
                         NioIoHandler.newFactory(
-                                new Noting(selectors), DefaultSelectStrategyFactory.INSTANCE));
-        try (DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            roster.setSoTimeout(HUNG_MS);
+                                new RecordingProvider(selectors),
+                                DefaultSelectStrategyFactory.INSTANCE));
+        try (DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            registry.setSoTimeout(HUNG_MS);
             LoadReporter reporter =
                     new LoadReporter(
                             group.next(),
-                            (InetSocketAddress) roster.getLocalSocketAddress(),
+                            (InetSocketAddress) registry.getLocalSocketAddress(),
                             "n3",
                             1);
             group.next()
@@ -139,7 +140,7 @@
                                 reporter.start();
                                 reporter.report(true);
                             });
-            assertEquals("HERE n3 on", receive(roster));
+            assertEquals("HERE n3 on", receive(registry));
             group.next()
                     .submit(
                             () -> {
@@ -153,10 +154,10 @@
             // another socket.
             int before = lastPort;
             while (lastPort == before) {
-                assertEquals("HERE n3 on", receive(roster));
+                assertEquals("HERE n3 on", receive(registry));
             }
         } finally {
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 }
--- a/src/test/java/tinroad/engine/EngineLinkTest.java
+++ b/src/test/java/tinroad/engine/EngineLinkTest.java
@@ -48,7 +48,7 @@
     /** Only a hung test waits this long. */
     private static final long HUNG_S = 60;
 
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> reported = new LinkedBlockingQueue<>();
     private MultiThreadIoEventLoopGroup group;
     private ServerSocket server;
     private EngineLink link;
@@ -67,36 +67,36 @@
                         GAUGES,
                         "n3",
                         1);
-        group.next().execute(() -> link.start(new Heard()));
+        group.next().execute(() -> link.start(new Recorder()));
         accept();
     }
 
     @AfterEach
     void stop() throws IOException {
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         socket.close();
         server.close();
     }
 
-    private class Heard implements Engine.Listener {
+    private class Recorder implements Engine.Listener {
         @Override
         public void onAttached(boolean fresh, double startedAgo) {
-            heard.add("attached " + fresh + " " + startedAgo);
+            reported.add("attached " + fresh + " " + startedAgo);
         }
 
         @Override
         public void onCaughtUp() {
-            heard.add("caught up");
+            reported.add("caught up");
         }
 
         @Override
         public void onDetached() {
-            heard.add("detached");
+            reported.add("detached");
         }
 
         @Override
         public void onRunEnded(String id, Engine.RunOutcome end, double took, ByteBuf result) {
-            heard.add(
+            reported.add(
                     id
                             + " "
                             + end
@@ -108,7 +108,7 @@
 
         @Override
         public void onGauges(String tag, Gauges gauges) {
-            heard.add(
+            reported.add(
                     tag
                             + " "
                             + gauges.coreUtilization()
@@ -126,17 +126,17 @@
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
     }
 
-    private void tell(String text) throws IOException {
+    private void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void hears(String event) throws InterruptedException {
-        assertEquals(event, heard.poll(HUNG_S, TimeUnit.SECONDS));
+    private void expect(String event) throws InterruptedException {
+        assertEquals(event, reported.poll(HUNG_S, TimeUnit.SECONDS));
     }
 
     private void hello() throws IOException, InterruptedException {
-        tell("{\"type\":\"HELLO\",\"state\":\"fresh\",\"took\":12.5}\n");
-        hears("attached true 12.5");
+        send("{\"type\":\"HELLO\",\"state\":\"fresh\",\"took\":12.5}\n");
+        expect("attached true 12.5");
         assertEquals("{\"type\":\"STAT\",\"ref\":\"catch-up\"}", lines.readLine());
     }
 
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void nothingIsSentBeforeHelloHoweverLateItComes() throws Exception {
+    void sendsNoCommandBeforeHello() throws Exception {
         assertEquals("{\"type\":\"ATTACH\",\"n\":0}", lines.readLine());
         assertEquals(Progress.NOT_SENT, run("0a"));
         assertEquals(false, onLoop(() -> link.requestGauges("1")));
@@ -160,43 +160,47 @@
                 lines.readLine());
         assertTrue(onLoop(() -> link.requestGauges("7")));
         assertEquals("{\"type\":\"STAT\",\"ref\":\"7\"}", lines.readLine());
-        tell("{\"type\":\"STATS\",\"ref\":\"7\",\"gauges\":[0.5,3,0.1,9,77]}\n");
-        hears("7 0.5 3.0 9.0");
+        send("{\"type\":\"STATS\",\"ref\":\"7\",\"gauges\":[0.5,3,0.1,9,77]}\n");
+        expect("7 0.5 3.0 9.0");
     }
 
     @Test
-    void aBrokenLinkComesBackAfterTheLastNoticeReadAndEachCountsOnce() throws Exception {
+    void reconnectsAfterTheLastEventAndCountsEachOnce() throws Exception {
         lines.readLine();
         hello();
-        tell(
-                "{\"type\":\"DONE\",\"n\":1,\"job\":\"0a\",\"state\":\"done\",\"took\":3,\"data\":\"cmVz\"}\n"
-                    + "{\"type\":\"NOTE\",\"n\":2,\"state\":\"hm\"}\n");
-        hears("0a DONE 3.0 res");
-        tell(
+        send(
+                """
+                {"type":"DONE","n":1,"job":"0a","state":"done","took":3,"data":"cmVz"}
+                {"type":"NOTE","n":2,"state":"hm"}
+                """);
+        expect("0a DONE 3.0 res");
+        send(
                 "{\"type\":\"DONE\",\"n\":3,\"job\":\"0b\",\"state\":\"crashed\",\"took\":4}\n"
                         + "{\"type\":\"DONE\",\"n\":4,\"jo");
-        hears("0b CRASHED 4.0 ");
+        expect("0b CRASHED 4.0 ");
         socket.close();
-        hears("detached");
+        expect("detached");
         assertEquals(Progress.NOT_SENT, run("0c"));
         accept();
         assertEquals("{\"type\":\"ATTACH\",\"n\":3}", lines.readLine());
         hello();
-        tell(
-                "{\"type\":\"DONE\",\"n\":3,\"job\":\"0b\",\"state\":\"crashed\",\"took\":4}\n"
-                    + "{\"type\":\"DONE\",\"n\":4,\"job\":\"0d\",\"state\":\"stale\",\"took\":0}\n"
-                    + "{\"type\":\"STATS\",\"ref\":\"catch-up\",\"gauges\":[0.5,3,0.1,9]}\n");
-        hears("0d STALE 0.0 ");
-        hears("caught up");
+        send(
+                """
+                {"type":"DONE","n":3,"job":"0b","state":"crashed","took":4}
+                {"type":"DONE","n":4,"job":"0d","state":"stale","took":0}
+                {"type":"STATS","ref":"catch-up","gauges":[0.5,3,0.1,9]}
+                """);
+        expect("0d STALE 0.0 ");
+        expect("caught up");
     }
 
     @Test
-    void atANewAddressTheLinkGoesOnWithTheLastNotice() throws Exception {
+    void switchesEndpointWithoutLosingAnEvent() throws Exception {
         lines.readLine();
         hello();
-        tell(
+        send(
                 "{\"type\":\"DONE\",\"n\":1,\"job\":\"0a\",\"state\":\"done\",\"took\":3,\"data\":\"cmVz\"}\n");
-        hears("0a DONE 3.0 res");
+        expect("0a DONE 3.0 res");
         try (Socket old = socket;
                 ServerSocket next = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             ServerSocket before = server;
@@ -216,7 +220,7 @@
                     .write(
                             "{\"type\":\"DONE\",\"n\":2,\"job\":\"0c\",\"state\":\"crashed\",\"took\":4}\n"
                                     .getBytes(StandardCharsets.US_ASCII));
-            hears("0c CRASHED 4.0 ");
+            expect("0c CRASHED 4.0 ");
             hello();
             assertEquals(Progress.SENT, run("0d"));
             assertTrue(lines.readLine().contains("\"0d\""));
@@ -226,18 +230,20 @@
                                             old.getInputStream(), StandardCharsets.US_ASCII))
                             .readLine(),
                     "the old link ends, with nothing more written to it");
-            tell(
-                    "{\"type\":\"DONE\",\"n\":2,\"job\":\"0c\",\"state\":\"crashed\",\"took\":4}\n"
-                        + "{\"type\":\"DONE\",\"n\":3,\"job\":\"0d\",\"state\":\"crashed\",\"took\":4}\n");
-            hears("0d CRASHED 4.0 ");
+            send(
+                    """
+                    {"type":"DONE","n":2,"job":"0c","state":"crashed","took":4}
+                    {"type":"DONE","n":3,"job":"0d","state":"crashed","took":4}
+                    """);
+            expect("0d CRASHED 4.0 ");
         }
     }
 
     @Test
-    void whatIsNoNoticeIsSurvived() throws Exception {
+    void skipsLinesThatAreNoEvents() throws Exception {
         lines.readLine();
         hello();
-        tell(
+        send(
                 "\n"
                         + "[]\n"
                         + "{\"type\":\"SING\",\"n\":1}\n"
@@ -247,16 +253,16 @@
                         + "x".repeat(EngineProtocol.MAX_LINE_BYTES + 10)
                         + "\n{\"type\":\"NO\",\"state\":\"STAT\"}\n"
                         + "{\"type\":\"NO\",\"state\":\"RUN\",\"job\":\"0a\"}\n");
-        hears("0a REJECTED 0.0 ");
+        expect("0a REJECTED 0.0 ");
     }
 
     @Property(seed = "20261204", tries = 200)
-    void noticesAreUnderstoodHoweverTheyAreCutAndWhateverIsBetween(
+    void readsEventsHoweverTheyAreSplitAndWhateverIsBetween(
             @ForAll long seed, @ForAll @Size(max = 100) byte[] garbage) {
         EngineLink cut = new EngineLink(null, null, GAUGES, "n3", 1);
         List<String> ended = new ArrayList<>();
         cut.setListener(
-                new Heard() {
+                new Recorder() {
                     @Override
                     public void onRunEnded(
                             String id, Engine.RunOutcome end, double took, ByteBuf result) {
@@ -286,7 +292,7 @@
     }
 
     @Property(seed = "20261203", tries = 500)
-    void garbageIsSurvivedAndACutLineIsNoNotice(
+    void garbageAndTruncatedLinesAreNoEvents(
             @ForAll @Size(max = 200) byte[] garbage, @ForAll long seed) {
         EngineEvent.read(Unpooled.wrappedBuffer(garbage), GAUGES);
         byte[] line =
--- a/src/test/java/tinroad/node/ServerTest.java
+++ b/src/test/java/tinroad/node/GatewayNodeTest.java
@@ -26,7 +26,7 @@
 
 /** The whole program on ephemeral loopback ports: it starts, serves its health, drains and ends. */
 @Timeout(180)
-class ServerTest {
+class GatewayNodeTest {
     private static final int HUNG_MS = 60_000;
 
     /** BEGIN_REQUEST, PARAMS with SCRIPT_NAME=/healthz, and the ends of both streams. */
@@ -38,7 +38,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    private static GatewayConfig config(ServerSocket engine, DatagramSocket roster) {
+    private static GatewayConfig config(ServerSocket engine, DatagramSocket registry) {
         Controller.Settings settings =
                 new Controller.Settings(
                         List.of(
@@ -79,7 +79,7 @@
                 any(),
                 any(),
                 (InetSocketAddress) engine.getLocalSocketAddress(),
-                (InetSocketAddress) roster.getLocalSocketAddress(),
+                (InetSocketAddress) registry.getLocalSocketAddress(),
                 1,
                 600,
                 1024,
@@ -115,44 +115,44 @@
     }
 
     @Test
-    void itServesOnceTheEngineIsThereAndEndsWhenItIsToldTo() throws Exception {
+    void servesOnceTheEngineIsReachableAndEndsOnTheShutdownNotice() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-                DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                GatewayNode server =
+                DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+                GatewayNode node =
                         new GatewayNode(
-                                config(engine, roster),
+                                config(engine, registry),
                                 null,
                                 StateSettings.NONE,
                                 FleetSettings.NONE)) {
             engine.setSoTimeout(HUNG_MS);
-            InetSocketAddress address = server.start();
+            InetSocketAddress address = node.start().orElseThrow();
             try (Socket link = engine.accept()) {
                 assertEquals("Status: 503 Service Unavailable", check(address));
                 link.getOutputStream()
                         .write(
                                 "{\"type\":\"HELLO\",\"state\":\"fresh\",\"took\":1}\n"
                                         .getBytes(StandardCharsets.US_ASCII));
-                roster.setSoTimeout(HUNG_MS);
+                registry.setSoTimeout(HUNG_MS);
                 DatagramPacket report = new DatagramPacket(new byte[64], 64);
-                roster.receive(report);
+                registry.receive(report);
                 assertEquals(
                         "HERE n3 on",
                         new String(
                                 report.getData(), 0, report.getLength(), StandardCharsets.UTF_8));
                 assertEquals("Status: 200 OK", check(address));
                 assertEquals("Status: 200 OK", checkThenGarbage(address));
-                server.shutDownGracefully();
-                server.awaitEnd(visitor -> config(engine, roster));
+                node.shutDownGracefully();
+                node.awaitEnd(visitor -> config(engine, registry));
                 assertThrows(IOException.class, () -> check(address));
             }
         }
     }
 
     @Test
-    void anAddressInUseIsToldPlainly() throws Exception {
+    void startFailsWithTheAddressThatIsInUse() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-                DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            GatewayConfig free = config(engine, roster);
+                DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            GatewayConfig free = config(engine, registry);
             GatewayConfig taken =
                     new GatewayConfig(
                             free.name(),
@@ -165,9 +165,9 @@
                             1024,
                             192,
                             free.site());
-            try (GatewayNode server =
+            try (GatewayNode node =
                     new GatewayNode(taken, null, StateSettings.NONE, FleetSettings.NONE)) {
-                String message = assertThrows(IOException.class, server::start).getMessage();
+                String message = assertThrows(IOException.class, node::start).getMessage();
                 assertTrue(message.startsWith("can't listen on "), message);
             }
         }
--- a/src/test/java/tinroad/node/RehearsalTest.java
+++ b/src/test/java/tinroad/node/JitWarmupTest.java
@@ -15,10 +15,10 @@
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 
-/** The rehearsal: what it asks for gets its answers, and it plays the same every time. */
-class RehearsalTest {
+/** The warm-up: its requests are answered, and it is the same every time. */
+class JitWarmupTest {
     @Test
-    void nearlyAllRequestsAreAnsweredAndThePlayIsTheSameEveryTime() throws ConfigException {
+    void answersNearlyAllRequestsAndIsDeterministic() throws ConfigException {
         Site site = GatewayConfig.read(Path.of("deploy/example.json")).site();
         int answered = new JitWarmup(site).play();
         assertTrue(answered > 450 && answered <= 600, "answered: " + answered);
@@ -26,20 +26,22 @@
     }
 
     /**
-     * So what it costs does not grow with the site: it plays the very requests that it would with
-     * its first classes and tenants.
+     * Its cost does not grow with the site: it sends the very requests that it would with its first
+     * classes and tenants.
      */
     @Test
-    void aLargeSiteIsPlayedByABoundedSampleOfIt() throws ConfigException {
+    void usesABoundedSampleOfALargeSite() throws ConfigException {
         Site site = GatewayConfig.read(Path.of("deploy/example.json")).site();
         RequestClass spec = site.settings().classes().get(0);
         Site large = large(site, spec, 5000);
         assertEquals(
-                new JitWarmup(large(site, spec, JitWarmup.SAMPLE)).play(),
+                new JitWarmup(large(site, spec, JitWarmup.MAX_SAMPLE)).play(),
                 new JitWarmup(large).play());
-        assertEquals(JitWarmup.SAMPLE, large.first(JitWarmup.SAMPLE).settings().classes().size());
-        assertEquals(JitWarmup.SAMPLE, large.first(JitWarmup.SAMPLE).tenantNames().size());
-        assertSame(site, site.first(JitWarmup.SAMPLE));
+        assertEquals(
+                JitWarmup.MAX_SAMPLE,
+                large.first(JitWarmup.MAX_SAMPLE).settings().classes().size());
+        assertEquals(JitWarmup.MAX_SAMPLE, large.first(JitWarmup.MAX_SAMPLE).tenantNames().size());
+        assertSame(site, site.first(JitWarmup.MAX_SAMPLE));
     }
 
     private static Site large(Site site, RequestClass spec, int n) {
--- a/src/test/java/tinroad/node/SettingsCost.java
+++ b/src/test/java/tinroad/node/SettingsCost.java
@@ -63,8 +63,8 @@
         this.tenants = tenants;
         this.classes = classes;
         folder = Files.createTempDirectory("settings-cost");
-        engine = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             door = "127.0.0.1:" + free.getLocalPort();
         }
         Thread stand = new Thread(this::serveEngine, "engine");
@@ -84,7 +84,7 @@
             System.exit(2);
         }
         for (String size : all.subList(dashes + 1, all.size())) {
-            String[] parts = size.split("x");
+            String[] parts = size.split("x", 2);
             for (String program : all.subList(0, dashes)) {
                 new SettingsCost(
                                 System.out,
@@ -238,7 +238,7 @@
         try (Stream<Path> tasks =
                 Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
             for (Path task : tasks.toList()) {
-                sum += Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]);
+                sum += Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ", 2)[0]);
             }
         }
         return sum;
@@ -287,7 +287,7 @@
                 what,
                 Map.of(
                         "cpu_ms",
-                        (cpu() - cpu) / 1000 / 1e3,
+                        (double) ((cpu() - cpu) / 1000) / 1e3,
                         "read_bytes",
                         number("io", "rchar") - bytes,
                         "rss_kb",
