--- a/src/main/java/tinroad/admin/AdminRequestHandler.java
+++ b/src/main/java/tinroad/admin/AdminRequestHandler.java
@@ -52,7 +52,7 @@
     /** Exceptions stop here: they cost this connection and nothing else. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        LOG.debug("call failed", cause);
+        LOG.debug("admin request failed", cause);
         close(ctx);
     }
 
--- a/src/main/java/tinroad/engine/EngineConnection.java
+++ b/src/main/java/tinroad/engine/EngineConnection.java
@@ -44,7 +44,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
         EngineEvent event = EngineEvent.read(line, link.gaugeNames());
         if (event == null) {
-            warnSkipped("not a notice");
+            warnSkipped("not an event");
         } else if (link.isNew(event)) {
             event.dispatch(this);
         }
@@ -76,7 +76,7 @@
     @Override
     public void onRejected(EngineEvent.Rejected event) {
         Keys.with(LOG.atDebug(), "request", event.requestId())
-                .log("command not carried out: {} {}", event.command(), event.requestId());
+                .log("command rejected: {} {}", event.command(), event.requestId());
         if (event.command().equals(EngineProtocol.RUN)) {
             link.listener()
                     .onRunEnded(event.requestId(), Engine.RunOutcome.REJECTED, 0, event.body());
--- a/src/main/java/tinroad/engine/EngineLink.java
+++ b/src/main/java/tinroad/engine/EngineLink.java
@@ -90,7 +90,7 @@
         if (to.equals(connector.address())) {
             return;
         }
-        Keys.with(LOG.atInfo(), "engine", to).log("moving to {}", to);
+        Keys.with(LOG.atInfo(), "engine", to).log("switching endpoint to {}", to);
         connector.setAddress(to);
         retireActive();
         connector.connect();
--- a/src/main/java/tinroad/node/ConfigReloader.java
+++ b/src/main/java/tinroad/node/ConfigReloader.java
@@ -100,7 +100,7 @@
                     !(next.config().engine().equals(engineAddress)
                             && next.config().roster().equals(registryAddress));
             if (moved || next.applied()) {
-                LOG.info("engine gone: the configuration has changed unheard");
+                LOG.info("engine unreachable: configuration changed without a reload signal");
                 apply(next);
             }
         } catch (ConfigException e) {
@@ -123,7 +123,7 @@
                     "settings.classes and settings.orgs: " + reload.pendingEntries() + " differ");
         }
         if (!pending.isEmpty()) {
-            LOG.info("counts at the next start: {}", String.join(", ", pending));
+            LOG.info("takes effect at the next start: {}", String.join(", ", pending));
         }
         engineAddress = next.engine();
         registryAddress = next.roster();
--- a/src/main/java/tinroad/node/GatewayNode.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -209,7 +209,7 @@
      * @throws InterruptedException if the caller is interrupted meanwhile
      */
     public void warmUpJit() throws InterruptedException {
-        LOG.debug("rehearsing");
+        LOG.debug("JIT warm-up started");
         // A failed warm-up costs nothing but the first requests' time: the gateway starts anyway.
         Future<Integer> unused = loop.submit(() -> new JitWarmup(config.site()).play()).await();
     }
@@ -238,7 +238,8 @@
         if (besideAnother) {
             Keys.with(LOG.atInfo(), "listen", config.listen())
                     .log(
-                            "another process listens on {}: beside it once the engine is there",
+                            "another process listens on {}: listening beside it once the engine is"
+                                    + " reachable",
                             config.listen());
             shareLimits(true);
             connect();
@@ -316,7 +317,8 @@
                                 bound -> {
                                     if (!bound.isSuccess()) {
                                         LOG.warn(
-                                                "can't hear the fleet on {}, goes on alone: {}",
+                                                "can't open the gossip socket on {}, continuing"
+                                                        + " alone: {}",
                                                 fleetSettings.listen(),
                                                 bound.cause().getMessage());
                                     }
@@ -366,7 +368,7 @@
                 reloader.reloadWhileEngineIsUnreachable(source);
             } catch (RuntimeException e) {
                 // Guards the process: with this thread it would end, whatever is still in flight.
-                LOG.error("watch failed", e);
+                LOG.error("periodic check failed", e);
             }
         } while (!shutdown.awaitEnd(WATCH_PERIOD_MILLIS));
     }
@@ -376,8 +378,8 @@
             limitsShared = withAnother;
             LOG.info(
                     withAnother
-                            ? "half of the connections: another process shares the limits"
-                            : "all connections: alone again");
+                            ? "connection limits halved: another process shares them"
+                            : "connection limits restored: no other process");
             loop.execute(() -> frontend.share(withAnother));
         }
     }
--- a/src/main/java/tinroad/node/ListenerHandover.java
+++ b/src/main/java/tinroad/node/ListenerHandover.java
@@ -56,7 +56,7 @@
             try {
                 Files.writeString(latestFile, processId);
             } catch (IOException e) {
-                LOG.warn("can't tell that this process listens: {}", e.toString());
+                LOG.warn("can't record this process as the last listener: {}", e.toString());
             }
         }
     }
@@ -117,7 +117,7 @@
                 lockChannel.close();
             }
         } catch (IOException e) {
-            LOG.warn("can't let go of {}: {}", lockFile, e.toString());
+            LOG.warn("can't release {}: {}", lockFile, e.toString());
         }
     }
 }
--- a/src/main/java/tinroad/node/NodeShutdown.java
+++ b/src/main/java/tinroad/node/NodeShutdown.java
@@ -88,7 +88,7 @@
 
     /** Ends a gateway that never listened: no client has a request there. */
     void endBeforeListening() {
-        LOG.info("told to leave before it listened");
+        LOG.info("shutdown notice received before listening");
         ended.countDown();
     }
 
--- a/src/main/java/tinroad/node/StatePersistence.java
+++ b/src/main/java/tinroad/node/StatePersistence.java
@@ -51,8 +51,8 @@
                             store.latestMarkedIncarnation(),
                             store.fencedIncarnation());
             long incarnation = store.claimIncarnation(decision.lastIncarnation());
-            decision.rejectedFiles().forEach(text -> LOG.warn("set aside: {}", text));
-            LOG.info("life {} begins {}", incarnation, describe(decision, nowMillis));
+            decision.rejectedFiles().forEach(text -> LOG.warn("snapshot rejected: {}", text));
+            LOG.info("incarnation {} started {}", incarnation, describe(decision, nowMillis));
             return new StatePersistence(
                     new StateRestorer(
                             gatewayName,
@@ -62,7 +62,7 @@
                             settings.halfLifeMillis()),
                     new SnapshotWriter(store));
         } catch (IOException e) {
-            LOG.warn("state can't be used, nothing lasts: {}", e.toString());
+            LOG.warn("state folder can't be used, nothing is persisted: {}", e.toString());
             return DISABLED;
         }
     }
@@ -71,13 +71,13 @@
         Snapshot snapshot = decision.snapshot();
         return switch (decision.startMode()) {
             case WARM ->
-                    "with life "
+                    "from incarnation "
                             + snapshot.incarnation()
                             + ", saved "
                             + Math.round(Math.max(0, nowMillis - snapshot.savedAtMillis()) / 1000)
                             + " s ago";
-            case FIRST -> "for the first time";
-            case COLD -> "cold: nothing of what was there is believed";
+            case FIRST -> "without stored state";
+            case COLD -> "cold: no stored state was accepted as valid";
         };
     }
 
--- a/src/test/java/tinroad/cli/FollowedLogTest.java
+++ b/src/test/java/tinroad/cli/FollowedLogTest.java
@@ -320,7 +320,7 @@
                     line = lines.readLine()) {
                 all.append(line).append('\n');
             }
-            assertTrue(all.toString().contains("life " + life + " begins "), all::toString);
+            assertTrue(all.toString().contains("incarnation " + life + " started "), all::toString);
             if (newest == null) {
                 Thread.sleep(after);
             } else {
--- a/src/test/java/tinroad/cli/ServeTest.java
+++ b/src/test/java/tinroad/cli/ServeTest.java
@@ -191,7 +191,7 @@
             Process older = remembers(dir, 1, engine, roster, "state");
             Process newer = null;
             try (BufferedReader log = older.inputReader(StandardCharsets.UTF_8)) {
-                waitFor(log, "life 1 begins for the first time");
+                waitFor(log, "incarnation 1 started without stored state");
                 try (Socket link = engine.accept()) {
                     attach(link, 0);
                     waitForFile(folder, "state-0000000000000000001-");
@@ -199,7 +199,7 @@
                     newer = remembers(dir, 2, nextEngine, roster, "state");
                     try (BufferedReader newLog = newer.inputReader(StandardCharsets.UTF_8);
                             Socket nextLink = nextEngine.accept()) {
-                        waitFor(newLog, "life 2 begins with life 1");
+                        waitFor(newLog, "incarnation 2 started from incarnation 1");
                         attach(nextLink, 0);
                         waitForFile(folder, "state-0000000000000000002-");
                         signal(older, "CONT");
@@ -243,7 +243,7 @@
             Process gateway = remembers(dir, 1, engine, roster, "state");
             try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8);
                     Socket link = engine.accept()) {
-                waitFor(log, "state can't be used, nothing lasts: ");
+                waitFor(log, "state folder can't be used, nothing is persisted: ");
                 attach(link, 0);
                 hears(roster);
             } finally {
@@ -273,7 +273,7 @@
                     signal(gateway, "HUP");
                     end(engine);
                 }
-                waitFor(log, "engine gone: the configuration has changed unheard");
+                waitFor(log, "engine unreachable: configuration changed without a reload signal");
                 hears(nextRoster);
                 try (Socket nextLink = nextEngine.accept()) {
                     attach(nextLink, 1);
@@ -365,8 +365,9 @@
                 assertTrue(
                         all.equals("no connection")
                                 || all.matches(
-                                        "(?s).*(told to leave before it listened\nno connection"
-                                                + "|drained\n.{8}Status: 5(?s:.*))"),
+                                        "(?s).*(shutdown notice received before listening\n"
+                                                + "no connection|drained\n"
+                                                + ".{8}Status: 5(?s:.*))"),
                         all);
             }
         } finally {
@@ -482,7 +483,7 @@
                 try (BufferedReader nextLog = second.inputReader(StandardCharsets.UTF_8);
                         Socket nextLink = nextEngine.accept()) {
                     waitFor(nextLog, "another process listens on ");
-                    waitFor(nextLog, "half of the connections");
+                    waitFor(nextLog, "connection limits halved");
                     attach(nextLink, 0);
                     hears(nextRoster);
                     waitFor(nextLog, "listening on ");
@@ -490,7 +491,7 @@
                     waitFor(log, "replaced by another process");
                     waitFor(log, "drained");
                     assertEquals(128 + 15, first.waitFor());
-                    waitFor(nextLog, "all connections: alone again");
+                    waitFor(nextLog, "connection limits restored: no other process");
                     // Its reports were all good ones, to the last.
                     roster.setSoTimeout(1);
                     assertThrows(
--- a/src/test/java/tinroad/cli/SettingsInPlaceTest.java
+++ b/src/test/java/tinroad/cli/SettingsInPlaceTest.java
@@ -349,7 +349,7 @@
                                                 + "log.levels { server = debug }")
                                 .toString());
         launch(1024, 4000);
-        logged("server - rehearsing");
+        logged("server - JIT warm-up started");
         hangUp(PAY, orgs(0, 300, "7"));
         InetSocketAddress at = listening();
         logged("health good");
@@ -372,7 +372,7 @@
                                                 .replace("\"servers\": 12", "\"servers\": 13"))
                         ::apply;
         hangUp(PAY, ACME);
-        logged("counts at the next start: stop_ms, settings.servers");
+        logged("takes effect at the next start: stop_ms, settings.servers");
     }
 
     @Test
@@ -381,7 +381,7 @@
         InetSocketAddress at = start(1024, 4000);
         String before = inForce("hash");
         hangUp(PAY, ACME);
-        logged("counts at the next start: settings.classes and settings.orgs: 2 differ");
+        logged("takes effect at the next start: settings.classes and settings.orgs: 2 differ");
         logged("configuration read again: engine ");
         assertEquals(before, inForce("hash"));
         assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 1, "new-order", "acme"));
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -142,7 +142,9 @@
                         .anyMatch(e -> e.what().equals("did not end on notice: killed")));
         assertEquals(
                 1,
-                ledger.events.stream().filter(e -> e.what().contains("changed unheard")).count());
+                ledger.events.stream()
+                        .filter(e -> e.what().contains("changed without a reload signal"))
+                        .count());
         assertTrue(
                 ledger.tries.stream()
                         .anyMatch(
--- a/src/test/java/tinroad/lab/RememberingTest.java
+++ b/src/test/java/tinroad/lab/RememberingTest.java
@@ -114,29 +114,29 @@
                     List.of(),
                     report.broken().stream().map(b -> b.rule() + ": " + b.what()).toList());
         }
-        assertEquals("life 1 begins for the first time", lives(0).get(0));
-        assertEquals("life 2 begins with life 1, saved N s ago", lives(0).get(1));
+        assertEquals("incarnation 1 started without stored state", lives(0).get(0));
+        assertEquals("incarnation 2 started from incarnation 1, saved N s ago", lives(0).get(1));
         List<String> rolledBack = lives(0).subList(2, lives(0).size());
         assertTrue(
                 rolledBack.stream()
                                 .allMatch(
                                         l ->
                                                 l.startsWith(
-                                                                "set aside: FILE: rolled back: of"
-                                                                    + " life 1, and there was life"
-                                                                    + " 2")
+                                                                "snapshot rejected: FILE: rolled"
+                                                                    + " back: of life 1, and there"
+                                                                    + " was life 2")
                                                         || l.equals(
-                                                                "life 3 begins cold: nothing of"
-                                                                        + " what was there is"
-                                                                        + " believed"))
+                                                                "incarnation 3 started cold: no"
+                                                                    + " stored state was accepted"
+                                                                    + " as valid"))
                         && rolledBack.size() >= 2,
                 rolledBack::toString);
         assertEquals(
                 List.of(
-                        "life 1 begins for the first time",
-                        "life 2 begins with life 1, saved N s ago",
-                        "life 3 begins cold: nothing of what was there is believed"),
+                        "incarnation 1 started without stored state",
+                        "incarnation 2 started from incarnation 1, saved N s ago",
+                        "incarnation 3 started cold: no stored state was accepted as valid"),
                 lives(1));
-        assertEquals(List.of("life 1 begins for the first time"), lives(2));
+        assertEquals(List.of("incarnation 1 started without stored state"), lives(2));
     }
 }
