--- a/src/main/java/tinroad/engine/EngineLink.java
+++ b/src/main/java/tinroad/engine/EngineLink.java
@@ -133,11 +133,11 @@
     }
 
     @Override
-    public Progress run(String id, String kind, ByteBuf body) {
+    public Progress run(String id, String requestClass, ByteBuf body) {
         if (active == null) {
             return Progress.NOT_SENT;
         }
-        EngineCommands.run(active, id, kind, body);
+        EngineCommands.run(active, id, requestClass, body);
         return Progress.SENT;
     }
 
--- a/src/main/java/tinroad/node/ConfigReloader.java
+++ b/src/main/java/tinroad/node/ConfigReloader.java
@@ -20,8 +20,8 @@
 
 /**
  * Reload of the configuration while the gateway serves: on a signal, and on its own while the
- * engine is unreachable. Addresses apply at once, classes and tenants as {@link CatalogSettings}
- * say, everything else at the next start.
+ * engine is unreachable. Addresses apply at once, classes and tenants as set by {@link
+ * CatalogSettings}, everything else at the next start.
  *
  * <p>Called on the thread of the signal and on the thread that waits for the end, both of which it
  * blocks while it reads; what changes is handed to the event loop.
--- a/src/main/java/tinroad/node/LoopTimers.java
+++ b/src/main/java/tinroad/node/LoopTimers.java
@@ -9,7 +9,7 @@
 record LoopTimers(EventLoop loop) implements Timers {
     @Override
     public void after(double ms, Runnable task) {
-        // Knowingly dropped: no timer is ever cancelled, and a task that fails has no one to tell.
+        // Knowingly dropped: no timer is ever cancelled or waited for.
         Future<?> unused = loop.schedule(task, (long) (ms * 1e6), TimeUnit.NANOSECONDS);
     }
 }
--- a/src/test/java/tinroad/node/SettingsCost.java
+++ b/src/test/java/tinroad/node/SettingsCost.java
@@ -283,11 +283,12 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
         logged(part, log);
         Thread.sleep(500);
+        long cpuMicros = (cpu() - cpu) / 1000;
         figure(
                 what,
                 Map.of(
                         "cpu_ms",
-                        (double) ((cpu() - cpu) / 1000) / 1e3,
+                        cpuMicros / 1e3,
                         "read_bytes",
                         number("io", "rchar") - bytes,
                         "rss_kb",
