--- a/src/main/java/tinroad/catalog/CatalogTableBuilder.java
+++ b/src/main/java/tinroad/catalog/CatalogTableBuilder.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import org.pcollections.TreePMap;
-import tinroad.config.SettingsValidator;
 import tinroad.config.Interner;
+import tinroad.config.SettingsValidator;
 import tinroad.config.ValidationErrors;
 
 /** Makes versions of one table of the catalog: allocates its slots, and shares equal specs. */
--- a/src/main/java/tinroad/cli/ServeCommand.java
+++ b/src/main/java/tinroad/cli/ServeCommand.java
@@ -59,7 +59,7 @@
                         unused);
             }
             node.warmUpJit();
-            if (node.start() != null) {
+            if (node.start().isPresent()) {
                 node.awaitEnd(source);
             }
         } finally {
--- a/src/main/java/tinroad/engine/EngineLink.java
+++ b/src/main/java/tinroad/engine/EngineLink.java
@@ -90,7 +90,7 @@
         if (to.equals(connector.address())) {
             return;
         }
-        LogKeyValues.with(LOG.atInfo(), "engine", to).log("moving to {}", to);
+        LogKeyValues.with(LOG.atInfo(), "engine", to).log("switching endpoint to {}", to);
         connector.setAddress(to);
         retireActive();
         connector.connect();
@@ -133,11 +133,11 @@
     }
 
     @Override
-    public Progress run(String id, String kind, ByteBuf body) {
+    public Progress run(String id, String requestClass, ByteBuf body) {
         if (active == null) {
             return Progress.NOT_SENT;
         }
-        EngineCommands.run(active, id, kind, body);
+        EngineCommands.run(active, id, requestClass, body);
         return Progress.SENT;
     }
 
--- a/src/main/java/tinroad/recovery/StateRestorer.java
+++ b/src/main/java/tinroad/recovery/StateRestorer.java
@@ -71,11 +71,11 @@
                             learned == null
                                     ? null
                                     : DecayedValue.of(
-                                            learned,
-                                            nowMillis,
-                                            prior.value(),
-                                            halfLifeMillis,
-                                            maxAgeMillis)
+                                                    learned,
+                                                    nowMillis,
+                                                    prior.value(),
+                                                    halfLifeMillis,
+                                                    maxAgeMillis)
                                             .orElse(null);
                     if (decayed != null) {
                         restored.put(valueName, learned);
