--- a/src/main/java/tinroad/changelog/ChangeLogFollower.java
+++ b/src/main/java/tinroad/changelog/ChangeLogFollower.java
@@ -132,6 +132,11 @@
                 positions.stream().filter(position -> position.compareTo(current) > 0).findFirst();
         if (following.isPresent()) {
             if (!following.get().follows(current)) {
+                // A listing may miss a file that is created meanwhile, and show a later one.
+                Optional<FileStamp> next = store.stamp(current.next());
+                if (next.isPresent()) {
+                    return apply(builder, current.next(), next);
+                }
                 throw new ChangeLogException.Missing(logName, current.next(), following.get());
             }
             return apply(builder, following.get(), store.stamp(following.get()));
--- a/src/main/java/tinroad/recovery/StateRestorer.java
+++ b/src/main/java/tinroad/recovery/StateRestorer.java
@@ -94,7 +94,7 @@
 
     @Override
     public void started(Map<String, Estimate> values) {
-        provenance.begin(values, restored);
+        provenance.start(values, restored);
     }
 
     @Override
@@ -154,7 +154,7 @@
                 ++generation,
                 nowMillis,
                 evacuated,
-                provenance.at(nowMillis, values),
+                provenance.valuesToSave(nowMillis, values),
                 bounded(executedIds),
                 catalogEpoch,
                 catalogNumber);
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -30,7 +30,7 @@
      * The incarnation starts with {@code estimates}; those named in {@code restored} come from a
      * snapshot, the others are assumed.
      */
-    public void begin(Map<String, Estimate> estimates, Map<String, LearnedValue> restored) {
+    public void start(Map<String, Estimate> estimates, Map<String, LearnedValue> restored) {
         initialEstimates.putAll(estimates);
         restoredValues.putAll(restored);
     }
@@ -39,7 +39,7 @@
      * What to save at {@code nowMillis}, for {@code estimates} as they are then; what was only ever
      * assumed is left out.
      */
-    public Map<String, LearnedValue> at(double nowMillis, Map<String, Estimate> estimates) {
+    public Map<String, LearnedValue> valuesToSave(double nowMillis, Map<String, Estimate> estimates) {
         Map<String, LearnedValue> values = new LinkedHashMap<>();
         estimates.forEach(
                 (name, estimate) ->
--- a/src/main/java/tinroad/state/SnapshotWriter.java
+++ b/src/main/java/tinroad/state/SnapshotWriter.java
@@ -46,7 +46,7 @@
     }
 
     /** How many snapshots were saved. */
-    public long saved() {
+    public long savedCount() {
         return savedCount.get();
     }
 
--- a/src/test/java/tinroad/admin/AdminServerTest.java
+++ b/src/test/java/tinroad/admin/AdminServerTest.java
@@ -18,14 +18,14 @@
 import tinroad.catalog.CatalogBuilder;
 import tinroad.catalog.CatalogChange;
 import tinroad.core.Engine;
-import tinroad.core.Harness;
+import tinroad.core.GatewayHarness;
 import tinroad.core.IncomingRequest;
 import tinroad.overload.Controller.Estimate;
 import tinroad.recovery.RestoredState;
 
 /** The requests of operators, their responses, and that garbage costs only its connection. */
 class AdminServerTest {
-    private Harness harness = Harness.started();
+    private GatewayHarness harness = GatewayHarness.started();
 
     /** Each test, and each try of a property, has a gateway that callers reach. */
     AdminServerTest() {
@@ -62,7 +62,7 @@
 
     @Test
     void readinessFollowsEngineEvacuationAndShutdown() {
-        harness = new Harness(0);
+        harness = new GatewayHarness(0);
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
         harness.gateway.onAttached(true, 0);
         assertEquals("HTTP/1.1 503 Service Unavailable\nnot ready\n", call("GET /api/ready"));
@@ -80,7 +80,7 @@
 
     @Test
     void telemetryCountsResponsesByClassRunsAndRequestsInFlight() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("0000000000000001", "read");
         send("0000000000000002", "read");
         send("0000000000000002", "read");
@@ -89,7 +89,7 @@
                 "0000000000000001", Engine.RunOutcome.DONE, 5, Unpooled.EMPTY_BUFFER);
         harness.gateway.onRunEnded(
                 "0000000000000003", Engine.RunOutcome.CRASHED, 5, Unpooled.EMPTY_BUFFER);
-        harness.module.onRequest = r -> harness.module.act.reject(r.id(), 0, false);
+        harness.controller.onRequest = r -> harness.controller.actions.reject(r.id(), 0, false);
         send("0000000000000004", "order");
         assertEquals(
                 "HTTP/1.1 200 OK\n"
@@ -101,7 +101,7 @@
     @Test
     void settingsShowTheVersionInForcePendingOnesAndTheLastRejection() {
         String hash = harness.gateway.catalog().contentHash();
-        harness.pass(250);
+        harness.advance(250);
         assertEquals(
                 "HTTP/1.1 200 OK\n{\"epoch\":0,\"number\":0,\"hash\":\""
                         + hash
@@ -123,7 +123,7 @@
                                         + hash
                                         + "\",\"classes\":2,\"tenants\":1,\"since_ms\":250,\"lag\":1,\"longest_slice_ms\":0.0,\"refusal\":\"class"
                                         + " \\\"x\\\": yyy"));
-        harness.pass(40);
+        harness.advance(40);
         String after = call("GET /api/settings");
         assertTrue(
                 after.contains(
@@ -137,7 +137,7 @@
 
     @Test
     void recoveryShowsThePhaseAndTheRestoredValues() {
-        harness = new Harness(0);
+        harness = new GatewayHarness(0);
         harness.gateway.restoreFrom(
                 new RestoredState() {
                     @Override
@@ -188,12 +188,12 @@
                                 "\"life\":4,\"began\":\"warm\",\"remembered\":"
                                     + "[{\"what\":\"run.read\",\"value\":24.0,\"age_ms\":61000,\"life\":3}]}"),
                 cold);
-        assertEquals(Map.of("0", 24.0), harness.module.restored);
+        assertEquals(Map.of("0", 24.0), harness.controller.restored);
         // What an earlier incarnation ran is not run again before its deadline; evacuation outlasts
         // the process.
         send("00000000000000aa", "read");
         send("00000000000000ab", "read");
-        assertEquals("00000000000000ab", harness.module.last.id());
+        assertEquals("00000000000000ab", harness.controller.lastRequest.id());
         assertFalse(harness.gateway.healthy());
         assertTrue(harness.gateway.rejoin() && harness.gateway.healthy());
     }
--- a/src/test/java/tinroad/core/CatalogActivationTest.java
+++ b/src/test/java/tinroad/core/CatalogActivationTest.java
@@ -26,15 +26,15 @@
 class CatalogActivationTest {
     private static final String KEY = "00000000000000000000000000000001";
 
-    private Harness harness = Harness.started();
-    private final Harness.ResponseRecorder answers = new Harness.ResponseRecorder();
+    private GatewayHarness harness = GatewayHarness.started();
+    private final GatewayHarness.ResponseRecorder answers = new GatewayHarness.ResponseRecorder();
     private CatalogBuilder catalogBuilder = new CatalogBuilder(harness.gateway.catalog());
     private final List<Boolean> completions = new ArrayList<>();
     private final List<Integer> freeClasses = new ArrayList<>();
     private final List<Integer> freeTenants = new ArrayList<>();
     private int lastId;
 
-    private void useHarness(Harness other) {
+    private void useHarness(GatewayHarness other) {
         harness = other;
         catalogBuilder = new CatalogBuilder(harness.gateway.catalog());
         harness.gateway.onSlotsFree(
@@ -134,9 +134,9 @@
                 Map.of("globex", new Tenant(5, 0.1)),
                 Set.of());
         send("pay");
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         completeRun(send("order"));
-        harness.pass(0);
+        harness.advance(0);
         completeRun(send("pay", "globex", null));
         send("order");
         assertEquals(
@@ -149,53 +149,53 @@
         assertEquals(List.of(true), completions);
         assertEquals(1, harness.gateway.catalog().number());
         assertEquals(harness.now, harness.gateway.catalogSinceMillis());
-        assertEquals(2, harness.module.last.classSlot());
-        assertEquals(1, harness.module.last.tenantSlot());
-        assertNull(harness.module.classes.get(1));
+        assertEquals(2, harness.controller.lastRequest.classSlot());
+        assertEquals(1, harness.controller.lastRequest.tenantSlot());
+        assertNull(harness.controller.classes.get(1));
     }
 
     @Test
     void stagesLargeChangeInSlicesWithOtherEventsBetween() {
         int n = 3 * CatalogRollout.SLICE_ENTRIES + 1;
         change(manyClasses(n), Set.of(), Map.of(), Set.of());
-        harness.module.onRequest = r -> harness.module.act.reject(r.id(), 0, false);
+        harness.controller.onRequest = r -> harness.controller.actions.reject(r.id(), 0, false);
         // No time passes between the slices: what they do is counted, not how long it takes.
-        while (harness.module.commits == 0) {
+        while (harness.controller.commits == 0) {
             assertEquals(0, harness.gateway.catalog().number());
             assertEquals(1, harness.gateway.pendingCatalogs());
             send("c0");
             send("read");
             assertTrue(harness.runNextDueTask());
         }
-        assertEquals(4, harness.module.stagedEntries.size());
+        assertEquals(4, harness.controller.stagedEntries.size());
         assertTrue(
-                harness.module.stagedEntries.stream()
+                harness.controller.stagedEntries.stream()
                         .allMatch(entries -> entries <= CatalogRollout.SLICE_ENTRIES));
-        assertEquals(n, harness.module.stagedEntries.stream().mapToInt(Integer::intValue).sum());
+        assertEquals(n, harness.controller.stagedEntries.stream().mapToInt(Integer::intValue).sum());
         assertEquals(0, harness.gateway.pendingCatalogs());
         assertEquals("INVALID NOT_SENT", answers.responses.get(6));
         send("c" + (n - 1));
         assertEquals("REJECTED NOT_SENT", answers.responses.get(8));
-        harness.pass(0);
+        harness.advance(0);
         assertEquals(List.of(true), completions);
     }
 
     @Test
     void numberOfSlicesFollowsTheChangeNotTheTable() {
         change(manyClasses(10_000), Set.of(), Map.of(), Set.of());
-        harness.pass(0);
-        harness.module.stagedEntries.clear();
+        harness.advance(0);
+        harness.controller.stagedEntries.clear();
         change(manyClasses(100), Set.of(), Map.of(), Set.of());
-        harness.pass(0);
-        assertEquals(List.of(100), harness.module.stagedEntries);
-        harness.module.stagedEntries.clear();
+        harness.advance(0);
+        assertEquals(List.of(100), harness.controller.stagedEntries);
+        harness.controller.stagedEntries.clear();
         change(Map.of(), new HashSet<>(manyClasses(10_000).keySet()), Map.of(), Set.of());
-        harness.pass(0);
+        harness.advance(0);
         assertEquals(
                 (10_000 + CatalogRollout.SLICE_ENTRIES - 1) / CatalogRollout.SLICE_ENTRIES,
-                harness.module.stagedEntries.size());
-        assertEquals(3, harness.module.commits);
-        harness.pass(
+                harness.controller.stagedEntries.size());
+        assertEquals(3, harness.controller.commits);
+        harness.advance(
                 SlotReferences.REUSE_DELAY_MILLIS
                         + 2
                                 * DeadlineGuard.PERIOD_MILLIS
@@ -210,8 +210,8 @@
         change(manyClasses(300), Set.of(), Map.of(), Set.of());
         put("read", spec(100, Idempotency.IDEMPOTENT));
         assertEquals(2, harness.gateway.pendingCatalogs());
-        harness.pass(0);
-        assertEquals(List.of(256, 44, 1), harness.module.stagedEntries);
+        harness.advance(0);
+        assertEquals(List.of(256, 44, 1), harness.controller.stagedEntries);
         assertEquals(List.of(true, true), completions);
         assertSame(catalogBuilder.current(), harness.gateway.catalog());
         assertEquals(0, harness.gateway.pendingCatalogs());
@@ -220,22 +220,22 @@
     @Test
     void queuedRequestKeepsItsDeadline() {
         send("read");
-        harness.pass(500);
+        harness.advance(500);
         put("read", spec(200, Idempotency.IDEMPOTENT));
-        harness.pass(400);
+        harness.advance(400);
         assertEquals(List.of(), answers.responses);
         send("read");
-        harness.pass(101 + DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(101 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("FAILED NOT_SENT"), answers.responses);
-        harness.pass(100 + DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(100 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(2, answers.responses.size());
     }
 
     @Test
     void acceptsOlderArrivalsForLongerDeadlineAddedLater() {
         put("slow", spec(10 * ActiveCatalog.MAX_ARRIVAL_OFFSET_MILLIS, Idempotency.IDEMPOTENT));
-        harness.pass(0);
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.advance(0);
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         harness.gateway.handle(
                 new IncomingRequest(
                         "00000000000000aa",
@@ -256,21 +256,21 @@
     void freesSlotOnceNoRequestInFlightRefersToIt() {
         String held = send("order");
         String running = send("order");
-        harness.module.act.run(running);
+        harness.controller.actions.run(running);
         change(Map.of(), Set.of("order"), Map.of(), Set.of("acme"));
-        harness.pass(100);
-        harness.module.act.reject(held, 0, false);
-        harness.pass(SlotReferences.REUSE_DELAY_MILLIS * 4);
+        harness.advance(100);
+        harness.controller.actions.reject(held, 0, false);
+        harness.advance(SlotReferences.REUSE_DELAY_MILLIS * 4);
         // Its client has its answer, and its run may still end.
         assertEquals(List.of("REJECTED NOT_SENT", "FAILED SENT"), answers.responses);
         assertEquals(List.of(), freeClasses);
         completeRun(running);
-        harness.pass(SlotReferences.REUSE_DELAY_MILLIS - 1);
+        harness.advance(SlotReferences.REUSE_DELAY_MILLIS - 1);
         assertEquals(List.of(), freeClasses);
-        harness.pass(1 + DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(1 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of(0), freeTenants);
-        harness.pass(SlotReferences.REUSE_DELAY_MILLIS * 4);
+        harness.advance(SlotReferences.REUSE_DELAY_MILLIS * 4);
         assertEquals(List.of(1), freeClasses);
     }
 
@@ -279,16 +279,16 @@
         harness.linkUp = false;
         harness.gateway.onDetached();
         String waiting = send("order");
-        harness.module.act.run(waiting);
+        harness.controller.actions.run(waiting);
         remove("order");
-        harness.pass(DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(DeadlineGuard.PERIOD_MILLIS);
         assertEquals(1, harness.gateway.catalog().number());
         assertEquals(List.of(), freeClasses);
         harness.linkUp = true;
         harness.gateway.onAttached(false, 1e6);
         assertEquals(List.of("RUN " + waiting + " order body"), harness.runs);
         completeRun(waiting);
-        harness.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(SlotReferences.REUSE_DELAY_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of(1), freeClasses);
         assertEquals(List.of("SERVED RAN result"), answers.responses);
     }
@@ -298,11 +298,11 @@
         String before = send("order");
         remove("order");
         put("order", spec(300, Idempotency.NON_IDEMPOTENT));
-        harness.pass(0);
+        harness.advance(0);
         String after = send("order");
-        assertEquals(2, harness.module.last.classSlot());
-        harness.module.act.run(before);
-        harness.module.act.run(after);
+        assertEquals(2, harness.controller.lastRequest.classSlot());
+        harness.controller.actions.run(before);
+        harness.controller.actions.run(after);
         completeRun(before);
         completeRun(after);
         assertEquals(List.of("SERVED RAN result", "SERVED RAN result"), answers.responses);
@@ -314,17 +314,17 @@
 
     @Test
     void keepsCountsOfRemovedClassUntilItsSlotIsReused() {
-        harness.module.onRequest = r -> harness.module.act.reject(r.id(), 0, false);
+        harness.controller.onRequest = r -> harness.controller.actions.reject(r.id(), 0, false);
         send("order");
         remove("order");
-        harness.pass(SlotReferences.REUSE_DELAY_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(SlotReferences.REUSE_DELAY_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         freeClasses.forEach(catalogBuilder::releaseClassSlot);
         put("other", spec(500, Idempotency.IDEMPOTENT));
-        harness.pass(0);
+        harness.advance(0);
         assertEquals(
                 new GatewayMetrics.Row("order", 0, 1, 0), harness.gateway.metrics().rows().get(1));
         send("other");
-        assertEquals(1, harness.module.last.classSlot());
+        assertEquals(1, harness.controller.lastRequest.classSlot());
         assertEquals(
                 List.of(
                         new GatewayMetrics.Row("read", 0, 0, 0),
@@ -334,14 +334,14 @@
 
     @Test
     void neverRunsKeyAgainWhateverBecomesOfItsClass() {
-        useHarness(Harness.keyed());
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        useHarness(GatewayHarness.keyed());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         completeRun(send("pay", "acme", KEY));
         put("pay", spec(2000, Idempotency.NON_IDEMPOTENT));
-        harness.pass(0);
+        harness.advance(0);
         send("pay", "acme", KEY);
         remove("pay");
-        harness.pass(0);
+        harness.advance(0);
         send("pay", "acme", KEY);
         send("pay", "acme", null);
         assertEquals(1, harness.runs.size());
@@ -352,18 +352,18 @@
 
     @Test
     void startsControllerWithChangesFromBeforeTheEngine() {
-        useHarness(new Harness(0));
+        useHarness(new GatewayHarness(0));
         change(manyClasses(300), Set.of("order"), Map.of("globex", new Tenant(7, 1)), Set.of());
-        harness.pass(0);
+        harness.advance(0);
         assertEquals(List.of(true), completions);
         assertEquals(1, harness.gateway.catalog().number());
         remove("c0");
         harness.gateway.onAttached(true, 0);
-        assertEquals(1, harness.module.commits);
-        assertEquals(new Tenant(7, 1), harness.module.tenants.get(1));
-        assertNull(harness.module.classes.get(1));
-        harness.pass(0);
-        assertEquals(2, harness.module.commits);
+        assertEquals(1, harness.controller.commits);
+        assertEquals(new Tenant(7, 1), harness.controller.tenants.get(1));
+        assertNull(harness.controller.classes.get(1));
+        harness.advance(0);
+        assertEquals(2, harness.controller.commits);
         assertEquals(List.of(true, true), completions);
     }
 
@@ -371,17 +371,17 @@
     void losesNothingOfChangeWhenTheEngineAttachesMeanwhile() {
         for (int steps = 1; steps < 8; steps++) {
             completions.clear();
-            useHarness(new Harness(0));
+            useHarness(new GatewayHarness(0));
             change(manyClasses(600), Set.of("order"), Map.of(), Set.of());
             for (int i = 0; i < steps; i++) {
                 harness.runNextDueTask();
             }
             harness.gateway.onAttached(true, 0);
-            harness.pass(0);
+            harness.advance(0);
             assertEquals(List.of(true), completions);
             assertEquals(1, harness.gateway.catalog().number());
-            assertEquals(602, harness.module.classes.size());
-            assertNull(harness.module.classes.get(1));
+            assertEquals(602, harness.controller.classes.size());
+            assertNull(harness.controller.classes.get(1));
         }
     }
 
@@ -390,9 +390,9 @@
         String held = send("order");
         harness.gateway.beginDraining(harness.now, harness.now + 3000);
         change(manyClasses(300), Set.of("order"), Map.of(), Set.of());
-        harness.pass(0);
+        harness.advance(0);
         assertEquals(List.of(true), completions);
-        harness.module.act.run(held);
+        harness.controller.actions.run(held);
         completeRun(held);
         assertEquals(List.of("SERVED RAN result"), answers.responses);
     }
@@ -400,23 +400,23 @@
     @Test
     void keepsCatalogWhereTheControllerFailsToStage() {
         Catalog before = harness.gateway.catalog();
-        harness.module.failNextStage = true;
+        harness.controller.failNextStage = true;
         change(manyClasses(300), Set.of("order"), Map.of(), Set.of());
-        harness.pass(0);
+        harness.advance(0);
         assertEquals(List.of(false), completions);
         assertSame(before, harness.gateway.catalog());
-        assertEquals(0, harness.module.commits);
+        assertEquals(0, harness.controller.commits);
         send("order");
-        assertEquals(1, harness.module.last.classSlot());
+        assertEquals(1, harness.controller.lastRequest.classSlot());
     }
 
     @Test
     void countsEveryTenantAsTheFirstWhereAllAreRemoved() {
         change(Map.of(), Set.of(), Map.of(), Set.of("acme"));
-        harness.pass(0);
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.advance(0);
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         completeRun(send("read", "whoever", null));
         assertEquals(List.of("SERVED RAN result"), answers.responses);
-        assertEquals(0, harness.module.last.tenantSlot());
+        assertEquals(0, harness.controller.lastRequest.tenantSlot());
     }
 }
--- a/src/test/java/tinroad/core/Harness.java
+++ b/src/test/java/tinroad/core/GatewayHarness.java
@@ -18,13 +18,13 @@
  * A gateway on a clock that the test advances, with an engine that records its commands and an
  * overload controller that follows a script.
  */
-public final class Harness implements Clock, Engine {
+public final class GatewayHarness implements Clock, Engine {
     /** The window of the keyed class, in ms. */
     public static final double KEY_WINDOW_MILLIS = 3000;
 
     private record Task(double at, long order, Runnable run) {}
 
-    public final Script module = new Script();
+    public final ScriptedController controller = new ScriptedController();
 
     /** The run commands sent to the engine: {@code RUN id class body}. */
     public final List<String> runs = new ArrayList<>();
@@ -48,11 +48,11 @@
      *
      * @param freshFor how long results of reads may be replayed, in ms
      */
-    public Harness(double freshFor) {
+    public GatewayHarness(double freshFor) {
         this(site(freshFor, false));
     }
 
-    private Harness(Site site) {
+    private GatewayHarness(Site site) {
         gateway =
                 new Gateway(
                         site,
@@ -61,15 +61,15 @@
                         (ms, task) -> tasks.add(new Task(now + ms, order++, task)),
                         this,
                         actions -> {
-                            module.act = actions;
-                            return module;
+                            controller.actions = actions;
+                            return controller;
                         },
                         NOPLogger.NOP_LOGGER);
     }
 
     /** An attached gateway that is healthy, with the classes of {@link #Harness}. */
-    public static Harness started() {
-        Harness harness = new Harness(0);
+    public static GatewayHarness started() {
+        GatewayHarness harness = new GatewayHarness(0);
         harness.gateway.onAttached(false, 0);
         return harness;
     }
@@ -78,8 +78,8 @@
      * An attached gateway that also has a keyed class {@code pay} (deadline 2 s, window {@link
      * #KEY_WINDOW_MILLIS}), and whose clients state their timeout.
      */
-    public static Harness keyed() {
-        Harness harness = new Harness(site(0, true));
+    public static GatewayHarness keyed() {
+        GatewayHarness harness = new GatewayHarness(site(0, true));
         harness.gateway.onAttached(false, 0);
         return harness;
     }
@@ -140,7 +140,7 @@
     }
 
     /** Advances the clock, running the tasks that become due on the way. */
-    public void pass(double ms) {
+    public void advance(double ms) {
         double end = now + ms;
         while (!tasks.isEmpty() && tasks.peek().at() <= end) {
             Task task = tasks.poll();
@@ -184,14 +184,14 @@
     }
 
     /** An overload controller whose decisions the test scripts. */
-    public static final class Script implements Controller {
-        public Actions act;
+    public static final class ScriptedController implements Controller {
+        public Actions actions;
         public Consumer<Request> onRequest = r -> {};
 
         /** The events that the controller got, one line each. */
-        public final List<String> heard = new ArrayList<>();
+        public final List<String> events = new ArrayList<>();
 
-        public Request last;
+        public Request lastRequest;
 
         /** How many entries each staged part of a change had, and how often one was committed. */
         public final List<Integer> stagedEntries = new ArrayList<>();
@@ -222,7 +222,7 @@
 
         @Override
         public void start(double nowMillis, long seed, Settings settings) {
-            act.setHealth(true, true);
+            actions.setHealth(true, true);
             for (int i = 0; i < settings.classes().size(); i++) {
                 classes.put(i, settings.classes().get(i));
             }
@@ -253,13 +253,13 @@
 
         @Override
         public void requestArrived(double nowMillis, Request request) {
-            last = request;
+            lastRequest = request;
             onRequest.accept(request);
         }
 
         @Override
         public void completed(double nowMillis, String id, double elapsed, Outcome outcome) {
-            heard.add("ended " + id + " " + outcome);
+            events.add("ended " + id + " " + outcome);
         }
 
         @Override
@@ -275,18 +275,18 @@
 
         @Override
         public void cancelled(double nowMillis, String id) {
-            heard.add("gone " + id);
+            events.add("gone " + id);
         }
 
         @Override
         public void beginDraining(double nowMillis, double leaveAt) {
-            heard.add("drain " + Math.round(leaveAt - nowMillis));
-            act.setHealth(false, true);
+            events.add("drain " + Math.round(leaveAt - nowMillis));
+            actions.setHealth(false, true);
         }
 
         @Override
         public void timerFired(double nowMillis, String token, Gauges gauges) {
-            heard.add("timer " + token + " " + gauges.runnable());
+            events.add("timer " + token + " " + gauges.runnable());
         }
     }
 
--- a/src/test/java/tinroad/core/GatewayTest.java
+++ b/src/test/java/tinroad/core/GatewayTest.java
@@ -22,14 +22,14 @@
     private static final String ID = "9b1f03aa5c7e2d41";
     private static final String OTHER_ID = "9b1f03aa5c7e2d42";
 
-    private final Harness harness = Harness.started();
-    private final Harness.ResponseRecorder answers = new Harness.ResponseRecorder();
+    private final GatewayHarness harness = GatewayHarness.started();
+    private final GatewayHarness.ResponseRecorder answers = new GatewayHarness.ResponseRecorder();
 
     private static ByteBuf bytes(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private void send(Harness on, String id, String kind, double arrivedAt) {
+    private void send(GatewayHarness on, String id, String kind, double arrivedAt) {
         ByteBuf body = bytes("body");
         on.gateway.handle(
                 new IncomingRequest(id, arrivedAt, kind, "acme", 4, 20, 0.5, "k", body), answers);
@@ -41,43 +41,43 @@
         send(harness, ID, kind, harness.now);
     }
 
-    private void completeRun(Harness on, String id, String result) {
+    private void completeRun(GatewayHarness on, String id, String result) {
         on.gateway.onRunEnded(id, Engine.RunOutcome.DONE, 5, bytes(result));
     }
 
     @Test
     void servesTheEnginesResult() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         assertEquals(List.of("RUN " + ID + " order body"), harness.runs);
         completeRun(harness, ID, "result");
         assertEquals(List.of("SERVED RAN result"), answers.responses);
-        assertEquals(List.of("ended " + ID + " OK"), harness.module.heard);
+        assertEquals(List.of("ended " + ID + " OK"), harness.controller.events);
         assertTrue(harness.gateway.allAnswered());
     }
 
     @Test
     void keepsBodyOfQueuedRequestBeyondItsReadBuffer() {
         send("order");
-        harness.module.act.run(ID);
+        harness.controller.actions.run(ID);
         assertEquals(List.of("RUN " + ID + " order body"), harness.runs);
     }
 
     @Test
     void sendsRejectionAtOnceAndDropsSecondAnswer() {
-        harness.module.onRequest = r -> harness.module.act.reject(r.id(), 500, true);
+        harness.controller.onRequest = r -> harness.controller.actions.reject(r.id(), 500, true);
         send("read");
         assertEquals(List.of("REJECTED NOT_SENT"), answers.responses);
-        harness.module.act.fail(ID);
-        harness.pass(5000);
+        harness.controller.actions.fail(ID);
+        harness.advance(5000);
         assertEquals(1, answers.responses.size());
     }
 
     @Test
     void failsInsteadOfRejectingWhatWasSentToRun() {
         send("order");
-        harness.module.act.run(ID);
-        harness.module.act.reject(ID, 500, false);
+        harness.controller.actions.run(ID);
+        harness.controller.actions.reject(ID, 500, false);
         completeRun(harness, ID, "late");
         assertEquals(List.of("FAILED SENT"), answers.responses);
     }
@@ -87,23 +87,23 @@
         List<Boolean> told = new ArrayList<>();
         harness.gateway.onHealth(told::add);
         harness.gateway.evacuate();
-        harness.module.act.setHealth(false, true);
-        harness.module.act.setHealth(true, true);
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.actions.setHealth(false, true);
+        harness.controller.actions.setHealth(true, true);
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         completeRun(harness, ID, "result");
         assertEquals(List.of("SERVED RAN result"), answers.responses);
-        assertEquals(List.of("ended " + ID + " OK"), harness.module.heard);
+        assertEquals(List.of("ended " + ID + " OK"), harness.controller.events);
         assertTrue(harness.gateway.rejoin());
         assertEquals(List.of(false, true), told);
     }
 
     @Test
     void neverRunsAnExecutedIdAgain() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         send("order");
-        harness.module.act.run(ID);
+        harness.controller.actions.run(ID);
         completeRun(harness, ID, "result");
         completeRun(harness, ID, "again");
         send("order");
@@ -116,31 +116,31 @@
     @Test
     void failsAtItsDeadlineWhatTheControllerForgets() {
         send("read");
-        harness.pass(999);
+        harness.advance(999);
         assertEquals(List.of(), answers.responses);
-        harness.pass(DeadlineGuard.PERIOD_MILLIS + 1);
+        harness.advance(DeadlineGuard.PERIOD_MILLIS + 1);
         assertEquals(List.of("FAILED NOT_SENT"), answers.responses);
         // Run after its answer left: it must not start, and the controller gets its capacity back.
-        harness.module.act.run(ID);
+        harness.controller.actions.run(ID);
         assertEquals(List.of(), harness.runs);
-        assertEquals(List.of("ended " + ID + " IGNORED"), harness.module.heard);
+        assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
     }
 
     @Test
     void countsAgeFromArrivalAndNeverNegative() {
         send(harness, ID, "read", harness.now - 900);
-        assertEquals(900, harness.module.last.ageMillis());
-        harness.pass(100 + DeadlineGuard.PERIOD_MILLIS);
+        assertEquals(900, harness.controller.lastRequest.ageMillis());
+        harness.advance(100 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(1, answers.responses.size());
         send(harness, OTHER_ID, "read", harness.now + 5000);
-        assertEquals(0, harness.module.last.ageMillis());
-        harness.pass(1000 + DeadlineGuard.PERIOD_MILLIS);
+        assertEquals(0, harness.controller.lastRequest.ageMillis());
+        harness.advance(1000 + DeadlineGuard.PERIOD_MILLIS);
         assertEquals(2, answers.responses.size());
     }
 
     @Test
     void reportsEveryRunOutcomeAndServesOnlyDone() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         for (Engine.RunOutcome end : Engine.RunOutcome.values()) {
             send(harness, "000000000000000" + end.ordinal(), "read", harness.now);
             harness.gateway.onRunEnded("000000000000000" + end.ordinal(), end, 5, bytes("r"));
@@ -155,13 +155,13 @@
                 answers.responses);
         assertEquals(
                 List.of("OK", "FAILED", "CANCELED", "IGNORED", "IGNORED"),
-                harness.module.heard.stream().map(l -> l.split(" ")[2]).toList());
+                harness.controller.events.stream().map(l -> l.split(" ")[2]).toList());
     }
 
     @Test
     void runsOnceTheLinkIsBackWhatWasDecidedWhileItWasDown() {
         harness.linkUp = false;
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         harness.linkUp = true;
         harness.gateway.onAttached(false, 0);
@@ -174,7 +174,7 @@
     @Test
     void keepsUnsentRunsWhenTheLinkBreaksAgain() {
         harness.linkUp = false;
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         harness.gateway.onAttached(false, 0);
         harness.linkUp = true;
@@ -184,47 +184,47 @@
 
     @Test
     void survivesAnErrorInTheController() {
-        harness.module.onRequest =
+        harness.controller.onRequest =
                 r -> {
                     throw new OutOfMemoryError("on purpose");
                 };
         assertThrows(OutOfMemoryError.class, () -> send("read"));
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send(harness, OTHER_ID, "read", harness.now);
         completeRun(harness, OTHER_ID, "fine");
-        harness.pass(1100);
+        harness.advance(1100);
         assertEquals(List.of("SERVED RAN fine", "FAILED NOT_SENT"), answers.responses);
     }
 
     @Test
     void failsAndNeverRunsWhatCouldNotBeSentByItsDeadline() {
         harness.linkUp = false;
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("read");
-        harness.pass(1100);
+        harness.advance(1100);
         harness.linkUp = true;
         harness.gateway.onAttached(false, 0);
         assertEquals(List.of(), harness.runs);
         assertEquals(List.of("FAILED NOT_SENT"), answers.responses);
-        assertEquals(List.of("ended " + ID + " IGNORED"), harness.module.heard);
+        assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
     }
 
     @Test
     void releasesCapacityOfRunLostWithItsLink() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("read");
         harness.gateway.onDetached();
         harness.gateway.onAttached(false, 0);
-        harness.module.act.reject(ID, 0, false);
+        harness.controller.actions.reject(ID, 0, false);
         assertEquals(List.of("FAILED SENT"), answers.responses);
-        harness.pass(1000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
-        assertEquals(List.of("ended " + ID + " IGNORED"), harness.module.heard);
+        harness.advance(1000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+        assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
         assertEquals(1, harness.runs.size());
     }
 
     @Test
     void resendsRunThatMayBeLostOnceAllEventsAreRead() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         send(harness, OTHER_ID, "read", harness.now);
         harness.gateway.onDetached();
@@ -238,29 +238,29 @@
         harness.gateway.onRunEnded(ID, Engine.RunOutcome.STALE, 0, bytes(""));
         assertEquals(List.of("SERVED RAN told again", "SERVED RAN result"), answers.responses);
         assertEquals(
-                List.of("ended " + OTHER_ID + " OK", "ended " + ID + " OK"), harness.module.heard);
+                List.of("ended " + OTHER_ID + " OK", "ended " + ID + " OK"), harness.controller.events);
     }
 
     @Test
     void resendsNothingToRestartedEngine() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
-        harness.pass(5000);
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
+        harness.advance(5000);
         send("order");
         harness.gateway.onDetached();
         harness.gateway.onAttached(true, 10);
         harness.gateway.onCaughtUp();
         assertEquals(1, harness.runs.size());
-        harness.pass(2000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(2000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("FAILED SENT"), answers.responses);
-        assertEquals(List.of("ended " + ID + " IGNORED"), harness.module.heard);
+        assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
     }
 
     @Test
     void doesNotResendWhatWasAnsweredWhileTheLinkWasDown() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         harness.gateway.onDetached();
-        harness.module.act.fail(ID);
+        harness.controller.actions.fail(ID);
         harness.gateway.onAttached(false, 0);
         harness.gateway.onCaughtUp();
         assertEquals(1, harness.runs.size());
@@ -268,7 +268,7 @@
 
     @Test
     void keepsIdFreeOfRunThatTheEngineRejected() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("read");
         harness.gateway.onRunEnded(ID, Engine.RunOutcome.REJECTED, 0, bytes(""));
         send("read");
@@ -286,23 +286,23 @@
         harness.gateway.cancel(ID, answers);
         assertEquals(List.of("FAILED NOT_SENT"), answers.responses);
         send(harness, OTHER_ID, "read", harness.now);
-        harness.module.act.run(OTHER_ID);
+        harness.controller.actions.run(OTHER_ID);
         harness.gateway.cancel(OTHER_ID, answers);
         completeRun(harness, OTHER_ID, "ran all the same");
         assertEquals("SERVED RAN ran all the same", answers.responses.get(1));
-        assertEquals(List.of("gone " + ID, "ended " + OTHER_ID + " OK"), harness.module.heard);
+        assertEquals(List.of("gone " + ID, "ended " + OTHER_ID + " OK"), harness.controller.events);
     }
 
     @Test
     void neverRunsWhatWasCancelledBeforeItWasSent() {
         harness.linkUp = false;
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send("order");
         harness.gateway.cancel(ID, answers);
         harness.linkUp = true;
         harness.gateway.onAttached(false, 0);
         assertEquals(List.of(), harness.runs);
-        assertEquals(List.of("ended " + ID + " IGNORED"), harness.module.heard);
+        assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
     }
 
     @Test
@@ -313,29 +313,29 @@
         assertEquals(
                 List.of("REJECTED NOT_SENT", "INVALID NOT_SENT", "INVALID NOT_SENT"),
                 answers.responses);
-        assertNull(harness.module.last);
+        assertNull(harness.controller.lastRequest);
     }
 
     @Test
     void timerWaitsForItsGaugesWithinItsBound() {
-        harness.module.act.scheduleTimer("tick", 20);
-        harness.pass(20);
+        harness.controller.actions.scheduleTimer("tick", 20);
+        harness.advance(20);
         harness.gateway.onGauges(harness.gaugesRequested.get(0), new Gauges(0.5, 3, 0.1, 9));
-        assertEquals(List.of("timer tick 3.0"), harness.module.heard);
-        harness.module.act.scheduleTimer("late", 20);
-        harness.pass(20 + ControllerDriver.GAUGES_WAIT_MILLIS);
-        assertEquals("timer late 3.0", harness.module.heard.get(1));
+        assertEquals(List.of("timer tick 3.0"), harness.controller.events);
+        harness.controller.actions.scheduleTimer("late", 20);
+        harness.advance(20 + ControllerDriver.GAUGES_WAIT_MILLIS);
+        assertEquals("timer late 3.0", harness.controller.events.get(1));
         harness.gateway.onGauges(harness.gaugesRequested.get(1), new Gauges(0.5, 4, 0.1, 9));
-        assertEquals(2, harness.module.heard.size());
+        assertEquals(2, harness.controller.events.size());
         harness.linkUp = false;
-        harness.module.act.scheduleTimer("none", ControllerDriver.GAUGES_VALID_MILLIS + 1);
-        harness.pass(ControllerDriver.GAUGES_VALID_MILLIS + 1);
-        assertEquals("timer none NaN", harness.module.heard.get(2));
+        harness.controller.actions.scheduleTimer("none", ControllerDriver.GAUGES_VALID_MILLIS + 1);
+        harness.advance(ControllerDriver.GAUGES_VALID_MILLIS + 1);
+        assertEquals("timer none NaN", harness.controller.events.get(2));
     }
 
     @Test
     void rejectsAndIsUnhealthyBeforeTheEngineIsAttached() {
-        Harness early = new Harness(0);
+        GatewayHarness early = new GatewayHarness(0);
         assertFalse(early.gateway.healthy());
         send(early, ID, "read", early.now);
         assertEquals(List.of("REJECTED NOT_SENT"), answers.responses);
@@ -349,19 +349,19 @@
         harness.gateway.onHealth(told::add);
         harness.gateway.beginDraining(harness.now - 40, harness.now + 2960);
         harness.gateway.beginDraining(harness.now, harness.now + 3000);
-        harness.module.act.setHealth(true, true);
-        assertEquals(List.of("drain 3000"), harness.module.heard);
+        harness.controller.actions.setHealth(true, true);
+        assertEquals(List.of("drain 3000"), harness.controller.events);
         assertEquals(List.of(false), told);
         assertFalse(harness.gateway.healthy());
     }
 
     @Test
     void failsOnlyTheRequestWhoseRunCannotBeWritten() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         harness.failNextRunOutOfMemory = true;
         send("order");
         assertEquals(List.of("FAILED NOT_SENT"), answers.responses);
-        assertEquals(List.of("ended " + ID + " IGNORED"), harness.module.heard);
+        assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
         send(harness, OTHER_ID, "order", harness.now);
         completeRun(harness, OTHER_ID, "fine");
         assertEquals("SERVED RAN fine", answers.responses.get(1));
@@ -371,35 +371,35 @@
     void countsRequestCompletedAfterTheGraceAsArrivedAfterIt() {
         double noticedAt = harness.now;
         harness.gateway.beginDraining(noticedAt, noticedAt + 5000);
-        harness.pass(2490);
+        harness.advance(2490);
         send(harness, ID, "order", harness.now - 300);
-        assertEquals(300, harness.module.last.ageMillis());
-        harness.pass(110);
+        assertEquals(300, harness.controller.lastRequest.ageMillis());
+        harness.advance(110);
         send(harness, OTHER_ID, "order", harness.now - 300);
         assertTrue(
-                harness.now - harness.module.last.ageMillis() > noticedAt + 2500,
-                "arrived " + (harness.now - harness.module.last.ageMillis() - noticedAt));
-        harness.pass(1699);
+                harness.now - harness.controller.lastRequest.ageMillis() > noticedAt + 2500,
+                "arrived " + (harness.now - harness.controller.lastRequest.ageMillis() - noticedAt));
+        harness.advance(1699);
         assertEquals(
                 1,
                 answers.responses.size(),
                 "the deadline still counts from the arrival that the request states");
-        harness.pass(30);
+        harness.advance(30);
         assertEquals(2, answers.responses.size());
     }
 
     @Test
     void lastSeenAliveLiesBeforeAStall() {
-        harness.pass(200);
+        harness.advance(200);
         double before = harness.now;
         harness.now += 5000;
-        harness.pass(DeadlineGuard.PERIOD_MILLIS / 2);
+        harness.advance(DeadlineGuard.PERIOD_MILLIS / 2);
         assertTrue(
                 harness.gateway.lastSeenAliveMillis() <= before,
                 "a shutdown notice may have come during the stall");
         assertTrue(
                 harness.gateway.lastSeenAliveMillis() >= before - 2 * DeadlineGuard.PERIOD_MILLIS);
-        harness.pass(100);
+        harness.advance(100);
         assertTrue(
                 harness.gateway.lastSeenAliveMillis()
                         >= harness.now - 2 * DeadlineGuard.PERIOD_MILLIS - 1);
@@ -407,10 +407,10 @@
 
     @Test
     void notifiesControllerOfShutdownThatCameBeforeTheEngine() {
-        Harness early = new Harness(0);
+        GatewayHarness early = new GatewayHarness(0);
         early.gateway.beginDraining(early.now, early.now + 3000);
         early.gateway.onAttached(true, 10);
-        assertEquals(List.of("drain 3000"), early.module.heard);
+        assertEquals(List.of("drain 3000"), early.controller.events);
         assertFalse(early.gateway.healthy());
     }
 
@@ -422,41 +422,41 @@
                         OTHER_ID, harness.now, "read", "nobody", 4, 20, 0.5, null, bytes("")),
                 answers);
         assertEquals(List.of("INVALID NOT_SENT", "INVALID NOT_SENT"), answers.responses);
-        assertNull(harness.module.last);
+        assertNull(harness.controller.lastRequest);
     }
 
     @Test
     void controllerFailureAffectsNoOtherRequest() {
-        harness.module.onRequest =
+        harness.controller.onRequest =
                 r -> {
                     throw new IllegalStateException("on purpose");
                 };
         send("read");
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send(harness, OTHER_ID, "read", harness.now);
         completeRun(harness, OTHER_ID, "fine");
-        harness.pass(1100);
+        harness.advance(1100);
         assertEquals(List.of("SERVED RAN fine", "FAILED NOT_SENT"), answers.responses);
     }
 
     @Test
     void replaysRetainedReadWhileItIsFresh() {
-        Harness fresh = new Harness(300);
+        GatewayHarness fresh = new GatewayHarness(300);
         fresh.gateway.onAttached(false, 0);
-        fresh.module.onRequest =
+        fresh.controller.onRequest =
                 r -> {
                     if (r.duplicateOf() != null) {
-                        fresh.module.act.replayResult(r.id());
+                        fresh.controller.actions.replayResult(r.id());
                     } else {
-                        fresh.module.act.retainKey(r.id(), 2000);
-                        fresh.module.act.run(r.id());
+                        fresh.controller.actions.retainKey(r.id(), 2000);
+                        fresh.controller.actions.run(r.id());
                     }
                 };
         send(fresh, ID, "read", fresh.now);
         send(fresh, OTHER_ID, "read", fresh.now);
         completeRun(fresh, ID, "shared");
         send(fresh, "9b1f03aa5c7e2d43", "read", fresh.now);
-        fresh.pass(301);
+        fresh.advance(301);
         send(fresh, "9b1f03aa5c7e2d44", "read", fresh.now);
         assertEquals(
                 List.of("SERVED RAN shared", "SERVED RAN shared", "SERVED RAN shared"),
--- a/src/test/java/tinroad/core/IdempotencyKeyTest.java
+++ b/src/test/java/tinroad/core/IdempotencyKeyTest.java
@@ -25,25 +25,25 @@
 class IdempotencyKeyTest {
     private static final String KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     private static final double AFTER_WINDOW_MILLIS =
-            Harness.KEY_WINDOW_MILLIS + IdempotencyTable.WINDOW_MARGIN_MILLIS + 1;
+            GatewayHarness.KEY_WINDOW_MILLIS + IdempotencyTable.WINDOW_MARGIN_MILLIS + 1;
 
-    private Harness harness;
-    private final Harness.ResponseRecorder first = new Harness.ResponseRecorder();
-    private final Harness.ResponseRecorder second = new Harness.ResponseRecorder();
+    private GatewayHarness harness;
+    private final GatewayHarness.ResponseRecorder first = new GatewayHarness.ResponseRecorder();
+    private final GatewayHarness.ResponseRecorder second = new GatewayHarness.ResponseRecorder();
 
     @BeforeEach
     @BeforeTry
     void start() {
-        harness = Harness.keyed();
-        harness.module.onRequest = this::runOnceAsTheControllerDoes;
+        harness = GatewayHarness.keyed();
+        harness.controller.onRequest = this::runOnceAsTheControllerDoes;
     }
 
     private void runOnceAsTheControllerDoes(Request r) {
         if (r.duplicateOf() != null) {
-            harness.module.act.replayResult(r.id());
+            harness.controller.actions.replayResult(r.id());
         } else {
-            harness.module.act.retainKey(r.id(), Harness.KEY_WINDOW_MILLIS);
-            harness.module.act.run(r.id());
+            harness.controller.actions.retainKey(r.id(), GatewayHarness.KEY_WINDOW_MILLIS);
+            harness.controller.actions.run(r.id());
         }
     }
 
@@ -124,19 +124,19 @@
     @Test
     void replaysUntilTheEndOfTheWindowAndRunsAfterIt() {
         serveFirst();
-        harness.pass(Harness.KEY_WINDOW_MILLIS);
+        harness.advance(GatewayHarness.KEY_WINDOW_MILLIS);
         send(2, second);
         assertEquals(List.of("SERVED RAN paid"), second.responses);
         assertEquals(1, harness.runs.size());
-        harness.pass(AFTER_WINDOW_MILLIS - Harness.KEY_WINDOW_MILLIS);
-        send(3, new Harness.ResponseRecorder());
+        harness.advance(AFTER_WINDOW_MILLIS - GatewayHarness.KEY_WINDOW_MILLIS);
+        send(3, new GatewayHarness.ResponseRecorder());
         assertEquals(2, harness.runs.size());
     }
 
     @Test
     void neverRunsDuplicateWrittenWithinTheWindowAndReadAfterIt() {
         serveFirst();
-        harness.pass(AFTER_WINDOW_MILLIS + 500);
+        harness.advance(AFTER_WINDOW_MILLIS + 500);
         send(2, KEY, harness.now - 600, "body", second);
         assertEquals(1, harness.runs.size());
         assertEquals(List.of("SERVED RAN paid"), second.responses);
@@ -146,7 +146,7 @@
     void countsWindowFromStatedArrivalEvenWithAClientClockAhead() {
         send(1, KEY, harness.now + 1500, "body", first);
         endRun(1, Engine.RunOutcome.DONE, "paid");
-        harness.pass(AFTER_WINDOW_MILLIS);
+        harness.advance(AFTER_WINDOW_MILLIS);
         send(2, second);
         assertEquals(1, harness.runs.size());
         assertEquals(List.of("SERVED RAN paid"), second.responses);
@@ -172,7 +172,7 @@
         send(1, first);
         send(2, second);
         endRun(1, Engine.RunOutcome.CRASHED, "");
-        Harness.ResponseRecorder third = new Harness.ResponseRecorder();
+        GatewayHarness.ResponseRecorder third = new GatewayHarness.ResponseRecorder();
         send(3, third);
         assertEquals(List.of("FAILED RAN"), first.responses);
         assertEquals(List.of("FAILED NOT_SENT"), second.responses);
@@ -182,16 +182,16 @@
 
     @Test
     void runsNextAttemptOfRejectedRequest() {
-        harness.module.onRequest =
+        harness.controller.onRequest =
                 r -> {
-                    harness.module.act.retainKey(r.id(), Harness.KEY_WINDOW_MILLIS);
-                    harness.module.act.reject(r.id(), 0, false);
+                    harness.controller.actions.retainKey(r.id(), GatewayHarness.KEY_WINDOW_MILLIS);
+                    harness.controller.actions.reject(r.id(), 0, false);
                 };
         send(1, first);
         assertEquals(List.of("REJECTED NOT_SENT"), first.responses);
-        harness.module.onRequest = this::runOnceAsTheControllerDoes;
+        harness.controller.onRequest = this::runOnceAsTheControllerDoes;
         send(2, second);
-        assertNull(harness.module.last.duplicateOf());
+        assertNull(harness.controller.lastRequest.duplicateOf());
         assertEquals(1, harness.runs.size());
     }
 
@@ -208,7 +208,7 @@
         send(1, first);
         send(2, second);
         harness.gateway.cancel(id(1), first);
-        harness.pass(100);
+        harness.advance(100);
         endRun(1, Engine.RunOutcome.DONE, "paid");
         assertEquals(List.of("SERVED RAN paid"), second.responses);
     }
@@ -226,7 +226,7 @@
     @Test
     void rejectsNoAttemptOnceOneWasSentToRun() {
         send(1, first);
-        harness.module.onRequest = r -> harness.module.act.reject(r.id(), 0, false);
+        harness.controller.onRequest = r -> harness.controller.actions.reject(r.id(), 0, false);
         send(2, second);
         send(3, KEY, harness.now - 5000, "body", second);
         assertEquals(List.of("FAILED NOT_SENT", "FAILED SENT"), second.responses);
@@ -234,12 +234,12 @@
 
     @Test
     void ignoresSecondRunThatTheControllerAsksFor() {
-        harness.module.onRequest = r -> harness.module.act.run(r.id());
+        harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
         send(1, first);
         send(2, second);
         assertEquals(1, harness.runs.size());
         assertEquals(List.of("FAILED NOT_SENT"), second.responses);
-        assertEquals(List.of("ended " + id(2) + " IGNORED"), harness.module.heard);
+        assertEquals(List.of("ended " + id(2) + " IGNORED"), harness.controller.events);
     }
 
     @Test
@@ -267,7 +267,7 @@
         send(70_001, String.format("%032x", 0), harness.now, "b", second);
         assertEquals("SERVED RAN", second.responses.get(1));
         assertEquals(IdempotencyTable.MAX_KEYS, harness.runs.size());
-        harness.pass(AFTER_WINDOW_MILLIS + 5000);
+        harness.advance(AFTER_WINDOW_MILLIS + 5000);
         send(70_002, String.format("%032x", 70_002), harness.now, "b", second);
         assertEquals(IdempotencyTable.MAX_KEYS + 1, harness.runs.size());
     }
@@ -290,7 +290,7 @@
 
     @Test
     void takesClientTimeoutAsDeadlineAndRejectsAnExpiredOneAtOnce() {
-        harness.module.onRequest = r -> {};
+        harness.controller.onRequest = r -> {};
         harness.gateway.handle(
                 new IncomingRequest(
                         id(1),
@@ -306,10 +306,10 @@
                         false,
                         bytes("")),
                 first);
-        assertEquals(harness.now + 300, harness.module.last.deadlineAtMillis());
-        harness.pass(299);
+        assertEquals(harness.now + 300, harness.controller.lastRequest.deadlineAtMillis());
+        harness.advance(299);
         assertTrue(first.responses.isEmpty());
-        harness.pass(30);
+        harness.advance(30);
         assertEquals(List.of("FAILED NOT_SENT"), first.responses);
         harness.gateway.handle(
                 new IncomingRequest(
@@ -335,7 +335,7 @@
         double[] ranAt = {-1, -1, -1};
         List<Integer> running = new ArrayList<>();
         for (int n = 1; n < 120; n++) {
-            harness.pass(random.nextInt(200));
+            harness.advance(random.nextInt(200));
             if (random.nextInt(3) == 0 && !running.isEmpty()) {
                 int end = running.remove(random.nextInt(running.size()));
                 endRun(
@@ -349,7 +349,7 @@
                 if (harness.runs.size() > before) {
                     assertTrue(
                             ranAt[token] < 0
-                                    || harness.now > ranAt[token] + Harness.KEY_WINDOW_MILLIS,
+                                    || harness.now > ranAt[token] + GatewayHarness.KEY_WINDOW_MILLIS,
                             "ran twice in its window");
                     ranAt[token] = harness.now;
                     running.add(n);
--- a/src/test/java/tinroad/fastcgi/FrontConnectionTest.java
+++ b/src/test/java/tinroad/fastcgi/FrontConnectionTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import tinroad.Cuts;
 import tinroad.core.Engine;
-import tinroad.core.Harness;
+import tinroad.core.GatewayHarness;
 
 /**
  * A client proxy's connection: any legal form of a request is understood, and nothing illegal costs
@@ -42,18 +42,18 @@
     private static final String FAILED = "Status: 500 Internal Server Error\r\n\r\n";
     private static final byte[] NONE = {};
 
-    private Harness h;
+    private GatewayHarness h;
     private FastCgiFrontend front;
     private EmbeddedChannel channel;
 
     @BeforeEach
     @BeforeTry
     void start() {
-        h = Harness.started();
+        h = GatewayHarness.started();
         front = new FastCgiFrontend(h, h.gateway, 1024, 192);
         channel = connect();
         h.gateway.addFrontend(front);
-        h.module.onRequest = r -> h.module.act.run(r.id());
+        h.controller.onRequest = r -> h.controller.actions.run(r.id());
     }
 
     private EmbeddedChannel connect() {
@@ -183,7 +183,7 @@
 
     @Test
     void aRefusalCarriesTheModulesAdvice() {
-        h.module.onRequest = r -> h.module.act.reject(r.id(), 249.2, true);
+        h.controller.onRequest = r -> h.controller.actions.reject(r.id(), 249.2, true);
         receive(Records.whole(1, Records.fields(id(1)), ""));
         assertEquals(
                 List.of(
@@ -232,7 +232,7 @@
                 Records.record(4, 4, NONE, 0),
                 Records.record(5, 4, NONE, 0));
         assertEquals(List.of("4: " + INVALID), answers());
-        assertNull(h.module.last);
+        assertNull(h.controller.lastRequest);
         assertTrue(channel.isOpen());
     }
 
@@ -258,29 +258,29 @@
                     Records.record(5, 3, NONE, 0));
             assertEquals(List.of("3: " + INVALID), answers(), field);
         }
-        assertNull(h.module.last);
+        assertNull(h.controller.lastRequest);
         assertTrue(channel.isOpen());
     }
 
     @Test
     void aMarkedTryAndItsCallersWaitReachTheModuleAndTheLevelGoesOutWithAnswersAndChecks() {
-        h = Harness.keyed();
+        h = GatewayHarness.keyed();
         front = new FastCgiFrontend(h, h.gateway, 1024, 192);
         channel = connect();
-        h.module.onRequest = r -> h.module.act.reject(r.id(), 0, false);
+        h.controller.onRequest = r -> h.controller.actions.reject(r.id(), 0, false);
         Map<String, String> fields = Records.fields(id(1));
         fields.put("HTTP_REQ_WAIT_MS", "480.5");
         fields.put("HTTP_REQ_RETRY", "1");
         receive(Records.whole(1, fields, "body"));
-        assertTrue(h.module.last.retry());
-        assertEquals(h.now + 480.5, h.module.last.deadlineAtMillis());
-        h.module.act.advertiseLoad(0.25);
+        assertTrue(h.controller.lastRequest.retry());
+        assertEquals(h.now + 480.5, h.controller.lastRequest.deadlineAtMillis());
+        h.controller.actions.advertiseLoad(0.25);
         receive(
                 Records.whole(2, Records.fields(id(2)), "body"),
                 Records.whole(3, Map.of("SCRIPT_NAME", "/healthz"), ""));
-        assertFalse(h.module.last.retry());
-        assertEquals(0, h.module.last.deadlineAtMillis(), "its caller did not tell");
-        h.module.act.advertiseLoad(1e-7);
+        assertFalse(h.controller.lastRequest.retry());
+        assertEquals(0, h.controller.lastRequest.deadlineAtMillis(), "its caller did not tell");
+        h.controller.actions.advertiseLoad(1e-7);
         receive(Records.whole(4, Map.of("SCRIPT_NAME", "/healthz"), ""));
         assertEquals(
                 List.of(
@@ -327,7 +327,7 @@
     void aHealthCheckTellsTheModulesHealth() {
         Map<String, String> check = Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/healthz");
         receive(Records.whole(1, check, ""));
-        h.module.act.setHealth(false, true);
+        h.controller.actions.setHealth(false, true);
         receive(Records.whole(1, check, ""));
         assertEquals(
                 List.of("1: Status: 200 OK\r\n\r\n", "1: Status: 503 Service Unavailable\r\n\r\n"),
@@ -339,7 +339,7 @@
 
     /** Time passes, with as many passes as a stalled process would make of it, then two more. */
     private void idle(double ms) {
-        h.pass(ms);
+        h.advance(ms);
         front.pass();
         channel.runPendingTasks();
         front.pass();
@@ -367,7 +367,7 @@
     @Test
     void aRequestThatArrivedDuringAStallKeepsItsConnection() {
         front.setIdleTimeout(100);
-        h.pass(500);
+        h.advance(500);
         front.pass();
         receive(Records.whole(1, Records.fields(id(1)), "body"));
         front.pass();
@@ -382,7 +382,7 @@
         receive(Records.whole(1, Records.fields(id(1)), "body"));
         channel.close();
         done(1, "r");
-        assertEquals(List.of("ended " + id(1) + " OK"), h.module.heard);
+        assertEquals(List.of("ended " + id(1) + " OK"), h.controller.events);
         assertTrue(h.gateway.allAnswered());
         assertEquals(List.of(), answers());
     }
@@ -455,7 +455,7 @@
     void aConnectionThatWasQuietForLongHasItsTimeForTheNextRequest() {
         receive(Records.whole(1, Records.fields(id(1)), "body"));
         done(1, "r");
-        h.pass(60_000);
+        h.advance(60_000);
         receive(Records.begin(1, 1, 1), Records.record(4, 1, NONE, 0));
         idle(FastCgiFrontend.REQUEST_TIMEOUT_MILLIS);
         assertTrue(channel.isOpen());
@@ -464,16 +464,16 @@
 
     @Test
     void whatIsHeldForACallerThatIsGoneLeavesTheHold() {
-        h.module.onRequest = r -> {};
+        h.controller.onRequest = r -> {};
         receive(
                 Records.whole(1, Records.fields(id(1)), ""),
                 Records.whole(2, Records.fields(id(2)), ""),
                 Records.whole(3, Records.fields(id(3)), ""));
-        h.module.act.run(id(2));
+        h.controller.actions.run(id(2));
         receive(Records.record(2, 1, NONE, 0), Records.record(2, 2, NONE, 0));
         assertEquals(List.of("1: " + FAILED), answers());
         channel.close();
-        assertEquals(List.of("gone " + id(1), "gone " + id(3)), h.module.heard);
+        assertEquals(List.of("gone " + id(1), "gone " + id(3)), h.controller.events);
         done(2, "for nobody");
         assertTrue(h.gateway.allAnswered());
     }
--- a/src/test/java/tinroad/fastcgi/FrontCrossingTest.java
+++ b/src/test/java/tinroad/fastcgi/FrontCrossingTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Timeout;
 import tinroad.Cuts;
 import tinroad.core.Engine;
-import tinroad.core.Harness;
+import tinroad.core.GatewayHarness;
 
 /**
  * Requests that arrive in the very instant in which a gateway closes something, on real sockets.
@@ -49,7 +49,7 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final List<Socket> callers = new ArrayList<>();
-    private Harness h;
+    private GatewayHarness h;
     private FastCgiFrontend front;
     private InetSocketAddress address;
 
@@ -57,12 +57,12 @@
     void listen() throws Exception {
         loop.submit(
                         () -> {
-                            h = Harness.started();
+                            h = GatewayHarness.started();
                             // The engine is as quick as a call: an answer is written within the
                             // read of its request.
-                            h.module.onRequest =
+                            h.controller.onRequest =
                                     r -> {
-                                        h.module.act.run(r.id());
+                                        h.controller.actions.run(r.id());
                                         h.gateway.onRunEnded(
                                                 r.id(),
                                                 Engine.RunOutcome.DONE,
@@ -343,11 +343,11 @@
 
     @Test
     void theLastAnswersOfACallerThatReadsVerySlowlyOutliveTheEndOfItsConnection() throws Exception {
-        Harness slow = Harness.started();
+        GatewayHarness slow = GatewayHarness.started();
         FastCgiFrontend its = new FastCgiFrontend(slow, slow.gateway, 1024, 192);
-        slow.module.onRequest =
+        slow.controller.onRequest =
                 r -> {
-                    slow.module.act.run(r.id());
+                    slow.controller.actions.run(r.id());
                     slow.gateway.onRunEnded(
                             r.id(),
                             Engine.RunOutcome.DONE,
--- a/src/test/java/tinroad/state/ProvenanceTest.java
+++ b/src/test/java/tinroad/state/ProvenanceTest.java
@@ -18,36 +18,36 @@
     @Test
     void doesNotSaveAssumedValues() {
         Provenance provenance = new Provenance(1);
-        provenance.begin(Map.of("run.a", new Estimate(375, 2)), Map.of());
-        assertEquals(Map.of(), provenance.at(NOW, Map.of("run.a", new Estimate(375, 2))));
+        provenance.start(Map.of("run.a", new Estimate(375, 2)), Map.of());
+        assertEquals(Map.of(), provenance.valuesToSave(NOW, Map.of("run.a", new Estimate(375, 2))));
         assertEquals(
                 Map.of("run.a", new LearnedValue(30, 12, NOW, 1)),
-                provenance.at(NOW, Map.of("run.a", new Estimate(30, 12))));
+                provenance.valuesToSave(NOW, Map.of("run.a", new Estimate(30, 12))));
     }
 
     @Test
     void savesUnchangedRestoredValuesAsTheyWere() {
         LearnedValue restored = new LearnedValue(24, 900, NOW - 60_000, 4);
         Provenance provenance = new Provenance(5);
-        provenance.begin(Map.of("run.a", new Estimate(29, 4)), Map.of("run.a", restored));
+        provenance.start(Map.of("run.a", new Estimate(29, 4)), Map.of("run.a", restored));
         assertEquals(
                 Map.of("run.a", restored),
-                provenance.at(NOW + 5000, Map.of("run.a", new Estimate(29, 4))));
+                provenance.valuesToSave(NOW + 5000, Map.of("run.a", new Estimate(29, 4))));
     }
 
     @Test
     void agesMixedValuesByTheShareOfNewSamples() {
         Provenance provenance = new Provenance(5);
-        provenance.begin(
+        provenance.start(
                 Map.of("run.a", new Estimate(29, 4)),
                 Map.of("run.a", new LearnedValue(24, 900, NOW - 60_000, 4)));
         assertEquals(
                 new LearnedValue(31, 8, NOW - 30_000, 5),
-                provenance.at(NOW, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
+                provenance.valuesToSave(NOW, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
         // It ages without new samples, too.
         assertEquals(
                 new LearnedValue(31, 8, NOW - 30_000, 5),
-                provenance.at(NOW + 9000, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
+                provenance.valuesToSave(NOW + 9000, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
     }
 
     /**
@@ -77,7 +77,7 @@
                             ? new Estimate(375, 2)
                             : new Estimate(decayed.value(), Math.min(4, decayed.weight()));
             Provenance provenance = new Provenance(incarnation);
-            provenance.begin(
+            provenance.start(
                     Map.of("run.a", estimate),
                     decayed == null ? Map.of() : Map.of("run.a", restored));
             for (int save = random.nextInt(5); save > 0; save--) {
@@ -90,7 +90,7 @@
                                     estimate.weight() + samples);
                     lastSampleMillis = nowMillis;
                 }
-                folder = new HashMap<>(provenance.at(nowMillis, Map.of("run.a", estimate)));
+                folder = new HashMap<>(provenance.valuesToSave(nowMillis, Map.of("run.a", estimate)));
             }
             nowMillis += random.nextDouble(400_000);
         }
--- a/src/test/java/tinroad/state/SnapshotStoreTest.java
+++ b/src/test/java/tinroad/state/SnapshotStoreTest.java
@@ -159,7 +159,7 @@
             for (int g = 2; g <= 1000; g++) {
                 writer.offer(SnapshotTest.snapshot(1, g, NOW));
             }
-            assertEquals(0, writer.saved());
+            assertEquals(0, writer.savedCount());
             slow.countDown();
         }
         assertEquals(
