--- a/src/main/java/tinroad/overload/AdmissionControl.java
+++ b/src/main/java/tinroad/overload/AdmissionControl.java
@@ -107,6 +107,6 @@
         double most = Math.max(1, limit.allowed() * cores.onCoreShare() / settings.cores());
         return beforeMillis * cores.onCoreShare() / settings.cores()
                 + ownMillis * Math.min(busy, most)
-                + request.statistics.away;
+                + request.statistics.pausedMillis;
     }
 }
--- a/src/main/java/tinroad/overload/ClassStatistics.java
+++ b/src/main/java/tinroad/overload/ClassStatistics.java
@@ -3,59 +3,63 @@
 import java.util.List;
 
 /**
- * What is measured of one class. Its run and its calm one, in ms, are 0 until there is a sample or
- * a memory of them. Holds values only: what becomes of them is decided by the module, what is
- * summed over them by {@link ClassTable}.
+ * What is measured of one class. Holds values only: they are updated and summed by {@link
+ * ClassTable}.
  */
 final class ClassStatistics {
-    /** A wait that fresh tries of a class come with, and how sure that is. */
+    /** A timeout that fresh attempts of a class come with, and how sure that is. */
     static final class ClientTimeout {
-        final double wait;
+        final double timeoutMillis;
         double votes = 1;
 
-        ClientTimeout(double wait) {
-            this.wait = wait;
+        ClientTimeout(double timeoutMillis) {
+            this.timeoutMillis = timeoutMillis;
         }
     }
 
-    final int place;
-    double run;
-    double calm;
-    double away;
-    double runs;
-    double calmRuns;
+    final int slot;
 
-    /** There are samples, or a memory of them. */
-    boolean known;
+    /** Mean core time of a run; 0: no sample and nothing restored. */
+    double runMillis;
 
-    /** What it was asked and served lately, faded up to a time. */
-    double asked;
+    /** The same while calm. */
+    double calmRunMillis;
 
-    double served;
-    private double fadedAt;
+    /** Mean time that a run is paused for calls to the dependency. */
+    double pausedMillis;
 
-    /** Where it stands in {@link UnderservedClasses}; -1: nowhere. */
-    int telling = -1;
+    double runSamples;
+    double calmRunSamples;
 
-    List<ClientTimeout> waits = List.of();
+    /** There are samples, or restored values. */
+    boolean measured;
 
-    /** Nothing yet, which weighs so many samples. */
-    ClassStatistics(int place, double weight) {
-        this.place = place;
-        runs = weight;
-        calmRuns = weight;
+    /** Requests lately, and those of them answered in time; both decayed up to a time. */
+    double recentRequests;
+
+    double recentServed;
+    private double decayedAtMillis;
+
+    /** Its index in {@link UnderservedClasses}; -1: not in there. */
+    int underservedIndex = -1;
+
+    List<ClientTimeout> clientTimeouts = List.of();
+
+    /** Nothing measured yet, which weighs {@code samples}. */
+    ClassStatistics(int slot, double samples) {
+        this.slot = slot;
+        runSamples = samples;
+        calmRunSamples = samples;
     }
 
-    /**
-     * Fades what it was asked and served lately; {@code span}: ms in which it falls to its e-th
-     * part.
-     */
-    void fade(double nowMillis, double span) {
-        if (nowMillis > fadedAt) {
-            double part = asked == 0 ? 0 : Math.exp((fadedAt - nowMillis) / span);
-            asked *= part;
-            served *= part;
-            fadedAt = nowMillis;
+    /** Decays the recent counts; {@code spanMillis}: time in which they fall to their e-th part. */
+    void decay(double nowMillis, double spanMillis) {
+        if (nowMillis > decayedAtMillis) {
+            double share =
+                    recentRequests == 0 ? 0 : Math.exp((decayedAtMillis - nowMillis) / spanMillis);
+            recentRequests *= share;
+            recentServed *= share;
+            decayedAtMillis = nowMillis;
         }
     }
 }
--- a/src/main/java/tinroad/overload/ClassTable.java
+++ b/src/main/java/tinroad/overload/ClassTable.java
@@ -9,274 +9,281 @@
 import tinroad.overload.Controller.RequestClass;
 
 /**
- * The classes of requests by place, and what is summed over them, kept up with every sample: no
- * event walks over all classes. A change is prepared in a version beside the one that counts, which
- * hears of all samples meanwhile, and takes its place at once. Knows the time only from {@link
- * #advance}, and nothing of what the sums are used for.
+ * The request classes by slot, and sums over them, kept up to date with every sample: no event
+ * walks over all classes. A change is staged in a version beside the current one, which receives
+ * all samples meanwhile, and replaces it at once. Knows the time only from {@link #advance}, and
+ * nothing of what the sums are used for.
  */
 final class ClassTable {
-    /**
-     * The specs of one version, what is measured of them, where there is anything, and the sums.
-     */
+    /** The specs of one version, their statistics, where there are any, and the sums. */
     private static final class Version {
         final SlotTable<RequestClass> specs;
-        final SlotTable<ClassStatistics> stats;
+        final SlotTable<ClassStatistics> statistics;
         int size;
-        final CompensatedSum run;
-        final CompensatedSum calm;
-        final CompensatedSum asked;
-        final CompensatedSum worth;
+        final CompensatedSum runMillis;
+        final CompensatedSum calmRunMillis;
+        final CompensatedSum recentRequests;
+        final CompensatedSum weight;
 
         Version() {
             specs = new SlotTable<>();
-            stats = new SlotTable<>();
-            run = new CompensatedSum();
-            calm = new CompensatedSum();
-            asked = new CompensatedSum();
-            worth = new CompensatedSum();
+            statistics = new SlotTable<>();
+            runMillis = new CompensatedSum();
+            calmRunMillis = new CompensatedSum();
+            recentRequests = new CompensatedSum();
+            weight = new CompensatedSum();
         }
 
         Version(Version before) {
-            specs = before.specs.next();
-            stats = before.stats.next();
+            specs = before.specs.nextVersion();
+            statistics = before.statistics.nextVersion();
             size = before.size;
-            run = new CompensatedSum(before.run);
-            calm = new CompensatedSum(before.calm);
-            asked = new CompensatedSum(before.asked);
-            worth = new CompensatedSum(before.worth);
+            runMillis = new CompensatedSum(before.runMillis);
+            calmRunMillis = new CompensatedSum(before.calmRunMillis);
+            recentRequests = new CompensatedSum(before.recentRequests);
+            weight = new CompensatedSum(before.weight);
         }
 
-        void fade(double part) {
-            asked.fade(part);
-            worth.fade(part);
+        void decay(double share) {
+            recentRequests.scale(share);
+            weight.scale(share);
         }
     }
 
     private final LearnedStatistics learned;
-    private final double span;
-    private final boolean worthByWork;
+    private final double spanMillis;
+    private final boolean weightByWork;
 
-    /** Nothing was asked, changed or restored yet. */
+    /** No request, change or restored value yet. */
     private boolean untouched = true;
 
-    private Version now = new Version();
+    private Version current = new Version();
     private Version staged;
-    private double clock;
-    private final UnderservedClasses telling;
+    private double nowMillis;
+    private final UnderservedClasses underserved;
 
     /**
-     * @param span ms in which what was asked and served falls to its e-th part
-     * @param lag how far behind a class is that has this ratio of what was asked, beside the worst
+     * @param spanMillis time in which recent counts fall to their e-th part
+     * @param lag how far behind a class is by its ratio of requests answered in time and the worst
      *     ratio
-     * @param worthByWork a class's worth is for each ms of its run
+     * @param weightByWork a class's priority weight is for each ms of its run
      */
     ClassTable(
             List<RequestClass> specs,
             LearnedStatistics learned,
-            double span,
+            double spanMillis,
             DoubleBinaryOperator lag,
-            boolean worthByWork,
-            double clock) {
+            boolean weightByWork,
+            double nowMillis) {
         this.learned = learned;
-        this.span = span;
-        telling = new UnderservedClasses(lag);
-        this.worthByWork = worthByWork;
-        this.clock = clock;
-        for (RequestClass c : specs) {
-            put(now, now.size, c, null);
+        this.spanMillis = spanMillis;
+        underserved = new UnderservedClasses(lag);
+        this.weightByWork = weightByWork;
+        this.nowMillis = nowMillis;
+        for (RequestClass requestClass : specs) {
+            put(current, current.size, requestClass, null);
         }
     }
 
     /** Time passes. */
-    void advance(double to) {
-        double part = Math.exp((clock - to) / span);
-        clock = to;
-        now.fade(part);
+    void advance(double eventAtMillis) {
+        double share = Math.exp((nowMillis - eventAtMillis) / spanMillis);
+        nowMillis = eventAtMillis;
+        current.decay(share);
         if (staged != null) {
-            staged.fade(part);
+            staged.decay(share);
         }
     }
 
-    /** The class at this place, or null. */
-    RequestClass at(int place) {
-        return now.specs.get(place);
+    /** The class in this slot, or null. */
+    RequestClass at(int slot) {
+        return current.specs.get(slot);
     }
 
     /**
-     * What has samples or a memory of them. Until the first request, change or memory all, with
-     * what is assumed of them: that is what a memory may be of.
+     * The classes with samples or restored values. Until the first request, change or restored
+     * value: all, with what is assumed of them.
      */
-    List<ClassStatistics> known() {
+    List<ClassStatistics> measuredClasses() {
         if (untouched) {
-            return IntStream.range(0, now.specs.size()).mapToObj(learned::nothing).toList();
+            return IntStream.range(0, current.specs.size()).mapToObj(learned::unmeasured).toList();
         }
         List<ClassStatistics> known = new ArrayList<>();
-        now.stats.forEach(
-                s -> {
-                    if (s.known) {
-                        known.add(s);
+        current.statistics.forEach(
+                statistics -> {
+                    if (statistics.measured) {
+                        known.add(statistics);
                     }
                 });
         return known;
     }
 
-    /** How many there are. */
+    /** How many classes there are. */
     int size() {
-        return now.size;
+        return current.size;
     }
 
-    /** What an answer of this class adds to what operators want, before any bonus. */
-    double worth(ClassStatistics s, RequestClass c) {
-        return c.priorityWeight() * (worthByWork ? learned.run(s, c) : 1);
+    /** What an answer of this class adds to the operators' objective, before any bonus. */
+    double weight(ClassStatistics statistics, RequestClass requestClass) {
+        return requestClass.priorityWeight()
+                * (weightByWork ? learned.runMillis(statistics, requestClass) : 1);
     }
 
     /** Requests lately, over all classes. */
-    double asked() {
-        return now.asked.value();
+    double totalRequests() {
+        return current.recentRequests.value();
     }
 
-    /** What they would all have been worth. */
-    double worth() {
-        return now.worth.value();
+    /** Their weights added up. */
+    double totalWeight() {
+        return current.weight.value();
     }
 
     /** Requests of this class lately. */
-    double asked(ClassStatistics s) {
-        s.fade(clock, span);
-        return s.asked;
+    double recentRequests(ClassStatistics statistics) {
+        statistics.decay(nowMillis, spanMillis);
+        return statistics.recentRequests;
     }
 
     /** Mean of the classes' run latencies over their calm baselines. */
     double slowdown() {
-        double calm = now.calm.value();
-        return calm > 0 ? now.run.value() / calm : 1;
+        double calm = current.calmRunMillis.value();
+        return calm > 0 ? current.runMillis.value() / calm : 1;
     }
 
     /**
-     * This class's part of the weight that those served worst share; nothing for one that was taken
-     * out.
+     * This class's share of the weight of the classes served worst, 0 to 1; 0 for a class that was
+     * removed.
      */
-    double lagShare(ClassStatistics s) {
-        return counts(s) ? telling.lagShare(s, now.size, clock) : 0;
+    double lagShare(ClassStatistics statistics) {
+        return isCurrent(statistics)
+                ? underserved.lagShare(statistics, current.size, nowMillis)
+                : 0;
     }
 
     // --- samples ---
 
-    /** A request of the class at this place came. */
-    ClassStatistics ask(int place) {
-        ClassStatistics s = measured(place);
-        s.fade(clock, span);
-        addWhereCounted(s, -1);
-        s.asked++;
-        addWhereCounted(s, 1);
-        telling.add(s, clock + span * Math.log(s.asked));
-        return s;
+    /** A request of the class in this slot has arrived. */
+    ClassStatistics requestArrived(int slot) {
+        ClassStatistics statistics = statisticsAt(slot);
+        statistics.decay(nowMillis, spanMillis);
+        addIfCurrent(statistics, -1);
+        statistics.recentRequests++;
+        addIfCurrent(statistics, 1);
+        underserved.add(statistics, nowMillis + spanMillis * Math.log(statistics.recentRequests));
+        return statistics;
     }
 
-    /** One of them was served in time. */
-    void serve(ClassStatistics s) {
-        s.fade(clock, span);
-        s.served++;
-        telling.changed(s);
+    /** One of them was answered in time. */
+    void servedInTime(ClassStatistics statistics) {
+        statistics.decay(nowMillis, spanMillis);
+        statistics.recentServed++;
+        underserved.update(statistics);
     }
 
-    /** What is measured of the class at this place changes. */
-    void change(int place, BiConsumer<ClassStatistics, RequestClass> how) {
-        change(measured(place), at(place), how);
+    /** Updates the statistics of the class in this slot. */
+    void update(int slot, BiConsumer<ClassStatistics, RequestClass> how) {
+        update(statisticsAt(slot), at(slot), how);
     }
 
-    /** The same of a request in hand, of the class that it came under. */
-    void change(ClassStatistics s, RequestClass c, BiConsumer<ClassStatistics, RequestClass> how) {
-        s.fade(clock, span);
-        addWhereCounted(s, -1);
-        how.accept(s, c);
-        addWhereCounted(s, 1);
-        s.known = true;
+    /** The same for the class that an active request arrived under. */
+    void update(
+            ClassStatistics statistics,
+            RequestClass requestClass,
+            BiConsumer<ClassStatistics, RequestClass> how) {
+        statistics.decay(nowMillis, spanMillis);
+        addIfCurrent(statistics, -1);
+        how.accept(statistics, requestClass);
+        addIfCurrent(statistics, 1);
+        statistics.measured = true;
     }
 
-    private ClassStatistics measured(int place) {
+    private ClassStatistics statisticsAt(int slot) {
         untouched = false;
-        ClassStatistics s = now.stats.get(place);
-        if (s == null) {
-            s = learned.nothing(place);
-            now.stats.set(place, s);
+        ClassStatistics statistics = current.statistics.get(slot);
+        if (statistics == null) {
+            statistics = learned.unmeasured(slot);
+            current.statistics.set(slot, statistics);
             if (staged != null) {
-                staged.stats.set(place, s);
+                staged.statistics.set(slot, statistics);
             }
         }
-        return s;
+        return statistics;
     }
 
-    private void addWhereCounted(ClassStatistics s, int sign) {
-        if (counts(s)) {
-            add(now, at(s.place), s, sign);
+    private void addIfCurrent(ClassStatistics statistics, int sign) {
+        if (isCurrent(statistics)) {
+            add(current, at(statistics.slot), statistics, sign);
             if (staged != null) {
-                add(staged, staged.specs.get(s.place), s, sign);
+                add(staged, staged.specs.get(statistics.slot), statistics, sign);
             }
         }
     }
 
-    private boolean counts(ClassStatistics s) {
-        return at(s.place) != null && now.stats.get(s.place) == s;
+    private boolean isCurrent(ClassStatistics statistics) {
+        return at(statistics.slot) != null && current.statistics.get(statistics.slot) == statistics;
     }
 
-    private void add(Version v, RequestClass c, ClassStatistics s, int sign) {
-        if (c != null) {
-            v.run.add(sign * learned.run(s, c));
-            v.calm.add(sign * learned.calm(s, c));
-            if (s != null) {
-                v.asked.add(sign * s.asked);
-                v.worth.add(sign * s.asked * worth(s, c));
+    private void add(
+            Version version, RequestClass requestClass, ClassStatistics statistics, int sign) {
+        if (requestClass != null) {
+            version.runMillis.add(sign * learned.runMillis(statistics, requestClass));
+            version.calmRunMillis.add(sign * learned.calmRunMillis(statistics, requestClass));
+            if (statistics != null) {
+                version.recentRequests.add(sign * statistics.recentRequests);
+                version.weight.add(
+                        sign * statistics.recentRequests * weight(statistics, requestClass));
             }
         }
     }
 
     // --- changes ---
 
-    /** Prepares a part of a change. */
+    /** Stages a part of a change. */
     void stage(List<ClassSlot> changes) {
         if (changes.isEmpty()) {
             return;
         }
         untouched = false;
-        staged = staged == null ? new Version(now) : staged;
+        staged = staged == null ? new Version(current) : staged;
         for (ClassSlot change : changes) {
-            int place = change.slot();
-            if (change.spec() != null && at(place) == null && staged.stats.get(place) != null) {
-                // Whatever was learned there is of another class.
-                staged.stats.set(place, null);
+            int slot = change.slot();
+            if (change.spec() != null && at(slot) == null && staged.statistics.get(slot) != null) {
+                // Whatever was learned in this slot is of another class.
+                staged.statistics.set(slot, null);
             }
-            put(staged, place, change.spec(), staged.stats.get(place));
+            put(staged, slot, change.spec(), staged.statistics.get(slot));
         }
     }
 
-    private void put(Version v, int place, RequestClass c, ClassStatistics s) {
-        if (s != null) {
-            s.fade(clock, span);
+    private void put(
+            Version version, int slot, RequestClass requestClass, ClassStatistics statistics) {
+        if (statistics != null) {
+            statistics.decay(nowMillis, spanMillis);
         }
-        RequestClass before = v.specs.get(place);
-        add(v, before, s, -1);
-        v.specs.set(place, c);
-        add(v, c, s, 1);
-        v.size += (c == null ? 0 : 1) - (before == null ? 0 : 1);
+        RequestClass before = version.specs.get(slot);
+        add(version, before, statistics, -1);
+        version.specs.set(slot, requestClass);
+        add(version, requestClass, statistics, 1);
+        version.size += (requestClass == null ? 0 : 1) - (before == null ? 0 : 1);
     }
 
-    /** What was prepared counts. */
+    /** The staged version becomes the current one. */
     void commit() {
         if (staged != null) {
-            now = staged;
+            current = staged;
             staged = null;
-            telling.retain(this::counts);
+            underserved.retain(this::isCurrent);
         }
     }
 
-    /** It does not. */
-    void unstage() {
+    /** Drops the staged version. */
+    void discardStaged() {
         staged = null;
     }
 
-    /** How often a place was read. */
+    /** How often a slot was read, by which tests bound the cost of an event. */
     long reads() {
-        return now.specs.reads() + now.stats.reads();
+        return current.specs.reads() + current.statistics.reads();
     }
 }
--- a/src/main/java/tinroad/overload/ClientTimeoutEstimator.java
+++ b/src/main/java/tinroad/overload/ClientTimeoutEstimator.java
@@ -1,5 +1,6 @@
 package tinroad.overload;
 
+import java.util.ArrayList;
 import tinroad.overload.ClassStatistics.ClientTimeout;
 import tinroad.overload.Controller.Request;
 import tinroad.overload.Controller.RequestClass;
@@ -20,6 +21,9 @@
 
     private static final double MAX_VOTES = 20;
 
+    /** Timeouts remembered for each class. */
+    private static final int MAX_CLIENT_TIMEOUTS = 4;
+
     private final Settings settings;
 
     ClientTimeoutEstimator(Settings settings) {
@@ -44,23 +48,37 @@
         double timeoutMillis = request.deadlineAtMillis() - nowMillis + request.ageMillis();
         double nextMillis = Double.MAX_VALUE;
         boolean known = false;
-        for (ClientTimeout usual : statistics.waits) {
-            if (Math.abs(timeoutMillis - usual.wait)
+        for (ClientTimeout usual : statistics.clientTimeouts) {
+            if (Math.abs(timeoutMillis - usual.timeoutMillis)
                     <= SAME_SHARE * requestClass.deadlineMillis()) {
                 usual.votes = Math.min(MAX_VOTES, usual.votes + (request.retry() ? 0 : 1));
                 return 0;
             }
             known |= usual.votes >= USUAL_VOTES;
             nextMillis =
-                    usual.votes >= USUAL_VOTES && usual.wait > timeoutMillis
-                            ? Math.min(nextMillis, usual.wait)
+                    usual.votes >= USUAL_VOTES && usual.timeoutMillis > timeoutMillis
+                            ? Math.min(nextMillis, usual.timeoutMillis)
                             : nextMillis;
         }
         if (!request.retry()) {
-            LearnedStatistics.newWait(statistics, timeoutMillis);
+            addClientTimeout(statistics, timeoutMillis);
         }
         return known
                 ? Math.max(0, Math.min(nextMillis, requestClass.deadlineMillis()) - timeoutMillis)
                 : 0;
     }
+
+    /** A new timeout displaces those that are seldom seen. */
+    private static void addClientTimeout(ClassStatistics statistics, double timeoutMillis) {
+        if (statistics.clientTimeouts.size() < MAX_CLIENT_TIMEOUTS) {
+            statistics.clientTimeouts =
+                    statistics.clientTimeouts.isEmpty()
+                            ? new ArrayList<>(MAX_CLIENT_TIMEOUTS)
+                            : statistics.clientTimeouts;
+            statistics.clientTimeouts.add(new ClientTimeout(timeoutMillis));
+            return;
+        }
+        statistics.clientTimeouts.forEach(timeout -> timeout.votes -= 1.0 / MAX_CLIENT_TIMEOUTS);
+        statistics.clientTimeouts.removeIf(timeout -> timeout.votes <= 0);
+    }
 }
--- a/src/main/java/tinroad/overload/CompensatedSum.java
+++ b/src/main/java/tinroad/overload/CompensatedSum.java
@@ -1,35 +1,35 @@
 package tinroad.overload;
 
 /**
- * A sum that is kept by adding and taking away. Neumaier's compensated summation: guards against
- * drift, as what each addition rounds away is kept beside it.
+ * A running sum, added to and subtracted from for ever. Neumaier's compensated summation guards
+ * against drift: what each addition rounds away is kept beside it.
  */
 final class CompensatedSum {
     private double sum;
-    private double rounded;
+    private double compensation;
 
-    /** Nothing. */
+    /** A sum of 0. */
     CompensatedSum() {}
 
-    /** The same as another. */
+    /** A copy. */
     CompensatedSum(CompensatedSum other) {
         sum = other.sum;
-        rounded = other.rounded;
+        compensation = other.compensation;
     }
 
     void add(double value) {
         double next = sum + value;
-        rounded += Math.abs(sum) >= Math.abs(value) ? sum - next + value : value - next + sum;
+        compensation += Math.abs(sum) >= Math.abs(value) ? sum - next + value : value - next + sum;
         sum = next;
     }
 
-    /** Leaves this part of it. */
-    void fade(double part) {
-        sum *= part;
-        rounded *= part;
+    /** Multiplies it. */
+    void scale(double factor) {
+        sum *= factor;
+        compensation *= factor;
     }
 
     double value() {
-        return sum + rounded;
+        return sum + compensation;
     }
 }
--- a/src/main/java/tinroad/overload/Controller.java
+++ b/src/main/java/tinroad/overload/Controller.java
@@ -4,120 +4,130 @@
 import java.util.Map;
 
 /**
- * The interface of the overload controller: what a server tells it (the methods), what it may do
- * ({@link Actions}) and the types both use. All times are milliseconds on the server's own
- * monotonic clock. An implementation is driven by one thread and calls its {@code Actions} only
- * from inside an event method. One object serves one life of one server process.
+ * The interface of the overload controller: the events of a server (the methods), what the
+ * controller may do ({@link Actions}) and the types that both use. All times and durations are
+ * milliseconds, times on the server's own monotonic clock. An implementation is driven by one
+ * thread and calls its {@code Actions} only from inside an event method. One object serves one
+ * server process from its start to its end.
  */
 public interface Controller {
 
-    /** The server starts; called once, before anything else. The seed feeds all random choices. */
+    /**
+     * The server starts; called once, before anything else. {@code seed} feeds all random choices.
+     */
     void start(double nowMillis, long seed, Settings settings);
 
-    /** A request was read and now waits in the hold. It is owed exactly one final answer. */
+    /** A request was read and now waits for a run. It is owed exactly one final answer. */
     void requestArrived(double nowMillis, Request request);
 
-    /** A run, or a wait on {@link Actions#replayResult}, finished. */
+    /**
+     * A run, or a wait for {@link Actions#replayResult}, has ended; {@code elapsedMillis} after its
+     * beginning.
+     */
     void completed(double nowMillis, String id, double elapsedMillis, Outcome outcome);
 
-    /** A running request cannot go on without a call to what lies below. */
+    /** A running request cannot go on without a call to the dependency. */
     void dependencyCallNeeded(double nowMillis, String id);
 
-    /** A call made with {@link Actions#callDependency} came back. */
+    /**
+     * A call made with {@link Actions#callDependency} has ended; {@code elapsedMillis} after it was
+     * made.
+     */
     void dependencyCallCompleted(
             double nowMillis, String id, double elapsedMillis, Outcome outcome);
 
-    /** Nobody waits for this request any more. */
+    /** The client of this request has disconnected. */
     void cancelled(double nowMillis, String id);
 
-    /** Notice to leave; the process is killed at {@code leaveAt}. */
+    /** Shutdown notice; the process is killed at {@code shutdownAtMillis}. */
     void beginDraining(double nowMillis, double shutdownAtMillis);
 
     /** A timer set with {@link Actions#scheduleTimer} is due. */
     void timerFired(double nowMillis, String token, Gauges gauges);
 
-    /** What was learned so far, by name: all that a later life may begin with. */
+    /** What was learned so far, by name: all that a later process may begin with. */
     default Map<String, Estimate> learnedEstimates() {
         return Map.of();
     }
 
     /**
-     * Begins with what an earlier life learned, faded by its age; called once, right after the
+     * Begins with what an earlier process learned, decayed by its age; called once, right after the
      * start, or never. {@code cold}: what runs here was just started, and is slower than it was
      * then.
      */
     default void restore(Map<String, Estimate> known, boolean cold) {}
 
     /**
-     * Prepares a part of a change of classes and tenants, as many parts as it takes. Nothing of it
-     * counts before {@link #commit}, so that no event waits long for a large change.
+     * Stages a part of a change of classes and tenants, in as many parts as it takes. Nothing of it
+     * takes effect before {@link #commit}, so that no event waits long for a large change.
      */
     default void stage(List<ClassSlot> classes, List<TenantSlot> tenants) {}
 
     /**
-     * All that was staged counts from now on, at one instant. What is in hand keeps the due time,
-     * the effect and the tenant that it came under; what was learned of a place that stays used
-     * stays.
+     * All that was staged takes effect at once. Active requests keep the deadline, the idempotency
+     * and the tenant that they arrived under; what was learned of a slot that stays used stays.
      */
     default void commit(double nowMillis) {}
 
-    /** Nothing that was staged since the last commit counts. */
+    /** Drops all that was staged since the last commit. */
     default void discardStaged() {}
 
     /**
      * What the controller may do. Every action takes effect at the time of the event being handled.
      */
     interface Actions {
-        /** Starts a held request or resumes a paused one. */
+        /** Starts a queued request or resumes a paused one. */
         void run(String id);
 
         /**
-         * Final answer: turned away unrun. {@code stayAway} 0: no advice; {@code last}: do not
-         * retry elsewhere.
+         * Final answer: rejected without a run. {@code retryAfterMillis} 0: no Retry-After; {@code
+         * doNotRetry}: not elsewhere, either.
          */
         void reject(String id, double retryAfterMillis, boolean doNotRetry);
 
-        /** Final answer: error, no promise. */
+        /** Final answer: error, whether or not it ran. */
         void fail(String id);
 
         /** Stops a running request, as {@link Settings#cancellationMode} allows. */
         void cancel(String id);
 
-        /** Issues the call a request waits on, given up after {@code within}. */
+        /** Makes the call that a request waits for, which times out after {@code timeoutMillis}. */
         void callDependency(String id, double timeoutMillis);
 
-        /** Goes on without the call, for a poorer answer. */
+        /** Continues without the call, for a degraded answer. */
         void skipDependency(String id);
 
-        /** Keeps the request's key for this long, so that repeats are known. */
+        /**
+         * Retains the request's idempotency key for this long, so that duplicates are recognized.
+         */
         void retainKey(String id, double durationMillis);
 
-        /** Frees the kept key of this request. */
+        /** Releases the retained key of this request. */
         void releaseKey(String id);
 
-        /** Answers a repeat with the result of the request that it repeats. */
+        /** Answers a duplicate with the result of the request that it repeats. */
         void replayResult(String id);
 
-        /** Sets what health checks are told; {@code stored}: without doing real work for it. */
+        /** Sets the answer to health checks; {@code stored}: without doing real work for it. */
         void setHealth(boolean healthy, boolean stored);
 
-        /** Sets the free value that goes out with every answer. */
+        /** Sets the value that goes out with every answer, as {@link LoadHint} says. */
         void advertiseLoad(double value);
 
-        /** Closes connections unused for this long; 0 leaves them to the callers. */
+        /** Closes connections idle for this long; 0 leaves them to the clients. */
         void setIdleTimeout(double idleMillis);
 
-        /** Asks for a {@link Controller#timerFired} event. */
+        /** Asks for one {@link Controller#timerFired} event. */
         void scheduleTimer(String token, double delayMillis);
 
-        /** A line for the operators' log. */
+        /** Writes a line to the operators' log. */
         void log(String text);
     }
 
-    /** A learned value, in ms or as a part, and how many samples stand behind it. */
+    /** A learned value, in ms or as a share, and how many samples it was learned from. */
     record Estimate(double value, double weight) {}
 
-    /** How a run or a call ended. */
+    /** How a run or a call has ended. */
     enum Outcome {
         OK,
         FAILED,
@@ -129,7 +139,10 @@
         IGNORED
     }
 
-    /** What callers make of {@link Actions#advertiseLoad}. */
+    /**
+     * What clients make of {@link Actions#advertiseLoad}: nothing, the least priority to send, the
+     * number of requests that each may have out, or the share of requests to send here.
+     */
     enum LoadHint {
         NONE,
         MIN_RANK,
@@ -151,7 +164,7 @@
         NON_IDEMPOTENT
     }
 
-    /** What lies below this server. */
+    /** What this server depends on. */
     enum DependencyKind {
         NONE,
         SHARED,
@@ -159,8 +172,9 @@
     }
 
     /**
-     * A request as read. {@code due} 0: not told; {@code key} and {@code repeats} null and {@code
-     * work} 0: absent.
+     * A request as read, {@code ageMillis} after it came. {@code deadlineAtMillis} 0 and {@code
+     * workMillis} 0: not announced; {@code resultKey} and {@code duplicateOf} null: none. {@code
+     * priority} is from 0 to 1, {@code caller} identifies the client.
      */
     record Request(
             String id,
@@ -178,8 +192,8 @@
             boolean write) {}
 
     /**
-     * The server's own gauges, NaN where absent: share of cores busy, wanting a core, memory share,
-     * connections.
+     * The server's own gauges, NaN where absent: share of the cores that is busy, 0 to 1; runs on a
+     * core or waiting for one; share of the memory in use, 0 to 1; open connections.
      */
     record Gauges(
             double coreUtilization,
@@ -188,8 +202,10 @@
             double connections) {}
 
     /**
-     * A request class. {@code aimStretch} 0: the aim is fixed. {@code keyWindow}: for guarded
-     * classes.
+     * A request class. {@code objectivePerWork}: added to the latency objective for each ms of
+     * announced work; 0: it is fixed. {@code keyWindowMillis}: how long keys are retained, with
+     * {@link Idempotency#IDEMPOTENT_WITH_KEY} only. The shares are parts of {@code priorityWeight},
+     * 0 to 1: of an answer after the objective, and of a degraded one.
      */
     record RequestClass(
             double objectiveMillis,
@@ -202,24 +218,30 @@
             boolean callsDependency,
             double degradedWeightShare) {}
 
-    /** A tenant's part: requests a second over the whole fleet, and share of the service. */
+    /**
+     * A tenant's quota, in requests a second over the whole fleet, and its share of the service, 0
+     * to 1.
+     */
     record Tenant(double quotaPerSecond, double share) {}
 
     /**
-     * A class at its place, which requests name. {@code spec} null: no request comes under it any
-     * more; those in hand go on. A spec at a place that had none begins with nothing learned; the
-     * place is given anew only once nothing in hand names it.
+     * A class in its slot, which requests name. {@code spec} null: it is removed; its active
+     * requests go on. A spec in a free slot begins with nothing learned; a slot is used anew only
+     * once no active request names it.
      */
     record ClassSlot(int slot, RequestClass spec) {}
 
-    /** The same of a tenant. */
+    /** The same for a tenant. */
     record TenantSlot(int slot, Tenant spec) {}
 
-    /** Weights of the operators' goal. */
+    /** Weights of the parts of the operators' objective. */
     record ObjectiveWeights(
             double overall, double worstWindow, double worstClass, double worstTenant) {}
 
-    /** The figures of the rules a server must keep. */
+    /**
+     * The limits of the rules that a server has to keep. {@code coldStartSpeed}: speed right after
+     * a cold start, in parts of the full one.
+     */
     record Rules(
             double answerSlackMillis,
             double coldStartSpeed,
@@ -229,8 +251,8 @@
             double concurrencyWindowMillis) {}
 
     /**
-     * What lies below: this server's share of its calls, the span of the mean, how long a call
-     * given up stays.
+     * The dependency: this server's quota of concurrent calls, the window over which their mean
+     * counts, and how long a call that timed out still occupies the dependency.
      */
     record Dependency(
             DependencyKind kind,
@@ -238,7 +260,10 @@
             double quotaWindowMillis,
             double lingerMillis) {}
 
-    /** All a server is told at its start. */
+    /**
+     * All that a controller is given at the start. {@code memoryKb} and {@code clientIdleMillis} 0:
+     * unknown.
+     */
     record Settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
--- a/src/main/java/tinroad/overload/ExpiringSet.java
+++ b/src/main/java/tinroad/overload/ExpiringSet.java
@@ -5,44 +5,44 @@
 import java.util.PriorityQueue;
 
 /**
- * Names that are kept until a time each. Looks only at those whose time has come: the others cost
+ * Names that each expire at a time. Looks only at those whose time has come: the others cost
  * nothing meanwhile.
  */
 final class ExpiringSet {
-    private record Kept(String name, double until) implements Comparable<Kept> {
+    private record Entry(String name, double untilMillis) implements Comparable<Entry> {
         @Override
-        public int compareTo(Kept other) {
-            return Double.compare(until, other.until);
+        public int compareTo(Entry other) {
+            return Double.compare(untilMillis, other.untilMillis);
         }
     }
 
-    private final Map<String, Kept> kept = new HashMap<>();
+    private final Map<String, Entry> entries = new HashMap<>();
 
-    /** Those removed before their time stay here until it has come. */
-    private final PriorityQueue<Kept> byTime = new PriorityQueue<>();
+    /** Names removed before their time stay here until it has come. */
+    private final PriorityQueue<Entry> byExpiry = new PriorityQueue<>();
 
-    void put(String name, double until) {
-        Kept k = new Kept(name, until);
-        kept.put(name, k);
-        byTime.add(k);
+    void put(String name, double untilMillis) {
+        Entry entry = new Entry(name, untilMillis);
+        entries.put(name, entry);
+        byExpiry.add(entry);
     }
 
-    /** How many are remembered, those removed before their time included. */
+    /** How many take memory, those removed before their time included. */
     int size() {
-        return byTime.size();
+        return byExpiry.size();
     }
 
-    /** Whether it was still kept. */
+    /** Returns whether it was there. */
     boolean remove(String name) {
-        return kept.remove(name) != null;
+        return entries.remove(name) != null;
     }
 
-    /** Lets go of those whose time is past, and says of how many. */
+    /** Removes those whose time is past, and returns how many. */
     int expire(double nowMillis) {
         int expired = 0;
-        while (!byTime.isEmpty() && byTime.peek().until < nowMillis) {
-            Kept k = byTime.remove();
-            expired += kept.remove(k.name, k) ? 1 : 0;
+        while (!byExpiry.isEmpty() && byExpiry.peek().untilMillis < nowMillis) {
+            Entry entry = byExpiry.remove();
+            expired += entries.remove(entry.name, entry) ? 1 : 0;
         }
         return expired;
     }
--- a/src/main/java/tinroad/overload/IdleTimeoutControl.java
+++ b/src/main/java/tinroad/overload/IdleTimeoutControl.java
@@ -97,9 +97,10 @@
         while (oldest.hasNext() && oldest.next() < nowMillis - longestMillis()) {
             oldest.remove();
         }
-        learned.returning +=
+        learned.returningShare +=
                 Smoothing.CALM_WEIGHT
-                        * ((lastSeenMillis.remove(caller) != null ? 1 : 0) - learned.returning);
+                        * ((lastSeenMillis.remove(caller) != null ? 1 : 0)
+                                - learned.returningShare);
         lastSeenMillis.put(caller, nowMillis);
     }
 
@@ -154,7 +155,7 @@
     private double calmMillis() {
         return Math.max(
                 Math.min(MIN_MILLIS / FLOOR_SHARE, longestMillis()),
-                longestMillis() * Math.min(1, learned.returning / FULL_RETURNING_SHARE));
+                longestMillis() * Math.min(1, learned.returningShare / FULL_RETURNING_SHARE));
     }
 
     private double floorMillis() {
--- a/src/main/java/tinroad/overload/LearnedStatistics.java
+++ b/src/main/java/tinroad/overload/LearnedStatistics.java
@@ -1,22 +1,14 @@
 package tinroad.overload;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import tinroad.overload.ClassStatistics.ClientTimeout;
 import tinroad.overload.Controller.Estimate;
 import tinroad.overload.Controller.RequestClass;
 
-/**
- * What the module has learned of its classes and callers: all that may outlive the process. Times
- * in ms.
- */
+/** What the controller has learned of its classes and clients: all that may outlive the process. */
 final class LearnedStatistics {
-    /** What the part of callers that come back weighs, whose samples are not counted. */
-    private static final double UNCOUNTED = 4;
-
-    /** So many waits are remembered for each class. */
-    private static final int WAITS = 4;
+    /** Samples that the share of returning clients counts for, which are not counted. */
+    private static final double RETURNING_SAMPLES = 4;
 
     /**
      * Without samples a run is assumed to take this part of its class's latency objective, which
@@ -27,85 +19,96 @@
     private static final double FIRST_RUN_SAMPLES = 2;
 
     /**
-     * Part of the requests whose caller comes back while a calm server would keep its connection.
+     * Share of the requests whose client comes back while a calm server would keep its connection,
+     * 0 to 1.
      */
-    double returning = 1;
+    double returningShare = 1;
 
-    /** Nothing of the class at this place. */
-    ClassStatistics nothing(int place) {
-        return new ClassStatistics(place, FIRST_RUN_SAMPLES);
+    /** Statistics of a class of which nothing is measured. */
+    ClassStatistics unmeasured(int slot) {
+        return new ClassStatistics(slot, FIRST_RUN_SAMPLES);
     }
 
-    /** Expected run of this class; {@code s} null: nothing is measured. */
-    double run(ClassStatistics s, RequestClass c) {
-        return s == null || s.run == 0 ? FIRST_RUN_SHARE * c.objectiveMillis() : s.run;
+    /** Expected core time of a run of this class; {@code statistics} null: nothing is measured. */
+    double runMillis(ClassStatistics statistics, RequestClass requestClass) {
+        return statistics == null || statistics.runMillis == 0
+                ? FIRST_RUN_SHARE * requestClass.objectiveMillis()
+                : statistics.runMillis;
     }
 
     /** The same while calm. */
-    double calm(ClassStatistics s, RequestClass c) {
-        return s == null || s.calm == 0 ? FIRST_RUN_SHARE * c.objectiveMillis() : s.calm;
-    }
-
-    /** A new wait displaces those that are seldom seen. */
-    static void newWait(ClassStatistics s, double wait) {
-        if (s.waits.size() < WAITS) {
-            s.waits = s.waits.isEmpty() ? new ArrayList<>(WAITS) : s.waits;
-            s.waits.add(new ClientTimeout(wait));
-            return;
-        }
-        s.waits.forEach(p -> p.votes -= 1.0 / WAITS);
-        s.waits.removeIf(p -> p.votes <= 0);
+    double calmRunMillis(ClassStatistics statistics, RequestClass requestClass) {
+        return statistics == null || statistics.calmRunMillis == 0
+                ? FIRST_RUN_SHARE * requestClass.objectiveMillis()
+                : statistics.calmRunMillis;
     }
 
-    /** All of it by name, each with the samples behind it: {@code run.0} is of the class at 0. */
+    /**
+     * All of it by name, each with the samples behind it: {@code run.0} is of the class in slot 0.
+     */
     Map<String, Estimate> export(ClassTable classes) {
-        Map<String, Estimate> all = new LinkedHashMap<>();
-        for (ClassStatistics s : classes.known()) {
-            RequestClass c = classes.at(s.place);
-            if (c != null || s.run > 0) {
-                all.put("run." + s.place, new Estimate(run(s, c), s.runs));
+        Map<String, Estimate> estimates = new LinkedHashMap<>();
+        for (ClassStatistics statistics : classes.measuredClasses()) {
+            RequestClass requestClass = classes.at(statistics.slot);
+            if (requestClass != null || statistics.runMillis > 0) {
+                estimates.put(
+                        "run." + statistics.slot,
+                        new Estimate(runMillis(statistics, requestClass), statistics.runSamples));
             }
-            if (c != null || s.calm > 0) {
-                all.put("calm." + s.place, new Estimate(calm(s, c), s.calmRuns));
+            if (requestClass != null || statistics.calmRunMillis > 0) {
+                estimates.put(
+                        "calm." + statistics.slot,
+                        new Estimate(
+                                calmRunMillis(statistics, requestClass),
+                                statistics.calmRunSamples));
             }
         }
-        all.put("returning", new Estimate(returning, UNCOUNTED));
-        return all;
+        estimates.put("returning", new Estimate(returningShare, RETURNING_SAMPLES));
+        return estimates;
     }
 
     /**
-     * Begins with what an earlier life knew, on cores of this part of their speed. What no class
-     * can be is left out.
+     * Begins with what an earlier process learned, on cores of this part of their speed. What names
+     * no class is left out.
      */
     void restore(Map<String, Estimate> known, double speed, ClassTable classes) {
         for (String name : known.keySet()) {
-            int place =
+            int slot =
                     name.matches("(run|calm)[.][0-9]{1,8}")
                             ? Integer.parseInt(name.substring(name.indexOf('.') + 1))
                             : -1;
-            if (classes.at(place) != null) {
-                classes.change(place, (s, c) -> restore(s, c, known, speed));
+            if (classes.at(slot) != null) {
+                classes.update(
+                        slot,
+                        (statistics, requestClass) ->
+                                restore(statistics, requestClass, known, speed));
             }
         }
         Estimate back = known.get("returning");
-        returning = usable(back) ? Math.min(1, back.value()) : returning;
+        returningShare = isPlausible(back) ? Math.min(1, back.value()) : returningShare;
     }
 
     private void restore(
-            ClassStatistics s, RequestClass c, Map<String, Estimate> known, double speed) {
-        Estimate run = known.get("run." + s.place);
-        Estimate calm = known.get("calm." + s.place);
-        if (usable(run)) {
-            // Guards against another day's slowness: no more is expected than without any memory.
-            s.run =
+            ClassStatistics statistics,
+            RequestClass requestClass,
+            Map<String, Estimate> known,
+            double speed) {
+        Estimate run = known.get("run." + statistics.slot);
+        Estimate calm = known.get("calm." + statistics.slot);
+        if (isPlausible(run)) {
+            // Guards against another day's slowness: no more is expected than without it.
+            statistics.runMillis =
                     Math.min(
-                            run(s, c),
-                            (usable(calm) ? Math.min(run.value(), calm.value()) : run.value())
+                            runMillis(statistics, requestClass),
+                            (isPlausible(calm) ? Math.min(run.value(), calm.value()) : run.value())
                                     / speed);
         }
     }
 
-    private static boolean usable(Estimate k) {
-        return k != null && k.value() > 0 && k.value() < 1e9 && k.weight() > 0;
+    private static boolean isPlausible(Estimate estimate) {
+        return estimate != null
+                && estimate.value() > 0
+                && estimate.value() < 1e9
+                && estimate.weight() > 0;
     }
 }
--- a/src/main/java/tinroad/overload/OverloadController.java
+++ b/src/main/java/tinroad/overload/OverloadController.java
@@ -155,8 +155,8 @@
 
     @Override
     public void discardStaged() {
-        classes.unstage();
-        tenants.unstage();
+        classes.discardStaged();
+        tenants.discardStaged();
     }
 
     // --- requests ---
@@ -169,7 +169,7 @@
             actions.reject(request.id(), 0, false);
             return;
         }
-        ClassStatistics statistics = classes.ask(request.classSlot());
+        ClassStatistics statistics = classes.requestArrived(request.classSlot());
         ActiveRequest active =
                 new ActiveRequest(
                         request,
@@ -181,7 +181,7 @@
                         clientTimeouts.spentMillis(request, requestClass, statistics, nowMillis));
         requests.put(active.id, active);
         memory.requestArrived(active);
-        tenants.ask(active.tenantSlot, ArrivalStatistics.RATE_PER_ARRIVAL, nowMillis);
+        tenants.add(active.tenantSlot, ArrivalStatistics.RATE_PER_ARRIVAL, nowMillis);
         idleTimeout.requestArrived(request.caller(), nowMillis);
         arrivals.arrived(active.retry, request.ageMillis(), requestClass.objectiveMillis());
         if (request.duplicateOf() != null
@@ -226,7 +226,7 @@
             }
         }
         if (outcome == Outcome.OK && !request.answered && nowMillis <= request.objectiveAtMillis) {
-            classes.serve(request.statistics);
+            classes.servedInTime(request.statistics);
         }
         remove(request);
         dispatcher.dispatch();
@@ -373,7 +373,7 @@
             }
             if (request.isQueued()) {
                 boolean misses =
-                        nowMillis + estimator.runMillis(request) + request.statistics.away
+                        nowMillis + estimator.runMillis(request) + request.statistics.pausedMillis
                                 > request.objectiveAtMillis;
                 if (misses) {
                     cutoff.onObjectiveMissed();
--- a/src/main/java/tinroad/overload/RejectionPolicy.java
+++ b/src/main/java/tinroad/overload/RejectionPolicy.java
@@ -17,7 +17,10 @@
      */
     private static final double MAX_SHARE_UNDER_LOAD = 0.5;
 
-    /** The mean of it while admission is closed, spread: clients told all alike come as one. */
+    /**
+     * The mean of it while admission is closed, spread: with one value for all, clients would come
+     * as one.
+     */
     private static final double MEAN_SHARE_WHILE_CLOSED = 0.4;
 
     /**
@@ -80,7 +83,7 @@
                         ? settings.maxRetryAfterMillis() * (local ? 1 : MAX_SHARE_UNDER_LOAD)
                         : 0;
         if (health.admissionClosed() && mostMillis > 0) {
-            return schedule.tell(
+            return schedule.retryAfterMillis(
                     request.caller,
                     clock.nowMillis(),
                     MEAN_SHARE_WHILE_CLOSED * mostMillis,
--- a/src/main/java/tinroad/overload/RequestPriority.java
+++ b/src/main/java/tinroad/overload/RequestPriority.java
@@ -40,7 +40,8 @@
     double of(ActiveRequest request) {
         double runMillis = estimator.runMillis(request);
         double lateShare =
-                clock.nowMillis() + runMillis + request.statistics.away > request.objectiveAtMillis
+                clock.nowMillis() + runMillis + request.statistics.pausedMillis
+                                > request.objectiveAtMillis
                         ? request.spec.lateWeightShare()
                         : 1;
         return weight(request)
@@ -55,13 +56,13 @@
      * weight.
      */
     private double weight(ActiveRequest request) {
-        double asked = classes.asked();
-        double worth = classes.worth();
-        double own = classes.worth(request.statistics, request.spec);
-        if (worth <= 0 || asked < MIN_SAMPLES) {
-            return own;
+        double totalRequests = classes.totalRequests();
+        double totalWeight = classes.totalWeight();
+        double ownWeight = classes.weight(request.statistics, request.spec);
+        if (totalWeight <= 0 || totalRequests < MIN_SAMPLES) {
+            return ownWeight;
         }
-        double share = classes.asked(request.statistics) / asked;
+        double share = classes.recentRequests(request.statistics) / totalRequests;
         double bonus =
                 share > 0
                         ? settings.objectiveWeights().worstClass()
@@ -69,9 +70,9 @@
                                 / share
                         : 0;
         return (settings.objectiveWeights().overall() + settings.objectiveWeights().worstWindow())
-                        * own
-                        * asked
-                        / worth
+                        * ownWeight
+                        * totalRequests
+                        / totalWeight
                 + bonus;
     }
 
--- a/src/main/java/tinroad/overload/RetryAfterSchedule.java
+++ b/src/main/java/tinroad/overload/RetryAfterSchedule.java
@@ -3,34 +3,34 @@
 import java.util.LinkedHashMap;
 
 /**
- * Who was told to come back when, so that callers turned away come back as a flow and not as a
- * wave: each keeps its slot until it has come, and slots are spread by the golden ratio, whose next
- * point falls into a largest gap. Times in ms.
+ * Retry-After for each rejected client, so that clients come back as a flow and not as a wave: each
+ * keeps its slot until it has come, and slots are spread by the golden ratio, whose next point
+ * falls into a largest gap.
  */
 final class RetryAfterSchedule {
-    private static final double GOLDEN = 0.6180339887498949;
+    private static final double GOLDEN_RATIO = 0.6180339887498949;
 
-    /** Callers with a slot at most; beyond it the oldest is forgotten. */
-    private static final int MOST = 4096;
+    /** Clients with a slot; beyond it the oldest is evicted. */
+    private static final int MAX_CALLERS = 4096;
 
-    private final LinkedHashMap<Integer, Double> slots = new LinkedHashMap<>();
+    private final LinkedHashMap<Integer, Double> slotMillisByCaller = new LinkedHashMap<>();
     private double fraction;
 
     /**
-     * How long this caller is to stay away: until its slot, or a new one half of {@code mean}
+     * Time until this client's slot, or until a new one, which is up to half of {@code meanMillis}
      * nearer or further.
      */
-    double tell(int caller, double nowMillis, double mean, double most) {
-        Double slot = slots.get(caller);
-        if (slot == null || slot <= nowMillis) {
-            fraction = (fraction + GOLDEN) % 1;
-            slot = nowMillis + Math.min(most, mean * (0.5 + fraction));
-            slots.remove(caller);
-            slots.put(caller, slot);
-            if (slots.size() > MOST) {
-                slots.remove(slots.keySet().iterator().next());
+    double retryAfterMillis(int caller, double nowMillis, double meanMillis, double maxMillis) {
+        Double slotMillis = slotMillisByCaller.get(caller);
+        if (slotMillis == null || slotMillis <= nowMillis) {
+            fraction = (fraction + GOLDEN_RATIO) % 1;
+            slotMillis = nowMillis + Math.min(maxMillis, meanMillis * (0.5 + fraction));
+            slotMillisByCaller.remove(caller);
+            slotMillisByCaller.put(caller, slotMillis);
+            if (slotMillisByCaller.size() > MAX_CALLERS) {
+                slotMillisByCaller.remove(slotMillisByCaller.keySet().iterator().next());
             }
         }
-        return slot - nowMillis;
+        return slotMillis - nowMillis;
     }
 }
--- a/src/main/java/tinroad/overload/RunTimeEstimator.java
+++ b/src/main/java/tinroad/overload/RunTimeEstimator.java
@@ -44,7 +44,7 @@
 
     /** The same without the slowdown of the runs under way. */
     double baselineMillis(ActiveRequest request) {
-        return learned.run(request.statistics, request.spec);
+        return learned.runMillis(request.statistics, request.spec);
     }
 
     /** Mean baseline of the runs under way, in ms; not stretched by how long they have taken. */
@@ -82,24 +82,26 @@
      * decides; later ones by the average's weight.
      */
     void learn(ActiveRequest request) {
-        classes.change(
+        classes.update(
                 request.statistics,
                 request.spec,
                 (statistics, spec) -> {
-                    statistics.away +=
-                            Smoothing.RUN_WEIGHT * (request.pausedMillis - statistics.away);
+                    statistics.pausedMillis +=
+                            Smoothing.RUN_WEIGHT * (request.pausedMillis - statistics.pausedMillis);
                     double sampleMillis = Math.max(1, cores.servedMillis(request));
-                    statistics.run =
+                    statistics.runMillis =
                             Smoothing.blend(
-                                    learned.run(statistics, spec),
+                                    learned.runMillis(statistics, spec),
                                     sampleMillis,
-                                    Math.max(Smoothing.RUN_WEIGHT, 1 / ++statistics.runs));
+                                    Math.max(Smoothing.RUN_WEIGHT, 1 / ++statistics.runSamples));
                     if (isCalm()) {
-                        statistics.calm =
+                        statistics.calmRunMillis =
                                 Smoothing.blend(
-                                        learned.calm(statistics, spec),
+                                        learned.calmRunMillis(statistics, spec),
                                         sampleMillis,
-                                        Math.max(Smoothing.CALM_WEIGHT, 1 / ++statistics.calmRuns));
+                                        Math.max(
+                                                Smoothing.CALM_WEIGHT,
+                                                1 / ++statistics.calmRunSamples));
                     }
                 });
     }
--- a/src/main/java/tinroad/overload/SlotTable.java
+++ b/src/main/java/tinroad/overload/SlotTable.java
@@ -5,28 +5,25 @@
 import java.util.function.Consumer;
 
 /**
- * Values by place, in chunks, so that a later version of a large table shares with the one before
- * all chunks but those that it changes. Guards against a change of one entry that costs by the size
- * of the table. Nothing is held for chunks never used.
+ * Values by slot, in chunks that versions of the table share until one changes them (copy on
+ * write). Guards against a change of one entry that costs by the size of the table. Chunks never
+ * used take no memory.
  */
 final class SlotTable<T> {
-    private static final int BITS = 8;
-    private static final int CHUNK = 1 << BITS;
+    private static final int CHUNK_BITS = 8;
+    private static final int CHUNK_SLOTS = 1 << CHUNK_BITS;
 
-    /**
-     * Places beyond this are a mistake of whoever gives them: the table grows up to the highest
-     * one.
-     */
-    static final int MOST = 1 << 24;
+    /** Slots beyond this are an error of the caller: the table grows up to the highest one. */
+    static final int MAX_SLOTS = 1 << 24;
 
     private Object[][] chunks;
 
-    /** Which chunks belong to this version alone; the others may be seen by another one. */
-    private boolean[] own;
+    /** Which chunks belong to this version alone; the others are shared. */
+    private boolean[] ownChunks;
 
     private int size;
 
-    /** By which tests hold what an event costs. */
+    /** Reads so far, by which tests bound the cost of an event. */
     private long reads;
 
     /** An empty table. */
@@ -36,11 +33,11 @@
 
     private SlotTable(Object[][] chunks, int size) {
         this.chunks = chunks;
-        this.own = new boolean[chunks.length];
+        this.ownChunks = new boolean[chunks.length];
         this.size = size;
     }
 
-    /** The values of a list, at the places that they have there. */
+    /** The values of a list, each in the slot of its index. */
     static <T> SlotTable<T> of(List<T> values) {
         SlotTable<T> all = new SlotTable<>();
         for (T value : values) {
@@ -49,64 +46,61 @@
         return all;
     }
 
-    /**
-     * The next version, which is this one until something is set in it; what is set in this one
-     * afterwards it may see or not.
-     */
-    SlotTable<T> next() {
+    /** A copy to be changed; what is set in this version afterwards may show in the copy or not. */
+    SlotTable<T> nextVersion() {
         SlotTable<T> next = new SlotTable<>(chunks.clone(), size);
         next.reads = reads;
         return next;
     }
 
-    /** The value at this place; null where there is none. */
+    /** The value in this slot; null where there is none. */
     @SuppressWarnings("unchecked")
-    T get(int place) {
+    T get(int slot) {
         reads++;
-        int chunk = place >> BITS;
-        return place < 0 || chunk >= chunks.length || chunks[chunk] == null
+        int chunk = slot >> CHUNK_BITS;
+        return slot < 0 || chunk >= chunks.length || chunks[chunk] == null
                 ? null
-                : (T) chunks[chunk][place & CHUNK - 1];
+                : (T) chunks[chunk][slot & CHUNK_SLOTS - 1];
     }
 
-    /** Sets the value at this place, null for none; the table grows as it must. */
-    void set(int place, T value) {
-        if (place < 0 || place >= MOST) {
-            throw new IllegalArgumentException("place " + place);
+    /** Sets the value in this slot, null for none; the table grows as it must. */
+    void set(int slot, T value) {
+        if (slot < 0 || slot >= MAX_SLOTS) {
+            throw new IllegalArgumentException("slot " + slot);
         }
-        int chunk = place >> BITS;
+        int chunk = slot >> CHUNK_BITS;
         if (chunk >= chunks.length) {
             int length = Math.max(chunk + 1, chunks.length + chunks.length / 2);
             chunks = Arrays.copyOf(chunks, length);
-            own = Arrays.copyOf(own, length);
+            ownChunks = Arrays.copyOf(ownChunks, length);
         }
-        if (!own[chunk]) {
-            chunks[chunk] = chunks[chunk] == null ? new Object[CHUNK] : chunks[chunk].clone();
-            own[chunk] = true;
+        if (!ownChunks[chunk]) {
+            chunks[chunk] = chunks[chunk] == null ? new Object[CHUNK_SLOTS] : chunks[chunk].clone();
+            ownChunks[chunk] = true;
         }
-        chunks[chunk][place & CHUNK - 1] = value;
-        size = Math.max(size, place + 1);
+        chunks[chunk][slot & CHUNK_SLOTS - 1] = value;
+        size = Math.max(size, slot + 1);
     }
 
-    /** Goes over all values, without a look at chunks never used. */
+    /** Visits all values, without a look at chunks never used. */
     @SuppressWarnings("unchecked")
-    void forEach(Consumer<T> what) {
+    void forEach(Consumer<T> action) {
         for (Object[] chunk : chunks) {
-            for (int i = 0; chunk != null && i < CHUNK; i++) {
+            for (int i = 0; chunk != null && i < CHUNK_SLOTS; i++) {
                 reads++;
                 if (chunk[i] != null) {
-                    what.accept((T) chunk[i]);
+                    action.accept((T) chunk[i]);
                 }
             }
         }
     }
 
-    /** One more than the highest place ever set. */
+    /** One more than the highest slot ever set. */
     int size() {
         return size;
     }
 
-    /** How often a place was read, in this version and those before it. */
+    /** How often a slot was read, in this version and those before it. */
     long reads() {
         return reads;
     }
--- a/src/main/java/tinroad/overload/TenantTable.java
+++ b/src/main/java/tinroad/overload/TenantTable.java
@@ -5,63 +5,63 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * The tenants by place and what each asks for lately. A change is prepared in a version beside the
- * one that counts.
+ * The tenants by slot and the recent rate of requests of each. A change is staged in a version
+ * beside the current one.
  */
 final class TenantTable {
     private final DecayingRates rates;
-    private SlotTable<Tenant> now;
+    private SlotTable<Tenant> current;
     private SlotTable<Tenant> staged;
 
-    /** {@code span}: ms in which a rate falls to its e-th part. */
-    TenantTable(List<Tenant> tenants, double span) {
-        now = SlotTable.of(tenants);
-        rates = new DecayingRates(span);
+    /** {@code spanMillis}: time in which a rate falls to its e-th part. */
+    TenantTable(List<Tenant> tenants, double spanMillis) {
+        current = SlotTable.of(tenants);
+        rates = new DecayingRates(spanMillis);
     }
 
-    /** The tenant at this place, or null. */
-    Tenant at(int place) {
-        return now.get(place);
+    /** The tenant in this slot, or null. */
+    Tenant at(int slot) {
+        return current.get(slot);
     }
 
-    /** Its rate. */
-    double rate(int place, double clock) {
-        return rates.at(place, clock);
+    /** Its requests a second, lately. */
+    double rate(int slot, double nowMillis) {
+        return rates.at(slot, nowMillis);
     }
 
     /** Adds to its rate. */
-    void ask(int place, double amount, double clock) {
-        rates.add(place, amount, clock);
+    void add(int slot, double amount, double nowMillis) {
+        rates.add(slot, amount, nowMillis);
     }
 
-    /** Prepares a part of a change. */
+    /** Stages a part of a change. */
     void stage(List<TenantSlot> changes) {
         if (changes.isEmpty()) {
             return;
         }
-        staged = staged == null ? now.next() : staged;
+        staged = staged == null ? current.nextVersion() : staged;
         for (TenantSlot change : changes) {
             if (at(change.slot()) == null) {
-                // Nobody is there before the change, so nobody's rate is lost if it is dropped.
+                // The slot is free before the change, so no rate is lost if the change is dropped.
                 rates.clear(change.slot());
             }
             staged.set(change.slot(), change.spec());
         }
     }
 
-    /** What was prepared counts. */
+    /** The staged version becomes the current one. */
     void commit() {
-        now = staged == null ? now : staged;
+        current = staged == null ? current : staged;
         staged = null;
     }
 
-    /** It does not. */
-    void unstage() {
+    /** Drops the staged version. */
+    void discardStaged() {
         staged = null;
     }
 
-    /** How often a place was read. */
+    /** How often a slot was read. */
     long reads() {
-        return now.reads();
+        return current.reads();
     }
 }
--- a/src/main/java/tinroad/overload/UnderservedClasses.java
+++ b/src/main/java/tinroad/overload/UnderservedClasses.java
@@ -5,106 +5,105 @@
 import java.util.function.Predicate;
 
 /**
- * The classes that were asked often enough lately for the part of it that was served to tell, and
- * how far each is behind. At most as many as there were requests in that time. What is gone over
- * after each change lies in arrays: classes that are asked seldom lie all over the memory.
+ * The classes with requests enough lately for their ratio of answers in time to mean something, and
+ * how far each is behind. At most as many as there were requests in that time. What each refresh
+ * walks over lies in arrays: statistics of classes with few requests lie all over the memory.
  */
 final class UnderservedClasses {
     private final DoubleBinaryOperator lag;
-    private ClassStatistics[] of = new ClassStatistics[16];
-    private double[] ratio = new double[16];
-    private double[] until = new double[16];
+    private ClassStatistics[] classes = new ClassStatistics[16];
+    private double[] servedRatio = new double[16];
+    private double[] untilMillis = new double[16];
     private int size;
-    private double worst = 1;
-    private double lags;
+    private double worstRatio = 1;
+    private double lagSum;
     private boolean stale = true;
 
-    /** When the first of them tells no more. */
-    private double quietAt;
+    /** When the first of them no longer counts. */
+    private double nextExpiryMillis;
 
-    /**
-     * {@code lag}: how far behind a class is that has this ratio, beside the worst ratio: the
-     * module's to say.
-     */
+    /** {@code lag}: how far behind a class is, by its ratio and the worst ratio. */
     UnderservedClasses(DoubleBinaryOperator lag) {
         this.lag = lag;
     }
 
-    /** This class tells until then. */
-    void add(ClassStatistics s, double tellsUntil) {
-        if (s.telling < 0) {
-            if (size == of.length) {
-                of = Arrays.copyOf(of, 2 * size);
-                ratio = Arrays.copyOf(ratio, 2 * size);
-                until = Arrays.copyOf(until, 2 * size);
+    /** This class counts until then. */
+    void add(ClassStatistics statistics, double countsUntilMillis) {
+        if (statistics.underservedIndex < 0) {
+            if (size == classes.length) {
+                classes = Arrays.copyOf(classes, 2 * size);
+                servedRatio = Arrays.copyOf(servedRatio, 2 * size);
+                untilMillis = Arrays.copyOf(untilMillis, 2 * size);
             }
-            of[size] = s;
-            s.telling = size++;
+            classes[size] = statistics;
+            statistics.underservedIndex = size++;
         }
-        until[s.telling] = tellsUntil;
-        changed(s);
+        untilMillis[statistics.underservedIndex] = countsUntilMillis;
+        update(statistics);
     }
 
-    /** It was asked or served. */
-    void changed(ClassStatistics s) {
-        if (s.telling >= 0) {
-            ratio[s.telling] = Math.min(1, s.served / s.asked);
+    /** It had a request or an answer in time. */
+    void update(ClassStatistics statistics) {
+        if (statistics.underservedIndex >= 0) {
+            servedRatio[statistics.underservedIndex] =
+                    Math.min(1, statistics.recentServed / statistics.recentRequests);
             stale = true;
         }
     }
 
-    /** Others may be behind no more, or others be there: only these tell. */
-    void retain(Predicate<ClassStatistics> those) {
-        for (int i = size - 1; i >= 0; i--) {
-            if (!those.test(of[i])) {
-                remove(i);
+    /** Keeps only these, after a change of the classes. */
+    void retain(Predicate<ClassStatistics> kept) {
+        for (int index = size - 1; index >= 0; index--) {
+            if (!kept.test(classes[index])) {
+                remove(index);
             }
         }
         stale = true;
     }
 
     /**
-     * How far this class is behind, as a part of all of so many classes. One that does not tell
-     * counts as well served.
+     * How far this class is behind, as a share of all of {@code classCount} classes. One that does
+     * not count here counts as well served.
      */
-    double lagShare(ClassStatistics s, int classes, double nowMillis) {
-        if (stale || nowMillis > quietAt) {
-            refresh(classes, nowMillis);
+    double lagShare(ClassStatistics statistics, int classCount, double nowMillis) {
+        if (stale || nowMillis > nextExpiryMillis) {
+            refresh(classCount, nowMillis);
         }
-        return lag(s.telling < 0 ? 1 : ratio[s.telling]) / lags;
+        return lag(statistics.underservedIndex < 0 ? 1 : servedRatio[statistics.underservedIndex])
+                / lagSum;
     }
 
-    private void refresh(int classes, double nowMillis) {
-        worst = 1;
-        quietAt = Double.MAX_VALUE;
-        for (int i = size - 1; i >= 0; i--) {
-            if (until[i] < nowMillis) {
-                remove(i);
+    private void refresh(int classCount, double nowMillis) {
+        worstRatio = 1;
+        nextExpiryMillis = Double.MAX_VALUE;
+        for (int index = size - 1; index >= 0; index--) {
+            if (untilMillis[index] < nowMillis) {
+                remove(index);
             } else {
-                worst = Math.min(worst, ratio[i]);
-                quietAt = Math.min(quietAt, until[i]);
+                worstRatio = Math.min(worstRatio, servedRatio[index]);
+                nextExpiryMillis = Math.min(nextExpiryMillis, untilMillis[index]);
             }
         }
-        lags = (classes - size) * lag(1);
-        for (int i = 0; i < size; i++) {
-            lags += lag(ratio[i]);
+        lagSum = (classCount - size) * lag(1);
+        for (int index = 0; index < size; index++) {
+            lagSum += lag(servedRatio[index]);
         }
         stale = false;
     }
 
-    private void remove(int i) {
-        of[i].telling = -1;
+    private void remove(int index) {
+        classes[index].underservedIndex = -1;
         size--;
-        of[i] = of[size];
-        ratio[i] = ratio[size];
-        until[i] = until[size];
-        if (i < size) {
-            of[i].telling = i;
+        classes[index] = classes[size];
+        servedRatio[index] = servedRatio[size];
+        untilMillis[index] = untilMillis[size];
+        if (index < size) {
+            classes[index].underservedIndex = index;
         }
-        of[size] = null;
+        classes[size] = null;
     }
 
     private double lag(double ratio) {
-        return lag.applyAsDouble(ratio, worst);
+        return lag.applyAsDouble(ratio, worstRatio);
     }
 }
--- a/src/test/java/tinroad/overload/ClassesTest.java
+++ b/src/test/java/tinroad/overload/ClassTableTest.java
@@ -16,7 +16,7 @@
 import tinroad.overload.Controller.RequestClass;
 
 /** The sums over the classes, against walks over all of them. */
-class ClassesTest {
+class ClassTableTest {
     private static final double SPAN = 20_000;
     private static final double LAG = 0.1;
 
@@ -29,15 +29,15 @@
         final List<RequestClass> specs = new ArrayList<>();
         final List<double[]> of = new ArrayList<>();
 
-        void put(int place, RequestClass c) {
-            while (specs.size() <= place) {
+        void put(int slot, RequestClass requestClass) {
+            while (specs.size() <= slot) {
                 specs.add(null);
                 of.add(null);
             }
-            if (specs.get(place) == null) {
-                of.set(place, new double[] {0, 0, 0, 0});
+            if (specs.get(slot) == null) {
+                of.set(slot, new double[] {0, 0, 0, 0});
             }
-            specs.set(place, c);
+            specs.set(slot, requestClass);
         }
 
         double run(int i) {
@@ -73,10 +73,10 @@
                     .toList();
         }
 
-        double lagShare(int place) {
+        double lagShare(int slot) {
             double worst = live().stream().mapToDouble(this::ratio).reduce(1, Math::min);
             double lags = live().stream().mapToDouble(i -> behind(ratio(i), worst)).sum();
-            return behind(ratio(place), worst) / lags;
+            return behind(ratio(slot), worst) / lags;
         }
     }
 
@@ -100,7 +100,7 @@
     }
 
     @Property(tries = 50, seed = "32")
-    void anyOrderOfSamplesAndChangesGivesTheSumsOfAWalk(@ForAll long seed) {
+    void anyOrderOfSamplesAndChangesGivesTheSumsOfAWalkOverAllClasses(@ForAll long seed) {
         Random random = new Random(seed);
         Walked walked = new Walked();
         List<RequestClass> begin = new ArrayList<>();
@@ -109,7 +109,8 @@
             walked.put(i, begin.get(i));
         }
         boolean byWork = random.nextBoolean();
-        ClassTable classes = new ClassTable(begin, learned, SPAN, ClassesTest::behind, byWork, 0);
+        ClassTable classes =
+                new ClassTable(begin, learned, SPAN, ClassTableTest::behind, byWork, 0);
         double nowMillis = 0;
         List<ClassSlot> staged = new ArrayList<>();
         double[] peaks = new double[2];
@@ -130,30 +131,30 @@
             List<Integer> live = walked.live();
             int dice = random.nextInt(100);
             if (dice < 70 && !live.isEmpty()) {
-                int place =
+                int slot =
                         live.get((int) (live.size() * random.nextDouble() * random.nextDouble()));
-                ClassStatistics s = classes.ask(place);
-                walked.of.get(place)[0]++;
+                ClassStatistics statistics = classes.requestArrived(slot);
+                walked.of.get(slot)[0]++;
                 if (random.nextInt(3) > 0) {
-                    classes.serve(s);
-                    walked.of.get(place)[1]++;
+                    classes.servedInTime(statistics);
+                    walked.of.get(slot)[1]++;
                 }
                 double sample = 1 + 1000 * random.nextDouble();
                 if (random.nextBoolean()) {
-                    classes.change(
-                            s,
-                            classes.at(place),
-                            (of, c) -> {
-                                of.run = sample;
-                                of.calm = sample / 2;
+                    classes.update(
+                            statistics,
+                            classes.at(slot),
+                            (of, requestClass) -> {
+                                of.runMillis = sample;
+                                of.calmRunMillis = sample / 2;
                             });
-                    walked.of.get(place)[2] = sample;
-                    walked.of.get(place)[3] = sample / 2;
+                    walked.of.get(slot)[2] = sample;
+                    walked.of.get(slot)[3] = sample / 2;
                 }
             } else if (dice < 85) {
-                int place = random.nextInt(walked.specs.size() + 3);
+                int slot = random.nextInt(walked.specs.size() + 3);
                 ClassSlot change =
-                        new ClassSlot(place, random.nextInt(3) == 0 ? null : spec(random));
+                        new ClassSlot(slot, random.nextInt(3) == 0 ? null : spec(random));
                 classes.stage(List.of(change));
                 staged.add(change);
             } else if (dice < 90) {
@@ -163,14 +164,14 @@
                 last.forEach(walked::put);
                 staged.clear();
             } else if (dice < 92) {
-                classes.unstage();
+                classes.discardStaged();
                 staged.clear();
             }
             // A faded sum errs by parts of what it was, not of what is left of it.
             peaks[0] = Math.max(peaks[0], walked.asked());
             peaks[1] = Math.max(peaks[1], walked.worth(byWork));
-            assertEquals(walked.asked(), classes.asked(), 1e-12 * peaks[0]);
-            assertEquals(walked.worth(byWork), classes.worth(), 1e-12 * peaks[1]);
+            assertEquals(walked.asked(), classes.totalRequests(), 1e-12 * peaks[0]);
+            assertEquals(walked.worth(byWork), classes.totalWeight(), 1e-12 * peaks[1]);
             if (step % 10 == 0) {
                 check(walked, classes);
             }
@@ -187,64 +188,64 @@
                     classes.slowdown(),
                     "slowdown");
         }
-        for (int place : live) {
+        for (int slot : live) {
             ClassStatistics[] s = new ClassStatistics[1];
-            if (walked.of.get(place)[0] > 0) {
-                classes.change(place, (of, c) -> s[0] = of);
+            if (walked.of.get(slot)[0] > 0) {
+                classes.update(slot, (of, requestClass) -> s[0] = of);
                 // Whether a class tells is decided at one request; on the very edge either is
                 // right.
-                if (Math.abs(walked.of.get(place)[0] - 1) > 1e-9) {
-                    same(walked.lagShare(place), classes.lagShare(s[0]), "lag of " + place);
+                if (Math.abs(walked.of.get(slot)[0] - 1) > 1e-9) {
+                    same(walked.lagShare(slot), classes.lagShare(s[0]), "lag of " + slot);
                 }
             }
         }
     }
 
     @Test
-    void theSumsDoNotDriftInTenMillionSamples() {
+    void sumsDoNotDriftInTenMillionSamples() {
         Random random = new Random(33);
         List<RequestClass> specs = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             specs.add(spec(random));
         }
-        ClassTable classes = new ClassTable(specs, learned, SPAN, ClassesTest::behind, true, 0);
+        ClassTable classes = new ClassTable(specs, learned, SPAN, ClassTableTest::behind, true, 0);
         ClassStatistics[] of = new ClassStatistics[50];
         for (int i = 0; i < 10_000_000; i++) {
-            int place = i % 50;
+            int slot = i % 50;
             if (i % 3 == 0) {
                 classes.advance(i);
-                of[place] = classes.ask(place);
-            } else if (of[place] != null) {
+                of[slot] = classes.requestArrived(slot);
+            } else if (of[slot] != null) {
                 // From a thousandth of a ms to a day, so that each sum swallows what is added to
                 // it.
                 double sample = Math.pow(10, random.nextDouble() * 11 - 3);
-                classes.change(
-                        of[place],
-                        specs.get(place),
-                        (s, c) -> {
-                            s.run = sample;
-                            s.calm = 90_000_000 / sample;
+                classes.update(
+                        of[slot],
+                        specs.get(slot),
+                        (statistics, requestClass) -> {
+                            statistics.runMillis = sample;
+                            statistics.calmRunMillis = 90_000_000 / sample;
                         });
             }
         }
         // All back to small values: what is left of large ones would show.
         for (int i = 0; i < 50; i++) {
-            classes.change(
+            classes.update(
                     of[i],
                     specs.get(i),
-                    (s, c) -> {
-                        s.run = 3;
-                        s.calm = 2;
+                    (statistics, requestClass) -> {
+                        statistics.runMillis = 3;
+                        statistics.calmRunMillis = 2;
                     });
         }
         double asked = 0;
         double worth = 0;
         for (int i = 0; i < 50; i++) {
-            asked += classes.asked(of[i]);
-            worth += classes.asked(of[i]) * specs.get(i).priorityWeight() * 3;
+            asked += classes.recentRequests(of[i]);
+            worth += classes.recentRequests(of[i]) * specs.get(i).priorityWeight() * 3;
         }
         assertEquals(1.5, classes.slowdown(), 1e-12);
-        assertEquals(asked, classes.asked(), 1e-9 * asked);
-        assertEquals(worth, classes.worth(), 1e-6 * worth);
+        assertEquals(asked, classes.totalRequests(), 1e-9 * asked);
+        assertEquals(worth, classes.totalWeight(), 1e-6 * worth);
     }
 }
--- a/src/test/java/tinroad/overload/FadingRatesTest.java
+++ b/src/test/java/tinroad/overload/DecayingRatesTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Rates that fade when they are read. */
-class FadingRatesTest {
+class DecayingRatesTest {
     @Property(tries = 100, seed = "31")
-    void aRateIsThatOfFadingAllAtEachStep(@ForAll long seed) {
+    void rateEqualsThatOfDecayingAllAtEachStep(@ForAll long seed) {
         DecayingRates rates = new DecayingRates(3000);
         Random random = new Random(seed);
         double[] walked = new double[600];
@@ -18,20 +18,20 @@
         for (int i = 0; i < 2000; i++) {
             double passed = random.nextInt(3) * random.nextDouble() * 100;
             nowMillis += passed;
-            for (int place = 0; place < walked.length; place++) {
-                walked[place] *= Math.exp(-passed / 3000);
+            for (int slot = 0; slot < walked.length; slot++) {
+                walked[slot] *= Math.exp(-passed / 3000);
             }
-            int place = random.nextInt(walked.length);
-            walked[place]++;
-            rates.add(place, 1, nowMillis);
+            int slot = random.nextInt(walked.length);
+            walked[slot]++;
+            rates.add(slot, 1, nowMillis);
         }
-        for (int place = 0; place < walked.length; place++) {
-            assertEquals(walked[place], rates.at(place, nowMillis), 1e-12 * (1 + walked[place]));
+        for (int slot = 0; slot < walked.length; slot++) {
+            assertEquals(walked[slot], rates.at(slot, nowMillis), 1e-12 * (1 + walked[slot]));
         }
     }
 
     @Test
-    void whatWasNeverAskedOrIsClearedHasNoRateAndTheNeighboursKeepTheirs() {
+    void unusedAndClearedSlotsHaveNoRateAndNeighboursKeepTheirs() {
         DecayingRates rates = new DecayingRates(3000);
         rates.clear(9);
         rates.add(300, 2, 10);
--- a/src/test/java/tinroad/overload/ExpiringTest.java
+++ b/src/test/java/tinroad/overload/ExpiringSetTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Names that are kept for a time. */
-class ExpiringTest {
+class ExpiringSetTest {
     private final ExpiringSet kept = new ExpiringSet();
 
     @Test
-    void eachGoesOnceAndOnlyWhenItsTimeIsPast() {
+    void eachNameExpiresOnceAndOnlyAfterItsTime() {
         kept.put("late", 300);
         kept.put("soon", 100);
         kept.put("gone", 200);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aNameThatIsKeptAnewIsKeptForItsLastTime() {
+    void nameAddedAgainExpiresAtItsLastTime() {
         kept.put("a", 100);
         kept.put("a", 500);
         assertEquals(0, kept.expire(200));
--- a/src/test/java/tinroad/overload/FourRulesTest.java
+++ b/src/test/java/tinroad/overload/FourRulesTest.java
@@ -135,28 +135,28 @@
      */
     private static void change(
             Random rnd, Settings set, RuleChecker server, List<RequestClass> next, Controller c) {
-        int place = rnd.nextInt(8);
-        while (next.size() <= place) {
+        int slot = rnd.nextInt(8);
+        while (next.size() <= slot) {
             next.add(null);
         }
-        boolean inUse = place < server.classes.size() && server.classes.get(place) != null;
+        boolean inUse = slot < server.classes.size() && server.classes.get(slot) != null;
         boolean named =
                 server.seen.values().stream()
-                                .anyMatch(s -> s.request.classSlot() == place && !s.over)
+                                .anyMatch(s -> s.request.classSlot() == slot && !s.over)
                         || server.kept.keySet().stream()
-                                .anyMatch(id -> server.seen.get(id).request.classSlot() == place);
+                                .anyMatch(id -> server.seen.get(id).request.classSlot() == slot);
         if (rnd.nextInt(3) == 0) {
-            next.set(place, null);
-            c.stage(List.of(new ClassSlot(place, null)), List.of());
+            next.set(slot, null);
+            c.stage(List.of(new ClassSlot(slot, null)), List.of());
         } else if (inUse || !named) {
             next.set(
-                    place,
+                    slot,
                     spec(
                             rnd,
-                            Idempotency.values()[place % 3],
+                            Idempotency.values()[slot % 3],
                             set.classes().get(0).callsDependency()));
             c.stage(
-                    List.of(new ClassSlot(place, next.get(place))),
+                    List.of(new ClassSlot(slot, next.get(slot))),
                     List.of(
                             new TenantSlot(
                                     rnd.nextInt(2),
--- a/src/test/java/tinroad/overload/LearnedTest.java
+++ b/src/test/java/tinroad/overload/LearnedStatisticsTest.java
@@ -14,7 +14,7 @@
 import tinroad.overload.Controller.RequestClass;
 
 /** What one life of the module leaves to the next. */
-class LearnedTest {
+class LearnedStatisticsTest {
     private static final List<RequestClass> CLASSES =
             List.of(
                     new RequestClass(1000, 0, 2000, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0),
@@ -30,36 +30,36 @@
                     false,
                     0);
 
-    private double run(int place) {
-        return learned.run(stats(place), CLASSES.get(place));
+    private double run(int slot) {
+        return learned.runMillis(stats(slot), CLASSES.get(slot));
     }
 
-    private ClassStatistics stats(int place) {
+    private ClassStatistics stats(int slot) {
         ClassStatistics[] found = new ClassStatistics[1];
-        classes.change(place, (s, c) -> found[0] = s);
+        classes.update(slot, (statistics, requestClass) -> found[0] = statistics);
         return found[0];
     }
 
     @Test
-    void whatIsExportedIsRestoredButWeighsLittle() {
-        LearnedTest before = new LearnedTest();
-        before.classes.change(
+    void exportedEstimatesAreRestoredWithLittleWeight() {
+        LearnedStatisticsTest before = new LearnedStatisticsTest();
+        before.classes.update(
                 0,
-                (s, c) -> {
-                    s.run = 24;
-                    s.runs = 5000;
-                    s.calm = 20;
+                (statistics, requestClass) -> {
+                    statistics.runMillis = 24;
+                    statistics.runSamples = 5000;
+                    statistics.calmRunMillis = 20;
                 });
-        before.learned.returning = 0.4;
+        before.learned.returningShare = 0.4;
         learned.restore(before.learned.export(before.classes), 1, classes);
         assertEquals(20, run(0));
-        assertEquals(2, stats(0).runs);
+        assertEquals(2, stats(0).runSamples);
         assertEquals(500, run(1));
-        assertEquals(0.4, learned.returning);
+        assertEquals(0.4, learned.returningShare);
     }
 
     @Test
-    void onAColdEngineRunsAreExpectedToTakeAsMuchLongerAndNeverLongerThanWithoutAnyMemory() {
+    void coldEngineScalesRestoredRunTimesUpToTheUnlearnedOnes() {
         learned.restore(
                 Map.of("run.0", new Estimate(24, 9), "run.1", new Estimate(30_000, 9)),
                 0.2,
@@ -67,16 +67,16 @@
         assertEquals(120, run(0));
         assertEquals(500, run(1));
         // No slowdown is seen in what is only cold, or was slow on another day.
-        assertEquals(250, learned.calm(stats(0), CLASSES.get(0)));
+        assertEquals(250, learned.calmRunMillis(stats(0), CLASSES.get(0)));
         assertEquals((120 + 500) / 750.0, classes.slowdown(), 1e-12);
     }
 
     @Test
-    void untilTheFirstRequestAllIsToldAndThenOnlyWhatHasSamplesOrAMemory() {
+    void exportsAllUntilTheFirstRequestAndThenOnlyMeasuredOrRestoredClasses() {
         Map<String, Estimate> assumed = learned.export(classes);
         assertEquals(Set.of("run.0", "calm.0", "run.1", "calm.1", "returning"), assumed.keySet());
         assertEquals(new Estimate(500, 2), assumed.get("calm.1"));
-        classes.ask(0);
+        classes.requestArrived(0);
         assertEquals(Set.of("returning"), learned.export(classes).keySet());
         learned.restore(Map.of("calm.1", new Estimate(400, 9)), 1, classes);
         // A memory of it stays told, so that it is left to the next life as it was found.
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void namesThatAreNoPlaceAreLeftOut() {
+    void ignoresNamesOfNoSlot() {
         learned.restore(
                 Map.of(
                         "run.-1",
@@ -102,14 +102,14 @@
                         new Estimate(1, 1)),
                 1,
                 classes);
-        classes.ask(0);
+        classes.requestArrived(0);
         assertEquals(Set.of("returning"), learned.export(classes).keySet());
     }
 
     @Property(tries = 500, seed = "21")
-    void noNumberMakesAClassImpossible(
+    void noRestoredNumberMakesAClassImpossible(
             @ForAll double run, @ForAll double calm, @ForAll double weight, @ForAll double back) {
-        LearnedTest after = new LearnedTest();
+        LearnedStatisticsTest after = new LearnedStatisticsTest();
         after.learned.restore(
                 Map.of(
                         "run.0",
@@ -128,10 +128,10 @@
             assertTrue(
                     after.run(i) > 0
                             && after.run(i) < Double.POSITIVE_INFINITY
-                            && after.learned.calm(after.stats(i), CLASSES.get(i)) > 0
-                            && after.stats(i).runs > 0,
+                            && after.learned.calmRunMillis(after.stats(i), CLASSES.get(i)) > 0
+                            && after.stats(i).runSamples > 0,
                     "" + after.run(i));
         }
-        assertTrue(after.learned.returning > 0 && after.learned.returning <= 1);
+        assertTrue(after.learned.returningShare > 0 && after.learned.returningShare <= 1);
     }
 }
--- a/src/test/java/tinroad/overload/ModuleShapeTest.java
+++ b/src/test/java/tinroad/overload/ModuleShapeTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void theDeployFileListsEveryDecisionClass() throws IOException {
+    void deployFileListsEveryDecisionClass() throws IOException {
         String policy =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                         .filter(line -> line.startsWith("policy = "))
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void itsFirstLinesPointToTheInterface() throws IOException {
+    void firstLinesOfTheControllerPointToTheInterface() throws IOException {
         String head = String.join("\n", Files.readAllLines(CONTROLLER).subList(0, 5));
         assertTrue(head.contains("Controller.java"));
     }
--- a/src/test/java/tinroad/overload/OverloadControllerTest.java
+++ b/src/test/java/tinroad/overload/OverloadControllerTest.java
@@ -37,13 +37,13 @@
     // --- idle control ---
 
     @Test
-    void startsGoodWithTheCalmIdleTime() {
+    void startsHealthyWithTheCalmIdleTimeout() {
         f.begin();
         assertEquals(List.of("health true true", "idle 5000", "timer tick 20"), take());
     }
 
     @Test
-    void idleTimeShrinksWhileConnectionsExceedTheirBaselineAndGrowsBack() {
+    void idleTimeoutShrinksWhileConnectionsExceedTheirBaselineAndGrowsBack() {
         f.begin();
         take();
         f.after(8000);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void callersThatConnectOneByOneAfterTheStartAreNoExcess() {
+    void clientsThatConnectOneByOneAfterTheStartAreNoExcess() {
         f.begin();
         take();
         for (int n = 1; n <= 5; n++) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void idleTimeIsShortWhereCallersDoNotComeBackAndLongAgainWhereTheyDo() {
+    void idleTimeoutIsShortWhereClientsDoNotReturnAndLongWhereTheyDo() {
         f.begin();
         for (int i = 0; i < 200; i++) {
             f.requestBy("s" + i, 100 + i);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void idleTimeShrinksWithRunLatencyToTheFloorAtMost() {
+    void idleTimeoutShrinksWithRunLatencyDownToTheFloor() {
         f.begin();
         f.serveCalmly("a", FREE, 20, 100);
         take();
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void whileRequestsAreReadLateConnectionsAreKeptAndLaterClosedAgain() {
+    void keepsConnectionsOpenWhileRequestsAreReadLate() {
         f.begin();
         for (int i = 0; i < 200; i++) {
             f.requestBy("s" + i, 100 + i, 0);
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void stateDoesNotGrowWithCallersRequestsOrSubjects() throws IllegalAccessException {
+    void stateIsBoundedForAnyNumberOfClientsAndRequests() throws IllegalAccessException {
         f.begin();
         for (int i = 0; i < 3000; i++) {
             f.requestBy("s" + i, i);
@@ -153,12 +153,12 @@
                                 List.of(
                                         "DependencyCalls.lingeringUntilMillis",
                                         "DependencyCalls.waiting",
-                                        "ExpiringSet.byTime",
-                                        "ExpiringSet.kept",
+                                        "ExpiringSet.byExpiry",
+                                        "ExpiringSet.entries",
                                         "IdleTimeoutControl.lastSeenMillis",
                                         "OverloadController.requests",
                                         "RequestQueue.queued",
-                                        "RetryAfterSchedule.slots")),
+                                        "RetryAfterSchedule.slotMillisByCaller")),
                 sizes.toString());
         sizes.forEach((name, size) -> assertTrue(size <= 60, name + " holds " + size));
     }
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void aSlowFailingServerShutsAndLetsGoOfBoth() {
+    void slowFailingServerClosesAdmissionAndRecovers() {
         f.begin();
         f.serveCalmly("s", FREE, 20, 100);
         for (int i = 0; i < 14; i++) {
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void aHangDuringAColdStartIsSeenAndLetsGo() {
+    void hangDuringAColdStartIsDetectedAndRecovers() {
         f.cold = true;
         f.coldFrom = 0;
         f.begin();
@@ -239,7 +239,7 @@
     // --- admission, hold and run ---
 
     @Test
-    void runsUpToTheLimitAndHoldsTheRest() {
+    void runsUpToTheConcurrencyLimitAndQueuesTheRest() {
         f.begin();
         f.request("a", FREE);
         f.request("b", FREE);
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void refusesAtArrivalWhatWouldMissItsAim() {
+    void rejectsOnArrivalWhatWouldMissItsObjective() {
         f.begin();
         f.serveCalmly("s", FREE, 20, 300);
         take();
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void aJamOfRetriesFillsTheAimFurtherAndLetsGo() {
+    void manyRetriesRaiseTheShareOfTheObjectiveThatMayBeUsed() {
         assertEquals(true, refusedBehindTwo(0, 0));
         assertEquals(false, refusedBehindTwo(150, 0));
         assertEquals(true, refusedBehindTwo(150, 300));
@@ -289,7 +289,7 @@
     }
 
     @Test
-    void whereWorthCountsByWorkALongClassIsNoLessUrgentThanAShortOne() {
+    void withWeightByWorkALongClassIsNoLessUrgentThanAShortOne() {
         f.worthByWork = true;
         f.begin();
         f.serveCalmly("short", FREE, 40, 60);
@@ -305,7 +305,7 @@
     }
 
     @Test
-    void aRequestThatSaysItIsTooLargeForItsAimIsRefusedOnBusyCores() {
+    void rejectsARequestTooLargeForItsObjectiveOnBusyCores() {
         f.begin();
         f.request("a", FREE);
         f.request("b", FREE);
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void aRunPastItsAimIsAnsweredAtOnceWhileOthersWaitAndOnlyThen() {
+    void failsAnOversizedRunPastItsObjectiveOnlyWhileOthersWait() {
         f.begin();
         f.request("a", FREE);
         f.serveCalmly("s", FREE, 24, 40);
@@ -341,7 +341,7 @@
     }
 
     @Test
-    void moreRunWhereRunsWaitOffTheCoresAndFewerOnceTheyDoNot() {
+    void allowsMoreRunsWhileTheyWaitOffTheCores() {
         f.begin();
         f.request("a", FREE);
         f.request("b", FREE);
@@ -357,7 +357,7 @@
     }
 
     @Test
-    void whereNoWaitIsToldAMarkedRetryHasSpentPartOfItsAim() {
+    void withoutADeadlineAMarkedRetryHasSpentPartOfItsObjective() {
         f.passesDeadline = false;
         f.begin();
         f.serveCalmly("s", FREE, 30, 250);
@@ -372,7 +372,7 @@
     }
 
     @Test
-    void higherWorthRunsFirst() {
+    void higherWeightRunsFirst() {
         f.begin();
         f.request("a", FREE);
         f.request("b", FREE);
@@ -385,7 +385,7 @@
     }
 
     @Test
-    void theCutRisesUnderPressureTurnsAwayLowRankAndLetsGo() {
+    void priorityCutoffRisesUnderPressureRejectsLowPriorityAndFalls() {
         f.say = LoadHint.MIN_RANK;
         f.begin();
         f.serveCalmly("s", FREE, 20, 300);
@@ -412,7 +412,7 @@
     }
 
     @Test
-    void freshRequestsRunBeforeRetriesOfTheSameWorth() {
+    void freshRequestsRunBeforeRetriesOfTheSameWeight() {
         f.begin();
         f.request("a", FREE);
         f.request("b", FREE);
@@ -424,7 +424,7 @@
     }
 
     @Test
-    void aSurgingTenantIsHeldBackBehindTheOther() {
+    void requestsOfATenantOverItsQuotaRunLater() {
         f.tenants = List.of(new Controller.Tenant(1, 0.5), new Controller.Tenant(1, 0.5));
         f.begin();
         for (int i = 0; i < 5; i++) {
@@ -437,7 +437,7 @@
     }
 
     @Test
-    void aFewRequestsMoreOfOneTenantAreChance() {
+    void fewMoreRequestsOfOneTenantAreNotOverItsQuota() {
         f.tenants = List.of(new Controller.Tenant(1, 0.5), new Controller.Tenant(1, 0.5));
         f.begin();
         f.request("a", FREE);
@@ -450,7 +450,7 @@
     }
 
     @Test
-    void coldServersRunFewer() {
+    void warmingUpServerRunsFewer() {
         f.cold = true;
         f.coldFrom = 0;
         f.begin();
@@ -460,7 +460,7 @@
     }
 
     @Test
-    void runsThatOutlastTheirClassStretchTheEstimateUntilTheyEnd() {
+    void runsLongerThanExpectedRaiseTheEstimateUntilTheyEnd() {
         f.begin();
         f.serveCalmly("s", FREE, 20, 300);
         f.request("a", FREE);
@@ -477,7 +477,7 @@
     }
 
     @Test
-    void aWaitLongerThanUsualTellsThatTheAimIsSpent() {
+    void clientTimeoutLongerThanUsualShowsASpentObjective() {
         f.begin();
         for (int i = 0; i < 15; i++) {
             f.controller.requestArrived(f.now, wait("s" + i, 2000));
@@ -494,7 +494,7 @@
     }
 
     @Test
-    void usualWaitsAreLearntOverManyCallersEachSeenOnce() {
+    void usualClientTimeoutsAreLearnedOverManyClientsEachSeenOnce() {
         f.begin();
         for (int i = 0; i < 30; i++) {
             f.controller.requestArrived(f.now, wait("s" + i, i, i % 3 == 0 ? 2400 : 2000));
@@ -536,7 +536,7 @@
     }
 
     @Test
-    void loadRefusalsAdviseStayingAwayForAsLongAsTheHeldWorkTakes() {
+    void retryAfterUnderLoadIsTheTimeOfTheQueuedWork() {
         List<String> refusals = refusalsOfABurst(false);
         int held = 12 - 2 - refusals.size();
         assertEquals(2, held);
@@ -546,7 +546,7 @@
     }
 
     @Test
-    void adviceGrowsWithTheTimeThatARequestWaitedToBeReadUpToItsBound() {
+    void retryAfterGrowsWithTheReadDelayUpToItsMaximum() {
         refusalsOfABurst(false);
         f.request("old", FREE, 0, 0.9, null, 200, false);
         f.request("older", FREE, 0, 0.9, null, 900, false);
@@ -563,7 +563,7 @@
     }
 
     @Test
-    void aRefusedRetryIsAskedNotToRetryAgain() {
+    void rejectedRetryIsAskedNotToRetryAgain() {
         List<String> refusals = refusalsOfABurst(true);
         assertTrue(
                 refusals.stream().anyMatch(l -> l.startsWith("refuse q11 ") && l.endsWith(" true")),
@@ -572,7 +572,7 @@
     }
 
     @Test
-    void whereRetriesAreNotMarkedLoadRefusalsAskNotToTryElsewhere() {
+    void withUnmarkedRetriesRejectionsUnderLoadAskNotToRetryElsewhere() {
         f.marksRetry = false;
         List<String> refusals = refusalsOfABurst(false);
         assertFalse(refusals.isEmpty());
@@ -591,7 +591,7 @@
     }
 
     @Test
-    void aFailingServerThatNothingReachesComesBackToTheListByItself() {
+    void failingServerWithoutArrivalsBecomesHealthyByItself() {
         f.begin();
         failAllOf(80);
         assertTrue(take().contains("health false true"));
@@ -603,7 +603,7 @@
     }
 
     @Test
-    void aServerThatServesAPartKeepsItsPlaceInTheList() {
+    void serverThatFailsInPartStaysHealthy() {
         f.begin();
         for (int i = 0; i < 80; i++) {
             f.request("a" + i, FREE);
@@ -617,7 +617,7 @@
     }
 
     @Test
-    void failingRunsShutAdmissionToATrickleAndEvidenceReopensIt() {
+    void failingRunsCloseAdmissionButForTrialRequestsWhichReopenIt() {
         f.begin();
         failAllOf(80);
         List<String> lines = take();
@@ -638,7 +638,7 @@
 
     /** What lies behind all servers fails: what is refused everywhere is tried everywhere. */
     @Test
-    void aFailingServerThatIsAskedMoreAndMoreStaysOnTheList() {
+    void failingServerWithGrowingArrivalsStaysHealthy() {
         f.begin();
         f.serveCalmly("s", FREE, 100, 40);
         take();
@@ -659,7 +659,7 @@
     }
 
     @Test
-    void callersThatAreTurnedAwayWhileItFailsAreToldToComeBackOneAfterTheOther() {
+    void spreadsRetryAfterOverClientsWhileAdmissionIsClosed() {
         f.begin();
         failAllOf(80);
         take();
@@ -678,7 +678,7 @@
     }
 
     @Test
-    void aHangShutsAdmissionUntilSomethingEnds() {
+    void hangClosesAdmissionUntilARunCompletes() {
         f.begin();
         f.serveCalmly("s", FREE, 5, 100);
         f.request("a", FREE);
@@ -692,7 +692,7 @@
     }
 
     @Test
-    void oneSmallFirstRunDoesNotMakeUsualOnesLookHung() {
+    void oneShortFirstRunDoesNotMakeUsualOnesLookHung() {
         f.begin();
         f.serveCalmly("tiny", FREE, 1, 20);
         f.request("a", FREE);
@@ -704,7 +704,7 @@
     }
 
     @Test
-    void oneGiantIsNoHangAndLeavesTheOtherCoreInUse() {
+    void oneOversizedRequestIsNoHangAndLeavesTheOtherCoreInUse() {
         f.begin();
         f.serveCalmly("s", FREE, 20, 100);
         f.request("giant", FREE);
@@ -715,7 +715,7 @@
     }
 
     @Test
-    void threeFailuresInARowDoNotShutAdmission() {
+    void threeFailuresInARowDoNotCloseAdmission() {
         f.begin();
         f.serveCalmly("s", FREE, 5, 100);
         for (int i = 0; i < 3; i++) {
@@ -730,7 +730,7 @@
     // --- guards ---
 
     @Test
-    void answersRunningWorkBeforeItIsDue() {
+    void answersRunningRequestsBeforeTheirDeadline() {
         f.begin();
         f.request("a", GUARDED);
         f.after(3920);
@@ -742,7 +742,7 @@
     }
 
     @Test
-    void neverHaltsWhereNothingCanBeStopped() {
+    void neverCancelsWhereCancellationIsNotPossible() {
         f.halt = CancellationMode.NONE;
         f.begin();
         f.request("a", FREE);
@@ -752,7 +752,7 @@
     }
 
     @Test
-    void withoutAToldDeadlineTheClassDeadlineFromArrivalCounts() {
+    void withoutADeadlineTheClassDeadlineFromArrivalCounts() {
         f.passesDeadline = false;
         f.begin();
         f.request("a", FREE, 0, 0.9, null, 1000, false);
@@ -761,7 +761,7 @@
     }
 
     @Test
-    void keepsGuardedKeysForTheWholeWindowAndJoinsRepeats() {
+    void retainsKeysForTheWholeWindowAndJoinsDuplicates() {
         f.begin();
         f.request("a", GUARDED);
         assertTrue(take().contains("keep a 9005"));
@@ -772,7 +772,7 @@
     }
 
     @Test
-    void aKeyedRequestThatCannotBeKeptIsRefusedUnrun() {
+    void rejectsARequestWhoseKeyDoesNotFitIntoMemory() {
         f.memoryKb = 40;
         f.begin();
         f.request("a", GUARDED);
@@ -782,7 +782,7 @@
     }
 
     @Test
-    void runsOnlyWhatTheMemoryHolds() {
+    void runsOnlyWhatFitsIntoMemory() {
         f.memoryKb = 150;
         f.begin();
         f.request("a", FREE);
@@ -791,7 +791,7 @@
     }
 
     @Test
-    void unrunKeysAreForgotten() {
+    void releasesKeysOfRequestsThatNeverRan() {
         f.begin();
         f.request("a", FREE);
         f.request("b", FREE);
@@ -801,7 +801,7 @@
     }
 
     @Test
-    void singleShotRunsOnceWithoutAKey() {
+    void nonIdempotentRequestRunsOnceWithoutAKey() {
         f.begin();
         f.request("a", ONCE);
         assertEquals(
@@ -816,7 +816,7 @@
     }
 
     @Test
-    void sharedReadsAreKeptAndJoined() {
+    void sharedReadsAreRetainedAndJoined() {
         f.freshFor = 500;
         f.begin();
         f.request("a", FREE);
@@ -826,7 +826,7 @@
     }
 
     @Test
-    void afterTheGraceNothingNewRunsAndAllIsAnsweredBeforeTheStop() {
+    void rejectsWhatArrivesAfterTheGracePeriodAndAnswersAllBeforeTheShutdown() {
         f.begin();
         f.request("old", FREE);
         f.controller.beginDraining(f.now, f.now + 3000);
@@ -861,7 +861,7 @@
     }
 
     @Test
-    void callsAreBoundedAndIssuedWithinTheTimeLeft() {
+    void callsStayWithinTheQuotaAndTheTimeLeft() {
         withDependency();
         f.request("a", FREE);
         f.request("b", FREE);
@@ -884,7 +884,7 @@
     }
 
     @Test
-    void callsGivenUpCountUntilTheDependencyHasLetGoOfThem() {
+    void timedOutCallsCountUntilTheyHaveLeftTheDependency() {
         f.below = new Dependency(DependencyKind.SHARED, 2.5, 5000, 200);
         f.begin();
         needsCall("a");
@@ -898,7 +898,7 @@
     }
 
     @Test
-    void aShareBelowOneIsPaidByTimeAndTheRestGoesOnWithoutTheCall() {
+    void quotaBelowOneCallIsSpentByTimeAndTheRestIsDegraded() {
         f.below = new Dependency(DependencyKind.SHARED, 0.5, 5000, 200);
         f.skipWorth = 0.5;
         f.begin();
@@ -924,7 +924,7 @@
     }
 
     @Test
-    void aSlowDependencyGetsFewerCallsAtOnceAndAllAgainWhenQuick() {
+    void slowDependencyGetsFewerConcurrentCallsUntilItIsQuickAgain() {
         f.below = new Dependency(DependencyKind.SHARED, 20, 5000, 200);
         f.skipWorth = 0.5;
         f.begin();
@@ -958,7 +958,7 @@
     }
 
     @Test
-    void timeSpentAtCallsIsNotThisServersOwnSlowness() {
+    void timeInCallsIsNoSlowdownOfThisServer() {
         f.below = new Dependency(DependencyKind.SHARED, 20, 5000, 200);
         f.begin();
         f.serveCalmly("s", FREE, 40, 100);
@@ -976,7 +976,7 @@
     }
 
     @Test
-    void whatWaitsAtCallsCountsTowardsTheCrowdItMayReturnAs() {
+    void runsPausedForCallsCountTowardsTheConcurrency() {
         withDependency();
         for (int i = 0; i < 8; i++) {
             f.request("a" + i, FREE);
@@ -994,7 +994,7 @@
     }
 
     @Test
-    void aGuardedCallIsMadeAgainOnlyWhenItProvablyNeverRan() {
+    void retriesACallOfANonIdempotentClassOnlyIfItNeverRan() {
         withDependency();
         f.request("a", GUARDED);
         f.controller.dependencyCallNeeded(f.now, "a");
@@ -1009,7 +1009,7 @@
     }
 
     @Test
-    void aFailedCallIsLeftOutWhereAPoorerAnswerIsWorthSomething() {
+    void skipsAFailedCallWhereADegradedAnswerHasWeight() {
         f.skipWorth = 0.5;
         withDependency();
         f.request("a", FREE);
--- a/src/test/java/tinroad/overload/ReturnsTest.java
+++ b/src/test/java/tinroad/overload/RetryAfterScheduleTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Who is told to come back when. */
-class ReturnsTest {
+class RetryAfterScheduleTest {
     private static final double MOST = 1000;
 
     @Test
-    void aCallerIsToldTheSameSlotUntilItHasCome() {
+    void clientKeepsItsSlotUntilItHasCome() {
         RetryAfterSchedule returns = new RetryAfterSchedule();
-        double slot = returns.tell(1, 0, 400, MOST);
-        assertEquals(slot - 40, returns.tell(1, 40, 800, MOST), 1e-9);
-        assertEquals(1, returns.tell(1, slot - 1, 800, MOST), 1e-9);
-        assertTrue(returns.tell(1, slot, 800, MOST) >= 400);
+        double slot = returns.retryAfterMillis(1, 0, 400, MOST);
+        assertEquals(slot - 40, returns.retryAfterMillis(1, 40, 800, MOST), 1e-9);
+        assertEquals(1, returns.retryAfterMillis(1, slot - 1, 800, MOST), 1e-9);
+        assertTrue(returns.retryAfterMillis(1, slot, 800, MOST) >= 400);
     }
 
     @Test
@@ -28,7 +28,7 @@
         RetryAfterSchedule returns = new RetryAfterSchedule();
         double[] told = new double[64];
         for (int caller = 0; caller < told.length; caller++) {
-            told[caller] = returns.tell(caller, 0, 500, MOST);
+            told[caller] = returns.retryAfterMillis(caller, 0, 500, MOST);
         }
         Arrays.sort(told);
         assertTrue(told[0] >= 250 && told[63] < 750);
@@ -39,28 +39,28 @@
     }
 
     @Property(tries = 300, seed = "1")
-    void adviceIsNeverLongerThanCountsAndNeverNegative(
+    void retryAfterIsNeverNegativeNorLongerThanTheMaximum(
             @ForAll @IntRange(min = 0, max = 100_000) int caller,
             @ForAll @DoubleRange(min = 0, max = 5000) double mean,
             @ForAll @DoubleRange(min = 0, max = 5000) double gap) {
         RetryAfterSchedule returns = new RetryAfterSchedule();
         double nowMillis = 0;
         for (int i = 0; i < 200; i++) {
-            double away = returns.tell((caller + 31 * i) % 97, nowMillis, mean, MOST);
+            double away = returns.retryAfterMillis((caller + 31 * i) % 97, nowMillis, mean, MOST);
             assertTrue(away >= 0 && away <= MOST + 1e-6, "" + away);
             nowMillis += gap / 7;
         }
     }
 
     @Test
-    void theTableIsBounded() {
+    void tableIsBounded() {
         RetryAfterSchedule returns = new RetryAfterSchedule();
         for (int caller = 0; caller < 100_000; caller++) {
-            returns.tell(caller, 0, MOST, MOST);
+            returns.retryAfterMillis(caller, 0, MOST, MOST);
         }
-        double last = returns.tell(99_999, 1, MOST, MOST);
-        assertEquals(last, returns.tell(99_999, 1, MOST, MOST));
+        double last = returns.retryAfterMillis(99_999, 1, MOST, MOST);
+        assertEquals(last, returns.retryAfterMillis(99_999, 1, MOST, MOST));
         // The first was forgotten: it is told anew.
-        assertTrue(returns.tell(0, 0, 1, 1) < 2);
+        assertTrue(returns.retryAfterMillis(0, 0, 1, 1) < 2);
     }
 }
--- a/src/test/java/tinroad/overload/ChangesTest.java
+++ b/src/test/java/tinroad/overload/SettingsChangeTest.java
@@ -36,7 +36,7 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /** Classes and tenants that change while the module serves. */
-class ChangesTest {
+class SettingsChangeTest {
     private static final RequestClass PATIENT =
             new RequestClass(3900, 0, 4000, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0);
     private static final RequestClass HASTY =
@@ -48,8 +48,8 @@
 
     private final Fixture f = new Fixture();
 
-    private void change(int place, RequestClass spec) {
-        f.controller.stage(List.of(new ClassSlot(place, spec)), List.of());
+    private void change(int slot, RequestClass spec) {
+        f.controller.stage(List.of(new ClassSlot(slot, spec)), List.of());
         f.controller.commit(f.now);
     }
 
@@ -66,7 +66,7 @@
     // --- a class is taken out ---
 
     @Test
-    void whatIsHeldOfARemovedClassRunsAndEndsAsEver() {
+    void queuedRequestsOfARemovedClassStillRun() {
         f.begin();
         f.request("a", GUARDED);
         f.request("b", GUARDED);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void whatRunsOfARemovedClassIsAnsweredBeforeItIsDue() {
+    void runningRequestsOfARemovedClassAreAnsweredBeforeTheirDeadline() {
         f.begin();
         f.request("a", ONCE);
         change(ONCE, null);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aRepeatOfWhatIsKeptOfAClassThatWasChangedStillGetsItsResult() {
+    void duplicateOfARetainedRequestGetsItsResultAfterItsClassChanged() {
         f.begin();
         f.request("first", GUARDED);
         change(
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aRequestOfNoClassIsTurnedAwayAndNothingIsKeptOfIt() {
+    void requestOfNoClassIsRejectedAndNothingIsRetained() {
         f.begin();
         change(GUARDED, null);
         f.recorder.take();
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aClassTakenOutNoLongerHoldsTheOthersBack() {
+    void removedClassNoLongerCountsAsUnderserved() {
         f.begin();
         ClassTable classes = (ClassTable) field(f.controller, "classes");
         for (int i = 0; i < 30; i++) {
@@ -136,7 +136,7 @@
             f.request("o" + i, ONCE);
             f.ended("o" + i, Outcome.FAILED);
         }
-        ClassStatistics free = classes.ask(FREE);
+        ClassStatistics free = classes.requestArrived(FREE);
         double behind = classes.lagShare(free);
         change(ONCE, null);
         assertTrue(behind < 0.01, "" + behind);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void howHighTheCutRisesHangsOnHowManyClassesThereAreNow() {
+    void topOfThePriorityCutoffFollowsTheNumberOfClasses() {
         f.say = LoadHint.MIN_RANK;
         f.begin();
         f.controller.stage(
@@ -177,7 +177,7 @@
     // --- taken out and put back ---
 
     @Test
-    void withinOneChangeItIsTheSameClassWithWhatItLearned() {
+    void classRemovedAndAddedInOneChangeKeepsItsStatistics() {
         f.begin();
         f.serveCalmly("g", GUARDED, 30, 40);
         Estimate before = f.controller.learnedEstimates().get("run." + GUARDED);
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void withinATickButByTwoChangesItBeginsAnewAndUntilThenWhatItLearnedCanBeRead() {
+    void classRemovedAndAddedInTwoChangesBeginsAnewAndItsStatisticsStayReadableUntilThen() {
         f.begin();
         f.serveCalmly("g", GUARDED, 30, 40);
         Estimate before = f.controller.learnedEstimates().get("run." + GUARDED);
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void whatIsInHandTeachesOnlyTheClassThatItCameUnder() {
+    void activeRequestsAddSamplesOnlyToTheClassTheyArrivedUnder() {
         // While it is cold the calm run is not learned, so that any sample would show as a
         // slowdown.
         f.cold = true;
@@ -227,7 +227,7 @@
     // --- a class is changed ---
 
     @Test
-    void whatIsHeldKeepsItsDueTimeWhenTheDeadlineIsShortenedBelowItsAge() {
+    void queuedRequestKeepsItsDeadlineWhenTheClassDeadlineIsShortenedBelowItsAge() {
         f.passesDeadline = false;
         f.begin();
         change(FREE, PATIENT);
@@ -252,7 +252,7 @@
     }
 
     @Test
-    void whatWasOnlyAssumedFollowsTheNewAimAndWhatWasLearnedStays() {
+    void assumedRunTimeFollowsTheNewObjectiveAndLearnedOneStays() {
         f.begin();
         f.serveCalmly("f", FREE, 30, 40);
         Estimate learned = f.controller.learnedEstimates().get("run." + FREE);
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void aChangeDuringADrainLeavesTheDrainAsItIs() {
+    void changeWhileDrainingLeavesDrainingAsItIs() {
         f.begin();
         f.request("a", FREE);
         f.controller.beginDraining(f.now, f.now + 5000);
@@ -285,7 +285,7 @@
     // --- tenants ---
 
     @Test
-    void aTenantsRateStaysWhenItsQuotaChangesAndIsNothingAtAPlacePutAnew() {
+    void tenantRateSurvivesAQuotaChangeAndIsZeroInAReusedSlot() {
         f.begin();
         TenantTable tenants = (TenantTable) field(f.controller, "tenants");
         for (int i = 0; i < 20; i++) {
@@ -461,7 +461,7 @@
     }
 
     @Test
-    void quotasToldAThousandTimesASecondAsTheyAreDecideNothing() {
+    void unchangedQuotasSetAThousandTimesASecondChangeNoDecision() {
         // An event comes each 5 ms in the mean.
         decidesNothing(
                 (controller, rnd) -> {
@@ -474,7 +474,7 @@
     }
 
     @Test
-    void quotasOfOthersChangedAThousandTimesASecondDecideNothingAndTheLastCounts() {
+    void quotasOfOtherTenantsChangedAThousandTimesASecondChangeNoDecisionAndTheLastCounts() {
         Controller controller =
                 decidesNothing(
                         (module, rnd) -> {
@@ -493,17 +493,17 @@
     }
 
     @Test
-    void classesToldAsTheyAreDecideNothing() {
+    void unchangedClassesSetAgainChangeNoDecision() {
         decidesNothing(
                 (controller, rnd) -> {
-                    int place = rnd.nextInt(CLASSES.size());
-                    controller.stage(List.of(new ClassSlot(place, CLASSES.get(place))), List.of());
+                    int slot = rnd.nextInt(CLASSES.size());
+                    controller.stage(List.of(new ClassSlot(slot, CLASSES.get(slot))), List.of());
                     controller.commit(0);
                 });
     }
 
     @Test
-    void whatIsStagedDecidesNothingUntilItIsCommittedAndACommitOfNothingNeither() {
+    void stagedChangesAndEmptyCommitsChangeNoDecision() {
         Controller controller =
                 decidesNothing(
                         (module, rnd) -> {
@@ -530,7 +530,7 @@
     // --- large changes ---
 
     @Test
-    void aHundredthOfTheTableAndAllOfItCountAtOneInstantInHoweverManyParts() {
+    void changesInAnyNumberOfPartsTakeEffectAtOnce() {
         Random rnd = new Random(4);
         List<RequestClass> before = IntStream.range(0, 1000).mapToObj(i -> spec(rnd)).toList();
         List<RequestClass> after = IntStream.range(0, 1000).mapToObj(i -> spec(rnd)).toList();
@@ -550,7 +550,7 @@
     }
 
     @Property(tries = 40, seed = "34")
-    void anyOrderOfChangesEndsInTheAnswersOfAModuleStartedOnTheLastSettings(@ForAll long seed) {
+    void anyOrderOfChangesDecidesAsAControllerStartedOnTheLastSettings(@ForAll long seed) {
         Random rnd = new Random(seed);
         Recorder recorder = new Recorder();
         Controller controller = new OverloadController(recorder);
@@ -562,12 +562,12 @@
         classes.put(1, begin.get(1));
         List<Tenant> tenants = new ArrayList<>(quotas);
         for (int i = 0; i < 200; i++) {
-            int place = rnd.nextInt(rnd.nextInt(20) == 0 ? 2000 : 20);
+            int slot = rnd.nextInt(rnd.nextInt(20) == 0 ? 2000 : 20);
             RequestClass put = rnd.nextInt(3) == 0 ? null : spec(rnd);
             Tenant quota = new Tenant(1 + rnd.nextInt(60), 0.2);
             int tenant = rnd.nextInt(2);
             controller.stage(
-                    List.of(new ClassSlot(place, put)), List.of(new TenantSlot(tenant, quota)));
+                    List.of(new ClassSlot(slot, put)), List.of(new TenantSlot(tenant, quota)));
             if (rnd.nextInt(5) == 0) {
                 controller.discardStaged();
                 continue;
@@ -575,16 +575,16 @@
             if (rnd.nextInt(5) == 0) {
                 // Within one change the last word on a place counts.
                 put = spec(rnd);
-                controller.stage(List.of(new ClassSlot(place, put)), List.of());
+                controller.stage(List.of(new ClassSlot(slot, put)), List.of());
             }
             controller.commit(1000 + i);
-            classes.put(place, put);
+            classes.put(slot, put);
             tenants.set(tenant, quota);
         }
         classes.put(0, HASTY);
         controller.stage(List.of(new ClassSlot(0, HASTY)), List.of());
         controller.commit(1900);
-        classes.values().removeIf(c -> c == null);
+        classes.values().removeIf(requestClass -> requestClass == null);
         List<RequestClass> last = List.copyOf(classes.values());
         int[] places = classes.keySet().stream().mapToInt(i -> i).toArray();
         Recorder other = new Recorder();
@@ -662,7 +662,7 @@
     }
 
     @Test
-    void aTickARequestAndAChangeTouchNoMoreEntriesOfALargeTableThanOfASmallOne() {
+    void tickRequestAndChangeReadNoMoreSlotsOfALargeTableThanOfASmallOne() {
         long[] small = touched(2, 4);
         long[] large = touched(24_000, 58_000);
         assertEquals(0, large[0]);
--- a/src/test/java/tinroad/overload/PlacesTest.java
+++ b/src/test/java/tinroad/overload/SlotTableTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 
 /** The tables whose versions share what did not change. */
-class PlacesTest {
+class SlotTableTest {
     @Test
-    void aVersionKeepsItsValuesWhateverTheNextOnesSet() {
+    void versionKeepsItsValuesWhateverLaterOnesSet() {
         SlotTable<Integer> first = SlotTable.of(IntStream.range(0, 1000).boxed().toList());
-        SlotTable<Integer> second = first.next();
+        SlotTable<Integer> second = first.nextVersion();
         second.set(300, -1);
         second.set(301, null);
         second.set(5000, 7);
-        SlotTable<Integer> third = second.next();
+        SlotTable<Integer> third = second.nextVersion();
         third.set(300, -2);
         assertEquals(
                 List.of(300, 301, 1000), List.of(first.get(300), first.get(301), first.size()));
@@ -37,36 +37,36 @@
     }
 
     @Test
-    void noPlaceIsOutsideAndAnImpossibleOneIsNotSet() {
+    void readsBeyondTheTableAreNullAndImpossibleSlotsAreNotSet() {
         SlotTable<String> empty = new SlotTable<>();
         assertNull(empty.get(-1));
         assertNull(empty.get(Integer.MAX_VALUE));
         assertThrows(IllegalArgumentException.class, () -> empty.set(-1, "x"));
-        assertThrows(IllegalArgumentException.class, () -> empty.set(SlotTable.MOST, "x"));
+        assertThrows(IllegalArgumentException.class, () -> empty.set(SlotTable.MAX_SLOTS, "x"));
         assertEquals(0, empty.size());
     }
 
     @Property(tries = 100, seed = "30")
-    void everyVersionIsTheMapThatItWasWhenTheNextBegan(@ForAll long seed) {
+    void everyVersionEqualsTheMapItWasWhenTheNextBegan(@ForAll long seed) {
         Random random = new Random(seed);
         SlotTable<Integer> places = new SlotTable<>();
         Map<Integer, Integer> model = new TreeMap<>();
         List<SlotTable<Integer>> versions = new ArrayList<>();
         List<Map<Integer, Integer>> models = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            int place = random.nextInt(1 + random.nextInt(3000));
+            int slot = random.nextInt(1 + random.nextInt(3000));
             Integer value = random.nextInt(4) == 0 ? null : Integer.valueOf(i);
-            places.set(place, value);
-            model.put(place, value);
+            places.set(slot, value);
+            model.put(slot, value);
             if (random.nextInt(40) == 0) {
                 versions.add(places);
                 models.add(new TreeMap<>(model));
-                places = places.next();
+                places = places.nextVersion();
             }
         }
         for (int v = 0; v < versions.size(); v++) {
-            for (int place = 0; place < 3000; place++) {
-                assertEquals(models.get(v).get(place), versions.get(v).get(place));
+            for (int slot = 0; slot < 3000; slot++) {
+                assertEquals(models.get(v).get(slot), versions.get(v).get(slot));
             }
         }
     }
