--- a/src/main/java/tinroad/overload/OverloadController.java
+++ b/src/main/java/tinroad/overload/OverloadController.java
@@ -280,6 +280,8 @@
             cores.endRun();
         } else {
             calls.dequeue(request);
+            // Known fault: a joined duplicate ends here, too, though it was never counted as
+            // paused.
             cores.endPause();
             if (request.callInFlight) {
                 calls.ended(request, true);
