--- a/src/main/java/tinroad/core/CatalogRollout.java
+++ b/src/main/java/tinroad/core/CatalogRollout.java
@@ -102,7 +102,7 @@
         if (step == Step.SETTLING) {
             settle(change);
         } else if (!target.stage(classes(change.delta), tenants(change.delta))) {
-            fail(change);
+            fail();
         } else {
             processedEntries += SLICE_ENTRIES;
             if (processedEntries >= change.delta.size()) {
@@ -120,7 +120,7 @@
         if (target.commit(change.next)) {
             step = Step.SETTLING;
         } else {
-            fail(change);
+            fail();
         }
     }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    private void fail(Pending change) {
+    private void fail() {
         target.discardStaged();
         complete(false);
     }
--- a/src/test/java/tinroad/core/ColdStartFleetTest.java
+++ b/src/test/java/tinroad/core/ColdStartFleetTest.java
@@ -120,7 +120,8 @@
         }
 
         void step() {
-            double rate = speed() * Math.min(1, CORES / Math.max(1.0, onCores())) * STEP_MILLIS;
+            double rate =
+                    speed() * Math.min(1, CORES / (double) Math.max(1, onCores())) * STEP_MILLIS;
             List<String> ended = new ArrayList<>();
             running.forEach(
                     (id, run) -> {
--- a/src/test/java/tinroad/core/GatewayTest.java
+++ b/src/test/java/tinroad/core/GatewayTest.java
@@ -141,9 +141,11 @@
     @Test
     void reportsEveryRunOutcomeAndServesOnlyDone() {
         harness.module.onRequest = r -> harness.module.act.run(r.id());
-        for (Engine.RunOutcome end : Engine.RunOutcome.values()) {
-            send(harness, "000000000000000" + end.ordinal(), "read", harness.now);
-            harness.gateway.onRunEnded("000000000000000" + end.ordinal(), end, 5, bytes("r"));
+        int lastId = 0;
+        for (Engine.RunOutcome outcome : Engine.RunOutcome.values()) {
+            String id = String.format("%016x", lastId++);
+            send(harness, id, "read", harness.now);
+            harness.gateway.onRunEnded(id, outcome, 5, bytes("r"));
         }
         assertEquals(
                 List.of(
@@ -155,7 +157,9 @@
                 answers.responses);
         assertEquals(
                 List.of("OK", "FAILED", "CANCELED", "IGNORED", "IGNORED"),
-                harness.module.heard.stream().map(l -> l.split(" ")[2]).toList());
+                harness.module.heard.stream()
+                        .map(event -> event.substring(event.lastIndexOf(' ') + 1))
+                        .toList());
     }
 
     @Test
