--- a/src/main/java/tinroad/cli/Command.java
+++ b/src/main/java/tinroad/cli/Command.java
@@ -25,6 +25,7 @@
      * @param example a full command line
      * @param statuses exit statuses, each with its meaning
      */
+    @SuppressWarnings("ArrayRecordComponent") // Written as varargs, never compared.
     record About(String summary, String example, String... statuses) {}
 
     /** What {@code help} prints. */
--- a/src/main/java/tinroad/cli/Usage.java
+++ b/src/main/java/tinroad/cli/Usage.java
@@ -26,10 +26,18 @@
         Main.COMMANDS.forEach(
                 (name, make) -> out.printf("  %-12s %s%n", name, make.get().about().summary()));
         out.println(
-                "\n'tinroad help COMMAND' or 'tinroad COMMAND --help' tells of one.\n"
-                        + "\nexample:\n  tinroad check --config deploy/example.json\n"
-                        + "\nexit status:\n  0  done\n  1  could not start, or not read its input\n"
-                        + "  2  wrong arguments, or an operator file with faults");
+                """
+
+                'tinroad help COMMAND' or 'tinroad COMMAND --help' tells of one.
+
+                example:
+                  tinroad check --config deploy/example.json
+
+                exit status:
+                  0  done
+                  1  could not start, or not read its input
+                  2  wrong arguments, or an operator file with faults\
+                """);
     }
 
     /** One command. */
--- a/src/main/java/tinroad/log/LogConfigurator.java
+++ b/src/main/java/tinroad/log/LogConfigurator.java
@@ -43,7 +43,7 @@
      * @param levels the least level written by single loggers, by name; the others write from
      *     {@code level} on
      * @param queue lines that may wait
-     * @param flushMs ms that the waiting lines are given when this format ends
+     * @param flushMillis time that the waiting lines are given when this format ends
      */
     public void configure(
             boolean json, String level, Map<String, String> levels, int queue, int flushMillis) {
--- a/src/main/java/tinroad/operator/CatalogSettings.java
+++ b/src/main/java/tinroad/operator/CatalogSettings.java
@@ -8,7 +8,7 @@
  * @param onReload those of the configuration count from the moment on at which it is read again;
  *     otherwise at the next start
  * @param log folder of a change log that is followed, or null
- * @param poll ms between two looks into it
+ * @param pollMillis time between two polls of it
  */
 public record CatalogSettings(boolean onReload, Path log, double pollMillis) {
     /**
--- a/src/main/java/tinroad/operator/LogSettings.java
+++ b/src/main/java/tinroad/operator/LogSettings.java
@@ -10,7 +10,7 @@
  * @param levels the same for single loggers, by name
  * @param queue lines that may wait for a reader of standard error that stalls; what comes beyond is
  *     counted and lost
- * @param flush ms that the last lines are given at the end
+ * @param flushMillis ms that the last lines are given at the end
  */
 public record LogSettings(
         boolean json, String level, Map<String, String> levels, int queue, double flushMillis) {}
--- a/src/main/java/tinroad/operator/StateSettings.java
+++ b/src/main/java/tinroad/operator/StateSettings.java
@@ -8,10 +8,10 @@
  * @param folder of this gateway alone; null: nothing lasts
  * @param fence a folder elsewhere that remembers the last life, so that an older copy of {@code
  *     folder} is told; or null
- * @param every ms between two snapshots
- * @param keep snapshots that are kept
- * @param oldest ms, the age beyond which nothing is used
- * @param halfLife ms in which half of what was learned fades
+ * @param savePeriodMillis ms between two snapshots
+ * @param keptSnapshots snapshots that are kept
+ * @param maxAgeMillis ms, the age beyond which nothing is used
+ * @param halfLifeMillis ms in which half of what was learned fades
  */
 public record StateSettings(
         Path folder,
--- a/src/main/java/tinroad/simulator/MessageReader.java
+++ b/src/main/java/tinroad/simulator/MessageReader.java
@@ -204,8 +204,8 @@
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT -> integer(parser);
             case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
             default -> null;
         };
     }
--- a/src/main/java/tinroad/simulator/SimulatorAdapter.java
+++ b/src/main/java/tinroad/simulator/SimulatorAdapter.java
@@ -10,7 +10,8 @@
 import tinroad.overload.Controller;
 
 /**
- * The wire's loop: reads a batch, hands each event to its instance's controller, writes one reply.
+ * The message loop: reads a batch, hands each event to its server's controller, and writes one
+ * reply.
  */
 public final class SimulatorAdapter {
     private final Function<Controller.Actions, Controller> factory;
@@ -85,50 +86,42 @@
     }
 
     private Runnable toControllerCall(Controller controller, double nowMillis) throws IOException {
-        switch (reader.type()) {
-            case "req":
-                {
-                    Controller.Request request = reader.request();
-                    return () -> controller.requestArrived(nowMillis, request);
-                }
-            case "ended":
-                {
-                    String id = reader.text("txn");
-                    double elapsedMillis = reader.number("wait_time");
-                    Controller.Outcome outcome = reader.outcome();
-                    return () -> controller.completed(nowMillis, id, elapsedMillis, outcome);
-                }
-            case "dep_reply":
-                {
-                    String id = reader.text("txn");
-                    double elapsedMillis = reader.number("wait_time");
-                    Controller.Outcome outcome = reader.outcome();
-                    return () ->
-                            controller.dependencyCallCompleted(
-                                    nowMillis, id, elapsedMillis, outcome);
-                }
-            case "needs":
-                {
-                    String id = reader.text("txn");
-                    return () -> controller.dependencyCallNeeded(nowMillis, id);
-                }
-            case "vanished":
-                {
-                    String id = reader.text("txn");
-                    return () -> controller.cancelled(nowMillis, id);
-                }
-            case "lame_duck":
-                {
-                    double shutdownAtMillis = reader.number("valid_until");
-                    return () -> controller.beginDraining(nowMillis, shutdownAtMillis);
-                }
-            default:
-                {
-                    String token = reader.text("token");
-                    Controller.Gauges gauges = reader.gauges();
-                    return () -> controller.timerFired(nowMillis, token, gauges);
-                }
-        }
+        return switch (reader.type()) {
+            case "req" -> {
+                Controller.Request request = reader.request();
+                yield () -> controller.requestArrived(nowMillis, request);
+            }
+            case "ended" -> {
+                String id = reader.text("txn");
+                double elapsedMillis = reader.number("wait_time");
+                Controller.Outcome outcome = reader.outcome();
+                yield () -> controller.completed(nowMillis, id, elapsedMillis, outcome);
+            }
+            case "dep_reply" -> {
+                String id = reader.text("txn");
+                double elapsedMillis = reader.number("wait_time");
+                Controller.Outcome outcome = reader.outcome();
+                yield () ->
+                        controller.dependencyCallCompleted(nowMillis, id, elapsedMillis, outcome);
+            }
+            case "needs" -> {
+                String id = reader.text("txn");
+                yield () -> controller.dependencyCallNeeded(nowMillis, id);
+            }
+            case "vanished" -> {
+                String id = reader.text("txn");
+                yield () -> controller.cancelled(nowMillis, id);
+            }
+            case "lame_duck" -> {
+                double shutdownAtMillis = reader.number("valid_until");
+                yield () -> controller.beginDraining(nowMillis, shutdownAtMillis);
+            }
+            default -> {
+                String token = reader.text("token");
+                Controller.Gauges gauges = reader.gauges();
+                yield () -> controller.timerFired(nowMillis, token, gauges);
+            }
+        };
     }
 
     /** A failure of the decision code becomes the wire's crash action; it is never swallowed. */
