--- a/src/main/java/tinroad/fastcgi/ClientConnection.java
+++ b/src/main/java/tinroad/fastcgi/ClientConnection.java
@@ -24,7 +24,8 @@
  * One connection of a client proxy: assembles requests from records, hands them to the gateway and
  * writes the responses. Owned by the event loop. Knows nothing of a request's priority or deadline.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // A failed write closes the channel: see channelInactive.
+@SuppressWarnings(
+        "FutureReturnValueIgnored") // A failed write closes the channel: see channelInactive.
 final class ClientConnection extends SimpleChannelInboundHandler<ByteBuf> {
     /**
      * Open requests of one connection. Clients keep to 32, but requests that they abandon silently
--- a/src/main/java/tinroad/fastcgi/FastCgiFrontend.java
+++ b/src/main/java/tinroad/fastcgi/FastCgiFrontend.java
@@ -35,7 +35,8 @@
  * The listener and the connections of the client proxies: idle closing, eviction at the bound on
  * connections, the bound on partial requests, graceful closing. Owned by the event loop.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // Tasks of the loop end with it; a close needs no end.
+@SuppressWarnings(
+        "FutureReturnValueIgnored") // Tasks of the loop end with it; a close needs no end.
 public final class FastCgiFrontend implements Frontend {
     /**
      * Period of the pass over idle connections; a connection is closed by the second pass that
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -39,7 +39,8 @@
      * What to save at {@code nowMillis}, for {@code estimates} as they are then; what was only ever
      * assumed is left out.
      */
-    public Map<String, LearnedValue> valuesToSave(double nowMillis, Map<String, Estimate> estimates) {
+    public Map<String, LearnedValue> valuesToSave(
+            double nowMillis, Map<String, Estimate> estimates) {
         Map<String, LearnedValue> values = new LinkedHashMap<>();
         estimates.forEach(
                 (name, estimate) ->
--- a/src/test/java/tinroad/core/CatalogActivationTest.java
+++ b/src/test/java/tinroad/core/CatalogActivationTest.java
@@ -171,7 +171,8 @@
         assertTrue(
                 harness.controller.stagedEntries.stream()
                         .allMatch(entries -> entries <= CatalogRollout.SLICE_ENTRIES));
-        assertEquals(n, harness.controller.stagedEntries.stream().mapToInt(Integer::intValue).sum());
+        assertEquals(
+                n, harness.controller.stagedEntries.stream().mapToInt(Integer::intValue).sum());
         assertEquals(0, harness.gateway.pendingCatalogs());
         assertEquals("INVALID NOT_SENT", answers.responses.get(6));
         send("c" + (n - 1));
--- a/src/test/java/tinroad/core/GatewayTest.java
+++ b/src/test/java/tinroad/core/GatewayTest.java
@@ -221,7 +221,8 @@
         harness.gateway.onAttached(false, 0);
         harness.controller.actions.reject(ID, 0, false);
         assertEquals(List.of("FAILED SENT"), answers.responses);
-        harness.advance(1000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(
+                1000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
         assertEquals(1, harness.runs.size());
     }
@@ -242,7 +243,8 @@
         harness.gateway.onRunEnded(ID, Engine.RunOutcome.STALE, 0, bytes(""));
         assertEquals(List.of("SERVED RAN told again", "SERVED RAN result"), answers.responses);
         assertEquals(
-                List.of("ended " + OTHER_ID + " OK", "ended " + ID + " OK"), harness.controller.events);
+                List.of("ended " + OTHER_ID + " OK", "ended " + ID + " OK"),
+                harness.controller.events);
     }
 
     @Test
@@ -254,7 +256,8 @@
         harness.gateway.onAttached(true, 10);
         harness.gateway.onCaughtUp();
         assertEquals(1, harness.runs.size());
-        harness.advance(2000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+        harness.advance(
+                2000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("FAILED SENT"), answers.responses);
         assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
     }
@@ -382,7 +385,8 @@
         send(harness, OTHER_ID, "order", harness.now - 300);
         assertTrue(
                 harness.now - harness.controller.lastRequest.ageMillis() > noticedAt + 2500,
-                "arrived " + (harness.now - harness.controller.lastRequest.ageMillis() - noticedAt));
+                "arrived "
+                        + (harness.now - harness.controller.lastRequest.ageMillis() - noticedAt));
         harness.advance(1699);
         assertEquals(
                 1,
--- a/src/test/java/tinroad/core/IdempotencyKeyTest.java
+++ b/src/test/java/tinroad/core/IdempotencyKeyTest.java
@@ -349,7 +349,8 @@
                 if (harness.runs.size() > before) {
                     assertTrue(
                             ranAt[token] < 0
-                                    || harness.now > ranAt[token] + GatewayHarness.KEY_WINDOW_MILLIS,
+                                    || harness.now
+                                            > ranAt[token] + GatewayHarness.KEY_WINDOW_MILLIS,
                             "ran twice in its window");
                     ranAt[token] = harness.now;
                     running.add(n);
--- a/src/test/java/tinroad/state/ProvenanceTest.java
+++ b/src/test/java/tinroad/state/ProvenanceTest.java
@@ -47,7 +47,9 @@
         // It ages without new samples, too.
         assertEquals(
                 new LearnedValue(31, 8, NOW - 30_000, 5),
-                provenance.valuesToSave(NOW + 9000, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
+                provenance
+                        .valuesToSave(NOW + 9000, Map.of("run.a", new Estimate(31, 8)))
+                        .get("run.a"));
     }
 
     /**
@@ -90,7 +92,9 @@
                                     estimate.weight() + samples);
                     lastSampleMillis = nowMillis;
                 }
-                folder = new HashMap<>(provenance.valuesToSave(nowMillis, Map.of("run.a", estimate)));
+                folder =
+                        new HashMap<>(
+                                provenance.valuesToSave(nowMillis, Map.of("run.a", estimate)));
             }
             nowMillis += random.nextDouble(400_000);
         }
