--- a/src/main/java/tinroad/cli/Usage.java
+++ b/src/main/java/tinroad/cli/Usage.java
@@ -74,8 +74,8 @@
         String bash =
                 """
                 _tinroad() {
-                  local word="${COMP_WORDS[COMP_CWORD]}"
-                  local before="${COMP_WORDS[COMP_CWORD-1]}" words=""
+                  local word="${COMP_WORDS[COMP_CWORD]}" \
+                before="${COMP_WORDS[COMP_CWORD-1]}" words=""
                   COMPREPLY=()
                   case "$before" in
                     --config|--operator|--jar|--out) COMPREPLY=($(compgen -f -- "$word")); return ;;
