--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -112,12 +112,12 @@
                 default -> publish(out);
             }
             return SUCCESS;
-        } catch (ConfigException entry) {
-            entry.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
-        } catch (NoSuchFileException entry) {
-            err.println("tinroad: " + entry.getMessage() + ": no such file or folder");
-        } catch (IOException entry) {
-            err.println("tinroad: " + entry.getMessage());
+        } catch (ConfigException e) {
+            e.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
+        } catch (NoSuchFileException e) {
+            err.println("tinroad: " + e.getMessage() + ": no such file or folder");
+        } catch (IOException e) {
+            err.println("tinroad: " + e.getMessage());
         }
         return FAILURE;
     }
--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -39,7 +39,7 @@
  * every request.
  */
 public final class LabCommand extends Command {
-    /** What the lab is asked for. */
+    /** What to do, by the word typed. */
     enum Act {
         RUN,
         MODEL,
--- a/src/main/java/tinroad/cli/StateCommand.java
+++ b/src/main/java/tinroad/cli/StateCommand.java
@@ -67,8 +67,8 @@
             return found.stream().allMatch(candidate -> candidate.readResult().usable().isPresent())
                     ? SUCCESS
                     : FAILURE;
-        } catch (IOException entry) {
-            err.println("tinroad: " + folder + ": can't be read: " + entry.getMessage());
+        } catch (IOException e) {
+            err.println("tinroad: " + folder + ": can't be read: " + e.getMessage());
             return FAILURE;
         }
     }
--- a/src/main/java/tinroad/config/ConfigDiff.java
+++ b/src/main/java/tinroad/config/ConfigDiff.java
@@ -57,7 +57,7 @@
         PARTS.put("settings." + name, c -> part.apply(c.site().settings()));
     }
 
-    /** The parts in which {@code b} differs from {@code a}. */
+    /** The parts in which {@code after} differs from {@code before}. */
     public static List<String> between(GatewayConfig before, GatewayConfig after) {
         return PARTS.entrySet().stream()
                 .filter(e -> !e.getValue().apply(before).equals(e.getValue().apply(after)))
--- a/src/main/java/tinroad/config/Interner.java
+++ b/src/main/java/tinroad/config/Interner.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * One object for values that are equal, as most quotas and effects of a large table are. Guards
- * memory both ways: few different values are shared by all, and of many no more are known than are
- * worth it.
+ * A pool that replaces equal values by one object, as most quotas and class settings of a large
+ * table are equal. Guards memory: entries of a table share its few different values, and the pool
+ * itself is bounded. Used by one thread.
  */
 public final class Interner<T> {
-    /** Values that are known at a time; beyond it the pool begins anew. */
+    /** Bound of the pool; one that is full is emptied before the next value enters. */
     static final int MAX_VALUES = 1024;
 
     private final Map<T, T> values = new HashMap<>();
--- a/src/main/java/tinroad/config/SettingsValidator.java
+++ b/src/main/java/tinroad/config/SettingsValidator.java
@@ -3,9 +3,9 @@
 import tinroad.overload.Controller;
 
 /**
- * What in the settings can't be meant, a line each: of a file before the start, and of each entry
- * that a change puts. Only what no site can have is a fault; a value that is absent, or a name that
- * is not known, is none. Guards memory, too: tables have bounds.
+ * Validates the settings of a file before the start, and each class and tenant that a change of the
+ * catalog puts; adds one line for each error. An absent value or an unknown field name is no error.
+ * The bounds on names and on the size of tables guard memory.
  */
 public final class SettingsValidator {
     /** Classes of requests in one table. */
@@ -22,8 +22,10 @@
     private SettingsValidator() {}
 
     /**
-     * The name of an entry that stands at {@code index} of {@code list}; below 0: of an entry that
-     * a change puts.
+     * Checks the name of an entry.
+     *
+     * @param index the entry's position in {@code list}; below 0 for an entry that a change puts
+     * @param taken whether an earlier entry has the same name
      */
     public static void name(
             String list, int index, String name, boolean taken, ValidationErrors errors) {
@@ -61,7 +63,7 @@
                         + " characters)";
     }
 
-    /** How many there are. */
+    /** Checks that the tables of classes and tenants are within their bounds. */
     public static void counts(int classes, int tenants, ValidationErrors errors) {
         if (classes > MAX_CLASSES) {
             errors.add("classes: " + classes + " are more than " + MAX_CLASSES);
@@ -71,7 +73,7 @@
         }
     }
 
-    /** A class. */
+    /** Checks the values of a class. */
     public static void requestClass(
             String name, Controller.RequestClass spec, ValidationErrors errors) {
         if (!(spec.deadlineMillis() > 0)) {
@@ -87,13 +89,13 @@
         atLeast("class ", name, "key_ttl", spec.keyWindowMillis(), 0, errors);
     }
 
-    /** A tenant. */
+    /** Checks the values of a tenant. */
     public static void tenant(String name, Controller.Tenant spec, ValidationErrors errors) {
         atLeast("org ", name, "quota_per_s", spec.quotaPerSecond(), 0, errors);
         betweenZeroAndOne("org ", name, "share", spec.share(), errors);
     }
 
-    /** All but the classes and tenants. */
+    /** Checks the values of everything but the classes and tenants. */
     static void rest(Controller.Settings settings, ValidationErrors errors) {
         Controller.Rules rules = settings.rules();
         atLeast("", "rules", "answer_slack", rules.answerSlackMillis(), 0, errors);
--- a/src/main/java/tinroad/config/ValidationErrors.java
+++ b/src/main/java/tinroad/config/ValidationErrors.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * Lines for operators, a line a fault. Guards against a table that is wrong throughout: of many
- * only the first are kept, the rest counted.
+ * Validation errors, each a line for operators. Guards against a table with an error in every
+ * entry: only the first errors are retained, the others are counted.
  */
 public final class ValidationErrors {
-    /** Lines that are told. */
+    /** Errors that are retained; later ones are only counted. */
     public static final int MAX_REPORTED = 100;
 
     private final List<String> lines = new ArrayList<>();
     private int more;
 
-    /** One more fault. */
+    /** Adds an error. */
     public void add(String line) {
         if (lines.size() < MAX_REPORTED) {
             lines.add(line);
@@ -33,7 +33,7 @@
         return lines.isEmpty();
     }
 
-    /** What is told: a line each, and the last one counts those left out. */
+    /** The errors, a line each; if some were only counted, the last line says how many. */
     public List<String> lines() {
         List<String> all = new ArrayList<>(lines);
         if (more > 0) {
--- a/src/main/java/tinroad/config/package-info.java
+++ b/src/main/java/tinroad/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The platform's configuration and the settings in it, as typed values or as faults, a line each;
- * the one parser and the one check of classes and tenants. Called at the start, at re-reads, and by
- * {@code catalog} for changes; knows nothing of what they are used for.
+ * The platform's configuration and the settings in it, as typed values or as validation errors, a
+ * line each; the only parser and the only validation of classes and tenants. Called at the start,
+ * at reloads, and by {@code catalog} for changes; may not know what the values are used for.
  */
 package tinroad.config;
--- a/src/main/java/tinroad/engine/EngineEvent.java
+++ b/src/main/java/tinroad/engine/EngineEvent.java
@@ -35,7 +35,7 @@
     }
 
     /**
-     * The engine is there.
+     * The engine answered ATTACH.
      *
      * @param newProcess whether it says that it has just started
      * @param startedMillisAgo how long ago it started, in ms
--- a/src/main/java/tinroad/engine/EngineLink.java
+++ b/src/main/java/tinroad/engine/EngineLink.java
@@ -20,6 +20,12 @@
  * another address. Commands go to one connection at a time; events are read from earlier ones, too,
  * until those end.
  *
+ * <p>Keeps no requests: while it is down {@link #run} returns NOT_SENT. What becomes of the
+ * requests in flight when it breaks, and which are sent again, is decided in {@code
+ * core.EngineRecovery}; the order of calls is that of {@link Engine.Listener}: onDetached (not on a
+ * switch of the address), then after a reconnect onAttached, the events from before, and
+ * onCaughtUp.
+ *
  * <p>The event loop owns all of it; only {@link #engineReachable} may be called from other threads.
  */
 public final class EngineLink implements Engine {
@@ -203,7 +209,10 @@
         listener.onAttached(event.newProcess(), event.startedMillisAgo());
     }
 
-    /** A connection ended, and perhaps the one that commands went to. */
+    /**
+     * A connection ended; if it was the active one, the link is down until the next {@link
+     * #attach}.
+     */
     void onDisconnected(ChannelHandlerContext connection, int attempt) {
         if (connection == active) {
             active = null;
--- a/src/main/java/tinroad/fastcgi/FastCgiFrontend.java
+++ b/src/main/java/tinroad/fastcgi/FastCgiFrontend.java
@@ -164,7 +164,8 @@
     /**
      * Whether another process listens there.
      *
-     * @param sharing only a listener that does not share its address (SO_REUSEPORT) counts
+     * @param sharing whether a listener that shares its address (SO_REUSEPORT) does not count: true
+     *     asks whether this process could not listen beside it
      */
     public static boolean isAddressTaken(InetSocketAddress address, boolean sharing)
             throws IOException {
--- a/src/main/java/tinroad/fastcgi/RecordDecoder.java
+++ b/src/main/java/tinroad/fastcgi/RecordDecoder.java
@@ -8,10 +8,10 @@
 import java.nio.ByteOrder;
 
 /**
- * Cuts what comes in into records, header and padding included, as slices of the buffer that they
- * were read into. A record of another version means that the framing is lost: {@link #FRAMING_LOST}
- * is fired after all records before it, and what follows is thrown away. A record that is too long
- * is skipped, and {@link TooLong} fired.
+ * Splits the input into records, header and padding included, as slices of the read buffer. A
+ * record of another version means that the framing is lost: {@link #FRAMING_LOST} is fired after
+ * all records before it, and all further input is discarded. A record that is too long is skipped,
+ * and {@link TooLong} fired.
  */
 final class RecordDecoder extends LengthFieldBasedFrameDecoder {
     /** The user event for lost framing. */
@@ -81,12 +81,12 @@
                         + (long) buf.getUnsignedByte(offset + PADDING_OFFSET - LENGTH_OFFSET);
     }
 
-    /** Throws away all that still comes. */
+    /** Discards all further input. */
     void discardInput() {
         framingLost = true;
     }
 
-    /** Whether a record has begun to come in and is not whole yet. */
+    /** Whether a record has arrived in part. */
     boolean midRecord() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/tinroad/fastcgi/RequestParameters.java
+++ b/src/main/java/tinroad/fastcgi/RequestParameters.java
@@ -13,7 +13,7 @@
     private static final int MAX_KEY_CHARACTERS = 128;
     private static final int MAX_TOKEN_CHARACTERS = 64;
 
-    /** No caller waits for longer than a day, in ms; what says so is no wait. */
+    /** Upper bound of a client timeout, a day; a request with a longer one is malformed. */
     private static final double MAX_CLIENT_TIMEOUT_MILLIS = 86_400_000;
 
     private String method;
@@ -38,19 +38,22 @@
         void pair(String name, ByteBuf in, int length);
     }
 
-    /** Reads the fields; what does not come out even is malformed as a whole. */
+    /**
+     * Reads the fields; if the pairs are truncated or a field is repeated, the request is
+     * malformed.
+     */
     static RequestParameters read(ByteBuf in) {
         RequestParameters parameters = new RequestParameters();
         parameters.wellFormed = true;
-        // Apart: what a field given twice says meanwhile counts too.
+        // Not in one expression: a field given twice clears wellFormed during the call.
         boolean even = pairs(in, parameters::set);
         parameters.wellFormed &= even;
         return parameters;
     }
 
     /**
-     * Reads all pairs; false where they don't come out even: then the request is malformed, not the
-     * connection.
+     * Reads all pairs; false if the last one is truncated: then the request is malformed, and the
+     * connection stays in use.
      */
     static boolean pairs(ByteBuf in, Visitor visitor) {
         while (in.isReadable()) {
@@ -95,8 +98,8 @@
     }
 
     /**
-     * Guards against a field given twice, of which nobody can tell which one its caller meant:
-     * malformed as a whole.
+     * Reads a value. Guards against a field given twice, which is ambiguous: the request is
+     * malformed.
      */
     private String once(String before, ByteBuf in, int length) {
         wellFormed &= before == null;
@@ -107,9 +110,7 @@
         return wellFormed && HEALTH.equals(script);
     }
 
-    /**
-     * The request in the gateway's own terms, or null where a field is missing or out of its range.
-     */
+    /** The request as the gateway takes it, or null if a field is missing or out of its range. */
     IncomingRequest toIncomingRequest(ByteBuf body) {
         if (!wellFormed
                 || !"POST".equals(method)
--- a/src/main/java/tinroad/fastcgi/ResponseWriter.java
+++ b/src/main/java/tinroad/fastcgi/ResponseWriter.java
@@ -11,14 +11,15 @@
 final class ResponseWriter {
     private static final int HEADER_CAPACITY_BYTES = 256;
 
-    /** No level is told beyond this: callers read what is said as a plain number. */
+    /** Upper bound of the load level that is sent: clients parse it as a plain decimal number. */
     private static final double MAX_LOAD_LEVEL = 1e9;
 
     private ResponseWriter() {}
 
     /**
-     * A whole answer: the CGI response, the end of its stream and the end of the request. {@code
-     * level} NaN: none.
+     * A complete response: the CGI response, the end of its stream and the end of the request.
+     *
+     * @param loadLevel sent as {@code Srv-Load}; NaN for none
      */
     static ByteBuf response(
             ByteBufAllocator allocator, int id, Response response, double loadLevel) {
@@ -54,7 +55,7 @@
         return complete(out, record, id);
     }
 
-    /** The answer to a health check. */
+    /** The response to a health check; the load level as in {@link #response}. */
     static ByteBuf health(ByteBufAllocator allocator, int id, boolean healthy, double loadLevel) {
         ByteBuf out = allocator.buffer(HEADER_CAPACITY_BYTES);
         int record = begin(out, FastCgi.STDOUT, id);
@@ -64,7 +65,7 @@
         return complete(out, record, id);
     }
 
-    /** The free value in thousandths, as a plain decimal number: no sign, no exponent. */
+    /** Writes {@code Srv-Load} with three decimals, without sign or exponent; nothing for NaN. */
     private static void level(ByteBuf out, double loadLevel) {
         if (!Double.isNaN(loadLevel)) {
             long thousandths = Math.round(Math.max(0, Math.min(loadLevel, MAX_LOAD_LEVEL)) * 1000);
@@ -73,7 +74,7 @@
         }
     }
 
-    /** The end of a request with no response, for one that the protocol itself turns away. */
+    /** The end of a request without a response: rejected by FastCGI with this protocol status. */
     static ByteBuf end(ByteBufAllocator allocator, int id, int protocolStatus) {
         ByteBuf out = allocator.buffer(2 * FastCgi.HEADER_BYTES);
         writeEnd(out, id, protocolStatus);
--- a/src/main/java/tinroad/node/CatalogUpdater.java
+++ b/src/main/java/tinroad/node/CatalogUpdater.java
@@ -30,6 +30,11 @@
  * serves. Reading, validating and comparing happen on one thread of its own, "catalog", whatever
  * the source; the event loop receives only the differences. One version is handed over at a time:
  * the next one waits until it is in force, which bounds what is pending.
+ *
+ * <p>The way of a changed quota: {@link #apply} or a poll of the change log reads and validates it
+ * here; the gateway stages the differences in slices and commits them at one instant ({@code
+ * core.CatalogRollout}); from that commit on the controller uses the new quota, and "settings in
+ * force" is logged (at debug level while a change log is followed).
  */
 final class CatalogUpdater implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("catalog");
--- a/src/main/java/tinroad/node/NodeShutdown.java
+++ b/src/main/java/tinroad/node/NodeShutdown.java
@@ -17,6 +17,20 @@
  * Graceful shutdown of one gateway: when admission closes, when connections are closed, and when
  * the process may end. {@link #begin} is called on the thread that the shutdown notice arrives on,
  * the waits block their caller; everything else runs on the event loop.
+ *
+ * <p>The log lines, in their order:
+ *
+ * <ul>
+ *   <li>"shutdown notice received before listening": no client could connect; nothing else follows.
+ *   <li>"replaced by another process": a later process listens; this one does not wait for its exit
+ *       time, and sends no more load reports.
+ *   <li>"draining: N requests in flight, N ms left" (logger "gateway"): the notice is being
+ *       handled; the ms are those until the exit time, which lies before the kill by the exit
+ *       margin.
+ *   <li>"drained": every request is answered and every connection closed, at the exit time or, if
+ *       replaced, before; the state is saved and the process ends. If this line is missing, the
+ *       time until the kill ran out with requests or connections left.
+ * </ul>
  */
 final class NodeShutdown {
     /**
