--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -136,9 +136,9 @@
     /** What leads from a version to a file, which is read as a stream. */
     private static CatalogChange change(Catalog from, String file, LogPosition as)
             throws ConfigException {
-        FullSnapshotDiff whole = new FullSnapshotDiff(from);
-        GatewayConfig.read(Path.of(file), whole);
-        return whole.change(as.epoch(), as.number());
+        FullSnapshotDiff diff = new FullSnapshotDiff(from);
+        GatewayConfig.read(Path.of(file), diff);
+        return diff.change(as.epoch(), as.number());
     }
 
     private void show(PrintStream out) throws ConfigException, IOException {
--- a/src/main/java/tinroad/cli/ProcessLog.java
+++ b/src/main/java/tinroad/cli/ProcessLog.java
@@ -13,8 +13,8 @@
 final class ProcessLog {
     private final LogConfigurator configurator;
 
-    private ProcessLog(LogConfigurator format) {
-        this.configurator = format;
+    private ProcessLog(LogConfigurator configurator) {
+        this.configurator = configurator;
     }
 
     static ProcessLog of(OperatorConfig operator) {
--- a/src/main/java/tinroad/config/ConfigSource.java
+++ b/src/main/java/tinroad/config/ConfigSource.java
@@ -1,12 +1,12 @@
 package tinroad.config;
 
-/** Where the configuration is read from, again and again. */
+/** Where the configuration is read from, at the start and at each reload. */
 @FunctionalInterface
 public interface ConfigSource {
     /** The configuration as it is now; classes and tenants go to {@code visitor} as they come. */
     GatewayConfig read(SiteVisitor visitor) throws ConfigException;
 
-    /** Whether it may say something else than when it was read last. */
+    /** Whether the configuration may have changed since it was read last. */
     default boolean changed() {
         return true;
     }
--- a/src/main/java/tinroad/config/GatewayConfig.java
+++ b/src/main/java/tinroad/config/GatewayConfig.java
@@ -30,7 +30,8 @@
  * @param stopMillis time from SIGTERM to the kill
  * @param sockets file descriptors that the process may hold
  * @param memoryMb memory that the process may take
- * @param site the settings of the controller, with the names behind its numbers
+ * @param site the settings of the overload controller, with the names of classes, tenants and
+ *     gauges
  */
 public record GatewayConfig(
         String name,
--- a/src/main/java/tinroad/config/Site.java
+++ b/src/main/java/tinroad/config/Site.java
@@ -4,15 +4,15 @@
 import tinroad.overload.Controller;
 
 /**
- * The settings as the module takes them, and the names behind its numbers: classes, tenants and
- * gauges.
+ * The settings as the overload controller takes them, which knows classes, tenants and gauges by
+ * index only, and the names at those indexes.
  */
 public record Site(
         Controller.Settings settings,
         List<String> classNames,
         List<String> tenantNames,
         List<String> gaugeNames) {
-    /** The same site with its first classes and tenants alone, so many of each at most. */
+    /** The same site with its first classes and tenants only, at most {@code max} of each. */
     public Site first(int max) {
         if (classNames.size() <= max && tenantNames.size() <= max) {
             return this;
--- a/src/main/java/tinroad/engine/EngineLink.java
+++ b/src/main/java/tinroad/engine/EngineLink.java
@@ -22,7 +22,8 @@
  *
  * <p>Keeps no requests: while it is down {@link #run} returns NOT_SENT. What becomes of the
  * requests in flight when it breaks, and which are sent again, is decided in {@code
- * core.EngineRecovery}; the order of calls is that of {@link Engine.Listener}: onDetached (not on a
+ * core.EngineRecovery}; a request whose run was lost for good is answered at its deadline by {@code
+ * core.DeadlineGuard}. The order of calls is that of {@link Engine.Listener}: onDetached (not on a
  * switch of the address), then after a reconnect onAttached, the events from before, and
  * onCaughtUp.
  *
--- a/src/main/java/tinroad/fastcgi/ClientConnection.java
+++ b/src/main/java/tinroad/fastcgi/ClientConnection.java
@@ -56,14 +56,15 @@
     private boolean closeWhenDone;
     private boolean idleInLastPass;
 
-    /**
-     * Records read so far; with the count and the time at which the present partial record was
-     * first seen.
-     */
+    /** Complete records read so far. */
     private int recordsRead;
 
+    /** The value of {@link #recordsRead} when the present partial record was first seen. */
     private int recordsBeforePartial = -1;
+
+    /** When the present partial record was first seen, in Unix ms; valid in mid-record only. */
     private double partialSinceMillis;
+
     private boolean overdueInLastPass;
     private boolean rejecting;
 
@@ -72,8 +73,8 @@
 
     private int strayBytes;
 
-    ClientConnection(FastCgiFrontend front, Gateway gateway, RecordDecoder decoder) {
-        this.frontend = front;
+    ClientConnection(FastCgiFrontend frontend, Gateway gateway, RecordDecoder decoder) {
+        this.frontend = frontend;
         this.gateway = gateway;
         this.decoder = decoder;
     }
--- a/src/main/java/tinroad/fastcgi/PendingRequest.java
+++ b/src/main/java/tinroad/fastcgi/PendingRequest.java
@@ -29,10 +29,11 @@
     private Part parameters = Part.EMPTY;
     private Part body = Part.EMPTY;
 
-    PendingRequest(ClientConnection connection, int id, double begunAt, boolean keepConnection) {
+    PendingRequest(
+            ClientConnection connection, int id, double begunAtMillis, boolean keepConnection) {
         this.connection = connection;
         this.id = id;
-        this.begunAtMillis = begunAt;
+        this.begunAtMillis = begunAtMillis;
         this.keepConnection = keepConnection;
     }
 
