--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -112,12 +112,12 @@
                 default -> publish(out);
             }
             return SUCCESS;
-        } catch (ConfigException entry) {
-            entry.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
-        } catch (NoSuchFileException entry) {
-            err.println("tinroad: " + entry.getMessage() + ": no such file or folder");
-        } catch (IOException entry) {
-            err.println("tinroad: " + entry.getMessage());
+        } catch (ConfigException e) {
+            e.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
+        } catch (NoSuchFileException e) {
+            err.println("tinroad: " + e.getMessage() + ": no such file or folder");
+        } catch (IOException e) {
+            err.println("tinroad: " + e.getMessage());
         }
         return FAILURE;
     }
@@ -136,9 +136,9 @@
     /** What leads from a version to a file, which is read as a stream. */
     private static CatalogChange change(Catalog from, String file, LogPosition as)
             throws ConfigException {
-        FullSnapshotDiff whole = new FullSnapshotDiff(from);
-        GatewayConfig.read(Path.of(file), whole);
-        return whole.change(as.epoch(), as.number());
+        FullSnapshotDiff diff = new FullSnapshotDiff(from);
+        GatewayConfig.read(Path.of(file), diff);
+        return diff.change(as.epoch(), as.number());
     }
 
     private void show(PrintStream out) throws ConfigException, IOException {
