--- a/src/main/java/tinroad/fastcgi/ClientConnection.java
+++ b/src/main/java/tinroad/fastcgi/ClientConnection.java
@@ -81,8 +81,6 @@
         this.decoder = decoder;
     }
 
-    // --- records in ---
-
     @Override
     public void channelActive(ChannelHandlerContext context) {
         handlerContext = context;
@@ -233,8 +231,6 @@
         return frontend.reserveBytes(bytes);
     }
 
-    // --- responses out ---
-
     /**
      * Writes a final response; drops it if the connection is closed. Guards the gateway against a
      * failed write, such as direct memory exhausted by clients that do not read: only this
