--- a/src/main/java/tinroad/node/NodeShutdown.java
+++ b/src/main/java/tinroad/node/NodeShutdown.java
@@ -27,8 +27,8 @@
  *   <li>"draining: N requests in flight, N ms left" (logger "gateway"): the notice is being
  *       handled; the ms are those until the exit time, which lies before the kill by the exit
  *       margin.
- *   <li>"controller: draining, leave in N ms" (logger "gateway"): the overload controller knows it
- *       too; it comes late or never if the engine has not been attached yet.
+ *   <li>"controller: draining, shutdown in N ms" (logger "gateway"): the overload controller knows
+ *       it too; it comes late or never if the engine has not been attached yet.
  *   <li>"drained": every request is answered and every connection closed, at the exit time or, if
  *       replaced, before; the state is saved and the process ends. If this line is missing, the
  *       time until the kill ran out with requests or connections left.
--- a/src/main/java/tinroad/overload/HealthPolicy.java
+++ b/src/main/java/tinroad/overload/HealthPolicy.java
@@ -143,8 +143,8 @@
             closedLogged = admissionClosed();
             actions.log(
                     !closedLogged
-                            ? "open again"
-                            : (hung ? "nothing ends" : "runs fail") + ": admission shut");
+                            ? "admission open again"
+                            : "admission closed: " + (hung ? "no run has completed" : "runs fail"));
         }
         boolean unhealthy = failing && failedShare > UNHEALTHY_SHARE && !othersFail();
         boolean now = !hung && !unhealthy && !draining.isDraining();
--- a/src/main/java/tinroad/overload/OverloadController.java
+++ b/src/main/java/tinroad/overload/OverloadController.java
@@ -340,7 +340,7 @@
         draining.beginDraining(nowMillis, shutdownAtMillis);
         health.beginDraining();
         idleTimeout.beginDraining();
-        actions.log("draining, leave in " + Math.round(shutdownAtMillis - nowMillis) + " ms");
+        actions.log("draining, shutdown in " + Math.round(shutdownAtMillis - nowMillis) + " ms");
     }
 
     @Override
--- a/src/test/java/tinroad/overload/OverloadControllerTest.java
+++ b/src/test/java/tinroad/overload/OverloadControllerTest.java
@@ -599,7 +599,7 @@
         f.after(10000);
         List<String> lines = take();
         assertTrue(
-                lines.contains("health true true") && lines.contains("log open again"),
+                lines.contains("health true true") && lines.contains("log admission open again"),
                 lines.toString());
     }
 
@@ -613,7 +613,7 @@
         }
         f.after(20);
         List<String> lines = take();
-        assertTrue(lines.contains("log runs fail: admission shut"), lines.toString());
+        assertTrue(lines.contains("log admission closed: runs fail"), lines.toString());
         assertFalse(lines.contains("health false true"), lines.toString());
     }
 
@@ -651,12 +651,12 @@
             f.ended("b" + i, Outcome.FAILED);
         }
         List<String> lines = take();
-        assertTrue(lines.contains("log runs fail: admission shut"), lines.toString());
+        assertTrue(lines.contains("log admission closed: runs fail"), lines.toString());
         assertFalse(lines.contains("health false true"));
         // Nobody asks any more, and nothing ends: the evidence fades.
         f.after(10_000);
         lines = take();
-        assertTrue(lines.contains("log open again"), lines.toString());
+        assertTrue(lines.contains("log admission open again"), lines.toString());
     }
 
     @Test
