--- a/src/main/java/tinroad/admin/RecoveryResource.java
+++ b/src/main/java/tinroad/admin/RecoveryResource.java
@@ -17,7 +17,7 @@
                 json -> {
                     json.writeStringField("phase", phaseName(tracker));
                     json.writeNumberField(
-                            "since_ms", Math.round(gateway.nowMillis() - tracker.since()));
+                            "since_ms", Math.round(gateway.nowMillis() - tracker.sinceMillis()));
                     json.writeStringField("why", tracker.reason());
                     AdminResponses.writeNumber(
                             json, "shown_per_s", tracker.demonstratedRatePerSecond());
--- a/src/main/java/tinroad/fleet/FailureDetector.java
+++ b/src/main/java/tinroad/fleet/FailureDetector.java
@@ -7,8 +7,8 @@
 
 /**
  * SWIM's failure detector: one probe at a time, a direct ping first, then ping-reqs to a few others
- * that ping on this member's behalf. With Lifeguard's nacks: another that has no answer either says
- * so, and a missing nack lowers this member's own health.
+ * that ping on this member's behalf. With Lifeguard's nacks: another that has no ack either sends a
+ * nack, and a missing nack lowers this member's own health.
  */
 final class FailureDetector {
     /** The part of the probe period after which a probe without an ack has failed. */
--- a/src/main/java/tinroad/fleet/MemberState.java
+++ b/src/main/java/tinroad/fleet/MemberState.java
@@ -1,6 +1,6 @@
 package tinroad.fleet;
 
-/** What this process holds of one other member. Changed by {@link MemberTable} only. */
+/** What this process knows of one other member. Changed by {@link MemberTable} only. */
 final class MemberState {
     private MemberUpdate update;
     private double sinceMillis;
--- a/src/main/java/tinroad/fleet/MemberStatus.java
+++ b/src/main/java/tinroad/fleet/MemberStatus.java
@@ -5,9 +5,9 @@
  * here overrides the other. Operators see the names in lower case.
  */
 public enum MemberStatus {
-    /** It answers probes, or another member has heard from it. */
+    /** Not suspected, by the update that overrides all others received. */
     ALIVE,
-    /** A probe of it failed; it may still refute the suspicion. */
+    /** A probe by this or another member failed; it may still refute the suspicion. */
     SUSPECT,
     /** It did not refute the suspicion in time. */
     DEAD,
--- a/src/main/java/tinroad/fleet/MemberTable.java
+++ b/src/main/java/tinroad/fleet/MemberTable.java
@@ -43,14 +43,13 @@
     }
 
     /**
-     * Whether an unknown member is taken up: one that is over already is not, nor one beyond the
-     * bound.
+     * Whether an unknown member is added: not where the update is terminal, nor beyond the bound.
      */
     boolean admits(MemberUpdate update) {
         return members.size() < config.maxMembers() && !update.status().isTerminal();
     }
 
-    /** Applies an update that overrides what is held. */
+    /** Applies an update that overrides the current one of its member. */
     void apply(double nowMillis, MemberUpdate update) {
         MemberState member = members.get(update.name());
         if (member == null) {
--- a/src/main/java/tinroad/fleet/MemberUpdate.java
+++ b/src/main/java/tinroad/fleet/MemberUpdate.java
@@ -19,22 +19,23 @@
         String by) {
 
     /**
-     * Whether this overrides {@code held}, which may be null. A join of a lattice: all who received
-     * the same updates hold the same, in whatever order and however often they came.
+     * Whether this overrides {@code current}, which may be null. A join of a lattice: all who
+     * received the same updates end with the same one, in whatever order and however often they
+     * came.
      */
-    public boolean overrides(MemberUpdate held) {
-        if (held == null) {
+    public boolean overrides(MemberUpdate current) {
+        if (current == null) {
             return true;
         }
-        if (!incarnation.sameMembership(held.incarnation)) {
-            return incarnation.compareTo(held.incarnation) > 0;
+        if (!incarnation.sameMembership(current.incarnation)) {
+            return incarnation.compareTo(current.incarnation) > 0;
         }
         // A terminal status is not refuted, whatever is claimed: only a new membership follows it.
-        if (status.isTerminal() || held.status.isTerminal()) {
-            return status.compareTo(held.status) > 0;
+        if (status.isTerminal() || current.status.isTerminal()) {
+            return status.compareTo(current.status) > 0;
         }
-        int order = incarnation.compareTo(held.incarnation);
-        return order > 0 || (order == 0 && status.compareTo(held.status) > 0);
+        int order = incarnation.compareTo(current.incarnation);
+        return order > 0 || (order == 0 && status.compareTo(current.status) > 0);
     }
 
     /** The same member and incarnation with another status, claimed by {@code claimant}. */
--- a/src/main/java/tinroad/fleet/Membership.java
+++ b/src/main/java/tinroad/fleet/Membership.java
@@ -12,8 +12,8 @@
  * One member's part in the membership protocol of the fleet: SWIM (Das, Gupta, Motivala, DSN 2002)
  * with the extensions of Lifeguard (Dadgar, Phillips, Currey, 2017: local health, dynamic suspicion
  * timeout, buddy system). Members are probed in rounds, suspected before they are declared dead,
- * and refute what is claimed of them; updates ride on the messages of the probes. Beyond the
- * papers: an anti-entropy sync, and many members that fall silent together are taken for a network
+ * and refute what is claimed of them; updates are piggybacked on the messages of the probes. Beyond
+ * the papers: an anti-entropy sync, and many members suspected at once are taken for a network
  * partition.
  *
  * <p>A pure state machine: messages and times (ms) go in, messages and changes go out through
@@ -27,14 +27,14 @@
         void send(String address, Message message);
 
         /**
-         * The update that is held of a member has changed; {@code before} is null where the member
-         * was unknown.
+         * The current update on a member has changed; {@code before} is null where the member was
+         * unknown.
          */
         void memberChanged(double nowMillis, MemberUpdate before, MemberUpdate after);
     }
 
     /**
-     * The update held of a member.
+     * The current update on a member.
      *
      * @param sinceMillis ms since it was applied
      */
@@ -102,11 +102,13 @@
         if (left) {
             return;
         }
+        // Suspected: no ack to a direct ping or a ping-req by the probe's deadline.
         MemberState unreachable = failureDetector.checkProbe(nowMillis);
         if (unreachable != null) {
             apply(nowMillis, unreachable.update().as(MemberStatus.SUSPECT, self.name()));
         }
         failureDetector.sendDueNacks(nowMillis);
+        // Dead: no refutation by the deadline, which an assumed partition moves on for a while.
         for (String name : suspicions.expired(nowMillis, members.aliveMembers())) {
             apply(nowMillis, members.get(name).update().as(MemberStatus.DEAD, self.name()));
         }
@@ -117,7 +119,7 @@
 
     /**
      * Guards the others against a member that was paused, and whose timers all fire at once: it
-     * can't hold against them what it did not receive.
+     * must not suspect them for acks that it could not receive. Plain SWIM does without.
      */
     private void onPause(double nowMillis, double pauseMillis) {
         if (!health.enabled()) {
@@ -129,7 +131,7 @@
         sync.syncAtNextTick(nowMillis);
     }
 
-    /** Sends news to a few members at once, at most once in a pause. */
+    /** Sends new updates to a few members at once, with a least pause between two rounds. */
     private void gossipIfDue(double nowMillis) {
         if (gossipPending && nowMillis >= nextGossipMillis) {
             gossipPending = false;
@@ -162,7 +164,10 @@
         }
     }
 
-    /** Applies an update if it overrides what is held. */
+    /**
+     * Applies an update, received or of this member's own failure detector, if it overrides the
+     * current one.
+     */
     private void apply(double nowMillis, MemberUpdate update) {
         if (update.name().equals(self.name())) {
             refute(nowMillis, update);
@@ -187,10 +192,10 @@
         disseminate(nowMillis, before, update);
     }
 
-    private static boolean confirmsSuspicion(MemberUpdate held, MemberUpdate update) {
-        return held.status() == MemberStatus.SUSPECT
+    private static boolean confirmsSuspicion(MemberUpdate current, MemberUpdate update) {
+        return current.status() == MemberStatus.SUSPECT
                 && update.status() == MemberStatus.SUSPECT
-                && update.incarnation().equals(held.incarnation());
+                && update.incarnation().equals(current.incarnation());
     }
 
     private void refute(double nowMillis, MemberUpdate claim) {
@@ -212,7 +217,7 @@
         transport.memberChanged(nowMillis, before, after);
     }
 
-    /** Leaves the fleet: says so to a few members, which pass it on. Nothing is sent after it. */
+    /** Leaves the fleet: notifies a few members, which pass it on. Nothing is sent after it. */
     public void leave(double nowMillis) {
         MemberUpdate before = self.update();
         self.leave();
@@ -248,7 +253,7 @@
         return members.all().stream().map(MemberState::update).toList();
     }
 
-    /** The update held of another member, or null where it is unknown. */
+    /** The current update on another member, or null where it is unknown. */
     public MemberUpdate member(String name) {
         MemberState member = members.get(name);
         return member == null ? null : member.update();
--- a/src/main/java/tinroad/fleet/MembershipConfig.java
+++ b/src/main/java/tinroad/fleet/MembershipConfig.java
@@ -13,15 +13,15 @@
  * @param confirmations suspicions by others after which the minimum holds
  * @param maxHealthPenalty bound of the local health penalty: period and timeouts of probes are
  *     multiplied by 1 to this plus 1; 0 turns off local health and nacks
- * @param gossipFanout members that news are sent to at once
- * @param gossipPauseMillis between two such rounds; bounds what incoming news can make a member
+ * @param gossipFanout members that new updates are sent to at once
+ * @param gossipPauseMillis between two such rounds; bounds what incoming updates can make a member
  *     send
  * @param retransmitMultiplier an update is sent this often, times the binary logarithm of the
  *     fleet's size
  * @param maxPiggybackedUpdates in one message
  * @param syncPeriodMillis between two anti-entropy syncs
  * @param partitionShare share of the members that, suspected at once, is taken for a partition
- * @param partitionMinMembers and at least so many
+ * @param partitionMinMembers suspects without which no partition is assumed, whatever their share
  * @param partitionWaitMillis while a partition is assumed, no suspect is declared dead this long
  * @param terminalRetentionMillis how long a terminal member is remembered
  * @param maxMembers other members known at most
--- a/src/main/java/tinroad/fleet/MembershipView.java
+++ b/src/main/java/tinroad/fleet/MembershipView.java
@@ -40,7 +40,9 @@
         this.digests = digests;
     }
 
-    /** With this digest, if it is later than the one held; members beyond a bound are left out. */
+    /**
+     * With this digest, if it is later than the current one; members beyond a bound are left out.
+     */
     public MembershipView merge(double nowMillis, LoadDigest digest) {
         ReceivedDigest before = digests.get(digest.name());
         if (!digest.laterThan(before == null ? null : before.digest)
@@ -105,7 +107,7 @@
         return digests.size();
     }
 
-    /** Whether both hold the same digests, whenever they received them. */
+    /** Whether both contain the same digests, whenever they received them. */
     public boolean knowsTheSame(MembershipView other) {
         return digests.size() == other.digests.size()
                 && digests.entrySet().stream()
--- a/src/main/java/tinroad/fleet/Message.java
+++ b/src/main/java/tinroad/fleet/Message.java
@@ -21,7 +21,8 @@
     record Nack(long number, List<MemberUpdate> updates) implements Message {}
 
     /**
-     * A part of the sender's member table, or news; {@code replyWanted}: the receiver's in turn.
+     * A part of the sender's member table, or new updates; {@code replyWanted}: the receiver is to
+     * send a part of its own.
      */
     record Sync(boolean replyWanted, List<MemberUpdate> updates) implements Message {}
 }
--- a/src/main/java/tinroad/fleet/PiggybackQueue.java
+++ b/src/main/java/tinroad/fleet/PiggybackQueue.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * SWIM's infection-style dissemination: recent updates ride on the messages that are sent anyway,
- * each one a number of times that grows with the logarithm of the fleet. At most one update for
- * each member.
+ * SWIM's infection-style dissemination: recent updates go with messages that are sent anyway, each
+ * one a number of times that grows with the logarithm of the fleet. At most one update for each
+ * member.
  */
 final class PiggybackQueue {
     private static final double LN2 = Math.log(2);
--- a/src/main/java/tinroad/fleet/ProbeOrder.java
+++ b/src/main/java/tinroad/fleet/ProbeOrder.java
@@ -6,8 +6,9 @@
 import java.util.SplittableRandom;
 
 /**
- * SWIM's round-robin probe order: each round is shuffled and holds every member once, which bounds
- * the time until a failed member is probed. A new member gets a random place in the round.
+ * SWIM's round-robin probe order: each round is shuffled and contains every member once, which
+ * bounds the time until a failed member is probed. A new member gets a random position in the
+ * round.
  */
 final class ProbeOrder {
     private final MemberTable members;
--- a/src/main/java/tinroad/overload/ActiveRequest.java
+++ b/src/main/java/tinroad/overload/ActiveRequest.java
@@ -36,7 +36,13 @@
     /** When its answer would meet the latency objective at the latest. */
     final double objectiveAtMillis;
 
+    /**
+     * Priority that the client gave it, 0 to 1; the order in the queue is {@link
+     * RequestPriority}'s.
+     */
     final double priority;
+
+    /** The client marked it as a retry. */
     final boolean retry;
 
     /** Work that the client announced for it; 0: not announced. */
@@ -59,7 +65,7 @@
     double pausedAtMillis;
     double pausedAtCoreMillis;
 
-    /** Time that its run has been paused for calls. */
+    /** How long its run has been paused for calls so far. */
     double pausedMillis;
 
     /**
--- a/src/main/java/tinroad/overload/AdmissionControl.java
+++ b/src/main/java/tinroad/overload/AdmissionControl.java
@@ -66,7 +66,10 @@
         this.estimator = estimator;
     }
 
-    /** Whether this arrival is admitted, which trial requests and the cutoff take note of. */
+    /**
+     * Whether this arrival is admitted. To be called once for each: it counts trial requests, and
+     * reports an objective that cannot be met to the cutoff.
+     */
     boolean admits(ActiveRequest request, RequestClass requestClass, double nowMillis) {
         return memory.fits(requestClass)
                 && !draining.isTooLate(request, nowMillis)
--- a/src/main/java/tinroad/overload/CancellationPolicy.java
+++ b/src/main/java/tinroad/overload/CancellationPolicy.java
@@ -31,10 +31,10 @@
     }
 
     /**
-     * A run past its objective is not worth its cores, and may be stopped. Guards against oversized
-     * requests.
+     * Whether a run past its objective may be canceled to free its core: it is oversized, its late
+     * answer would have no weight, and it may be run again. The caller has checked that it is late.
      */
-    boolean isWorthless(ActiveRequest request) {
+    boolean mayCancelLate(ActiveRequest request) {
         boolean oversized =
                 settings.cancellationMode() != CancellationMode.NONE
                         && cores.servedMillis(request)
--- a/src/main/java/tinroad/overload/ConcurrencyLimit.java
+++ b/src/main/java/tinroad/overload/ConcurrencyLimit.java
@@ -37,8 +37,9 @@
     }
 
     /**
-     * Runs, those paused for calls included, that the server survives with a reserve, at least 1;
-     * fewer while it is warming up.
+     * Runs, those paused for calls included, that the server survives with a reserve, at least 1.
+     * After a cold start fewer, more by the clock until {@link Rules#slowStartMillis()} have
+     * passed.
      */
     double survivable() {
         Rules rules = settings.rules();
--- a/src/main/java/tinroad/overload/CoreUsage.java
+++ b/src/main/java/tinroad/overload/CoreUsage.java
@@ -11,10 +11,16 @@
     private final Settings settings;
     private final ControllerClock clock;
     private int running;
+
+    /** Runs before the latest event that time passed to. */
     private int runningBefore;
+
     private int paused;
     private double coreMillis;
+
+    /** Moving averages of runs, and of those of them that are on a core or want one. */
     private double meanRunning;
+
     private double meanOnCores;
 
     CoreUsage(Settings settings, ControllerClock clock) {
--- a/src/main/java/tinroad/overload/DependencyCalls.java
+++ b/src/main/java/tinroad/overload/DependencyCalls.java
@@ -11,7 +11,7 @@
 /**
  * The calls of runs to the dependency: when each is made, how many at once, and which runs go on
  * without. Guards the dependency: this server never has more calls in flight than its quota, those
- * that timed out included, and fewer while calls are slow or fail.
+ * abandoned ones included, and fewer while calls are slow or fail.
  */
 final class DependencyCalls {
     /** Part of this server's quota of concurrent calls that is ever used. */
@@ -40,12 +40,18 @@
     /** Paused runs whose call is not made yet. */
     private final List<ActiveRequest> waiting = new ArrayList<>();
 
-    /** When each call that timed out has left the dependency, too. */
+    /** When each abandoned call has left the dependency, too. */
     private final ArrayDeque<Double> lingeringUntilMillis = new ArrayDeque<>();
 
     private int inFlight;
+
+    /** Latency of calls while calm; 0: none has ended yet. */
     private double calmCallMillis;
+
+    /** Moving average of the latency of calls; 0: none has ended yet. */
     private double callMillis;
+
+    /** Calls in flight at most, by their latency and failures; the quota is a second bound. */
     private double callLimit = Double.MAX_VALUE;
 
     /** Call time used beyond the quota so far, in ms. */
@@ -96,8 +102,8 @@
     }
 
     /**
-     * Makes what calls may be made; what cannot call in time goes on without, where that has a
-     * weight.
+     * Makes the calls that are allowed now. A run that cannot call in time, or has waited for a
+     * tick, goes on without its call, where its class gives a degraded answer a weight.
      */
     void makeCalls(double nowMillis) {
         for (ActiveRequest request : List.copyOf(waiting)) {
@@ -151,11 +157,14 @@
         return withinQuota && inFlight + 1 <= callLimit;
     }
 
-    /** A call has ended; one that timed out is in the dependency for a while yet, and counts. */
-    void ended(ActiveRequest request, boolean timedOut) {
+    /**
+     * A call has ended. One that was abandoned, by a timeout, a reset or the end of its request, is
+     * in the dependency for a while yet, and counts.
+     */
+    void ended(ActiveRequest request, boolean abandoned) {
         request.callInFlight = false;
         inFlight--;
-        if (timedOut) {
+        if (abandoned) {
             lingeringUntilMillis.add(clock.nowMillis() + settings.dependency().lingerMillis());
         }
     }
--- a/src/main/java/tinroad/overload/HealthPolicy.java
+++ b/src/main/java/tinroad/overload/HealthPolicy.java
@@ -101,7 +101,7 @@
         failing = failedShare > (failing ? RECOVERED_SHARE : FAILING_SHARE);
     }
 
-    /** Looks whether runs still complete. */
+    /** One tick: whether the work hangs, by the time since a run completed. */
     void detectHang(Collection<ActiveRequest> requests, double nowMillis) {
         hung =
                 cores.running() >= Math.min(settings.cores(), (int) limit.allowed())
@@ -118,8 +118,9 @@
     }
 
     /**
-     * While admission is closed: the part of the arrivals that would succeed, and a trial request
-     * now and then.
+     * Whether this arrival is admitted while admission is closed: the share of arrivals that runs
+     * succeed at, none while the work hangs, and one trial request in each interval besides; never
+     * beyond one for each core.
      */
     boolean admitTrial(int runningOrQueued, double nowMillis) {
         trialCredit += hung ? 0 : 1 - failedShare;
@@ -147,9 +148,9 @@
                             : (hung ? "nothing ends" : "runs fail") + ": admission shut");
         }
         boolean unhealthy = failing && failedShare > UNHEALTHY_SHARE && !othersFail();
-        boolean now = !hung && !unhealthy && !draining.isDraining();
-        if (now != healthy) {
-            healthy = now;
+        boolean healthyNow = !hung && !unhealthy && !draining.isDraining();
+        if (healthyNow != healthy) {
+            healthy = healthyNow;
             actions.setHealth(healthy, true);
         }
     }
--- a/src/main/java/tinroad/overload/IdleTimeoutControl.java
+++ b/src/main/java/tinroad/overload/IdleTimeoutControl.java
@@ -21,8 +21,8 @@
     private static final double MIN_MILLIS = 100;
 
     /**
-     * Part of the requests whose client was here within {@link #CALM_MILLIS} that makes all of that
-     * time worth it.
+     * Part of the requests whose client was here within {@link #CALM_MILLIS} from which on the
+     * whole of that time is used.
      */
     private static final double FULL_RETURNING_SHARE = 0.5;
 
@@ -148,9 +148,7 @@
                         : keepOpenMillis / GROWTH_PER_SWEEP;
     }
 
-    /**
-     * Timeout when calm: where clients seldom come back, their connections are not worth keeping.
-     */
+    /** Timeout when calm: the more seldom clients come back, the sooner their connections close. */
     private double calmMillis() {
         return Math.max(
                 Math.min(MIN_MILLIS / FLOOR_SHARE, longestMillis()),
--- a/src/main/java/tinroad/overload/MemoryBudget.java
+++ b/src/main/java/tinroad/overload/MemoryBudget.java
@@ -55,7 +55,7 @@
         usedKb += request.memoryKb * (settings.runMemoryFactor() - 1);
     }
 
-    /** The request is over; to be called while its state tells whether it ran. */
+    /** The request is over; to be called before its state changes, which shows whether it ran. */
     void requestEnded(ActiveRequest request) {
         usedKb -=
                 request.memoryKb
--- a/src/main/java/tinroad/overload/OverloadController.java
+++ b/src/main/java/tinroad/overload/OverloadController.java
@@ -166,6 +166,7 @@
         advance(nowMillis);
         RequestClass requestClass = classes.at(request.classSlot());
         if (requestClass == null) {
+            // No class in this slot: the request is not counted, and gets no Retry-After.
             actions.reject(request.id(), 0, false);
             return;
         }
@@ -250,7 +251,7 @@
         dispatcher.dispatch();
     }
 
-    /** Rejects what never ran. */
+    /** Rejects what never ran, with the Retry-After of {@link RejectionPolicy}. */
     private void reject(ActiveRequest request) {
         request.answered = true;
         rejection.reject(request);
@@ -387,7 +388,7 @@
                     || (nowMillis >= request.objectiveAtMillis
                             && cutoff.value() > 0
                             && !queue.isEmpty()
-                            && cancellation.isWorthless(request))) {
+                            && cancellation.mayCancelLate(request))) {
                 fail(request);
             }
         }
--- a/src/main/java/tinroad/overload/PriorityCutoff.java
+++ b/src/main/java/tinroad/overload/PriorityCutoff.java
@@ -8,7 +8,7 @@
     private static final double RISE_PER_TICK = 0.01;
     private static final double FALL_PER_TICK = 0.004;
 
-    /** Its top, in parts of one class. */
+    /** The highest cutoff, as a multiple of one class's equal share of the priorities. */
     private static final double MAX_CLASS_SHARE = 2;
 
     private final ClassTable classes;
--- a/src/main/java/tinroad/overload/RejectionPolicy.java
+++ b/src/main/java/tinroad/overload/RejectionPolicy.java
@@ -58,26 +58,28 @@
         this.arrivals = arrivals;
     }
 
-    /** Rejects a request that never ran. */
+    /** Answers a request that never ran; the controller removes it. */
     void reject(ActiveRequest request) {
         boolean closed = health.admissionClosed() || draining.isDraining();
-        boolean local = closed || classes.slowdown() > SLOW_RATIO;
-        double retryAfterMillis = retryAfterMillis(request, closed, local);
-        boolean general =
+        boolean localCause = closed || classes.slowdown() > SLOW_RATIO;
+        double retryAfterMillis = retryAfterMillis(request, closed, localCause);
+        boolean generalLoad =
                 !settings.requestsMarkRetries()
                         || request.retry
                         || arrivals.retryShare() > GENERAL_LOAD_RETRY_SHARE;
-        actions.reject(request.id, retryAfterMillis, !local && general);
+        actions.reject(request.id, retryAfterMillis, !localCause && generalLoad);
     }
 
     /**
-     * As long as the queued work takes and this request waited: all clients gone for longer than
-     * that leaves the cores idle.
+     * In ms; 0: no Retry-After is sent. While admission is closed, the client's slot in the
+     * schedule. While draining, the longest one allowed. Otherwise as long as the queued work takes
+     * and this request waited, at most a part of the longest one unless runs are slow here: all
+     * clients gone for longer than that leaves the cores idle.
      */
-    private double retryAfterMillis(ActiveRequest request, boolean closed, boolean local) {
+    private double retryAfterMillis(ActiveRequest request, boolean closed, boolean localCause) {
         double mostMillis =
                 settings.sendsRetryAfter()
-                        ? settings.maxRetryAfterMillis() * (local ? 1 : MAX_SHARE_UNDER_LOAD)
+                        ? settings.maxRetryAfterMillis() * (localCause ? 1 : MAX_SHARE_UNDER_LOAD)
                         : 0;
         if (health.admissionClosed() && mostMillis > 0) {
             return schedule.tell(
--- a/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
+++ b/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
@@ -29,7 +29,7 @@
     private SlowStart slowStart;
 
     private Phase phase = Phase.STARTING;
-    private double since;
+    private double sinceMillis;
     private double attachedAtMillis;
     private double fullAfterMillis = Double.NaN;
     private String reason = "the engine was never there";
@@ -46,7 +46,7 @@
         this.cores = cores;
         this.expectedRunMillis = expectedRunMillis;
         this.distrustsState = distrustsState;
-        since = nowMillis;
+        sinceMillis = nowMillis;
     }
 
     /** Changes what a run is expected to take, for an engine that is watched from now on. */
@@ -76,7 +76,7 @@
     private void enter(Phase next, double nowMillis, String reason) {
         if (phase != next) {
             phase = next;
-            since = nowMillis;
+            sinceMillis = nowMillis;
         }
         this.reason = reason;
     }
@@ -131,12 +131,12 @@
     }
 
     /** When the phase began, in ms. */
-    public double since() {
-        return since;
+    public double sinceMillis() {
+        return sinceMillis;
     }
 
     /**
-     * The request rate that the watched engine has shown itself good for, a second; NaN while none
+     * The limit of {@link SlowStart} for the watched engine, in requests a second; NaN while none
      * is watched.
      */
     public double demonstratedRatePerSecond() {
--- a/src/main/java/tinroad/recovery/SlowStart.java
+++ b/src/main/java/tinroad/recovery/SlowStart.java
@@ -1,18 +1,19 @@
 package tinroad.recovery;
 
 /**
- * Slow start of an engine that was started: a limit on the rate of admitted requests, set by what
- * the engine has shown so far, never by the clock. It measures in windows: the throughput of
- * completed runs, and their slowdown against what their class usually takes. While the limit binds,
- * a window without congestion raises it by a factor, a congested one sets it back to a part of the
- * throughput. Slow start is over once the demand has stayed below the limit, or once a higher limit
- * has brought no more throughput for a while: then the admission control of the overload controller
- * is enough. Times in ms, rates a second. Owned by one thread.
+ * Slow start of an engine that was started: a limit for the rate of admitted requests, set by what
+ * the engine has shown so far, never by the clock. The limit is reported, not enforced; what the
+ * overload controller admits after a cold start is its own, by the clock. This class measures in
+ * windows: the throughput of completed runs, and their slowdown against what their class usually
+ * takes. While the limit binds, a window without congestion raises it by a factor, a congested one
+ * sets it back to a part of the throughput. Slow start is over once the demand has stayed below the
+ * limit, or once a higher limit has brought no more throughput for a while: then the admission
+ * control of the overload controller is enough. Times in ms, rates a second. Owned by one thread.
  */
 public final class SlowStart {
     /** The phase of slow start. */
     public enum Phase {
-        /** No run has completed yet: the least rate. */
+        /** No run has completed yet: the limit is the lowest one. */
         COLD,
         /** The limit rises and falls with what is measured. */
         RAMPING,
@@ -37,6 +38,7 @@
     /** Runs this much slower than the fastest lately, without more throughput, are congestion. */
     private static final double CONGESTED_SLOWDOWN = 1.8;
 
+    /** More throughput than in the window before, by this factor, is no congestion. */
     private static final double MORE_THAN_PREVIOUS = 1.05;
 
     /**
--- a/src/test/java/tinroad/recovery/RecoveryPhaseTrackerTest.java
+++ b/src/test/java/tinroad/recovery/RecoveryPhaseTrackerTest.java
@@ -34,7 +34,7 @@
         tracker.tick(5100);
         tracker.runCompleted(5200, 200, 375);
         assertEquals(Phase.RAMPING, tracker.phase());
-        assertEquals(5200, tracker.since());
+        assertEquals(5200, tracker.sinceMillis());
         assertTrue(Double.isNaN(tracker.fullAfterMillis()));
         lowDemand(tracker, 5300, 12_000);
         assertEquals(Phase.FULL, tracker.phase());
