--- a/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
+++ b/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
@@ -136,7 +136,7 @@
     }
 
     /**
-     * The request rate that the watched engine has shown itself good for, a second; NaN while none
+     * The limit of {@link SlowStart} for the watched engine, in requests a second; NaN while none
      * is watched.
      */
     public double demonstratedRatePerSecond() {
