--- a/src/test/java/tinroad/lab/capacity/CapacityPageTest.java
+++ b/src/test/java/tinroad/lab/capacity/CapacityPageTest.java
@@ -329,7 +329,7 @@
                                 FILES.replace(
                                         "point = gateways/hollow/descriptors, at = gateways",
                                         "tuning = none"),
-                                "no none in Tuning"),
+                                "no none in MembershipConfig"),
                         Map.entry(
                                 FILES.replace(
                                         "point = gateways/hollow/descriptors, at = gateways",
