--- a/src/test/java/tinroad/overload/OverloadControllerTest.java
+++ b/src/test/java/tinroad/overload/OverloadControllerTest.java
@@ -1018,4 +1018,31 @@
         f.controller.dependencyCallCompleted(f.now, "a", 10, Outcome.FAILED);
         assertTrue(take().contains("skip a"));
     }
+
+    /**
+     * How many requests run or are paused for a call at once, after so many replayed duplicates.
+     */
+    private static long concurrencyOfAColdServer(int duplicates) {
+        Fixture server = new Fixture();
+        server.cold = true;
+        server.begin();
+        server.request("original", FREE);
+        server.ended("original", Outcome.OK);
+        for (int i = 0; i < duplicates; i++) {
+            server.request("duplicate" + i, FREE, "original");
+            server.ended("duplicate" + i, Outcome.OK);
+        }
+        for (int i = 0; i < 20; i++) {
+            server.request("request" + i, FREE);
+            server.controller.dependencyCallNeeded(server.now, "request" + i);
+        }
+        return server.recorder.lines.stream()
+                .filter(line -> line.startsWith("run request"))
+                .count();
+    }
+
+    @Test
+    void replayedDuplicatesDoNotRaiseTheConcurrencyOfAColdServer() {
+        assertEquals(concurrencyOfAColdServer(0), concurrencyOfAColdServer(5));
+    }
 }
