--- a/src/test/java/tinroad/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/tinroad/simulator/SimulatorAdapterTest.java
@@ -212,6 +212,8 @@
                 out.startsWith(
                         "{\"t\":\"crash\",\"server_id\":1,\"reason_text\":\"java.lang.IllegalStateExc"),
                 out);
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("at tinroad.simulator.SimulatorAdapterTest"));
+        assertTrue(
+                err.toString(StandardCharsets.UTF_8)
+                        .contains("at tinroad.simulator.SimulatorAdapterTest"));
     }
 }
