--- a/src/test/java/tinroad/cli/ServeTest.java
+++ b/src/test/java/tinroad/cli/ServeTest.java
@@ -335,7 +335,8 @@
                     signal(gateway, "TERM");
                 }
             }
-            assertEquals(128 + 15, gateway.waitFor());
+            int status = gateway.waitFor();
+            assertEquals(128 + 15, status, () -> "noticed " + after + ": " + all);
             caller.join();
         } finally {
             gateway.destroyForcibly();
