--- a/src/main/java/tinroad/core/WarmStart.java
+++ b/src/main/java/tinroad/core/WarmStart.java
@@ -8,9 +8,9 @@
 import tinroad.recovery.RestoredState;
 
 /**
- * What this incarnation starts with from earlier ones, what it has learned since, and how far its
- * recovery has come. Learned values are named by class outside the controller. Owned by the event
- * loop.
+ * Manages what this incarnation starts with from earlier ones, what it has learned since, and how
+ * far its recovery has come. Outside of the controller, learned values are named by class. All
+ * methods must be called on the event loop.
  */
 final class WarmStart {
     private final ActiveCatalog catalog;
@@ -31,14 +31,14 @@
         recoveryPhase = newTracker(false);
     }
 
-    private RecoveryPhaseTracker newTracker(boolean distrustsState) {
+    private RecoveryPhaseTracker newTracker(boolean stateRejected) {
         return new RecoveryPhaseTracker(
-                clock.nowMillis(), cores, catalog.expectedRunMillis(), distrustsState);
+                clock.nowMillis(), cores, catalog.expectedRunMillis(), stateRejected);
     }
 
     void restoreFrom(RestoredState earlier) {
         restoredState = earlier;
-        recoveryPhase = newTracker(earlier.distrustsState());
+        recoveryPhase = newTracker(earlier.stateRejected());
     }
 
     RecoveryPhaseTracker recoveryPhase() {
@@ -53,7 +53,10 @@
         return restoredValues;
     }
 
-    /** What the controller has learned, by stored name; empty before it was started. */
+    /**
+     * Returns what the controller has learned, by stored name; empty before the controller was
+     * started.
+     */
     Map<String, Estimate> learnedEstimates() {
         Map<String, Estimate> byStoredName = new LinkedHashMap<>();
         if (driver.isStarted()) {
@@ -71,28 +74,30 @@
     }
 
     /**
-     * Hands the controller, which has just been started, what may be used of earlier statistics.
+     * Passes the usable part of the earlier statistics to the controller, which was just started.
      */
     void restoreController(boolean coldEngine) {
         if (restoredState == RestoredState.NONE) {
             return;
         }
         restoredValues = restoredState.restore(learnedEstimates(), clock.nowMillis());
-        Map<String, Estimate> known = new LinkedHashMap<>();
+        Map<String, Estimate> restoredEstimates = new LinkedHashMap<>();
         driver.controller().learnedEstimates().keySet().stream()
-                .filter(name -> restoredValues.containsKey(catalog.storedName(name)))
+                .filter(learnedName -> restoredValues.containsKey(catalog.storedName(learnedName)))
                 .forEach(
-                        name ->
-                                known.put(
-                                        name,
-                                        restoredValues.get(catalog.storedName(name)).estimate()));
-        if (!known.isEmpty()) {
-            driver.controller().restore(known, coldEngine);
+                        learnedName ->
+                                restoredEstimates.put(
+                                        learnedName,
+                                        restoredValues
+                                                .get(catalog.storedName(learnedName))
+                                                .estimate()));
+        if (!restoredEstimates.isEmpty()) {
+            driver.controller().restore(restoredEstimates, coldEngine);
             restoredValues.forEach(
-                    (name, restored) ->
+                    (storedName, restored) ->
                             log.debug(
                                     "restored: {} = {}, of incarnation {}, {} s old",
-                                    name,
+                                    storedName,
                                     restored.estimate().value(),
                                     restored.incarnation(),
                                     Math.round(restored.ageMillis() / 1000)));
--- a/src/main/java/tinroad/recovery/DecorrelatedJitterBackoff.java
+++ b/src/main/java/tinroad/recovery/DecorrelatedJitterBackoff.java
@@ -3,20 +3,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Backoff with decorrelated jitter: the next delay is drawn from the first one to three times the
- * last one, up to a cap. To be reset only once the other side has proven that it is alive, not by a
- * connection alone: a peer that accepts and stays silent is retried ever more rarely. Name and seed
- * keep gateways out of step that lost their links at once. Times in ms. Owned by one thread.
+ * Backoff with decorrelated jitter: the next delay is drawn between the first delay and three times
+ * the last one, up to a cap. It must be reset only once the other side has proven that it is alive,
+ * not by a connection alone: a peer that accepts connections and stays silent is then retried ever
+ * more rarely. The name and the seed keep gateways that lost their links at once out of step. Times
+ * are in ms. An instance must be used by one thread only.
  */
 public final class DecorrelatedJitterBackoff {
-    private static final double GROWTH = 3;
+    private static final double GROWTH_FACTOR = 3;
 
     private final SplittableRandom random;
     private final double firstMillis;
     private final double capMillis;
     private double delayMillis;
 
-    /** Delays from {@code firstMillis} to {@code capMillis}. */
+    /** Creates a backoff with delays from {@code firstMillis} to {@code capMillis}. */
     public DecorrelatedJitterBackoff(String name, long seed, double firstMillis, double capMillis) {
         random = SeededRandom.of(name, seed);
         this.firstMillis = firstMillis;
@@ -24,14 +25,17 @@
         delayMillis = firstMillis;
     }
 
-    /** The delay before the next attempt. */
+    /** Returns the delay before the next attempt. */
     public double nextMillis() {
-        double boundMillis = Math.max(GROWTH * delayMillis, Math.nextUp(firstMillis));
-        delayMillis = Math.min(capMillis, random.nextDouble(firstMillis, boundMillis));
+        double upperBoundMillis = Math.max(GROWTH_FACTOR * delayMillis, Math.nextUp(firstMillis));
+        delayMillis = Math.min(capMillis, random.nextDouble(firstMillis, upperBoundMillis));
         return delayMillis;
     }
 
-    /** Begins anew: the other side is alive, or another address is tried. */
+    /**
+     * Starts again with the first delay, because the other side is alive or another address is
+     * tried.
+     */
     public void reset() {
         delayMillis = firstMillis;
     }
--- a/src/main/java/tinroad/recovery/JitteredInterval.java
+++ b/src/main/java/tinroad/recovery/JitteredInterval.java
@@ -3,24 +3,24 @@
 import java.util.SplittableRandom;
 
 /**
- * A period with jitter: each interval is drawn anew, so that gateways that started at once are
- * spread over the whole period after a few intervals, and stay so. Times in ms. Owned by one
- * thread.
+ * A period with jitter. Each interval is drawn anew, so that gateways that started at once are
+ * spread over the whole period after a few intervals, and stay so. Times are in ms. An instance
+ * must be used by one thread only.
  */
 public final class JitteredInterval {
     private final SplittableRandom random;
     private final double periodMillis;
-    private final double spread;
+    private final double jitterRatio;
 
-    /** Intervals of a period, plus or minus at most {@code spread}, a part of it. */
-    public JitteredInterval(String name, long seed, double periodMillis, double spread) {
+    /** Creates intervals that differ from the period by at most {@code jitterRatio} of it. */
+    public JitteredInterval(String name, long seed, double periodMillis, double jitterRatio) {
         random = SeededRandom.of(name, seed);
         this.periodMillis = periodMillis;
-        this.spread = spread;
+        this.jitterRatio = jitterRatio;
     }
 
-    /** The time until the next event. */
+    /** Returns the time until the next event. */
     public double nextMillis() {
-        return periodMillis * (1 + spread * random.nextDouble(-1, 1));
+        return periodMillis * (1 + jitterRatio * random.nextDouble(-1, 1));
     }
 }
--- a/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
+++ b/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
@@ -1,71 +1,76 @@
 package tinroad.recovery;
 
 /**
- * The recovery phase of a gateway process. An engine that was started, with the gateway or later,
- * is watched through {@link SlowStart}; one that was already running counts as recovered, unless
- * the restored state was rejected. It observes and reports only: nothing is limited by it. Times in
- * ms. Owned by one thread.
+ * Tracks the recovery phase of a gateway process. An engine that was started, with the gateway or
+ * later, is observed through {@link SlowStart}. An engine that was already running counts as
+ * recovered, unless the restored state was rejected. The tracker only observes and reports; it
+ * limits nothing. Times are in ms. An instance must be used by one thread only.
  */
 public final class RecoveryPhaseTracker {
-    /** The phases. Their names in lower case are values that the admin endpoint reports. */
+    /**
+     * The recovery phases. Their names in lower case are values that the admin endpoint reports.
+     */
     public enum Phase {
         /** The engine has not been attached yet. */
         STARTING,
-        /** A new engine process, of which no run has completed. */
+        /** The engine is a new process, and no run of it has completed yet. */
         COLD,
-        /** Slow start: the engine shows more and more throughput. */
+        /** Slow start: the engine demonstrates more and more throughput. */
         RAMPING,
         /** Slow start is over, or was not needed. */
         FULL,
-        /** Graceful shutdown; the last phase, whatever the engine does. */
+        /** Graceful shutdown, which is the last phase, whatever the engine does. */
         DRAINING
     }
 
     private final int cores;
-    private final boolean distrustsState;
+    private final boolean stateRejected;
     private double expectedRunMillis;
 
-    /** Of the engine that is watched, else null. */
+    /** The slow start of the engine that is observed, or null. */
     private SlowStart slowStart;
 
     private Phase phase = Phase.STARTING;
     private double sinceMillis;
     private double attachedAtMillis;
     private double fullAfterMillis = Double.NaN;
-    private String reason = "the engine was never there";
+    private String reason = "the engine has not been attached yet";
 
     /**
-     * A process that starts now.
+     * Creates the tracker of a process that starts now.
      *
-     * @param expectedRunMillis of a run, by what is known before any has completed
-     * @param distrustsState whether restored state was rejected: then an engine that was already
-     *     running is watched, too
+     * @param expectedRunMillis the expected time of a run before any has completed
+     * @param stateRejected whether restored state was rejected, in which case an engine that was
+     *     already running is observed, too
      */
     public RecoveryPhaseTracker(
-            double nowMillis, int cores, double expectedRunMillis, boolean distrustsState) {
+            double nowMillis, int cores, double expectedRunMillis, boolean stateRejected) {
         this.cores = cores;
         this.expectedRunMillis = expectedRunMillis;
-        this.distrustsState = distrustsState;
+        this.stateRejected = stateRejected;
         sinceMillis = nowMillis;
     }
 
-    /** Changes what a run is expected to take, for an engine that is watched from now on. */
+    /** Changes the expected time of a run, for engines that are observed from now on. */
     public void setExpectedRunMillis(double millis) {
         expectedRunMillis = millis;
     }
 
-    /** The engine is attached; {@code started}: as a process not seen before by this gateway. */
-    public void engineAttached(double nowMillis, boolean started) {
-        if (phase == Phase.DRAINING || (phase != Phase.STARTING && !started)) {
+    /**
+     * Records that the engine is attached; {@code newProcess} states whether this gateway has not
+     * seen its process before.
+     */
+    public void engineAttached(double nowMillis, boolean newProcess) {
+        if (phase == Phase.DRAINING || (phase != Phase.STARTING && !newProcess)) {
             return;
         }
         attachedAtMillis = nowMillis;
-        if (started || distrustsState) {
+        if (newProcess || stateRejected) {
             slowStart = new SlowStart(nowMillis, cores, expectedRunMillis);
             enter(
                     Phase.COLD,
                     nowMillis,
-                    started ? "the engine has started" : "the restored state was rejected");
+                    newProcess ? "the engine has started" : "the restored state was rejected");
         } else {
             slowStart = null;
             fullAfterMillis = 0;
@@ -81,30 +86,30 @@
         this.reason = reason;
     }
 
-    /** A request arrived, and was admitted or rejected. */
+    /** Records that a request arrived, and was admitted or rejected. */
     public void requestArrived(boolean admitted) {
         if (slowStart != null) {
             slowStart.requestArrived(admitted);
         }
     }
 
-    /** A run has completed, whose class is expected to take {@code expectedMillis}. */
+    /** Records that a run has completed, whose class is expected to take {@code expectedMillis}. */
     public void runCompleted(double nowMillis, double tookMillis, double expectedMillis) {
         if (slowStart != null) {
             slowStart.runCompleted(nowMillis, tookMillis, expectedMillis);
-            followSlowStart(nowMillis);
+            updateFromSlowStart(nowMillis);
         }
     }
 
-    /** Lets time pass; to be called every few ms. */
+    /** Updates the phase as time passes. It is to be called every few ms. */
     public void tick(double nowMillis) {
         if (slowStart != null) {
             slowStart.tick(nowMillis);
-            followSlowStart(nowMillis);
+            updateFromSlowStart(nowMillis);
         }
     }
 
-    private void followSlowStart(double nowMillis) {
+    private void updateFromSlowStart(double nowMillis) {
         if (phase == Phase.DRAINING) {
             return;
         }
@@ -119,39 +124,39 @@
         }
     }
 
-    /** Graceful shutdown has begun. */
+    /** Records that graceful shutdown has begun. */
     public void drainingBegan(double nowMillis) {
         slowStart = null;
         enter(Phase.DRAINING, nowMillis, "shutdown notice received");
     }
 
-    /** The phase now. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** When the phase began, in ms. */
+    /** Returns when the phase began, in ms. */
     public double sinceMillis() {
         return sinceMillis;
     }
 
     /**
-     * The limit of {@link SlowStart} for the watched engine, in requests a second; NaN while none
-     * is watched.
+     * Returns the limit of {@link SlowStart} for the observed engine, in requests per second; NaN
+     * while none is observed.
      */
     public double demonstratedRatePerSecond() {
-        return slowStart == null ? Double.NaN : slowStart.ratePerSecondLimit();
+        return slowStart == null ? Double.NaN : slowStart.limitPerSecond();
     }
 
     /**
-     * Time from the attachment of the engine to the end of slow start; 0 where there was none, NaN
-     * while it is not over.
+     * Returns the time from the attachment of the engine to the end of slow start; 0 if there was
+     * none, NaN while it is not over.
      */
     public double fullAfterMillis() {
         return phase == Phase.COLD || phase == Phase.RAMPING ? Double.NaN : fullAfterMillis;
     }
 
-    /** What the phase rests on, for operators. */
+    /** Returns the reason for the phase, for operators. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/tinroad/recovery/SeededRandom.java
+++ b/src/main/java/tinroad/recovery/SeededRandom.java
@@ -2,11 +2,14 @@
 
 import java.util.SplittableRandom;
 
-/** Random numbers that differ between gateways, and are the same in each run with one seed. */
+/**
+ * Creates random number generators that differ between gateways, and repeat in each run with the
+ * same seed.
+ */
 final class SeededRandom {
     private SeededRandom() {}
 
-    /** A generator that depends on every bit of the seed and of the name's hash code. */
+    /** Returns a generator that depends on every bit of the seed and of the name's hash code. */
     static SplittableRandom of(String name, long seed) {
         return new SplittableRandom(seed ^ (long) name.hashCode() << Integer.SIZE);
     }
--- a/src/main/java/tinroad/recovery/SlowStart.java
+++ b/src/main/java/tinroad/recovery/SlowStart.java
@@ -2,66 +2,81 @@
 
 /**
  * Slow start of an engine that was started: a limit for the rate of admitted requests, set by what
- * the engine has shown so far, never by the clock. The limit is reported, not enforced; what the
- * overload controller admits after a cold start is its own, by the clock. This class measures in
- * windows: the throughput of completed runs, and their slowdown against what their class usually
- * takes. While the limit binds, a window without congestion raises it by a factor, a congested one
- * sets it back to a part of the throughput. Slow start is over once the demand has stayed below the
- * limit, or once a higher limit has brought no more throughput for a while: then the admission
- * control of the overload controller is enough. Times in ms, rates a second. Owned by one thread.
+ * the engine has demonstrated so far, never by the clock. The limit is reported, not enforced; what
+ * the overload controller admits after a cold start is its own decision, by the clock.
+ *
+ * <p>This class measures in windows: the throughput of completed runs, and their slowdown compared
+ * with the usual time of their class. While the limit binds, a window without congestion raises it
+ * by a factor, and a congested one sets it back to a share of the throughput. Slow start is over
+ * once the demand has stayed below the limit, or once a higher limit has brought no more throughput
+ * for a while. From then on the admission control of the overload controller is enough. Times are
+ * in ms, and rates per second. An instance must be used by one thread only.
  */
 public final class SlowStart {
     /** The phase of slow start. */
     public enum Phase {
-        /** No run has completed yet: the limit is the lowest one. */
+        /** No run has completed yet, so the limit is at its minimum. */
         COLD,
         /** The limit rises and falls with what is measured. */
         RAMPING,
-        /** Over: no limit. */
+        /** Slow start is over, and there is no limit. */
         FULL
     }
 
-    /** A window is at least this long, and has this many completions a core ... */
+    /** The minimum length of a window, in ms. */
     private static final double MIN_WINDOW_MILLIS = 200;
 
-    private static final int COMPLETIONS_PER_CORE = 3;
+    /** A window ends after its minimum length once it has this many completions per core. */
+    private static final int MIN_COMPLETIONS_PER_CORE = 3;
 
-    /** ... or is this long. */
+    /** The length, in ms, at which a window ends whatever its completions. */
     private static final double MAX_WINDOW_MILLIS = 1000;
 
-    /** The limit's factor after a window in which it was binding, without congestion. */
+    /**
+     * The factor that raises the limit after a window in which it was binding, without congestion.
+     */
     private static final double INCREASE_FACTOR = 1.5;
 
-    /** The limit after a congested window, as a part of its throughput. */
+    /** The limit after a congested window, as a share of the window's throughput. */
     private static final double DECREASE_FACTOR = 0.85;
 
-    /** Runs this much slower than the fastest lately, without more throughput, are congestion. */
+    /**
+     * Runs that are this many times slower than the fastest recent ones indicate congestion, unless
+     * the throughput has grown.
+     */
     private static final double CONGESTED_SLOWDOWN = 1.8;
 
-    /** More throughput than in the window before, by this factor, is no congestion. */
-    private static final double MORE_THAN_PREVIOUS = 1.05;
+    /**
+     * Throughput that exceeds that of the previous window by this factor has grown, so there is no
+     * congestion.
+     */
+    private static final double MIN_GROWTH_OVER_PREVIOUS = 1.05;
 
     /**
-     * Runs this much slower are congestion whatever the throughput, which then comes from requests
-     * admitted earlier.
+     * Runs that are this many times slower indicate congestion whatever the throughput, which then
+     * comes from requests that were admitted earlier.
      */
     private static final double SEVERE_SLOWDOWN = 3;
 
-    /** The limit is binding when this part of it was admitted. */
-    private static final double BINDING_PART = 0.85;
+    /** The limit is binding if at least this share of it was admitted. */
+    private static final double BINDING_SHARE = 0.85;
 
-    /** Windows in a row below the limit that end slow start. */
+    /** The number of consecutive windows with the demand below the limit that ends slow start. */
     private static final int WINDOWS_BELOW_LIMIT = 5;
 
-    /** Slow start ends where the best throughput has not grown by this factor for this time. */
+    /** Slow start ends if the best throughput has not grown for this long, in ms. */
     private static final double PLATEAU_MILLIS = 4000;
 
-    private static final double MORE_THAN_BEST = 1.08;
+    /** Throughput that exceeds the best one by this factor has grown. */
+    private static final double MIN_GROWTH_OVER_BEST = 1.08;
 
-    /** The fastest slowdown is forgotten by this factor a window. */
-    private static final double FASTEST_DECAY = 1.02;
+    /**
+     * The factor by which the fastest slowdown is raised in each window, so that it is gradually
+     * forgotten.
+     */
+    private static final double FASTEST_DECAY_FACTOR = 1.02;
 
-    /** What was counted since the window began. */
+    /** The counts since the window began. */
     private static final class Window {
         private double startMillis;
         private int admitted;
@@ -79,10 +94,10 @@
     }
 
     private final int cores;
-    private final double minRatePerSecond;
+    private final double minLimitPerSecond;
     private final Window window = new Window();
     private Phase phase = Phase.COLD;
-    private double ratePerSecond;
+    private double limitPerSecond;
     private double fastestSlowdown = Double.POSITIVE_INFINITY;
     private double previousThroughput;
     private double bestThroughput;
@@ -91,25 +106,25 @@
     private String reason = "no run has completed yet";
 
     /**
-     * Slow start of an engine with so many cores.
+     * Creates the slow start of an engine with this many cores.
      *
-     * @param expectedRunMillis of a run, by what is known before any has completed
+     * @param expectedRunMillis the expected time of a run before any has completed
      */
     public SlowStart(double nowMillis, int cores, double expectedRunMillis) {
         this.cores = cores;
-        minRatePerSecond = cores * 1000 / expectedRunMillis;
-        ratePerSecond = minRatePerSecond;
+        minLimitPerSecond = cores * 1000 / expectedRunMillis;
+        limitPerSecond = minLimitPerSecond;
         window.startMillis = nowMillis;
         bestThroughputAtMillis = nowMillis;
     }
 
-    /** A request arrived, and was admitted or rejected. */
+    /** Records that a request arrived, and was admitted or rejected. */
     public void requestArrived(boolean admitted) {
         window.admitted += admitted ? 1 : 0;
         window.rejected += admitted ? 0 : 1;
     }
 
-    /** A run has completed, whose class usually takes {@code expectedMillis}. */
+    /** Records that a run has completed, whose class usually takes {@code expectedMillis}. */
     public void runCompleted(double nowMillis, double tookMillis, double expectedMillis) {
         window.completions++;
         window.slowdownSum += tookMillis / expectedMillis;
@@ -119,17 +134,17 @@
         }
     }
 
-    /** Evaluates the window where it has seen enough; to be called every few ms. */
+    /** Evaluates the window if it has seen enough. It is to be called every few ms. */
     public void tick(double nowMillis) {
         double lengthMillis = nowMillis - window.startMillis;
         if (phase == Phase.FULL
                 || lengthMillis < MIN_WINDOW_MILLIS
-                || (window.completions < COMPLETIONS_PER_CORE * cores
+                || (window.completions < MIN_COMPLETIONS_PER_CORE * cores
                         && lengthMillis < MAX_WINDOW_MILLIS)) {
             return;
         }
         if (window.completions == 0) {
-            ratePerSecond = minRatePerSecond;
+            limitPerSecond = minLimitPerSecond;
             reason = "no run completes";
             windowsBelowLimit = 0;
         } else {
@@ -145,25 +160,26 @@
     private boolean limitIsBinding(double lengthMillis) {
         return window.rejected > 0
                 && window.admitted * 1000 / lengthMillis
-                        >= BINDING_PART
+                        >= BINDING_SHARE
                                 * Math.min(
-                                        ratePerSecond,
-                                        window.admitted * 1000 / lengthMillis + ratePerSecond / 10);
+                                        limitPerSecond,
+                                        window.admitted * 1000 / lengthMillis
+                                                + limitPerSecond / 10);
     }
 
     private void evaluate(
             double nowMillis, double throughput, double slowdown, boolean limitIsBinding) {
-        fastestSlowdown = Math.min(fastestSlowdown * FASTEST_DECAY, slowdown);
+        fastestSlowdown = Math.min(fastestSlowdown * FASTEST_DECAY_FACTOR, slowdown);
         boolean congested =
                 slowdown > SEVERE_SLOWDOWN * fastestSlowdown
                         || (slowdown > CONGESTED_SLOWDOWN * fastestSlowdown
-                                && throughput < MORE_THAN_PREVIOUS * previousThroughput);
-        if (throughput > MORE_THAN_BEST * bestThroughput) {
+                                && throughput < MIN_GROWTH_OVER_PREVIOUS * previousThroughput);
+        if (throughput > MIN_GROWTH_OVER_BEST * bestThroughput) {
             bestThroughput = throughput;
             bestThroughputAtMillis = nowMillis;
         }
         previousThroughput = throughput;
-        adjustRate(throughput, slowdown, congested, limitIsBinding);
+        adjustLimit(throughput, slowdown, congested, limitIsBinding);
         if (windowsBelowLimit >= WINDOWS_BELOW_LIMIT) {
             phase = Phase.FULL;
         } else if (nowMillis - bestThroughputAtMillis > PLATEAU_MILLIS && bestThroughput > 0) {
@@ -172,17 +188,17 @@
         }
     }
 
-    private void adjustRate(
+    private void adjustLimit(
             double throughput, double slowdown, boolean congested, boolean limitIsBinding) {
         if (congested) {
-            ratePerSecond = Math.max(minRatePerSecond, DECREASE_FACTOR * throughput);
+            limitPerSecond = Math.max(minLimitPerSecond, DECREASE_FACTOR * throughput);
             reason =
                     "runs take "
                             + Math.round(10 * slowdown / fastestSlowdown) / 10.0
                             + " times as long as the fastest";
             windowsBelowLimit = 0;
         } else if (limitIsBinding) {
-            ratePerSecond = Math.max(ratePerSecond, throughput) * INCREASE_FACTOR;
+            limitPerSecond = Math.max(limitPerSecond, throughput) * INCREASE_FACTOR;
             reason = "runs complete, and the limit is reached";
             windowsBelowLimit = 0;
         } else {
@@ -191,17 +207,17 @@
         }
     }
 
-    /** The phase now. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** The limit in requests a second; infinite once slow start is over. */
-    public double ratePerSecondLimit() {
-        return phase == Phase.FULL ? Double.POSITIVE_INFINITY : ratePerSecond;
+    /** Returns the limit in requests per second; infinite once slow start is over. */
+    public double limitPerSecond() {
+        return phase == Phase.FULL ? Double.POSITIVE_INFINITY : limitPerSecond;
     }
 
-    /** Why the limit is what it is, for operators. */
+    /** Returns the reason for the limit's value, for operators. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/tinroad/recovery/StateRestorer.java
+++ b/src/main/java/tinroad/recovery/StateRestorer.java
@@ -12,9 +12,9 @@
 import tinroad.state.SnapshotSelector;
 
 /**
- * What a process uses of the last accepted snapshot, and the snapshots that it leaves itself. Each
- * restored value carries when it was learned and by which process; none is used beyond its maximum
- * age, and none gets younger by being stored again. Times in Unix ms.
+ * Restores what a process uses of the last accepted snapshot, and creates the process's own
+ * snapshots. Each restored value carries when it was learned and by which process. No value is used
+ * beyond its maximum age, and none gets younger by being stored again. Times are in Unix ms.
  */
 public final class StateRestorer implements RestoredState {
     private final String name;
@@ -22,21 +22,26 @@
     private final double maxAgeMillis;
     private final double halfLifeMillis;
 
-    /** Null where none was accepted. */
+    /** The accepted snapshot, or null if none was accepted. */
     private final Snapshot snapshot;
 
     private final SnapshotSelector.StartMode startMode;
     private final Provenance provenance;
+
+    /** The learned values that were restored, by name. */
     private final Map<String, LearnedValue> restored = new HashMap<>();
+
+    /** The number of snapshots that this process has created. */
     private long generation;
 
     /**
-     * Restores by this decision.
+     * Creates a restorer for this decision.
      *
-     * @param name of the gateway
-     * @param incarnation number of this process
-     * @param maxAgeMillis age beyond which no value is used
-     * @param halfLifeMillis in which half of a learned value decays
+     * @param name the name of the gateway
+     * @param decision which snapshot was accepted, and how the process starts
+     * @param incarnation the number of this process
+     * @param maxAgeMillis the age beyond which no value is used
+     * @param halfLifeMillis the time in which half of a learned value decays
      */
     public StateRestorer(
             String name,
@@ -54,7 +59,7 @@
     }
 
     @Override
-    public boolean distrustsState() {
+    public boolean stateRejected() {
         return startMode == SnapshotSelector.StartMode.COLD;
     }
 
@@ -124,7 +129,7 @@
 
     @Override
     public String startMode() {
-        // Words of the admin endpoint.
+        // The admin endpoint reports these values.
         return switch (startMode) {
             case FIRST -> "first";
             case WARM -> "warm";
@@ -133,13 +138,14 @@
     }
 
     /**
-     * The next snapshot of this process.
+     * Returns the next snapshot of this process.
      *
+     * @param nowMillis the current time
      * @param values the learned values as they are now
-     * @param executedIds ids of requests that were executed, with their deadlines
+     * @param executedIds the ids of requests that were executed, with their deadlines
      * @param evacuated whether operators have evacuated the gateway
-     * @param catalogEpoch epoch of the catalog in force
-     * @param catalogNumber its number within the epoch
+     * @param catalogEpoch the epoch of the catalog in force
+     * @param catalogNumber the catalog's number within its epoch
      */
     public Snapshot toSnapshot(
             double nowMillis,
@@ -155,13 +161,13 @@
                 nowMillis,
                 evacuated,
                 provenance.valuesToSave(nowMillis, values),
-                bounded(executedIds),
+                limitToLatest(executedIds),
                 catalogEpoch,
                 catalogNumber);
     }
 
-    /** Bounds the size of a snapshot: of too many ids, those with the latest deadlines stay. */
-    private static Map<String, Double> bounded(Map<String, Double> executedIds) {
+    /** Limits the size of a snapshot: of too many ids, those with the latest deadlines stay. */
+    private static Map<String, Double> limitToLatest(Map<String, Double> executedIds) {
         if (executedIds.size() <= Snapshot.MAX_EXECUTED_IDS) {
             return executedIds;
         }
--- a/src/test/java/tinroad/recovery/ConfigReloadBackoffTest.java
+++ b/src/test/java/tinroad/recovery/ConfigReloadBackoffTest.java
@@ -8,19 +8,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When the configuration is reloaded; polled every 250 ms, as the node does. */
+/**
+ * Tests when the configuration is reloaded. The backoff is polled every 250 ms, as the node does.
+ */
 class ConfigReloadBackoffTest {
     private static final double POLL_MILLIS = 250;
 
-    private static List<Double> reloads(long seed, double from, double to) {
+    private static List<Double> reloads(long seed, double fromMillis, double toMillis) {
         ConfigReloadBackoff backoff = new ConfigReloadBackoff("n3", seed);
-        List<Double> at = new ArrayList<>();
-        for (double nowMillis = from; nowMillis < to; nowMillis += POLL_MILLIS) {
+        List<Double> reloadTimes = new ArrayList<>();
+        for (double nowMillis = fromMillis; nowMillis < toMillis; nowMillis += POLL_MILLIS) {
             if (backoff.due(nowMillis, false)) {
-                at.add(nowMillis);
+                reloadTimes.add(nowMillis);
             }
         }
-        return at;
+        return reloadTimes;
     }
 
     @Test
@@ -34,26 +36,28 @@
     @Test
     void reloadsWithinTwoSecondsAndThenWithinTheCap() {
         for (long seed = 0; seed < 500; seed++) {
-            List<Double> at = reloads(seed, 0, 600_000);
+            List<Double> reloadTimes = reloads(seed, 0, 600_000);
             assertTrue(
-                    at.get(0) >= ConfigReloadBackoff.FIRST_MILLIS
-                            && at.get(0)
-                                    <= ConfigReloadBackoff.FIRST_MILLIS
-                                            + ConfigReloadBackoff.SPREAD_MILLIS
+                    reloadTimes.get(0) >= ConfigReloadBackoff.FIRST_DELAY_MILLIS
+                            && reloadTimes.get(0)
+                                    <= ConfigReloadBackoff.FIRST_DELAY_MILLIS
+                                            + ConfigReloadBackoff.FIRST_SPREAD_MILLIS
                                             + POLL_MILLIS,
                     "seed " + seed);
-            for (int i = 1; i < at.size(); i++) {
-                double gap = at.get(i) - at.get(i - 1);
+            for (int i = 1; i < reloadTimes.size(); i++) {
+                double gapMillis = reloadTimes.get(i) - reloadTimes.get(i - 1);
                 assertTrue(
-                        gap >= ConfigReloadBackoff.FIRST_MILLIS
-                                && gap <= ConfigReloadBackoff.CAP_MILLIS + POLL_MILLIS,
-                        "seed " + seed + " at " + at.get(i));
+                        gapMillis >= ConfigReloadBackoff.FIRST_DELAY_MILLIS
+                                && gapMillis
+                                        <= ConfigReloadBackoff.MAX_INTERVAL_MILLIS + POLL_MILLIS,
+                        "seed " + seed + " at " + reloadTimes.get(i));
             }
         }
     }
 
     /**
-     * Gateways may share a disk: of 200 that lost their engines at once, few reload in one poll.
+     * Of 200 gateways that lost their engines at once, few may reload in one poll, because gateways
+     * may share a disk.
      */
     @Test
     void spreadsTheReloadsOfAFleet() {
@@ -61,7 +65,7 @@
         for (long seed = 0; seed < 200; seed++) {
             reloads(seed, 0, 60_000).forEach(at -> reloadsByPoll[(int) (at / POLL_MILLIS)]++);
         }
-        for (int poll = (int) (2 * ConfigReloadBackoff.CAP_MILLIS / POLL_MILLIS);
+        for (int poll = (int) (2 * ConfigReloadBackoff.MAX_INTERVAL_MILLIS / POLL_MILLIS);
                 poll < reloadsByPoll.length;
                 poll++) {
             assertTrue(
--- a/src/test/java/tinroad/recovery/RecoveryPhaseTrackerTest.java
+++ b/src/test/java/tinroad/recovery/RecoveryPhaseTrackerTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test;
 import tinroad.recovery.RecoveryPhaseTracker.Phase;
 
-/** The recovery phases of a gateway process. */
+/** Tests the recovery phases of a gateway process. */
 class RecoveryPhaseTrackerTest {
-    private static RecoveryPhaseTracker tracker(boolean distrustsState) {
-        return new RecoveryPhaseTracker(0, 2, 375, distrustsState);
+    private static RecoveryPhaseTracker tracker(boolean stateRejected) {
+        return new RecoveryPhaseTracker(0, 2, 375, stateRejected);
     }
 
-    /** Fast runs, few of them: the demand stays below the limit. */
+    /** Completes fast runs, but few of them, so that the demand stays below the limit. */
     private static void lowDemand(
             RecoveryPhaseTracker tracker, double fromMillis, double toMillis) {
         for (double nowMillis = fromMillis; nowMillis < toMillis; nowMillis += 20) {
