--- a/src/main/java/tinroad/core/ActiveCatalog.java
+++ b/src/main/java/tinroad/core/ActiveCatalog.java
@@ -7,24 +7,29 @@
 import tinroad.overload.Controller.RequestClass;
 
 /**
- * The catalog in force: which classes and tenants requests may name, and the bounds that follow
- * from all classes ever staged. Replaced as a whole by {@link CatalogActivation}. Owned by the
- * event loop.
+ * The catalog in force, which defines the classes and tenants that requests may name, together with
+ * bounds derived from all classes that were ever staged. {@link CatalogActivation} replaces the
+ * catalog as a whole. All methods must be called on the event loop.
  */
 final class ActiveCatalog {
     /**
-     * Bounds how far, in ms, the time of arrival that a request states may lie from the gateway's
-     * clock, either way; longer where a class has a longer deadline.
+     * The maximum difference, in ms, between the arrival time that a request states and the
+     * gateway's clock, in either direction. It is extended where a class has a longer deadline.
      */
     static final double MAX_ARRIVAL_OFFSET_MILLIS = 60_000;
 
-    /** Part of its class's latency objective that a run is expected to take before any ended. */
+    /**
+     * The share of a class's latency objective that a run is expected to take before any has ended.
+     */
     private static final double EXPECTED_RUN_SHARE = 0.25;
 
     private Catalog catalog;
-    private double sinceMillis;
+    private double activatedAtMillis;
 
-    /** Names by slot; of a class that was added later, from its first request on. */
+    /**
+     * Class names by slot. The name of a class that was added later is recorded at its first
+     * request.
+     */
     private final List<String> classNames;
 
     private double maxArrivalOffsetMillis = MAX_ARRIVAL_OFFSET_MILLIS;
@@ -33,7 +38,7 @@
     ActiveCatalog(Site site, Catalog catalog, double nowMillis) {
         this.catalog = catalog;
         classNames = new ArrayList<>(site.classNames());
-        sinceMillis = nowMillis;
+        activatedAtMillis = nowMillis;
         site.settings().classes().forEach(this::widenBounds);
     }
 
@@ -41,22 +46,25 @@
         return catalog;
     }
 
-    /** Since when this catalog is in force, in Unix ms. */
-    double sinceMillis() {
-        return sinceMillis;
+    /** Returns when this catalog came into force, in Unix ms. */
+    double activatedAtMillis() {
+        return activatedAtMillis;
     }
 
     void replace(Catalog next, double nowMillis) {
         catalog = next;
-        sinceMillis = nowMillis;
+        activatedAtMillis = nowMillis;
     }
 
-    /** The class with this name, or null. */
+    /** Returns the class with this name, or null if there is none. */
     Catalog.ClassEntry classEntry(String name) {
         return catalog.classEntry(name);
     }
 
-    /** The tenant's slot: 0 for all where there are no tenants, negative where it is unknown. */
+    /**
+     * Returns the tenant's slot: 0 for every tenant if the catalog has none, and a negative number
+     * if the tenant is unknown.
+     */
     int tenantSlot(String name) {
         if (catalog.tenantCount() == 0) {
             return 0;
@@ -65,29 +73,35 @@
         return entry == null ? -1 : entry.slot();
     }
 
-    /** Takes a class's deadline and objective into the bounds, which never shrink again. */
+    /**
+     * Extends the bounds by the deadline and objective of a class. The bounds never shrink again.
+     */
     void widenBounds(RequestClass requestClass) {
         maxArrivalOffsetMillis = Math.max(maxArrivalOffsetMillis, requestClass.deadlineMillis());
         shortestObjectiveMillis = Math.min(shortestObjectiveMillis, requestClass.objectiveMillis());
     }
 
-    /** How far a stated time of arrival may lie from the gateway's clock, in ms. */
+    /**
+     * Returns the maximum difference between a stated arrival time and the gateway's clock, in ms.
+     */
     double maxArrivalOffsetMillis() {
         return maxArrivalOffsetMillis;
     }
 
-    /** How long a run of the class with the shortest objective is expected to take, in ms. */
+    /** Returns the expected time, in ms, of a run of the class with the shortest objective. */
     double expectedRunMillis() {
         return EXPECTED_RUN_SHARE
                 * (shortestObjectiveMillis == Double.MAX_VALUE ? 1 : shortestObjectiveMillis);
     }
 
-    /** How long a run of this class is expected to take before any has ended, in ms. */
+    /** Returns the expected time, in ms, of a run of this class before any has ended. */
     static double expectedRunMillis(RequestClass requestClass) {
         return EXPECTED_RUN_SHARE * requestClass.objectiveMillis();
     }
 
-    /** A request of this class came: what is learned at its slot goes by the class's name. */
+    /**
+     * Records the name of a requested class, under which the values learned at its slot are stored.
+     */
     void recordClassName(Catalog.ClassEntry classEntry) {
         int slot = classEntry.slot();
         while (classNames.size() <= slot) {
@@ -97,9 +111,10 @@
     }
 
     /**
-     * The name under which a learned value is stored. The controller names a class by its slot,
-     * {@code run.0}; what outlives the process goes by the class's name, {@code run.read}. Null
-     * where the class was removed, or never requested: nothing was learned of it.
+     * Returns the name under which a learned value is stored. The controller names a class by its
+     * slot, such as {@code run.0}; values that outlive the process use the class's name, such as
+     * {@code run.read}. Returns null if the class was removed or never requested, since nothing was
+     * learned of it then.
      */
     String storedName(String learnedName) {
         int dot = learnedName.indexOf('.');
--- a/src/main/java/tinroad/core/ActiveRequest.java
+++ b/src/main/java/tinroad/core/ActiveRequest.java
@@ -10,48 +10,53 @@
 import tinroad.overload.Controller.RequestClass;
 
 /**
- * One request in flight: from its arrival until it is answered and no run of it can end any more.
- * Owned by the event loop; times in Unix ms.
+ * A request in flight, from its arrival until it is answered and no run of it can end any more.
+ * Instances must be used on the event loop only. Times are in Unix ms.
  */
 final class ActiveRequest {
     final String id;
 
-    /** Its class as it was in force at the arrival, whatever was changed since. */
+    /**
+     * The request's class as it was in force at the arrival; later changes of the class don't
+     * apply.
+     */
     final Catalog.ClassEntry classEntry;
 
-    /** The slot of its tenant. */
+    /** The slot of the request's tenant. */
     final int tenantSlot;
 
     final double deadlineAtMillis;
 
-    /** When it came to the machine, as it states itself. */
+    /** When the request arrived at the machine, as the request itself states. */
     final double arrivedAtMillis;
 
     final String resultKey;
 
-    /** The same in all attempts of one request of a keyed class; null in any other class. */
+    /** Identical in all attempts of one request of a keyed class; null in any other class. */
     final String idempotencyKey;
 
     final ResponseSink responseSink;
 
     /**
-     * The body, null once the request is answered: until then the run may have to be sent again.
+     * The body; null once the request is answered. Until then the run may have to be sent again.
      */
     ByteBuf body;
 
     Progress progress = Progress.NOT_SENT;
     boolean answered;
 
-    /** The link that its run was sent on is lost: the engine may never have read it. */
+    /**
+     * Whether the link that the run was sent on is lost, so that the engine may never have read it.
+     */
     boolean sentOnLostLink;
 
-    /** Its own entry in the idempotency table, or null. */
+    /** The entry of the idempotency table that this request is the original of, or null. */
     IdempotencyTable.Entry ownEntry;
 
     /** The entry that this request is a duplicate of, or null. */
     IdempotencyTable.Entry duplicateOf;
 
-    /** Since when it waits for the result of its original. */
+    /** Since when this duplicate has been waiting for the result of its original. */
     double replayRequestedAtMillis;
 
     private byte[] bodyDigest;
@@ -86,27 +91,33 @@
     }
 
     /**
-     * Whether it was sent to run, or another attempt of it was: then no answer may say that nothing
-     * ran.
+     * Returns whether this request, or another attempt of it, was sent to run. If so, no answer may
+     * state that nothing ran.
      */
     boolean mayHaveRun() {
         return progress != Progress.NOT_SENT || (duplicateOf != null && duplicateOf.runSubmitted());
     }
 
-    /** Tells whether two attempts carry the same body; first called while the body is there. */
+    /**
+     * Returns a digest by which the bodies of two attempts are compared. The first call must come
+     * while the body is present.
+     */
     byte[] bodyDigest() {
         if (bodyDigest == null) {
             try {
                 bodyDigest =
                         MessageDigest.getInstance("SHA-256").digest(ByteBufUtil.getBytes(body));
             } catch (NoSuchAlgorithmException e) {
-                throw new IllegalStateException("every Java platform has SHA-256", e);
+                throw new IllegalStateException("SHA-256 is not available", e);
             }
         }
         return bodyDigest;
     }
 
-    /** Copies the body, if still needed, as it has to outlive the buffer that it was read into. */
+    /**
+     * Copies the body if it is still needed, since it has to outlive the buffer that it was read
+     * into.
+     */
     void copyBody() {
         if (body != null) {
             body = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(body));
--- a/src/main/java/tinroad/core/CatalogActivation.java
+++ b/src/main/java/tinroad/core/CatalogActivation.java
@@ -11,12 +11,14 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * Brings later versions of the catalog in force, in the controller and in the gateway, and knows
- * which were rejected. What comes in force before the controller is started is handed to it once it
- * is. Owned by the event loop.
+ * Puts later versions of the catalog into force, in the controller and in the gateway, and records
+ * which versions were rejected. Changes that come into force before the controller is started are
+ * passed to the controller once it is. All methods must be called on the event loop.
  */
 final class CatalogActivation implements CatalogRollout.Target {
-    /** Bounds the reason of a rejection that is retained for operators, in characters. */
+    /**
+     * The maximum length, in characters, of the rejection reason that is retained for operators.
+     */
     static final int MAX_REASON_LENGTH = 500;
 
     private final ActiveCatalog active;
@@ -27,14 +29,16 @@
     private final Logger log;
     private final CatalogRollout rollout;
 
-    /** Classes that came in force before the controller was started, by slot. */
+    /** Classes that came into force before the controller was started, by slot. */
     private final Map<Integer, ClassSlot> earlyClasses = new LinkedHashMap<>();
 
-    /** The same of tenants. */
+    /** Tenants that came into force before the controller was started, by slot. */
     private final Map<Integer, TenantSlot> earlyTenants = new LinkedHashMap<>();
 
+    /** Later versions that are known and that {@link #apply} was not called for yet. */
     private int unappliedChanges;
-    private String lastRejection;
+
+    private String lastRejectionReason;
     private double rejectedAtMillis;
 
     CatalogActivation(
@@ -58,9 +62,9 @@
         rollout.add(next, delta, completion);
     }
 
-    /** How many later versions are known that are not in force yet. */
-    int pending() {
-        return rollout.pending() + unappliedChanges;
+    /** Returns how many later versions are known that are not in force yet. */
+    int pendingVersions() {
+        return rollout.pendingVersions() + unappliedChanges;
     }
 
     void setUnappliedChanges(int versions) {
@@ -72,28 +76,32 @@
     }
 
     void reject(String reason) {
-        lastRejection =
+        lastRejectionReason =
                 reason.length() <= MAX_REASON_LENGTH
                         ? reason
                         : reason.substring(0, MAX_REASON_LENGTH) + "...";
         rejectedAtMillis = clock.nowMillis();
     }
 
-    /** Why a later version was rejected last; null where none was. */
-    String lastRejection() {
-        return lastRejection;
+    /** Returns why a later version was last rejected, or null if none was. */
+    String lastRejectionReason() {
+        return lastRejectionReason;
     }
 
     double rejectedAtMillis() {
         return rejectedAtMillis;
     }
 
-    /** The controller is about to be started: what it was prepared for so far is lost. */
+    /**
+     * Prepares for the start of the controller, at which everything that was staged so far is lost.
+     */
     void beforeControllerStart() {
         rollout.restage();
     }
 
-    /** Hands the controller, which has just been started, what came in force before. */
+    /**
+     * Passes the changes that came into force earlier to the controller, which was just started.
+     */
     void applyEarlyChanges() {
         if (!earlyClasses.isEmpty() || !earlyTenants.isEmpty()) {
             driver.controller()
@@ -133,7 +141,7 @@
     }
 
     @Override
-    public void settle(List<ClassSlot> classes, List<TenantSlot> tenants) {
+    public void finish(List<ClassSlot> classes, List<TenantSlot> tenants) {
         double nowMillis = clock.nowMillis();
         for (ClassSlot classSlot : classes) {
             if (classSlot.spec() == null) {
--- a/src/main/java/tinroad/core/CatalogRollout.java
+++ b/src/main/java/tinroad/core/CatalogRollout.java
@@ -9,46 +9,53 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * Brings versions of the catalog in force, one after the other: the changes of a version are staged
- * in slices, with other events between them, committed at one instant, and then settled in slices.
- * Guards requests against waiting for a large change. Owned by the event loop.
+ * Puts versions of the catalog into force, one after another. The changes of a version are staged
+ * in slices with other events in between, committed at a single instant, and then finished in
+ * slices, so that no request has to wait for a large change. All methods must be called on the
+ * event loop.
  */
 final class CatalogRollout {
-    /** Entries in a slice. Bounds how long other events wait for it: well under a millisecond. */
+    /**
+     * The number of entries in a slice. It limits how long other events wait for a slice to well
+     * under a millisecond.
+     */
     static final int SLICE_ENTRIES = 256;
 
-    /** What a version of the catalog is applied to. */
+    /** Receives the steps by which a version comes into force. */
     interface Target {
-        /** Prepares these entries, with no effect yet; false where that failed. */
+        /** Prepares these entries without any effect yet; returns false if that failed. */
         boolean stage(List<ClassSlot> classes, List<TenantSlot> tenants);
 
-        /** Puts all that was staged in force; false where that failed. */
+        /** Puts everything that was staged into force; returns false if that failed. */
         boolean commit(Catalog next);
 
-        /** Drops all that was staged since the last commit. */
+        /** Discards everything that was staged since the last commit. */
         void discardStaged();
 
-        /** Does what remains to be done for these entries after the commit. */
-        void settle(List<ClassSlot> classes, List<TenantSlot> tenants);
+        /** Does the remaining work for these entries after the commit. */
+        void finish(List<ClassSlot> classes, List<TenantSlot> tenants);
     }
 
-    private record Pending(Catalog next, CatalogDelta delta, Consumer<Boolean> completion) {}
+    private record PendingVersion(Catalog next, CatalogDelta delta, Consumer<Boolean> completion) {}
 
     private enum Step {
         STAGING,
-        SETTLING
+        FINISHING
     }
 
     private final Target target;
     private final Timers timers;
     private final Clock clock;
-    private final ArrayDeque<Pending> pending = new ArrayDeque<>();
+    private final ArrayDeque<PendingVersion> pendingVersions = new ArrayDeque<>();
     private Step step = Step.STAGING;
 
-    /** How many entries of the first pending version are through the current step. */
+    /** The number of entries of the first pending version that have passed the current step. */
     private int processedEntries;
 
-    /** The longest slice of the last version, in ms: so long another event had to wait. */
+    /**
+     * The duration of the longest slice of the last version, in ms, which is how long another event
+     * had to wait.
+     */
     private double longestSliceMillis;
 
     CatalogRollout(Target target, Timers timers, Clock clock) {
@@ -58,76 +65,76 @@
     }
 
     /**
-     * Applies a version once those before it are done. {@code completion} gets whether it came in
-     * force, once it is settled.
+     * Applies a version once all earlier ones are done. {@code completion} is called when the
+     * version is finished, and receives whether it came into force.
      */
     void add(Catalog next, CatalogDelta delta, Consumer<Boolean> completion) {
-        pending.add(new Pending(next, delta, completion));
-        if (pending.size() == 1) {
+        pendingVersions.add(new PendingVersion(next, delta, completion));
+        if (pendingVersions.size() == 1) {
             timers.after(0, this::processSlice);
         }
     }
 
-    /** How many versions are not in force yet. */
-    int pending() {
-        return pending.size() - (step == Step.SETTLING ? 1 : 0);
+    /** Returns how many versions are not in force yet. */
+    int pendingVersions() {
+        return pendingVersions.size() - (step == Step.FINISHING ? 1 : 0);
     }
 
     /**
-     * What was staged is lost, and is staged again; a version that is in force already is settled
-     * at once.
+     * Stages the first pending version again, as what was staged is lost. A version that is already
+     * in force is finished at once instead.
      */
     void restage() {
         if (step == Step.STAGING) {
             processedEntries = 0;
         } else {
-            while (step == Step.SETTLING) {
-                settle(pending.element());
+            while (step == Step.FINISHING) {
+                finish(pendingVersions.element());
             }
         }
     }
 
-    /** How long the longest slice of the last version took, in ms; 0 before the first. */
+    /** Returns how long the longest slice of the last version took, in ms; 0 before the first. */
     double longestSliceMillis() {
         return longestSliceMillis;
     }
 
     private void processSlice() {
-        Pending change = pending.peek();
-        if (change == null) {
+        PendingVersion version = pendingVersions.peek();
+        if (version == null) {
             return;
         }
         double startedAtMillis = clock.nowMillis();
         longestSliceMillis = step == Step.STAGING && processedEntries == 0 ? 0 : longestSliceMillis;
-        if (step == Step.SETTLING) {
-            settle(change);
-        } else if (!target.stage(classes(change.delta), tenants(change.delta))) {
+        if (step == Step.FINISHING) {
+            finish(version);
+        } else if (!target.stage(classSlice(version.delta), tenantSlice(version.delta))) {
             fail();
         } else {
             processedEntries += SLICE_ENTRIES;
-            if (processedEntries >= change.delta.size()) {
-                commit(change);
+            if (processedEntries >= version.delta.size()) {
+                commit(version);
             }
         }
         longestSliceMillis = Math.max(longestSliceMillis, clock.nowMillis() - startedAtMillis);
-        if (!pending.isEmpty()) {
+        if (!pendingVersions.isEmpty()) {
             timers.after(0, this::processSlice);
         }
     }
 
-    private void commit(Pending change) {
+    private void commit(PendingVersion version) {
         processedEntries = 0;
-        if (target.commit(change.next)) {
-            step = Step.SETTLING;
+        if (target.commit(version.next)) {
+            step = Step.FINISHING;
         } else {
             fail();
         }
     }
 
-    private void settle(Pending change) {
-        target.settle(classes(change.delta), tenants(change.delta));
+    private void finish(PendingVersion version) {
+        target.finish(classSlice(version.delta), tenantSlice(version.delta));
         processedEntries += SLICE_ENTRIES;
-        if (processedEntries >= change.delta.size()) {
+        if (processedEntries >= version.delta.size()) {
             complete(true);
         }
     }
@@ -140,18 +147,21 @@
     private void complete(boolean inForce) {
         step = Step.STAGING;
         processedEntries = 0;
-        pending.remove().completion.accept(inForce);
+        pendingVersions.remove().completion.accept(inForce);
     }
 
-    private List<ClassSlot> classes(CatalogDelta delta) {
+    private List<ClassSlot> classSlice(CatalogDelta delta) {
         return slice(delta.classes(), processedEntries);
     }
 
-    private List<TenantSlot> tenants(CatalogDelta delta) {
+    private List<TenantSlot> tenantSlice(CatalogDelta delta) {
         return slice(delta.tenants(), processedEntries - delta.classes().size());
     }
 
-    /** The entries of the slice that begins at {@code from}, which may lie outside of the list. */
+    /**
+     * Returns the entries of the slice that begins at {@code from}, which may lie outside of the
+     * list.
+     */
     private static <T> List<T> slice(List<T> all, int from) {
         int begin = Math.min(all.size(), Math.max(0, from));
         int end = Math.min(all.size(), Math.max(0, from + SLICE_ENTRIES));
--- a/src/main/java/tinroad/core/Clock.java
+++ b/src/main/java/tinroad/core/Clock.java
@@ -4,31 +4,31 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.LongSupplier;
 
-/** Unix time in milliseconds that never steps back. */
+/** A clock that returns Unix time in milliseconds and never steps back. */
 @FunctionalInterface
 public interface Clock {
-    /** The time now. */
+    /** Returns the current time. */
     double nowMillis();
 
     /**
-     * A monotonic clock, anchored to Unix time once: a step of the system clock then moves no
-     * deadline.
+     * Returns a monotonic clock that is anchored to Unix time once, so that a step of the system
+     * clock does not move any deadline.
      */
     static Clock anchored() {
         return anchored(Clock::unixMillis, System::nanoTime);
     }
 
     /**
-     * Anchors at the closest of several pairs of readings. Guards against a process that is
-     * descheduled between the two readings, as at a start under load: its clock would run behind
-     * for good, and its answers be late.
+     * Returns a monotonic clock that is anchored at the closest of several pairs of readings. A
+     * process may be descheduled between the two readings of a pair, for example when it starts
+     * under load: a clock anchored there would stay behind for good, and answers would be late.
      */
     static Clock anchored(DoubleSupplier unixMillis, LongSupplier nanoTime) {
-        final int attempts = 20;
+        final int readingPairs = 20;
         double anchorUnixMillis = 0;
         long anchorNanos = 0;
         long shortestNanos = Long.MAX_VALUE;
-        for (int i = 0; i < attempts; i++) {
+        for (int i = 0; i < readingPairs; i++) {
             long beforeNanos = nanoTime.getAsLong();
             double readingMillis = unixMillis.getAsDouble();
             long elapsedNanos = nanoTime.getAsLong() - beforeNanos;
--- a/src/main/java/tinroad/core/ControllerActions.java
+++ b/src/main/java/tinroad/core/ControllerActions.java
@@ -6,9 +6,9 @@
 import tinroad.overload.Controller;
 
 /**
- * Carries out the actions of the overload controller. The controller is made with it, before the
- * parts that it acts on: {@link #bind} sets those, once, before the first event. Called by the
- * controller only, on the event loop.
+ * Carries out the actions of the overload controller. It is created before the controller and
+ * before the parts that it acts on; {@link #bind} sets those once, before the first event. Only the
+ * controller calls it, on the event loop.
  */
 final class ControllerActions implements Controller.Actions {
     private final Logger log;
@@ -38,7 +38,8 @@
 
     @Override
     public void reject(String id, double retryAfterMillis, boolean doNotRetry) {
-        // Guards the process that took over: advice to stay away would be applied to both.
+        // Once another process has taken over, no Retry-After is sent, because clients would apply
+        // it to that process, too.
         lifecycle.respond(
                 id, Response.rejected(health.isReplaced() ? 0 : retryAfterMillis, doNotRetry));
     }
@@ -88,8 +89,8 @@
         log.info("controller: {}", text);
     }
 
-    // The engine of this protocol neither stops runs nor calls a dependency. The settings say so,
-    // and the controller then asks for none of these.
+    // The engine of this protocol neither stops runs nor calls a dependency. The settings declare
+    // this, so the controller requests none of these actions.
 
     @Override
     public void cancel(String id) {
--- a/src/main/java/tinroad/core/ControllerDriver.java
+++ b/src/main/java/tinroad/core/ControllerDriver.java
@@ -8,16 +8,19 @@
 import tinroad.overload.Controller.Gauges;
 
 /**
- * Hands events to the overload controller, one at a time, and its timers together with the engine's
- * gauges. An event that is caused by an action of the controller follows after the event that is
- * being handled. Owned by the event loop.
+ * Passes events to the overload controller one at a time, and its timers together with the engine's
+ * gauges. An event that an action of the controller causes is passed on after the event that is
+ * being handled. All methods must be called on the event loop.
  */
 final class ControllerDriver {
-    /** A timer waits no longer than this, in ms, for gauges: it fires with the last ones. */
-    static final double GAUGES_WAIT_MILLIS = 10;
+    /**
+     * The maximum time, in ms, that a timer waits for gauges. After that it fires with the last
+     * ones.
+     */
+    static final double MAX_GAUGES_WAIT_MILLIS = 10;
 
-    /** Gauges older than this, in ms, are stale: the controller gets absent values. */
-    static final double GAUGES_VALID_MILLIS = 1000;
+    /** Gauges older than this, in ms, are stale, and the controller gets absent values instead. */
+    static final double MAX_GAUGES_AGE_MILLIS = 1000;
 
     private static final Gauges NO_GAUGES =
             new Gauges(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
@@ -28,16 +31,16 @@
     private final Engine engine;
     private final Logger log;
 
-    /** Events that an action caused, to be handled after the current one. */
-    private final ArrayDeque<Runnable> followUps = new ArrayDeque<>();
+    /** Events that an action caused, to be handled after the current event. */
+    private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
-    /** Tokens of the timers that wait for gauges, by the tag of the request for them. */
+    /** Tokens of the timers that wait for gauges, by the tag of the request for the gauges. */
     private final Map<String, String> timersAwaitingGauges = new HashMap<>();
 
     private long lastGaugesTag;
     private Gauges lastGauges = NO_GAUGES;
     private double lastGaugesAtMillis = Double.NEGATIVE_INFINITY;
-    private boolean handling;
+    private boolean dispatching;
     private boolean started;
 
     ControllerDriver(Controller controller, Clock clock, Timers timers, Engine engine, Logger log) {
@@ -48,12 +51,17 @@
         this.log = log;
     }
 
-    /** The controller; its event methods are called from within {@link #dispatch} only. */
+    /**
+     * Returns the controller. Its event methods may be called from within {@link #dispatch} only.
+     */
     Controller controller() {
         return controller;
     }
 
-    /** Whether the controller has been started, as the engine has been attached once. */
+    /**
+     * Returns whether the controller has been started, which happens when the engine is attached
+     * for the first time.
+     */
     boolean isStarted() {
         return started;
     }
@@ -63,17 +71,17 @@
     }
 
     /**
-     * Hands the controller one event. Guards against a failure of the decision code: the gateway
-     * goes on without that event.
+     * Passes one event to the controller. If the decision code fails, the gateway continues without
+     * that event.
      */
     void dispatch(Runnable event) {
-        if (handling) {
-            followUps.add(event);
+        if (dispatching) {
+            deferredEvents.add(event);
             return;
         }
-        handling = true;
+        dispatching = true;
         try {
-            for (Runnable next = event; next != null; next = followUps.poll()) {
+            for (Runnable next = event; next != null; next = deferredEvents.poll()) {
                 try {
                     next.run();
                 } catch (RuntimeException e) {
@@ -81,13 +89,16 @@
                 }
             }
         } finally {
-            // Guards against an Error, such as direct memory used up: without this no further
-            // event would be handled.
-            handling = false;
+            // An Error, such as exhausted direct memory, leaves this method: without this reset no
+            // further event would be handled.
+            dispatching = false;
         }
     }
 
-    /** The same; returns whether the event was handled without a failure. */
+    /**
+     * Passes one event to the controller like {@link #dispatch}, and returns whether it was handled
+     * without a failure.
+     */
     boolean tryDispatch(Runnable event) {
         boolean[] succeeded = {false};
         dispatch(
@@ -105,9 +116,9 @@
     private void requestGaugesFor(String token) {
         String tag = Long.toString(++lastGaugesTag);
         timersAwaitingGauges.put(tag, token);
-        // First: guards the controller's timers, each of which sets the next, against gauges that
-        // can't be requested.
-        timers.after(GAUGES_WAIT_MILLIS, () -> fireTimer(tag));
+        // The timeout is set first: each timer of the controller sets the next one, so it has to
+        // fire even if the gauges can't be requested.
+        timers.after(MAX_GAUGES_WAIT_MILLIS, () -> fireTimer(tag));
         if (!engine.requestGauges(tag)) {
             fireTimer(tag);
         }
@@ -119,13 +130,15 @@
         fireTimer(tag);
     }
 
-    /** A timer fires once: with the gauges requested for it, or without them once they are late. */
+    /** Fires a timer once: when its gauges have arrived or, without them, when they are late. */
     private void fireTimer(String tag) {
         String token = timersAwaitingGauges.remove(tag);
         if (token != null) {
             double nowMillis = clock.nowMillis();
             Gauges gauges =
-                    nowMillis - lastGaugesAtMillis <= GAUGES_VALID_MILLIS ? lastGauges : NO_GAUGES;
+                    nowMillis - lastGaugesAtMillis <= MAX_GAUGES_AGE_MILLIS
+                            ? lastGauges
+                            : NO_GAUGES;
             dispatch(() -> controller.timerFired(nowMillis, token, gauges));
         }
     }
--- a/src/main/java/tinroad/core/DeadlineGuard.java
+++ b/src/main/java/tinroad/core/DeadlineGuard.java
@@ -1,17 +1,22 @@
 package tinroad.core;
 
 /**
- * Answers requests whose deadline has passed where the controller does not: while the process
- * stalled, while the engine link is down, or when the decision code failed. Also gives up on runs
- * whose end can't be reported any more, and drops what has expired from the tables. Runs on the
- * event loop, every {@link #PERIOD_MILLIS}.
+ * Answers requests whose deadline has passed where the controller does not: because the process
+ * stalled, the engine link is down, or the decision code failed. It also gives up on runs whose end
+ * can't be reported any more, and removes expired entries from the tables. It runs on the event
+ * loop, every {@link #PERIOD_MILLIS}.
  */
 final class DeadlineGuard {
-    /** Far below the slack that the rules leave an answer after its deadline. */
+    /**
+     * The period of the check, in ms, far below the slack that the rules allow an answer after its
+     * deadline.
+     */
     static final double PERIOD_MILLIS = 25;
 
-    /** So long after its deadline, in ms, a request whose run was lost with its link is kept. */
-    static final double LOST_RUN_KEPT_MILLIS = 1000;
+    /**
+     * How long after its deadline, in ms, a request whose run was lost with its link is retained.
+     */
+    static final double LOST_RUN_RETENTION_MILLIS = 1000;
 
     private final Timers timers;
     private final Clock clock;
@@ -20,11 +25,11 @@
     private final IdempotencyTable idempotency;
     private final WarmStart warmStart;
 
-    /** When this guard ran last. */
+    /** When this check ran last. */
     private double lastRunAtMillis = Double.POSITIVE_INFINITY;
 
-    /** When it ran the time before; any thread may read it. */
-    private volatile double lastSeenAliveMillis = Double.POSITIVE_INFINITY;
+    /** When this check ran the time before the last one; any thread may read it. */
+    private volatile double previousRunAtMillis = Double.POSITIVE_INFINITY;
 
     DeadlineGuard(
             Timers timers,
@@ -45,14 +50,17 @@
         timers.after(PERIOD_MILLIS, this::run);
     }
 
+    /**
+     * Returns the time described at {@link Gateway#lastSeenAliveMillis}; any thread may call this.
+     */
     double lastSeenAliveMillis() {
-        return lastSeenAliveMillis;
+        return previousRunAtMillis;
     }
 
     private void run() {
         timers.after(PERIOD_MILLIS, this::run);
         double nowMillis = clock.nowMillis();
-        lastSeenAliveMillis = lastRunAtMillis;
+        previousRunAtMillis = lastRunAtMillis;
         lastRunAtMillis = nowMillis;
         for (ActiveRequest request : requests.snapshot()) {
             if (!request.answered && nowMillis >= request.deadlineAtMillis) {
@@ -60,7 +68,7 @@
             }
             if (request.answered
                     && request.sentOnLostLink
-                    && nowMillis >= request.deadlineAtMillis + LOST_RUN_KEPT_MILLIS) {
+                    && nowMillis >= request.deadlineAtMillis + LOST_RUN_RETENTION_MILLIS) {
                 lifecycle.abandonLostRun(request);
             }
         }
--- a/src/main/java/tinroad/core/Engine.java
+++ b/src/main/java/tinroad/core/Engine.java
@@ -3,55 +3,56 @@
 import io.netty.buffer.ByteBuf;
 import tinroad.overload.Controller;
 
-/** The process that does the work, behind a link that may be down. */
+/** The process that runs the requests, behind a link that may be down. */
 public interface Engine {
     /**
-     * Sends the command to run a request; returns {@link Progress#SENT}, or {@link
-     * Progress#NOT_SENT} where the link is down. A command that is sent again starts nothing while
-     * the run is under way or once it is over: the engine knows what it was sent.
+     * Sends the command to run a request. Returns {@link Progress#SENT}, or {@link
+     * Progress#NOT_SENT} if the link is down. A command that is sent again starts nothing while the
+     * run is in progress or once it has ended, because the engine remembers which commands it was
+     * sent.
      */
     Progress run(String id, String className, ByteBuf body);
 
-    /** Requests the gauges; false where the link is down and no reply will come. */
+    /** Requests the gauges; returns false if the link is down, so that no reply will come. */
     boolean requestGauges(String tag);
 
     /** How a run ended. */
     enum RunOutcome {
-        /** With a result. */
+        /** The run ended with a result. */
         DONE,
-        /** With an error. */
+        /** The run ended with an error. */
         CRASHED,
-        /** Stopped by the engine. */
+        /** The engine stopped the run. */
         ABORTED,
-        /** It never started, as the engine knew the request to be over. */
+        /** The run never started, because the engine knew that the request was over. */
         STALE,
-        /** The engine did not carry the command out: nothing ran. */
+        /** The engine did not carry out the command, so nothing ran. */
         REJECTED
     }
 
     /** Receives the engine's events, on the event loop. */
     interface Listener {
         /**
-         * The link is up and the engine is there.
+         * Called when the link is up and the engine is present.
          *
-         * @param fresh whether the engine is a new process, as it says itself
-         * @param startedMillisAgo how long ago it was started
+         * @param newProcess whether the engine reports that it is a new process
+         * @param startedMillisAgo how long ago the engine was started
          */
-        void onAttached(boolean fresh, double startedMillisAgo);
+        void onAttached(boolean newProcess, double startedMillisAgo);
 
         /**
-         * After {@link #onAttached}: every event from before was delivered. A run whose end was not
-         * reported is under way, or its command was lost with its link.
+         * Called after {@link #onAttached}, once every event from before was delivered. A run whose
+         * end was not reported by then is still in progress, or its command was lost with its link.
          */
         void onCaughtUp();
 
-        /** The link broke: what was sent on it may have run. */
+        /** Called when the link has broken. What was sent on it may have run. */
         void onDetached();
 
-        /** A run is over; {@code result} is valid during the call only. */
+        /** Called when a run is over; {@code result} is valid during the call only. */
         void onRunEnded(String id, RunOutcome outcome, double tookMillis, ByteBuf result);
 
-        /** The reply to {@link #requestGauges}. */
+        /** Called with the reply to {@link #requestGauges}. */
         void onGauges(String tag, Controller.Gauges gauges);
     }
 }
--- a/src/main/java/tinroad/core/EngineRecovery.java
+++ b/src/main/java/tinroad/core/EngineRecovery.java
@@ -4,13 +4,15 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * What the state of the engine link means for the requests in flight: starts the controller when
- * the engine is there for the first time, and sends again what may have been lost with an earlier
- * link. Owned by the event loop.
+ * Applies changes of the engine link's state to the requests in flight: starts the controller when
+ * the engine is attached for the first time, and sends run commands again that may have been lost
+ * with an earlier link. All methods must be called on the event loop.
  */
 final class EngineRecovery {
-    /** Two readings of the engine's start that lie this near, in ms, are of one start. */
-    static final double SAME_START_MILLIS = 1000;
+    /**
+     * Two readings of the engine's start time that differ by at most this, in ms, are of one start.
+     */
+    static final double SAME_START_TOLERANCE_MILLIS = 1000;
 
     private final Settings settings;
     private final long seed;
@@ -27,8 +29,8 @@
     private double engineStartedAtMillis;
 
     /**
-     * The engine was started since the link before: it knows none of the runs that were sent to it
-     * earlier.
+     * Whether the engine was restarted since the previous link, in which case it knows none of the
+     * runs that were sent to it earlier.
      */
     private boolean engineRestarted;
 
@@ -59,37 +61,38 @@
         this.log = log;
     }
 
-    void attached(boolean fresh, double startedMillisAgo) {
+    void attached(boolean newProcess, double startedMillisAgo) {
         double startedAtMillis = clock.nowMillis() - startedMillisAgo;
         engineRestarted =
-                driver.isStarted() && startedAtMillis > engineStartedAtMillis + SAME_START_MILLIS;
+                driver.isStarted()
+                        && startedAtMillis > engineStartedAtMillis + SAME_START_TOLERANCE_MILLIS;
         engineStartedAtMillis = startedAtMillis;
         if (driver.isStarted()) {
             resume(startedMillisAgo);
         } else {
-            startController(fresh, startedMillisAgo);
+            startController(newProcess, startedMillisAgo);
         }
     }
 
-    private void startController(boolean fresh, double startedMillisAgo) {
+    private void startController(boolean newProcess, double startedMillisAgo) {
         catalogActivation.beforeControllerStart();
         driver.markStarted();
         log.info(
                 "engine attached: {} process, up for {} ms",
-                fresh ? "new" : "running",
+                newProcess ? "new" : "running",
                 Math.round(startedMillisAgo));
         guard.start();
-        warmStart.recoveryPhase().engineAttached(clock.nowMillis(), fresh);
+        warmStart.recoveryPhase().engineAttached(clock.nowMillis(), newProcess);
         driver.dispatch(
                 () -> {
                     driver.controller().start(clock.nowMillis(), seed, settings);
-                    // First: restored statistics are of the classes that the controller starts
-                    // with.
-                    warmStart.restoreController(fresh);
+                    // Restored statistics are passed first, because they are of the classes that
+                    // the controller starts with.
+                    warmStart.restoreController(newProcess);
                     catalogActivation.applyEarlyChanges();
                 });
-        // Guards against a shutdown notice that came before the engine: the controller has to know
-        // it too.
+        // A shutdown notice may have come before the engine was attached; the controller has to be
+        // notified of it, too.
         if (shutdown.isDraining()) {
             shutdown.notifyController();
         }
@@ -103,8 +106,8 @@
                         : "");
         warmStart.recoveryPhase().engineAttached(clock.nowMillis(), engineRestarted);
         markSentOnLostLink();
-        // A copy: guards against an endless loop where the link breaks again and each request is
-        // queued anew.
+        // The loop runs over a copy: if the link breaks again, each request is added to the queue
+        // anew, and a loop over the queue itself would never end.
         requests.drainAwaitingLink().forEach(lifecycle::submit);
     }
 
@@ -119,11 +122,11 @@
     }
 
     /**
-     * Sends run commands again that may have been lost with an earlier link. Guards against a lost
-     * run that keeps its capacity, and its client waiting, until the deadline. Safe for every
-     * class, as {@link Engine#run} says; what the engine still had to report of earlier links was
-     * read before, so hardly anything but lost and running requests is sent again. Guards against
-     * an engine that was restarted, which knows no earlier run: to it nothing is sent again.
+     * Sends run commands again that may have been lost with an earlier link. A lost run would
+     * otherwise occupy its capacity, and leave its client waiting, until the deadline. This is safe
+     * for every class, as described at {@link Engine#run}. What the engine still had to report of
+     * earlier links was read before, so hardly any but lost and running requests are sent again.
+     * Nothing is sent again to an engine that was restarted, because it knows no earlier run.
      */
     void caughtUp() {
         if (engineRestarted) {
--- a/src/main/java/tinroad/core/Gateway.java
+++ b/src/main/java/tinroad/core/Gateway.java
@@ -15,10 +15,10 @@
 import tinroad.recovery.RestoredState;
 
 /**
- * One gateway, whatever protocol its requests came by: puts the parts together that carry a request
- * from its arrival to its answer, and is what frontends, the engine link, the admin endpoint and
- * the node call. Decides nothing itself: that is the {@link Controller}'s. All methods are called
- * on the event loop, unless they say otherwise.
+ * A gateway, independent of the protocol of its requests. It combines the parts that carry a
+ * request from its arrival to its answer, and is the object that frontends, the engine link, the
+ * admin endpoint and the node call. It makes no decisions itself; those are the {@link
+ * Controller}'s. All methods must be called on the event loop unless they state otherwise.
  */
 public final class Gateway implements Engine.Listener {
     private final Clock clock;
@@ -40,13 +40,13 @@
     /** Is notified of changes of the gateway's health. */
     @FunctionalInterface
     public interface HealthListener {
-        /** The gateway takes work, or does not. */
-        void health(boolean good);
+        /** Called when the gateway begins or stops accepting work. */
+        void healthChanged(boolean healthy);
     }
 
     /**
-     * A gateway around the controller that {@code controllerFactory} makes, with the catalog of the
-     * site's classes and tenants.
+     * Creates a gateway with the controller that {@code controllerFactory} makes, and with a
+     * catalog of the site's classes and tenants.
      */
     public Gateway(
             Site site,
@@ -74,13 +74,13 @@
     }
 
     /**
-     * A gateway around the controller that {@code controllerFactory} makes.
+     * Creates a gateway with the controller that {@code controllerFactory} makes.
      *
-     * @param catalog of the site's classes and tenants: their slots are their places in the site's
+     * @param catalog the site's classes and tenants; their slots are their positions in the site's
      *     lists
-     * @param seed of all random choices of the controller
-     * @param timers run tasks on the event loop
-     * @param log gets the changes of the gateway's state
+     * @param seed the seed of all random choices of the controller
+     * @param timers runs tasks on the event loop
+     * @param log receives the changes of the gateway's state
      */
     public Gateway(
             Site site,
@@ -144,9 +144,12 @@
         actions.bind(driver, lifecycle, health);
     }
 
-    // --- set up once, before the first request ---
+    // --- setup, once, before the first request ---
 
-    /** Takes the state of earlier incarnations; called before the engine is attached, or never. */
+    /**
+     * Restores the state of earlier incarnations. It is called before the engine is attached, or
+     * never.
+     */
     public void restoreFrom(RestoredState earlier) {
         warmStart.restoreFrom(earlier);
         requests.restoreExecuted(earlier.executedIds(), clock.nowMillis());
@@ -155,19 +158,19 @@
         }
     }
 
-    /** Adds a frontend; all are added before the first request. */
+    /** Adds a frontend. All frontends are added before the first request. */
     public void addFrontend(Frontend frontend) {
         actions.addFrontend(frontend);
     }
 
-    /** Sets who is notified of the health; called once, before any request. */
+    /** Sets the listener that is notified of the health. It is called once, before any request. */
     public void onHealth(HealthListener listener) {
         health.setListener(listener);
     }
 
     /**
-     * Sets who is notified of the slots, of classes and of tenants, that were removed and that no
-     * request in flight refers to any more.
+     * Sets the consumers that are notified of slots, of classes and of tenants, that were removed
+     * and that no request in flight refers to any more.
      */
     public void onSlotsFree(Consumer<int[]> classes, Consumer<int[]> tenants) {
         requests.onSlotsFree(classes, tenants);
@@ -176,17 +179,17 @@
     // --- from the frontends ---
 
     /**
-     * A request was read. The sink gets exactly one answer, perhaps within this call; the request's
-     * body is used during the call only.
+     * Handles a request that was read. The sink receives exactly one answer, perhaps within this
+     * call; the request's body is used during the call only.
      */
     public void handle(IncomingRequest incoming, ResponseSink responseSink) {
         arrivals.handle(incoming, responseSink);
     }
 
     /**
-     * The client of this request has disconnected. While the request is queued, it fails and leaves
-     * the queue; what was sent to run can't be stopped, and is answered when it ends. Does nothing
-     * where {@code responseSink} is not the one that the request came with.
+     * Handles the disconnection of a request's client. A request that is still queued fails and
+     * leaves the queue; a request that was sent to run can't be stopped, and is answered when its
+     * run ends. Nothing happens if {@code responseSink} is not the one that the request came with.
      */
     public void cancel(String id, ResponseSink responseSink) {
         lifecycle.cancel(id, responseSink);
@@ -195,8 +198,8 @@
     // --- from the engine ---
 
     @Override
-    public void onAttached(boolean fresh, double startedMillisAgo) {
-        engineRecovery.attached(fresh, startedMillisAgo);
+    public void onAttached(boolean newProcess, double startedMillisAgo) {
+        engineRecovery.attached(newProcess, startedMillisAgo);
     }
 
     @Override
@@ -223,11 +226,11 @@
     // --- from the operators and the node ---
 
     /**
-     * The shutdown notice: everything that was read is answered by {@code shutdownAtMillis}. A
-     * second notice changes nothing.
+     * Begins draining on a shutdown notice: everything that was read is answered by {@code
+     * shutdownAtMillis}. A second notice changes nothing.
      *
-     * @param noticedAtMillis when the notice came, in Unix ms, which counts instead of the time of
-     *     this call: what may still run depends on it
+     * @param noticedAtMillis when the notice came, in Unix ms. It counts instead of the time of
+     *     this call, because it determines what may still run
      */
     public void beginDraining(double noticedAtMillis, double shutdownAtMillis) {
         if (shutdown.begin(noticedAtMillis, shutdownAtMillis)) {
@@ -236,35 +239,37 @@
     }
 
     /**
-     * Another process has taken over: this one ends, and reports the gateway's health no longer.
+     * Records that another process has taken over. This process is about to end, and no longer
+     * reports the gateway's health.
      */
     public void markReplaced() {
         health.markReplaced();
     }
 
-    /** Clients can connect to this process from now on. */
+    /** Records that clients can connect to this process from now on. */
     public void markListening() {
         health.markListening();
     }
 
     /**
-     * Whether this process serves, and goes on serving. Guards against a yes before clients can
-     * connect to it: whoever gets that may end the process that served until then.
+     * Returns whether this process serves, and will go on serving. It is false until clients can
+     * connect to this process, because a caller that gets true may end the process that served
+     * until then.
      */
     public boolean ready() {
         return health.isReady();
     }
 
     /**
-     * Takes the gateway out of the service registry, until {@link #rejoin}: its health is bad. What
-     * still arrives is served as before; the controller, for which draining has an end, is not
-     * notified.
+     * Takes the gateway out of the service registry until {@link #rejoin}, by reporting bad health.
+     * Requests that still arrive are served as before. The controller is not notified, because
+     * draining, as the controller knows it, has an end.
      */
     public void evacuate() {
         health.evacuate();
     }
 
-    /** Ends an evacuation; false where the process is draining. */
+    /** Ends an evacuation; returns false if the process is draining. */
     public boolean rejoin() {
         return health.rejoin();
     }
@@ -272,133 +277,137 @@
     // --- changes of classes and tenants ---
 
     /**
-     * A later version of the catalog, with its difference from the version before: it comes in
-     * force at one instant, a little later. {@code completion} gets whether it did; where the
-     * controller failed it did not, and the catalog in force stays. Draining does not hinder it; at
-     * the end of the process a version that is not in force yet is dropped.
+     * Applies a later version of the catalog, given with its difference from the version before. It
+     * comes into force at a single instant, a little later. {@code completion} receives whether it
+     * did; if the controller failed, it did not, and the catalog in force stays. Draining does not
+     * prevent a change. A version that is not in force when the process ends is dropped.
      */
     public void applyChange(Catalog next, CatalogDelta delta, Consumer<Boolean> completion) {
         catalogActivation.apply(next, delta, completion);
     }
 
-    /** A later version was rejected, for this reason: the catalog in force stays. */
+    /** Records that a later version was rejected, and why. The catalog in force stays. */
     public void changeRejected(String reason) {
         catalogActivation.reject(reason);
     }
 
-    /** So many later versions are known that {@link #applyChange} was not called for yet. */
+    /**
+     * Sets the number of later versions that are known and that {@link #applyChange} was not called
+     * for yet.
+     */
     public void setUnappliedChanges(int versions) {
         catalogActivation.setUnappliedChanges(versions);
     }
 
-    /** The catalog in force: all classes and tenants. */
+    /** Returns the catalog in force, with all classes and tenants. */
     public Catalog catalog() {
         return activeCatalog.catalog();
     }
 
-    /** Since when the catalog is in force, in Unix ms. */
+    /** Returns when the catalog came into force, in Unix ms. */
     public double catalogSinceMillis() {
-        return activeCatalog.sinceMillis();
+        return activeCatalog.activatedAtMillis();
     }
 
-    /** How many later versions are known that are not in force yet. */
+    /** Returns how many later versions are known that are not in force yet. */
     public int pendingCatalogs() {
-        return catalogActivation.pending();
+        return catalogActivation.pendingVersions();
     }
 
-    /** The longest time, in ms, that the last change made other events wait. */
+    /** Returns the longest time, in ms, that the last change made other events wait. */
     public double longestSliceMillis() {
         return catalogActivation.longestSliceMillis();
     }
 
-    /** Why a later version was rejected last; null where none was. */
+    /** Returns why a later version was last rejected, or null if none was. */
     public String lastRejection() {
-        return catalogActivation.lastRejection();
+        return catalogActivation.lastRejectionReason();
     }
 
-    /** When a later version was rejected last, in Unix ms. */
+    /** Returns when a later version was last rejected, in Unix ms. */
     public double rejectedAtMillis() {
         return catalogActivation.rejectedAtMillis();
     }
 
-    // --- state, read by others ---
+    // --- state ---
 
-    /** The time now, in Unix ms. */
+    /** Returns the current time, in Unix ms. */
     public double nowMillis() {
         return clock.nowMillis();
     }
 
     /**
-     * A moment, in Unix ms, at which this process worked, and before which no event can have been
-     * left unread; any thread may ask. Guards against a shutdown notice that came while the whole
-     * process stalled: it is seen later than it came. The older of two moments, as the latest may
-     * lie between the end of the stall and the notice.
+     * Returns a time, in Unix ms, at which this process was working and before which no event can
+     * have been left unread. Any thread may call this. It bounds when a shutdown notice came,
+     * because a notice that comes while the whole process is stalled is seen later than it came.
+     * The result is the older of the last two such times, as the latest may lie between the end of
+     * the stall and the notice.
      */
     public double lastSeenAliveMillis() {
         return guard.lastSeenAliveMillis();
     }
 
-    /** The load level that every answer and health check carries; NaN for none. */
+    /** Returns the load level that every answer and health check carries; NaN for none. */
     public double loadLevel() {
         return health.loadLevel();
     }
 
-    /** What health checks report. */
+    /** Returns the health that health checks report. */
     public boolean healthy() {
         return health.isHealthy();
     }
 
-    /** Whether operators evacuated the gateway. */
+    /** Returns whether operators evacuated the gateway. */
     public boolean evacuated() {
         return health.isEvacuated();
     }
 
-    /** Whether every request that was read has its answer. */
+    /** Returns whether every request that was read has been answered. */
     public boolean allAnswered() {
         return inFlight() == 0;
     }
 
-    /** How many requests were read and have no answer yet. */
+    /** Returns how many requests were read and have no answer yet. */
     public int inFlight() {
         return requests.unanswered();
     }
 
-    /** The requests in flight, which tests hold the counts of the tables to. */
+    /** Returns the table of the requests in flight, so that tests can check its counts. */
     RequestTable requestTable() {
         return requests;
     }
 
-    /** The retained keys and results; for the same tests. */
+    /** Returns the table of the retained keys and results, for the same tests. */
     IdempotencyTable idempotencyTable() {
         return idempotency;
     }
 
-    /** Counts of answers and runs since the process started. */
+    /** Returns the counts of answers and runs since the process started. */
     public GatewayMetrics metrics() {
         return metrics;
     }
 
-    /** How far the recovery of this incarnation has come. */
+    /** Returns how far the recovery of this incarnation has come. */
     public RecoveryPhaseTracker recoveryPhase() {
         return warmStart.recoveryPhase();
     }
 
-    /** Where the state of earlier incarnations is from. */
+    /** Returns the state of earlier incarnations and its origin. */
     public RestoredState restoredState() {
         return warmStart.restoredState();
     }
 
-    /** The values of earlier incarnations that this one started with, by name. */
+    /** Returns the values of earlier incarnations that this one started with, by name. */
     public Map<String, RestoredState.RestoredValue> restoredValues() {
         return warmStart.restoredValues();
     }
 
-    /** What this incarnation has learned, by name; empty before the engine was attached. */
+    /** Returns what this incarnation has learned, by name; empty before the engine was attached. */
     public Map<String, Controller.Estimate> learnedEstimates() {
         return warmStart.learnedEstimates();
     }
 
-    /** Ids that were or may have been executed, with their deadlines in Unix ms. */
+    /** Returns the ids that were or may have been executed, with their deadlines in Unix ms. */
     public Map<String, Double> executedIds() {
         return requests.executedIds();
     }
--- a/src/main/java/tinroad/core/GatewayMetrics.java
+++ b/src/main/java/tinroad/core/GatewayMetrics.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * Counts of what a gateway has done since its process started; read by operators. Counts are held
- * by the slot of their class: those of a removed class stay under its name until the slot is
- * assigned again, which bounds the table. Owned by the event loop.
+ * Counts a gateway's answers and runs since its process started, for operators. The counts are
+ * stored by the slot of their class. Those of a removed class stay under its name until the slot is
+ * assigned again, which bounds the table. All methods must be called on the event loop.
  */
 public final class GatewayMetrics {
-    /** With more classes than this at the start, a class has a row from its first answer on. */
+    /** If there are more classes than this at the start, each gets its row at its first answer. */
     static final int MAX_EMPTY_ROWS = 256;
 
     private String[] names;
@@ -21,7 +21,9 @@
     private long[] failed;
     private long runs;
 
-    /** A class and how many of its answers were of each kind; invalid ones count as failed. */
+    /**
+     * A class and its number of answers of each kind. Answers to invalid requests count as failed.
+     */
     public record Row(String name, long served, long rejected, long failed) {
         private static Row sum(Row first, Row second) {
             return new Row(
@@ -42,7 +44,7 @@
         failed = new long[names.length];
     }
 
-    /** An answer leaves to a request of the class in this slot. */
+    /** Counts an answer to a request of the class in this slot. */
     void countResponse(int slot, String name, Response.Kind kind) {
         ensureRow(slot, name);
         long[] counts =
@@ -70,13 +72,16 @@
         }
     }
 
-    /** A run was sent to the engine; sending it again on a later link is the same run. */
+    /**
+     * Counts a run that was sent to the engine. Sending it again on a later link is the same run.
+     */
     void countRun() {
         runs++;
     }
 
     /**
-     * One row a class, in the order of slots; a class that was removed and added again is one row.
+     * Returns one row for each class, in the order of slots. A class that was removed and added
+     * again has a single row.
      */
     public List<Row> rows() {
         Map<String, Row> rows = new LinkedHashMap<>();
@@ -91,7 +96,7 @@
         return new ArrayList<>(rows.values());
     }
 
-    /** How many runs were sent to the engine. */
+    /** Returns how many runs were sent to the engine. */
     public long runs() {
         return runs;
     }
--- a/src/main/java/tinroad/core/GracefulShutdown.java
+++ b/src/main/java/tinroad/core/GracefulShutdown.java
@@ -2,7 +2,10 @@
 
 import org.slf4j.Logger;
 
-/** Whether, and since when, the gateway is draining. Owned by the event loop. */
+/**
+ * Tracks whether, and since when, the gateway is draining. All methods must be called on the event
+ * loop.
+ */
 final class GracefulShutdown {
     private final double graceMillis;
     private final ControllerDriver driver;
@@ -15,7 +18,8 @@
     private double shutdownAtMillis;
 
     /**
-     * @param graceMillis so long after the shutdown notice arrivals still count as sent before it
+     * @param graceMillis for how long after the shutdown notice arrivals still count as sent before
+     *     it
      */
     GracefulShutdown(
             double graceMillis,
@@ -36,7 +40,7 @@
         return draining;
     }
 
-    /** The shutdown notice came; false where one came before. */
+    /** Begins draining on a shutdown notice; returns false if an earlier notice came. */
     boolean begin(double noticeAtMillis, double endAtMillis) {
         if (draining) {
             return false;
@@ -60,14 +64,15 @@
     }
 
     /**
-     * The age of a request, in ms, as the controller gets it. Guards the rule of draining against a
-     * request that began to arrive within the grace and was complete only after it: it reached the
-     * machine with its last byte, and all that is known of that moment is when it was read.
+     * Returns the age of a request, in ms, that is reported to the controller. A request that began
+     * to arrive within the grace period and was complete only after it must count as arrived after
+     * it, by the rule of draining: it reached the machine with its last byte, and all that is known
+     * of that time is when it was read.
      */
     double reportedAgeMillis(double nowMillis, double ageMillis) {
-        double overMillis = nowMillis - noticedAtMillis - graceMillis;
-        return draining && overMillis > 0
-                ? Math.max(0, Math.min(ageMillis, overMillis - 1))
+        double sinceGraceEndMillis = nowMillis - noticedAtMillis - graceMillis;
+        return draining && sinceGraceEndMillis > 0
+                ? Math.max(0, Math.min(ageMillis, sinceGraceEndMillis - 1))
                 : ageMillis;
     }
 }
--- a/src/main/java/tinroad/core/HealthStatus.java
+++ b/src/main/java/tinroad/core/HealthStatus.java
@@ -3,9 +3,10 @@
 import org.slf4j.Logger;
 
 /**
- * What the gateway reports of itself: its health, to health checks and the service registry, and
- * the load level that goes out with answers. Healthy is a gateway whose controller says so, that is
- * not draining and that operators have not evacuated. Owned by the event loop.
+ * What the gateway reports about itself: its health, to health checks and the service registry, and
+ * the load level that is sent with answers. A gateway is healthy if its controller reports so, it
+ * is not draining, and operators have not evacuated it. All methods must be called on the event
+ * loop.
  */
 final class HealthStatus {
     private final GracefulShutdown shutdown;
@@ -13,16 +14,21 @@
     private Gateway.HealthListener listener = healthy -> {};
     private boolean controllerHealthy;
 
-    /** Operators took the gateway out of the registry: checks fail, and work goes on as before. */
+    /**
+     * Whether operators took the gateway out of the registry: checks fail, and work goes on as
+     * before.
+     */
     private boolean evacuated;
 
-    /** Another process serves under this gateway's name: the health that it reports counts. */
+    /**
+     * Whether another process serves under this gateway's name, whose reported health then counts.
+     */
     private boolean replaced;
 
-    /** Clients can connect to this process. */
+    /** Whether clients can connect to this process. */
     private boolean listening;
 
-    /** What was reported last. */
+    /** The health that was reported last. */
     private boolean healthy;
 
     /** The load level to advertise; NaN until the controller has set one. */
@@ -70,7 +76,7 @@
         listening = true;
     }
 
-    /** Whether clients reach this process, it is healthy, and it goes on serving. */
+    /** Returns whether clients can reach this process, it is healthy, and it will go on serving. */
     boolean isReady() {
         return listening && healthy && !shutdown.isDraining();
     }
@@ -83,7 +89,7 @@
         }
     }
 
-    /** Ends an evacuation; false where the process is draining. */
+    /** Ends an evacuation; returns false if the process is draining. */
     boolean rejoin() {
         if (shutdown.isDraining()) {
             return false;
@@ -96,13 +102,13 @@
         return true;
     }
 
-    /** Reports the health where it has changed. */
+    /** Reports the health if it has changed. */
     void update() {
-        boolean next = controllerHealthy && !shutdown.isDraining() && !evacuated;
-        if (next != healthy && !replaced) {
-            healthy = next;
-            log.info("health {}", next ? "good" : "bad");
-            listener.health(next);
+        boolean nowHealthy = controllerHealthy && !shutdown.isDraining() && !evacuated;
+        if (nowHealthy != healthy && !replaced) {
+            healthy = nowHealthy;
+            log.info("health {}", nowHealthy ? "good" : "bad");
+            listener.healthChanged(nowHealthy);
         }
     }
 }
--- a/src/main/java/tinroad/core/IdempotencyTable.java
+++ b/src/main/java/tinroad/core/IdempotencyTable.java
@@ -11,71 +11,88 @@
 import java.util.Map;
 
 /**
- * Which requests are duplicates of which, and the results that may be replayed to them. Reads whose
- * key the controller retains are found by class and result key, while the first of them runs and
- * for the configured time that results stay fresh; none where that time is 0. Attempts of keyed
- * classes are found by their idempotency key, from the first that is queued until no attempt of the
- * same request may run any more: neither a full table nor a failure of the controller makes one of
- * them run twice. See docs/keyed-requests.md for what a duplicate gets in each state. Owned by the
- * event loop; times in Unix ms.
+ * Records which requests are duplicates of which, and the results that may be replayed to them.
+ *
+ * <p>Reads whose key the controller retains are found by class and result key, while the first of
+ * them runs and then for the configured time that results stay fresh; none are found if that time
+ * is 0.
+ *
+ * <p>Attempts of keyed classes are found by their idempotency key, from the first that is queued
+ * until no attempt of the same request may run any more. Neither a full table nor a failure of the
+ * controller makes a second one of them run.
+ *
+ * <p>See docs/keyed-requests.md for what a duplicate gets in each state. All methods must be called
+ * on the event loop. Times are in Unix ms.
  */
 final class IdempotencyTable {
-    /** Bounds the reads retained, whatever the controller asks for: further ones are not. */
+    /**
+     * The maximum number of retained reads. Further reads are not retained, even if the controller
+     * requests it.
+     */
     private static final int MAX_READS = 2000;
 
     /**
-     * Bounds the idempotency keys. Where the table is full a new request of a keyed class is
-     * rejected: no key is dropped early.
+     * The maximum number of idempotency keys. If the table is full, a new request of a keyed class
+     * is rejected, because no key may be dropped early.
      */
     static final int MAX_KEYS = 16_384;
 
     /**
-     * Bounds the results of keyed runs, in bytes: beyond it the oldest is dropped, and its
-     * duplicates fail.
+     * The maximum size of all results of keyed runs, in bytes. Beyond it the oldest result is
+     * dropped, and duplicates of its request fail.
      */
     static final int MAX_RESULT_BYTES = 4 * 1024 * 1024;
 
     /**
-     * Extends the window in which nothing runs again, in ms. Guards against clocks and readings
-     * that are a little off.
+     * Extends the window in which nothing runs again, in ms, because clocks and readings may be a
+     * little off.
      */
     static final double WINDOW_MARGIN_MILLIS = 100;
 
-    /** Period of the sweep for keys that have expired, in ms. */
-    private static final double SWEEP_INTERVAL_MILLIS = 1000;
+    /** The period, in ms, at which expired idempotency keys are removed. */
+    private static final double KEY_EXPIRY_PERIOD_MILLIS = 1000;
 
     private final double resultFreshMillis;
-    private final Map<String, Entry> reads = new LinkedHashMap<>();
-    private final Map<String, Entry> keyedRequests = new HashMap<>();
 
-    /** Keyed requests whose result is retained, oldest first. */
+    /** Entries of reads, by class and result key. */
+    private final Map<String, Entry> readEntries = new LinkedHashMap<>();
+
+    /** Entries of requests of keyed classes, by idempotency key. */
+    private final Map<String, Entry> keyedEntries = new HashMap<>();
+
+    /** Entries of keyed requests whose result is retained, oldest first. */
     private final ArrayDeque<Entry> keyedResults = new ArrayDeque<>();
 
     private int resultBytes;
-    private double nextSweepAtMillis;
+    private double nextKeyExpiryAtMillis;
 
     IdempotencyTable(double resultFreshMillis) {
         this.resultFreshMillis = resultFreshMillis;
     }
 
-    /** One request, whichever of its attempts runs. */
+    /** A request, whichever of its attempts runs. */
     static final class Entry {
         final String requestId;
 
-        /** What all its attempts carry; null for reads. */
+        /** The key that all attempts of the request carry; null for reads. */
         private final String idempotencyKey;
 
         private final String className;
         private final byte[] bodyDigest;
+
+        /** The end of a read's retention, or of a keyed request's window. */
         private double validUntilMillis;
 
         /**
-         * Keyed: a run was submitted, perhaps without effect; from then on none is submitted again
-         * within the window.
+         * For keyed requests: whether a run was submitted, perhaps without effect. From then on no
+         * run is submitted again within the window.
          */
         private boolean runSubmitted;
 
-        /** Keyed: no attempt with a deadline before this can still arrive. */
+        /**
+         * For keyed requests: after this time every attempt that arrived within the window is past
+         * its deadline, so that the key may be removed.
+         */
         private double expiresAtMillis = Double.MAX_VALUE;
 
         private boolean completed;
@@ -94,12 +111,15 @@
             return completed;
         }
 
-        /** Whether a run was submitted: then no attempt may get the answer that nothing ran. */
+        /**
+         * Returns whether a run was submitted. If so, no attempt may get the answer that nothing
+         * ran.
+         */
         boolean runSubmitted() {
             return runSubmitted;
         }
 
-        /** The result of the run, or null where there is none. */
+        /** Returns the result of the run, or null if there is none. */
         byte[] result() {
             return result;
         }
@@ -113,16 +133,16 @@
         return request.className() + ' ' + request.resultKey;
     }
 
-    /** The entry that this request is a duplicate of, or null. */
+    /** Returns the entry that this request is a duplicate of, or null. */
     Entry findOriginal(ActiveRequest request, double nowMillis) {
         if (request.idempotencyKey != null) {
-            Entry entry = keyedRequests.get(request.idempotencyKey);
+            Entry entry = keyedEntries.get(request.idempotencyKey);
             return entry == null || isWindowOver(entry, request, nowMillis) ? null : entry;
         }
         Entry entry =
                 request.resultKey == null || resultFreshMillis <= 0
                         ? null
-                        : reads.get(readKey(request));
+                        : readEntries.get(readKey(request));
         boolean isUsable =
                 entry != null
                         && nowMillis <= entry.validUntilMillis
@@ -134,9 +154,9 @@
     }
 
     /**
-     * Whether the window is over for this attempt. Guards against an attempt that was written
-     * within the window and is read after it: the arrival that it states counts where that is
-     * earlier.
+     * Returns whether the window is over for this attempt. If the arrival that the attempt states
+     * is earlier than the current time, that arrival counts, so that an attempt that was written
+     * within the window and is read after it does not run.
      */
     private static boolean isWindowOver(Entry entry, ActiveRequest request, double nowMillis) {
         return entry.runSubmitted
@@ -146,8 +166,8 @@
     }
 
     /**
-     * Whether the idempotency key of this request stands for another one: of another class, or with
-     * another body.
+     * Returns whether the idempotency key of this request belongs to a different request: one of
+     * another class, or with another body.
      */
     static boolean conflicts(ActiveRequest request, Entry original) {
         return request.idempotencyKey != null
@@ -157,50 +177,53 @@
     }
 
     /**
-     * Whether a run was submitted for the request with this key, and no attempt of it may run again
-     * yet; false for null.
+     * Returns whether a run was submitted for the request with this key, and no attempt of it may
+     * run again yet; false for null.
      */
     boolean isRunSubmitted(String idempotencyKey) {
-        Entry entry = idempotencyKey == null ? null : keyedRequests.get(idempotencyKey);
+        Entry entry = idempotencyKey == null ? null : keyedEntries.get(idempotencyKey);
         return entry != null && entry.runSubmitted;
     }
 
-    /** Whether there is no capacity for one more idempotency key. */
+    /** Returns whether there is no capacity for one more idempotency key. */
     boolean isFull() {
-        return keyedRequests.size() >= MAX_KEYS;
+        return keyedEntries.size() >= MAX_KEYS;
     }
 
+    /** Retains a request, so that duplicates of it are recognized. */
     void retain(ActiveRequest request, double validUntilMillis, double nowMillis) {
         if (request.idempotencyKey != null) {
             retainKeyed(request, nowMillis);
             return;
         }
-        if (request.resultKey == null || resultFreshMillis <= 0 || reads.size() >= MAX_READS) {
+        if (request.resultKey == null
+                || resultFreshMillis <= 0
+                || readEntries.size() >= MAX_READS) {
             return;
         }
-        Entry entry = reads.get(readKey(request));
+        Entry entry = readEntries.get(readKey(request));
         if (entry == null || !entry.requestId.equals(request.id)) {
             entry = new Entry(request);
-            reads.put(readKey(request), entry);
+            readEntries.put(readKey(request), entry);
             request.ownEntry = entry;
         }
         entry.validUntilMillis = validUntilMillis;
     }
 
     private void retainKeyed(ActiveRequest request, double nowMillis) {
-        Entry entry = keyedRequests.get(request.idempotencyKey);
+        Entry entry = keyedEntries.get(request.idempotencyKey);
         if (entry == null || isWindowOver(entry, request, nowMillis)) {
             if (entry != null) {
                 remove(entry);
             }
             request.ownEntry = new Entry(request);
-            keyedRequests.put(request.idempotencyKey, request.ownEntry);
+            keyedEntries.put(request.idempotencyKey, request.ownEntry);
         }
     }
 
     /**
-     * Claims the run that is about to be submitted; false where it must not be, as another attempt
-     * has claimed it. The window counts from the arrival of this attempt.
+     * Claims the run that is about to be submitted. Returns false if it must not be submitted,
+     * because another attempt has claimed it. The window counts from the arrival of this attempt.
      */
     boolean claimRun(
             ActiveRequest request, double windowMillis, double deadlineMillis, double nowMillis) {
@@ -220,20 +243,21 @@
         return true;
     }
 
-    /** The run that was claimed was not submitted: nothing ran yet. */
-    void revokeRun(ActiveRequest request) {
+    /** Revokes the claim of a run that was not submitted after all, so that nothing has run yet. */
+    void revokeClaim(ActiveRequest request) {
         if (request.ownEntry != null) {
             request.ownEntry.runSubmitted = false;
         }
     }
 
+    /** Releases the read that was retained for the request with this id. */
     void release(String id) {
-        reads.values().removeIf(entry -> entry.requestId.equals(id));
+        readEntries.values().removeIf(entry -> entry.requestId.equals(id));
     }
 
     /**
-     * A request is over, with this result or, where it has none, null; returns the duplicates that
-     * waited for it.
+     * Completes a request with this result, or with null if it has none, and returns the duplicates
+     * that waited for it.
      */
     List<ActiveRequest> complete(ActiveRequest request, ByteBuf result, double nowMillis) {
         Entry entry = request.ownEntry;
@@ -247,7 +271,7 @@
         entry.waitingDuplicates.clear();
         if (entry.idempotencyKey != null) {
             if (request.progress == Progress.NOT_SENT) {
-                // It never ran: the next attempt is a new request.
+                // The request never ran, so the next attempt is a new request.
                 remove(entry);
             } else if (entry.result != null) {
                 keyedResults.add(entry);
@@ -261,7 +285,7 @@
     }
 
     private void remove(Entry entry) {
-        keyedRequests.remove(entry.idempotencyKey, entry);
+        keyedEntries.remove(entry.idempotencyKey, entry);
         dropResult(entry);
     }
 
@@ -272,26 +296,27 @@
         }
     }
 
-    /** Bytes of the results of keyed runs that are retained. */
+    /** Returns the size of all retained results of keyed runs, in bytes. */
     int resultBytes() {
         return resultBytes;
     }
 
-    /** Keyed requests whose result is retained, oldest first; a copy. */
+    /** Returns a copy of the keyed requests whose result is retained, oldest first. */
     List<Entry> keyedResults() {
         return List.copyOf(keyedResults);
     }
 
-    /** Whether this is the entry of its idempotency key. */
+    /** Returns whether this is the entry that is stored for its idempotency key. */
     boolean isCurrent(Entry entry) {
-        return keyedRequests.get(entry.idempotencyKey) == entry;
+        return keyedEntries.get(entry.idempotencyKey) == entry;
     }
 
+    /** Removes the reads and, periodically, the idempotency keys that have expired. */
     void expire(double nowMillis) {
-        reads.values().removeIf(entry -> entry.validUntilMillis < nowMillis);
-        if (nowMillis >= nextSweepAtMillis) {
-            nextSweepAtMillis = nowMillis + SWEEP_INTERVAL_MILLIS;
-            List.copyOf(keyedRequests.values()).stream()
+        readEntries.values().removeIf(entry -> entry.validUntilMillis < nowMillis);
+        if (nowMillis >= nextKeyExpiryAtMillis) {
+            nextKeyExpiryAtMillis = nowMillis + KEY_EXPIRY_PERIOD_MILLIS;
+            List.copyOf(keyedEntries.values()).stream()
                     .filter(entry -> entry.completed && entry.expiresAtMillis < nowMillis)
                     .forEach(this::remove);
         }
--- a/src/main/java/tinroad/core/RequestArrivals.java
+++ b/src/main/java/tinroad/core/RequestArrivals.java
@@ -6,9 +6,9 @@
 import tinroad.overload.Controller.RequestClass;
 
 /**
- * Validates each request that a frontend has read, and hands it to the overload controller. A
- * request that can't be taken is answered here and never enters the request table. Owned by the
- * event loop.
+ * Validates each request that a frontend has read, and passes it to the overload controller. A
+ * request that can't be accepted is answered here and never enters the request table. All methods
+ * must be called on the event loop.
  */
 final class RequestArrivals {
     private final boolean requestsCarryDeadline;
@@ -46,8 +46,8 @@
         double nowMillis = clock.nowMillis();
         Catalog.ClassEntry classEntry = catalog.classEntry(incoming.className());
         if (classEntry == null) {
-            // Guards the promise of an invalid answer: its class was removed, and another attempt
-            // of it has run.
+            // An invalid answer promises that nothing ran. That would be wrong if another attempt
+            // ran before the class was removed.
             responseSink.respond(
                     idempotency.isRunSubmitted(incoming.idempotencyKey())
                             ? Response.failed(Progress.SENT)
@@ -60,8 +60,8 @@
             respondWithoutEntry(classEntry, responseSink, Response.invalid());
             return;
         }
-        // Guards against a client's clock that runs ahead: an age is never negative, a deadline
-        // never later than the class's.
+        // A client's clock may run ahead: an age is never negative, and a deadline is never later
+        // than the class's.
         double ageMillis = Math.max(0, nowMillis - incoming.arrivedAtMillis());
         double deadlineAtMillis =
                 nowMillis - ageMillis + timeoutMillis(incoming, classEntry.spec());
@@ -83,7 +83,9 @@
         }
     }
 
-    /** A request also counts as keyed where it ran while its class was a keyed one. */
+    /**
+     * Returns whether the request counts as keyed: its class is keyed, or was when the request ran.
+     */
     private boolean isKeyed(IncomingRequest incoming, RequestClass requestClass) {
         return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                 || idempotency.isRunSubmitted(incoming.idempotencyKey());
@@ -91,8 +93,8 @@
 
     private boolean isValid(
             IncomingRequest incoming, int tenantSlot, boolean keyed, double nowMillis) {
-        // Without its key nobody can tell whether a keyed request ran: no guess is made where the
-        // harm can't be undone.
+        // Without its key it is unknown whether a keyed request ran. It is not run on a guess, as
+        // the harm could not be undone.
         return tenantSlot >= 0
                 && !(Math.abs(nowMillis - incoming.arrivedAtMillis())
                         > catalog.maxArrivalOffsetMillis())
@@ -111,8 +113,9 @@
     }
 
     /**
-     * Whether the controller is notified of the request. Guards its averages against requests whose
-     * deadline passed before they were read, and the idempotency table against one key too many.
+     * Returns whether the controller is notified of the request. It is not if the deadline passed
+     * before the request was read, which would distort the controller's averages, or if the
+     * idempotency table has no capacity for the request's key.
      */
     private boolean canAccept(ActiveRequest request, boolean keyed, double nowMillis) {
         return driver.isStarted()
--- a/src/main/java/tinroad/core/RequestLifecycle.java
+++ b/src/main/java/tinroad/core/RequestLifecycle.java
@@ -7,9 +7,9 @@
 import tinroad.overload.Controller.RequestClass;
 
 /**
- * What happens to a request after its arrival: its run, its answer, the answers to its duplicates,
- * its end. Decides nothing beyond what keeps the rules: one answer to each request, no second run.
- * Owned by the event loop.
+ * Handles a request after its arrival: its run, its answer, the answers to its duplicates, and its
+ * end. It decides nothing beyond what enforces the rules of one answer to each request and no
+ * second run. All methods must be called on the event loop.
  */
 final class RequestLifecycle {
     private final RequestTable requests;
@@ -42,7 +42,7 @@
 
     // --- answers ---
 
-    /** Answers the request with this id; does nothing where it is not in flight. */
+    /** Answers the request with this id; does nothing if it is not in flight. */
     void respond(String id, Response response) {
         ActiveRequest request = requests.find(id);
         if (request != null) {
@@ -58,8 +58,9 @@
     }
 
     /**
-     * The one place where answers leave. Guards the rule of exactly one answer: a late or second
-     * one is dropped here; and the promise of a rejection: what was sent to run fails instead.
+     * Answers a request; every answer leaves here. This enforces the rule of exactly one answer, as
+     * a late or second one is dropped. It also enforces the promise of a rejection that nothing
+     * ran, as a request that was sent to run fails instead.
      */
     void respond(ActiveRequest request, Response response) {
         if (request.answered) {
@@ -82,10 +83,10 @@
         request.responseSink.respond(sent);
     }
 
-    /** The client has disconnected, so far as its frontend knows. */
+    /** Cancels a request whose client has disconnected, as far as its frontend knows. */
     void cancel(String id, ResponseSink responseSink) {
         ActiveRequest request = requests.find(id);
-        // Guards the request of another client under the same id.
+        // Another client may have sent a request under the same id.
         if (request == null
                 || request.responseSink != responseSink
                 || request.progress != Progress.NOT_SENT) {
@@ -111,7 +112,7 @@
         idempotency.release(id);
     }
 
-    /** Answers a duplicate with the result of its original, now or once that is there. */
+    /** Answers a duplicate with the result of its original, now or once there is one. */
     void replayResult(String id) {
         ActiveRequest request = requests.find(id);
         if (request == null || request.duplicateOf == null) {
@@ -126,7 +127,10 @@
         }
     }
 
-    /** A request is over; its duplicates that wait are answered alike. No result: null. */
+    /**
+     * Completes a request and answers its waiting duplicates alike; {@code result} is null if there
+     * is none.
+     */
     private void complete(ActiveRequest request, ByteBuf result) {
         for (ActiveRequest duplicate : idempotency.complete(request, result, clock.nowMillis())) {
             respondToDuplicate(duplicate, result);
@@ -151,11 +155,12 @@
 
     // --- runs ---
 
-    /** The controller wants this request run. */
+    /** Runs a request, as the controller requested. */
     void run(String id) {
         ActiveRequest request = requests.find(id);
         if (request == null || request.answered) {
-            // Its answer has left: it must not run, and the controller gets its capacity back.
+            // The request has been answered: it must not run, and the controller gets its capacity
+            // back.
             notifyIgnored(id);
         } else if (request.progress == Progress.NOT_SENT && !requests.isAwaitingLink(request)) {
             submit(request);
@@ -170,23 +175,23 @@
                 requestClass.keyWindowMillis(),
                 requestClass.deadlineMillis(),
                 clock.nowMillis())) {
-            // Guards the rule of one run where the controller does not: another attempt of it has
-            // run, or is about to.
+            // Another attempt of the request has run, or is about to. This enforces the rule of one
+            // run where the controller does not.
             failUnsent(request);
             return;
         }
         try {
             request.progress = engine.run(request.id, request.className(), request.body);
         } catch (RuntimeException | OutOfMemoryError e) {
-            // Guards the request, and its capacity in the controller, against a command that can't
-            // even be written: nothing has left.
+            // The command could not even be written, so nothing was sent. The request is answered,
+            // and the controller gets its capacity back.
             log.error("run command not written: {}", e.toString());
-            idempotency.revokeRun(request);
+            idempotency.revokeClaim(request);
             failUnsent(request);
             return;
         }
         if (request.progress == Progress.NOT_SENT) {
-            idempotency.revokeRun(request);
+            idempotency.revokeClaim(request);
             requests.addAwaitingLink(request);
         } else {
             metrics.countRun();
@@ -198,15 +203,18 @@
         notifyIgnored(request.id);
     }
 
-    /** The engine has reported the end of a run; {@code result} is valid during the call only. */
+    /**
+     * Handles the end of a run that the engine has reported; {@code result} is valid during the
+     * call only.
+     */
     void runEnded(String id, Engine.RunOutcome outcome, double tookMillis, ByteBuf result) {
         ActiveRequest request = requests.find(id);
-        // Guards against an event that comes twice, or for what was never sent.
+        // The event may come twice, or for a run that was never sent.
         if (request == null || request.progress != Progress.SENT) {
             return;
         }
         boolean done = outcome == Engine.RunOutcome.DONE;
-        // What the engine did not carry out never ran.
+        // A run that the engine did not carry out never ran.
         request.progress = outcome == Engine.RunOutcome.REJECTED ? Progress.NOT_SENT : Progress.RAN;
         complete(request, done ? result : null);
         respond(request, done ? Response.served(result) : Response.failed(request.progress));
@@ -219,8 +227,8 @@
                             tookMillis,
                             ActiveCatalog.expectedRunMillis(request.requestClass()));
         }
-        // Guards a client's id against others that name it first, with what the engine does not
-        // know.
+        // A rejected run does not use up its id. Otherwise another client could block an id by
+        // using it first, in a request that the engine does not know.
         if (outcome != Engine.RunOutcome.REJECTED) {
             requests.markExecuted(request);
         }
@@ -240,8 +248,8 @@
     }
 
     /**
-     * Gives up on a run whose command may have been lost with its link: no event will report its
-     * end, and its capacity must not stay taken.
+     * Gives up on a run whose command may have been lost with its link. No event will report its
+     * end, and its capacity must not stay occupied.
      */
     void abandonLostRun(ActiveRequest request) {
         if (requests.remove(request)) {
@@ -251,6 +259,10 @@
         }
     }
 
+    /**
+     * Notifies the controller that a request has ended without a run that counts, which releases
+     * its capacity.
+     */
     private void notifyIgnored(String id) {
         driver.dispatch(
                 () -> driver.controller().completed(clock.nowMillis(), id, 0, Outcome.IGNORED));
--- a/src/main/java/tinroad/core/RequestTable.java
+++ b/src/main/java/tinroad/core/RequestTable.java
@@ -8,24 +8,24 @@
 import java.util.function.Consumer;
 
 /**
- * The requests of one gateway that are unanswered or may still run, in the order of their arrival,
- * and the ids that were executed. Also counts which slots of classes and tenants the requests in
- * flight refer to. Its size is bounded by the memory that the controller admits, and by the longest
- * deadline. Owned by the event loop.
+ * The requests of a gateway that are unanswered or may still run, in the order of their arrival,
+ * and the ids that were executed. The table also counts how many requests in flight refer to each
+ * slot of classes and tenants. Its size is bounded by the memory that the controller admits, and by
+ * the longest deadline. All methods must be called on the event loop.
  */
 final class RequestTable {
     private final Clock clock;
 
-    /** Requests in flight by id: unanswered, or with a run that may still end. */
+    /** Requests in flight, by id: those that are unanswered, or whose run may still end. */
     private final Map<String, ActiveRequest> requests = new LinkedHashMap<>();
 
     /**
-     * Ids that were executed, with their deadlines in Unix ms: until then a client may name them
-     * again, and none is ever run twice.
+     * Ids that were executed, with their deadlines in Unix ms. Until its deadline a client may send
+     * an id again; no id is ever run twice.
      */
     private final LinkedHashMap<String, Double> executed = new LinkedHashMap<>();
 
-    /** Requests to be run that could not be sent, as the engine link was down; oldest first. */
+    /** Requests that could not be sent to run because the engine link was down, oldest first. */
     private final ArrayDeque<ActiveRequest> awaitingLink = new ArrayDeque<>();
 
     private final SlotReferences classSlots = new SlotReferences();
@@ -35,12 +35,12 @@
         this.clock = clock;
     }
 
-    /** The request in flight with this id, or null. */
+    /** Returns the request in flight with this id, or null. */
     ActiveRequest find(String id) {
         return requests.get(id);
     }
 
-    /** Whether a request with this id is in flight, or was executed. */
+    /** Returns whether a request with this id is in flight, or was executed. */
     boolean isKnown(String id) {
         return requests.containsKey(id) || executed.containsKey(id);
     }
@@ -51,7 +51,7 @@
         requests.put(request.id, request);
     }
 
-    /** Removes a request that is over; false where it was not in flight any more. */
+    /** Removes a request that is over; returns false if it was not in flight any more. */
     boolean remove(ActiveRequest request) {
         if (!requests.remove(request.id, request)) {
             return false;
@@ -62,22 +62,22 @@
         return true;
     }
 
-    /** All requests in flight, a view. */
+    /** Returns a view of all requests in flight. */
     Collection<ActiveRequest> all() {
         return requests.values();
     }
 
-    /** All requests in flight, a copy: for loops in which requests end. */
+    /** Returns a copy of all requests in flight, for loops in which requests end. */
     List<ActiveRequest> snapshot() {
         return List.copyOf(requests.values());
     }
 
-    /** How many requests are unanswered or may still run. */
+    /** Returns how many requests are unanswered or may still run. */
     int size() {
         return requests.size();
     }
 
-    /** How many requests have no answer yet. */
+    /** Returns how many requests have no answer yet. */
     int unanswered() {
         return (int) requests.values().stream().filter(request -> !request.answered).count();
     }
@@ -92,17 +92,17 @@
         return awaitingLink.contains(request);
     }
 
-    /** Takes a request out of those that wait for the link; false where it was none of them. */
+    /** Removes a request from those that wait for the link; returns false if it was not waiting. */
     boolean removeAwaitingLink(ActiveRequest request) {
         return awaitingLink.remove(request);
     }
 
-    /** The requests that wait for the link, oldest first; a copy. */
+    /** Returns a copy of the requests that wait for the link, oldest first. */
     List<ActiveRequest> awaitingLink() {
         return List.copyOf(awaitingLink);
     }
 
-    /** Takes all requests that wait for the link out of the queue, oldest first. */
+    /** Removes all requests that wait for the link, and returns them, oldest first. */
     List<ActiveRequest> drainAwaitingLink() {
         List<ActiveRequest> waiting = awaitingLink();
         awaitingLink.clear();
@@ -115,7 +115,10 @@
         executed.put(request.id, request.deadlineAtMillis);
     }
 
-    /** Ids that an earlier incarnation executed; those whose deadline has passed are dropped. */
+    /**
+     * Restores the ids that an earlier incarnation executed, except those whose deadline has
+     * passed.
+     */
     void restoreExecuted(Map<String, Double> deadlines, double nowMillis) {
         deadlines.forEach(
                 (id, deadlineAtMillis) -> {
@@ -125,7 +128,7 @@
                 });
     }
 
-    /** Ids that were or may have been executed, with their deadlines in Unix ms. */
+    /** Returns the ids that were or may have been executed, with their deadlines in Unix ms. */
     Map<String, Double> executedIds() {
         Map<String, Double> all = new LinkedHashMap<>(executed);
         requests.values().stream()
@@ -140,17 +143,20 @@
 
     // --- slots ---
 
-    /** How many requests in flight refer to this slot of classes. */
+    /** Returns how many requests in flight refer to this slot of classes. */
     int classSlotReferences(int slot) {
         return classSlots.count(slot);
     }
 
-    /** How many requests in flight refer to this slot of tenants. */
+    /** Returns how many requests in flight refer to this slot of tenants. */
     int tenantSlotReferences(int slot) {
         return tenantSlots.count(slot);
     }
 
-    /** Sets who is notified of removed slots that no request in flight refers to any more. */
+    /**
+     * Sets the listeners that are notified of removed slots that no request in flight refers to any
+     * more.
+     */
     void onSlotsFree(Consumer<int[]> classListener, Consumer<int[]> tenantListener) {
         classSlots.onFree(classListener);
         tenantSlots.onFree(tenantListener);
--- a/src/main/java/tinroad/core/Response.java
+++ b/src/main/java/tinroad/core/Response.java
@@ -6,17 +6,19 @@
 /**
  * The final answer to a request.
  *
+ * @param kind what the answer states
  * @param progress how far the attempt came
- * @param result the engine's own bytes, empty unless served; valid only during the call that passes
- *     it
- * @param retryAfterMillis how long the client should send this gateway nothing; 0: no advice
- * @param doNotRetry whether no other gateway should be tried
+ * @param result the engine's result, byte for byte; empty unless served, and valid only during the
+ *     call that passes it
+ * @param retryAfterMillis how long, in ms, the client should send this gateway nothing; 0 for no
+ *     such advice
+ * @param doNotRetry whether the client should try no other gateway
  */
 public record Response(
         Kind kind, Progress progress, ByteBuf result, double retryAfterMillis, boolean doNotRetry) {
     /** What an answer states. */
     public enum Kind {
-        /** It carries the engine's result. */
+        /** The answer carries the engine's result. */
         SERVED,
         /** The request was rejected: this attempt never ran. */
         REJECTED,
@@ -43,7 +45,7 @@
         return new Response(Kind.FAILED, progress, Unpooled.EMPTY_BUFFER, 0, false);
     }
 
-    /** The answer to an invalid request. */
+    /** Returns the answer to an invalid request. */
     public static Response invalid() {
         return new Response(Kind.INVALID, Progress.NOT_SENT, Unpooled.EMPTY_BUFFER, 0, false);
     }
--- a/src/main/java/tinroad/core/ResponseSink.java
+++ b/src/main/java/tinroad/core/ResponseSink.java
@@ -1,8 +1,8 @@
 package tinroad.core;
 
-/** Where the one final answer of a request goes. */
+/** Receives the one final answer to a request. */
 @FunctionalInterface
 public interface ResponseSink {
-    /** Takes the answer; drops it where the client has disconnected. */
+    /** Takes the answer; drops it if the client has disconnected. */
     void respond(Response response);
 }
--- a/src/main/java/tinroad/core/SlotReferences.java
+++ b/src/main/java/tinroad/core/SlotReferences.java
@@ -6,20 +6,24 @@
 import java.util.function.Consumer;
 
 /**
- * How many requests in flight refer to each slot of classes, or of tenants, and which removed slots
- * none refers to any more. Guards against a slot that is assigned again while a request of its
- * former class still refers to it. The size is that of the highest slot referred to; a request
- * costs two steps, whatever the size. Owned by the event loop.
+ * Counts how many requests in flight refer to each slot of classes, or of tenants, and reports the
+ * removed slots that none refers to any more. This prevents a slot from being assigned again while
+ * a request of its former class still refers to it. The table is as long as the highest slot
+ * referred to; a request costs two steps, whatever that length. All methods must be called on the
+ * event loop.
  */
 final class SlotReferences {
     /**
-     * A removed slot stays reserved this long, in ms, after its last reference: the controller may
-     * still know a request that the gateway has answered on its own.
+     * How long, in ms, a removed slot stays reserved after its last reference, because the
+     * controller may still know a request that the gateway has answered on its own.
      */
     static final double REUSE_DELAY_MILLIS = 2000;
 
-    /** Bounds how many slots are reported free at once; the others follow at the next sweep. */
-    static final int MAX_FREED_PER_SWEEP = 256;
+    /**
+     * The maximum number of slots that are reported free at once. The others follow at the next
+     * check.
+     */
+    static final int MAX_FREED_PER_CHECK = 256;
 
     private record Unreferenced(int slot, double sinceMillis) {}
 
@@ -31,7 +35,7 @@
     private int[] counts = new int[16];
     private Consumer<int[]> freeListener = slots -> {};
 
-    /** Sets who is notified of the slots that may be assigned again. */
+    /** Sets the listener that is notified of the slots that may be assigned again. */
     void onFree(Consumer<int[]> listener) {
         freeListener = listener;
     }
@@ -49,7 +53,10 @@
         }
     }
 
-    /** The class or tenant of this slot was removed: no further request will refer to it. */
+    /**
+     * Records that the class or tenant of this slot was removed, so that no further request will
+     * refer to it.
+     */
     void remove(int slot, double nowMillis) {
         removed.set(slot);
         if (count(slot) == 0) {
@@ -57,20 +64,23 @@
         }
     }
 
-    /** How many requests in flight refer to this slot. */
+    /** Returns how many requests in flight refer to this slot. */
     int count(int slot) {
         return slot < counts.length ? counts[slot] : 0;
     }
 
-    /** Reports slots that have been without a reference long enough, a bounded number of them. */
+    /**
+     * Reports the slots that have been without a reference for long enough, up to a maximum number.
+     */
     void releaseUnreferenced(double nowMillis) {
-        int[] freed = new int[Math.min(MAX_FREED_PER_SWEEP, unreferenced.size())];
+        int[] freed = new int[Math.min(MAX_FREED_PER_CHECK, unreferenced.size())];
         int freedCount = 0;
         while (freedCount < freed.length
                 && !unreferenced.isEmpty()
                 && nowMillis - unreferenced.peek().sinceMillis >= REUSE_DELAY_MILLIS) {
             int slot = unreferenced.remove().slot;
-            // Referred to again meanwhile: the last release adds it again.
+            // A slot that was referred to again meanwhile is skipped; its last release adds it
+            // again.
             if (count(slot) == 0 && removed.get(slot)) {
                 removed.clear(slot);
                 freed[freedCount++] = slot;
--- a/src/test/java/tinroad/core/CatalogActivationTest.java
+++ b/src/test/java/tinroad/core/CatalogActivationTest.java
@@ -22,7 +22,7 @@
 import tinroad.overload.Controller.RequestClass;
 import tinroad.overload.Controller.Tenant;
 
-/** Classes and tenants that change while requests are queued, run, and have duplicates. */
+/** Tests changes of classes and tenants while requests are queued, run, and have duplicates. */
 class CatalogActivationTest {
     private static final String KEY = "00000000000000000000000000000001";
 
@@ -46,15 +46,15 @@
         useHarness(harness);
     }
 
-    private static RequestClass spec(double deadline, Idempotency semantics) {
+    private static RequestClass spec(double deadlineMillis, Idempotency idempotency) {
         return new RequestClass(
-                deadline / 2,
+                deadlineMillis / 2,
                 0,
-                deadline,
+                deadlineMillis,
                 1,
                 0,
-                semantics,
-                semantics == Idempotency.IDEMPOTENT_WITH_KEY ? 3000 : 0,
+                idempotency,
+                idempotency == Idempotency.IDEMPOTENT_WITH_KEY ? 3000 : 0,
                 false,
                 0);
     }
@@ -64,18 +64,18 @@
             Set<String> removed,
             Map<String, Tenant> putTenants,
             Set<String> removedTenants) {
-        Catalog now = catalogBuilder.current();
-        CatalogBuilder.ChangeResult outcome =
+        Catalog current = catalogBuilder.current();
+        CatalogBuilder.ChangeResult result =
                 catalogBuilder.apply(
                         new CatalogChange(
-                                now.epoch(),
-                                now.number() + 1,
+                                current.epoch(),
+                                current.number() + 1,
                                 put,
                                 removed,
                                 putTenants,
                                 removedTenants));
-        CatalogBuilder.ChangeResult.Applied taken = (CatalogBuilder.ChangeResult.Applied) outcome;
-        harness.gateway.applyChange(taken.next(), taken.delta(), completions::add);
+        CatalogBuilder.ChangeResult.Applied applied = (CatalogBuilder.ChangeResult.Applied) result;
+        harness.gateway.applyChange(applied.next(), applied.delta(), completions::add);
     }
 
     private void put(String name, RequestClass spec) {
@@ -86,27 +86,27 @@
         change(Map.of(), Set.of(name), Map.of(), Set.of());
     }
 
-    private static Map<String, RequestClass> manyClasses(int n) {
+    private static Map<String, RequestClass> manyClasses(int count) {
         Map<String, RequestClass> all = new HashMap<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             all.put("c" + i, spec(700, Idempotency.NON_IDEMPOTENT));
         }
         return all;
     }
 
-    private String send(String kind, String owner, String token) {
+    private String send(String className, String tenantName, String idempotencyKey) {
         String id = String.format("%016x", ++lastId);
         harness.gateway.handle(
                 new IncomingRequest(
                         id,
                         harness.now,
-                        kind,
-                        owner,
+                        className,
+                        tenantName,
                         4,
                         20,
                         0.5,
                         "k",
-                        token,
+                        idempotencyKey,
                         Double.NaN,
                         false,
                         Unpooled.copiedBuffer("body", StandardCharsets.ISO_8859_1)),
@@ -114,8 +114,8 @@
         return id;
     }
 
-    private String send(String kind) {
-        return send(kind, "acme", null);
+    private String send(String className) {
+        return send(className, "acme", null);
     }
 
     private void completeRun(String id) {
@@ -159,7 +159,7 @@
         int n = 3 * CatalogRollout.SLICE_ENTRIES + 1;
         change(manyClasses(n), Set.of(), Map.of(), Set.of());
         harness.controller.onRequest = r -> harness.controller.actions.reject(r.id(), 0, false);
-        // No time passes between the slices: what they do is counted, not how long it takes.
+        // No time passes between the slices: the test counts what they do, not how long it takes.
         while (harness.controller.commits == 0) {
             assertEquals(0, harness.gateway.catalog().number());
             assertEquals(1, harness.gateway.pendingCatalogs());
@@ -201,7 +201,7 @@
                         + 2
                                 * DeadlineGuard.PERIOD_MILLIS
                                 * 10_000
-                                / SlotReferences.MAX_FREED_PER_SWEEP);
+                                / SlotReferences.MAX_FREED_PER_CHECK);
         assertEquals(10_000, new HashSet<>(freeClasses).size());
         assertEquals(10_000, freeClasses.size());
     }
@@ -255,14 +255,14 @@
 
     @Test
     void freesSlotOnceNoRequestInFlightRefersToIt() {
-        String held = send("order");
+        String queued = send("order");
         String running = send("order");
         harness.controller.actions.run(running);
         change(Map.of(), Set.of("order"), Map.of(), Set.of("acme"));
         harness.advance(100);
-        harness.controller.actions.reject(held, 0, false);
+        harness.controller.actions.reject(queued, 0, false);
         harness.advance(SlotReferences.REUSE_DELAY_MILLIS * 4);
-        // Its client has its answer, and its run may still end.
+        // The client of the running request has its answer, but the run may still end.
         assertEquals(List.of("REJECTED NOT_SENT", "FAILED SENT"), answers.responses);
         assertEquals(List.of(), freeClasses);
         completeRun(running);
@@ -388,13 +388,13 @@
 
     @Test
     void appliesChangesWhileDraining() {
-        String held = send("order");
+        String queued = send("order");
         harness.gateway.beginDraining(harness.now, harness.now + 3000);
         change(manyClasses(300), Set.of("order"), Map.of(), Set.of());
         harness.advance(0);
         assertEquals(List.of(true), completions);
-        harness.controller.actions.run(held);
-        completeRun(held);
+        harness.controller.actions.run(queued);
+        completeRun(queued);
         assertEquals(List.of("SERVED RAN result"), answers.responses);
     }
 
--- a/src/test/java/tinroad/core/ColdStartFleetTest.java
+++ b/src/test/java/tinroad/core/ColdStartFleetTest.java
@@ -21,10 +21,10 @@
 import tinroad.overload.OverloadController;
 
 /**
- * Thirty gateways, each with the real overload controller, in front of thirty engines that start
- * cold under several times the load that they can take. Runs are counted where they arrive at an
- * engine, over the window that the settings name. What goes beyond the limit at that moment by no
- * more than twice its square root, and two, counts as chance, for each engine and for all together.
+ * Tests thirty gateways, each with the real overload controller, in front of thirty engines that
+ * start cold under several times the load that they can take. Runs are counted where they arrive at
+ * an engine, over the window that the settings define. An excess over the limit at that moment of
+ * up to twice its square root, plus two, counts as chance, for each engine and for all together.
  */
 class ColdStartFleetTest {
     private static final int GATEWAYS = 30;
@@ -34,15 +34,15 @@
             new Controller.Rules(100, 0.2, 16_000, 2500, 8, 1500);
     private static final double STEP_MILLIS = 5;
 
-    private record Task(double at, long order, Runnable run) {}
+    private record Task(double atMillis, long sequence, Runnable run) {}
 
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
-    private double now = 1_000_000;
-    private long order;
+                    Comparator.comparingDouble(Task::atMillis).thenComparingLong(Task::sequence));
+    private double nowMillis = 1_000_000;
+    private long lastSequence;
 
-    /** What is left to do of a run: first on a core, then on the disk. */
+    /** The remaining work of a run: first on a core, then on the disk. */
     private static final class Run {
         private final double startedAtMillis;
         private double coreMillis;
@@ -58,7 +58,7 @@
             return coreMillis > 0;
         }
 
-        /** The disk is as fast on a cold server as on a warm one. */
+        /** Performs one step of the run. The disk is as fast on a cold server as on a warm one. */
         void progress(double coreStepMillis) {
             if (isOnCore()) {
                 coreMillis -= coreStepMillis;
@@ -72,12 +72,15 @@
         }
     }
 
-    /** Six cores that run what is sent, slowly at first; counts the runs that arrive. */
+    /**
+     * An engine with six cores that runs what is sent, slowly at first, and counts the runs that
+     * arrive.
+     */
     private final class ColdEngine implements Engine {
         private final Map<String, Run> running = new HashMap<>();
         private final ArrayDeque<Double> arrivals = new ArrayDeque<>();
         private final Random random;
-        private double startedAt = Double.NEGATIVE_INFINITY;
+        private double engineStartedAtMillis = Double.NEGATIVE_INFINITY;
         private Gateway gateway;
         private final double diskMillis;
         private double worstExcess;
@@ -87,15 +90,17 @@
             random = new Random(seed);
         }
 
+        /** Returns the present speed, as a share of that of a warm engine. */
         double speed() {
             return Math.min(
                     1,
                     RULES.coldStartSpeed()
                             + (1 - RULES.coldStartSpeed())
-                                    * (now - startedAt)
+                                    * (nowMillis - engineStartedAtMillis)
                                     / RULES.slowStartMillis());
         }
 
+        /** Returns how many runs may arrive within the window at the present speed. */
         double limit() {
             return (1 + (RULES.concurrencyPerCore() - 1) * speed()) * CORES;
         }
@@ -103,8 +108,12 @@
         @Override
         public Progress run(String id, String className, ByteBuf body) {
             running.put(
-                    id, new Run(now, -Math.log(1 - random.nextDouble()) * WORK_MILLIS, diskMillis));
-            arrivals.add(now);
+                    id,
+                    new Run(
+                            nowMillis,
+                            -Math.log(1 - random.nextDouble()) * WORK_MILLIS,
+                            diskMillis));
+            arrivals.add(nowMillis);
             return Progress.SENT;
         }
 
@@ -120,12 +129,12 @@
         }
 
         void step() {
-            double rate =
+            double coreStepMillis =
                     speed() * Math.min(1, CORES / (double) Math.max(1, onCores())) * STEP_MILLIS;
             List<String> ended = new ArrayList<>();
             running.forEach(
                     (id, run) -> {
-                        run.progress(rate);
+                        run.progress(coreStepMillis);
                         if (run.isOver()) {
                             ended.add(id);
                         }
@@ -133,17 +142,17 @@
             for (String id : ended.stream().sorted().toList()) {
                 double startedAtMillis = running.remove(id).startedAtMillis;
                 gateway.onRunEnded(
-                        id, RunOutcome.DONE, now - startedAtMillis, Unpooled.EMPTY_BUFFER);
+                        id, RunOutcome.DONE, nowMillis - startedAtMillis, Unpooled.EMPTY_BUFFER);
             }
             while (!arrivals.isEmpty()
-                    && arrivals.peek() <= now - RULES.concurrencyWindowMillis()) {
+                    && arrivals.peek() <= nowMillis - RULES.concurrencyWindowMillis()) {
                 arrivals.poll();
             }
             worstExcess = Math.max(worstExcess, excess(arrivals.size(), limit()));
         }
     }
 
-    /** How far beyond the limit, as a multiple of what counts as chance. */
+    /** Returns how far the arrivals exceed the limit, as a multiple of what counts as chance. */
     private static double excess(double arrivals, double limit) {
         return (arrivals - limit) / (2 * Math.sqrt(limit) + 2);
     }
@@ -191,20 +200,21 @@
                 List.of("core_use", "on_cores", "heap_share", "links"));
     }
 
-    private void playUntil(double end, double perSecond, List<ColdEngine> engines, Random random) {
-        while (now < end) {
-            now += STEP_MILLIS;
-            while (!tasks.isEmpty() && tasks.peek().at() <= now) {
+    private void runUntil(
+            double endMillis, double requestsPerSecond, List<ColdEngine> engines, Random random) {
+        while (nowMillis < endMillis) {
+            nowMillis += STEP_MILLIS;
+            while (!tasks.isEmpty() && tasks.peek().atMillis() <= nowMillis) {
                 tasks.poll().run().run();
             }
             engines.forEach(ColdEngine::step);
             for (ColdEngine engine : engines) {
-                if (random.nextDouble() < perSecond * STEP_MILLIS / 1000) {
-                    String id = String.format("%016x", ++order);
+                if (random.nextDouble() < requestsPerSecond * STEP_MILLIS / 1000) {
+                    String id = String.format("%016x", ++lastSequence);
                     engine.gateway.handle(
                             new IncomingRequest(
                                     id,
-                                    now - random.nextInt(50),
+                                    nowMillis - random.nextInt(50),
                                     "read",
                                     "",
                                     random.nextInt(10),
@@ -219,8 +229,8 @@
     }
 
     /**
-     * Either the settings say that the server was just started, or only the engine says so of
-     * itself; or engines restart under gateways that keep running.
+     * Starts the fleet cold in three ways: the settings state that the server was just started;
+     * only the engine reports so about itself; or engines restart under gateways that keep running.
      */
     @ParameterizedTest
     @CsvSource({
@@ -232,17 +242,20 @@
         "6,false,true,400"
     })
     void sendsNoColdEngineMoreThanItsLimit(
-            long seed, boolean settingsSayCold, boolean onlyEnginesRestart, double diskMillis) {
+            long seed,
+            boolean settingsStateColdStart,
+            boolean onlyEnginesRestart,
+            double diskMillis) {
         Random random = new Random(seed);
         List<ColdEngine> engines = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
             ColdEngine engine = new ColdEngine(seed * 1000 + i, diskMillis);
             engine.gateway =
                     new Gateway(
-                            site(settingsSayCold),
+                            site(settingsStateColdStart),
                             seed + i,
-                            () -> now,
-                            (ms, task) -> tasks.add(new Task(now + ms, order++, task)),
+                            () -> nowMillis,
+                            (ms, task) -> tasks.add(new Task(nowMillis + ms, lastSequence++, task)),
                             engine,
                             OverloadController::new,
                             NOPLogger.NOP_LOGGER);
@@ -250,7 +263,7 @@
         }
         if (onlyEnginesRestart) {
             engines.forEach(e -> e.gateway.onAttached(false, 1e6));
-            playUntil(now + 20_000, 40, engines, random);
+            runUntil(nowMillis + 20_000, 40, engines, random);
             engines.forEach(
                     e -> {
                         e.gateway.onDetached();
@@ -261,13 +274,14 @@
         }
         engines.forEach(
                 e -> {
-                    e.startedAt = now;
+                    e.engineStartedAtMillis = nowMillis;
                     e.gateway.onAttached(true, 0);
                     e.gateway.onCaughtUp();
                 });
         double worstFleetExcess = 0;
-        for (double end = now + RULES.slowStartMillis() + 4000; now < end; ) {
-            playUntil(now + 100, 60, engines, random);
+        for (double endMillis = nowMillis + RULES.slowStartMillis() + 4000;
+                nowMillis < endMillis; ) {
+            runUntil(nowMillis + 100, 60, engines, random);
             worstFleetExcess =
                     Math.max(
                             worstFleetExcess,
@@ -278,16 +292,14 @@
         double worstExcess = engines.stream().mapToDouble(e -> e.worstExcess).max().orElseThrow();
         assertTrue(
                 worstExcess <= 1,
-                "an engine got "
-                        + worstExcess
-                        + " times what counts as chance beyond what it bears");
+                "an engine exceeded its limit by " + worstExcess + " times what counts as chance");
         assertTrue(
                 worstFleetExcess <= 1,
-                "all engines got "
+                "all engines together exceeded their limit by "
                         + worstFleetExcess
-                        + " times what counts as chance beyond what they bear");
+                        + " times what counts as chance");
         assertTrue(
                 engines.stream().mapToInt(e -> e.arrivals.size()).sum() > GATEWAYS * CORES,
-                "they serve in the end");
+                "the engines serve in the end");
     }
 }
--- a/src/test/java/tinroad/core/GatewayHarness.java
+++ b/src/test/java/tinroad/core/GatewayHarness.java
@@ -18,13 +18,13 @@
 
 /**
  * A gateway on a clock that the test advances, with an engine that records its commands and an
- * overload controller that follows a script.
+ * overload controller whose decisions the test scripts.
  */
 public final class GatewayHarness implements Clock, Engine {
     /** The window of the keyed class, in ms. */
     public static final double KEY_WINDOW_MILLIS = 3000;
 
-    private record Task(double at, long order, Runnable run) {}
+    private record Task(double atMillis, long sequence, Runnable run) {}
 
     public final ScriptedController controller = new ScriptedController();
 
@@ -34,24 +34,24 @@
     public final List<String> gaugesRequested = new ArrayList<>();
     public boolean linkUp = true;
 
-    /** The next run command can't be written: no memory is left for it. */
+    /** Whether the next run command can't be written because no memory is left for it. */
     public boolean failNextRunOutOfMemory;
 
     public double now = 1_000_000;
     public final Gateway gateway;
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
-    private long order;
+                    Comparator.comparingDouble(Task::atMillis).thenComparingLong(Task::sequence));
+    private long nextSequence;
 
     /**
-     * A gateway that is not attached yet, with an idempotent class {@code read} (deadline 1 s), a
-     * non-idempotent class {@code order} (2 s) and the tenant {@code acme}.
+     * Creates a gateway that is not attached yet, with an idempotent class {@code read} (deadline 1
+     * s), a non-idempotent class {@code order} (2 s) and the tenant {@code acme}.
      *
-     * @param freshFor how long results of reads may be replayed, in ms
+     * @param resultFreshMillis how long results of reads may be replayed, in ms
      */
-    public GatewayHarness(double freshFor) {
-        this(site(freshFor, false));
+    public GatewayHarness(double resultFreshMillis) {
+        this(site(resultFreshMillis, false));
     }
 
     private GatewayHarness(Site site) {
@@ -75,24 +75,27 @@
                 site,
                 7,
                 this,
-                (ms, task) -> tasks.add(new Task(now + ms, order++, task)),
+                (millis, task) -> tasks.add(new Task(now + millis, nextSequence++, task)),
                 this,
                 factory,
                 NOPLogger.NOP_LOGGER);
     }
 
     /**
-     * The gateway of {@link #keyed}, not attached yet, that decides by itself; its controller is
-     * put into the array.
+     * Returns a gateway like that of {@link #keyed}, not attached yet, with the real overload
+     * controller, which is put into the array.
      *
-     * @param freshFor how long results of reads may be replayed, in ms
+     * @param resultFreshMillis how long results of reads may be replayed, in ms
      */
-    public static GatewayHarness deciding(
-            double freshFor, OverloadController[] overloadController) {
-        return new GatewayHarness(site(freshFor, true), overloadController);
+    public static GatewayHarness withOverloadController(
+            double resultFreshMillis, OverloadController[] overloadController) {
+        return new GatewayHarness(site(resultFreshMillis, true), overloadController);
     }
 
-    /** An attached gateway that is healthy, with the classes of {@link #GatewayHarness(int)}. */
+    /**
+     * Returns an attached gateway that is healthy, with the classes of {@link
+     * #GatewayHarness(double)}.
+     */
     public static GatewayHarness started() {
         GatewayHarness harness = new GatewayHarness(0);
         harness.gateway.onAttached(false, 0);
@@ -100,8 +103,8 @@
     }
 
     /**
-     * An attached gateway that also has a keyed class {@code pay} (deadline 2 s, window {@link
-     * #KEY_WINDOW_MILLIS}), and whose clients state their timeout.
+     * Returns an attached gateway that also has a keyed class {@code pay} (deadline 2 s, window
+     * {@link #KEY_WINDOW_MILLIS}), and whose clients state their timeout.
      */
     public static GatewayHarness keyed() {
         GatewayHarness harness = new GatewayHarness(site(0, true));
@@ -109,7 +112,7 @@
         return harness;
     }
 
-    private static Site site(double freshFor, boolean keyed) {
+    private static Site site(double resultFreshMillis, boolean keyed) {
         Controller.Settings settings =
                 new Controller.Settings(
                         keyed
@@ -136,7 +139,7 @@
                         9000,
                         4,
                         70,
-                        freshFor,
+                        resultFreshMillis,
                         1000,
                         true,
                         false,
@@ -151,33 +154,33 @@
     }
 
     private static Controller.RequestClass requestClass(
-            double deadline, Controller.Idempotency semantics) {
+            double deadlineMillis, Controller.Idempotency idempotency) {
         return new Controller.RequestClass(
-                deadline / 2,
+                deadlineMillis / 2,
                 0,
-                deadline,
+                deadlineMillis,
                 1,
                 0,
-                semantics,
-                semantics == Controller.Idempotency.IDEMPOTENT_WITH_KEY ? KEY_WINDOW_MILLIS : 0,
+                idempotency,
+                idempotency == Controller.Idempotency.IDEMPOTENT_WITH_KEY ? KEY_WINDOW_MILLIS : 0,
                 false,
                 0);
     }
 
     /** Advances the clock, running the tasks that become due on the way. */
-    public void advance(double ms) {
-        double end = now + ms;
-        while (!tasks.isEmpty() && tasks.peek().at() <= end) {
+    public void advance(double millis) {
+        double endMillis = now + millis;
+        while (!tasks.isEmpty() && tasks.peek().atMillis() <= endMillis) {
             Task task = tasks.poll();
-            now = Math.max(now, task.at());
+            now = Math.max(now, task.atMillis());
             task.run().run();
         }
-        now = end;
+        now = endMillis;
     }
 
     /** Runs the next task, if one is due now. */
     public boolean runNextDueTask() {
-        if (tasks.isEmpty() || tasks.peek().at() > now) {
+        if (tasks.isEmpty() || tasks.peek().atMillis() > now) {
             return false;
         }
         tasks.poll().run().run();
@@ -190,7 +193,7 @@
     }
 
     @Override
-    public Progress run(String id, String kind, ByteBuf body) {
+    public Progress run(String id, String className, ByteBuf body) {
         if (failNextRunOutOfMemory) {
             failNextRunOutOfMemory = false;
             throw new OutOfMemoryError("direct memory");
@@ -198,7 +201,7 @@
         if (!linkUp) {
             return Progress.NOT_SENT;
         }
-        runs.add("RUN " + id + " " + kind + " " + body.toString(StandardCharsets.ISO_8859_1));
+        runs.add("RUN " + id + " " + className + " " + body.toString(StandardCharsets.ISO_8859_1));
         return Progress.SENT;
     }
 
@@ -213,26 +216,29 @@
         public Actions actions;
         public Consumer<Request> onRequest = r -> {};
 
-        /** The events that the controller got, one line each. */
+        /** The events that the controller received, one line each. */
         public final List<String> events = new ArrayList<>();
 
         public Request lastRequest;
 
-        /** How many entries each staged part of a change had, and how often one was committed. */
+        /** The number of entries in each staged part of a change. */
         public final List<Integer> stagedEntries = new ArrayList<>();
 
+        /** How many times staged parts were committed. */
         public int commits;
 
-        /** Classes and tenants in force, by slot; null: removed. */
+        /** The classes in force, by slot; null for a removed class. */
         public final Map<Integer, RequestClass> classes = new HashMap<>();
 
+        /** The tenants in force, by slot; null for a removed tenant. */
         public final Map<Integer, Tenant> tenants = new HashMap<>();
-        private final List<Runnable> prepared = new ArrayList<>();
 
-        /** The next call of {@link #stage} fails. */
+        private final List<Runnable> stagedUpdates = new ArrayList<>();
+
+        /** Whether the next call of {@link #stage} fails. */
         public boolean failNextStage;
 
-        /** The restored statistics that it got: run times by class slot. */
+        /** The restored statistics that the controller received: run times by class slot. */
         public final Map<String, Double> restored = new HashMap<>();
 
         @Override
@@ -241,8 +247,9 @@
         }
 
         @Override
-        public void restore(Map<String, Estimate> known, boolean cold) {
-            known.forEach((name, k) -> restored.put(name.replace("run.", ""), k.value()));
+        public void restore(Map<String, Estimate> estimates, boolean cold) {
+            estimates.forEach(
+                    (name, estimate) -> restored.put(name.replace("run.", ""), estimate.value()));
         }
 
         @Override
@@ -254,26 +261,26 @@
         }
 
         @Override
-        public void stage(List<ClassSlot> parts, List<TenantSlot> quotas) {
+        public void stage(List<ClassSlot> classSlots, List<TenantSlot> tenantSlots) {
             if (failNextStage) {
                 failNextStage = false;
                 throw new IllegalStateException("fails on purpose");
             }
-            stagedEntries.add(parts.size() + quotas.size());
-            parts.forEach(c -> prepared.add(() -> classes.put(c.slot(), c.spec())));
-            quotas.forEach(t -> prepared.add(() -> tenants.put(t.slot(), t.spec())));
+            stagedEntries.add(classSlots.size() + tenantSlots.size());
+            classSlots.forEach(c -> stagedUpdates.add(() -> classes.put(c.slot(), c.spec())));
+            tenantSlots.forEach(t -> stagedUpdates.add(() -> tenants.put(t.slot(), t.spec())));
         }
 
         @Override
         public void commit(double nowMillis) {
             commits++;
-            prepared.forEach(Runnable::run);
-            prepared.clear();
+            stagedUpdates.forEach(Runnable::run);
+            stagedUpdates.clear();
         }
 
         @Override
         public void discardStaged() {
-            prepared.clear();
+            stagedUpdates.clear();
         }
 
         @Override
@@ -283,19 +290,19 @@
         }
 
         @Override
-        public void completed(double nowMillis, String id, double elapsed, Outcome outcome) {
+        public void completed(double nowMillis, String id, double elapsedMillis, Outcome outcome) {
             events.add("ended " + id + " " + outcome);
         }
 
         @Override
         public void dependencyCallNeeded(double nowMillis, String id) {
-            throw new AssertionError("nothing lies below");
+            throw new AssertionError("no dependency is configured");
         }
 
         @Override
         public void dependencyCallCompleted(
-                double nowMillis, String id, double elapsed, Outcome outcome) {
-            throw new AssertionError("nothing lies below");
+                double nowMillis, String id, double elapsedMillis, Outcome outcome) {
+            throw new AssertionError("no dependency is configured");
         }
 
         @Override
@@ -304,8 +311,8 @@
         }
 
         @Override
-        public void beginDraining(double nowMillis, double leaveAt) {
-            events.add("drain " + Math.round(leaveAt - nowMillis));
+        public void beginDraining(double nowMillis, double shutdownAtMillis) {
+            events.add("drain " + Math.round(shutdownAtMillis - nowMillis));
             actions.setHealth(false, true);
         }
 
@@ -320,12 +327,12 @@
         public final List<String> responses = new ArrayList<>();
 
         @Override
-        public void respond(Response a) {
-            byte[] body = ByteBufUtil.getBytes(a.result());
+        public void respond(Response response) {
+            byte[] body = ByteBufUtil.getBytes(response.result());
             responses.add(
-                    (a.kind()
+                    (response.kind()
                                     + " "
-                                    + a.progress()
+                                    + response.progress()
                                     + " "
                                     + new String(body, StandardCharsets.ISO_8859_1))
                             .trim());
--- a/src/test/java/tinroad/core/GatewayTest.java
+++ b/src/test/java/tinroad/core/GatewayTest.java
@@ -15,8 +15,8 @@
 import tinroad.overload.Controller.Gauges;
 
 /**
- * A request from arrival to answer: one answer, in time, and never a second run, whatever the
- * client, the engine and the controller do.
+ * Tests a request from arrival to answer: it gets one answer, in time, and never a second run,
+ * whatever the client, the engine and the controller do.
  */
 class GatewayTest {
     private static final String ID = "9b1f03aa5c7e2d41";
@@ -29,20 +29,21 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private void send(GatewayHarness on, String id, String kind, double arrivedAt) {
+    private void send(GatewayHarness target, String id, String className, double arrivedAtMillis) {
         ByteBuf body = bytes("body");
-        on.gateway.handle(
-                new IncomingRequest(id, arrivedAt, kind, "acme", 4, 20, 0.5, "k", body), answers);
-        // The frontend's buffer is released after the call.
+        target.gateway.handle(
+                new IncomingRequest(id, arrivedAtMillis, className, "acme", 4, 20, 0.5, "k", body),
+                answers);
+        // The frontend releases its buffer after the call.
         body.setZero(0, body.capacity()).release();
     }
 
-    private void send(String kind) {
-        send(harness, ID, kind, harness.now);
+    private void send(String className) {
+        send(harness, ID, className, harness.now);
     }
 
-    private void completeRun(GatewayHarness on, String id, String result) {
-        on.gateway.onRunEnded(id, Engine.RunOutcome.DONE, 5, bytes(result));
+    private void completeRun(GatewayHarness target, String id, String result) {
+        target.gateway.onRunEnded(id, Engine.RunOutcome.DONE, 5, bytes(result));
     }
 
     @Test
@@ -84,8 +85,8 @@
 
     @Test
     void servesWhileEvacuatedAndReportsHealthOnlyOnceItRejoins() {
-        List<Boolean> told = new ArrayList<>();
-        harness.gateway.onHealth(told::add);
+        List<Boolean> reportedHealth = new ArrayList<>();
+        harness.gateway.onHealth(reportedHealth::add);
         harness.gateway.evacuate();
         harness.controller.actions.setHealth(false, true);
         harness.controller.actions.setHealth(true, true);
@@ -95,7 +96,7 @@
         assertEquals(List.of("SERVED RAN result"), answers.responses);
         assertEquals(List.of("ended " + ID + " OK"), harness.controller.events);
         assertTrue(harness.gateway.rejoin());
-        assertEquals(List.of(false, true), told);
+        assertEquals(List.of(false, true), reportedHealth);
     }
 
     @Test
@@ -120,7 +121,8 @@
         assertEquals(List.of(), answers.responses);
         harness.advance(DeadlineGuard.PERIOD_MILLIS + 1);
         assertEquals(List.of("FAILED NOT_SENT"), answers.responses);
-        // Run after its answer left: it must not start, and the controller gets its capacity back.
+        // The controller runs the request after its answer has left: it must not start, and the
+        // controller gets its capacity back.
         harness.controller.actions.run(ID);
         assertEquals(List.of(), harness.runs);
         assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
@@ -222,7 +224,7 @@
         harness.controller.actions.reject(ID, 0, false);
         assertEquals(List.of("FAILED SENT"), answers.responses);
         harness.advance(
-                1000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+                1000 + DeadlineGuard.LOST_RUN_RETENTION_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
         assertEquals(1, harness.runs.size());
     }
@@ -257,7 +259,7 @@
         harness.gateway.onCaughtUp();
         assertEquals(1, harness.runs.size());
         harness.advance(
-                2000 + DeadlineGuard.LOST_RUN_KEPT_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
+                2000 + DeadlineGuard.LOST_RUN_RETENTION_MILLIS + 2 * DeadlineGuard.PERIOD_MILLIS);
         assertEquals(List.of("FAILED SENT"), answers.responses);
         assertEquals(List.of("ended " + ID + " IGNORED"), harness.controller.events);
     }
@@ -330,13 +332,14 @@
         harness.gateway.onGauges(harness.gaugesRequested.get(0), new Gauges(0.5, 3, 0.1, 9));
         assertEquals(List.of("timer tick 3.0"), harness.controller.events);
         harness.controller.actions.scheduleTimer("late", 20);
-        harness.advance(20 + ControllerDriver.GAUGES_WAIT_MILLIS);
+        harness.advance(20 + ControllerDriver.MAX_GAUGES_WAIT_MILLIS);
         assertEquals("timer late 3.0", harness.controller.events.get(1));
         harness.gateway.onGauges(harness.gaugesRequested.get(1), new Gauges(0.5, 4, 0.1, 9));
         assertEquals(2, harness.controller.events.size());
         harness.linkUp = false;
-        harness.controller.actions.scheduleTimer("none", ControllerDriver.GAUGES_VALID_MILLIS + 1);
-        harness.advance(ControllerDriver.GAUGES_VALID_MILLIS + 1);
+        harness.controller.actions.scheduleTimer(
+                "none", ControllerDriver.MAX_GAUGES_AGE_MILLIS + 1);
+        harness.advance(ControllerDriver.MAX_GAUGES_AGE_MILLIS + 1);
         assertEquals("timer none NaN", harness.controller.events.get(2));
     }
 
@@ -352,13 +355,13 @@
 
     @Test
     void notifiesControllerOfShutdownOnceAndStaysUnhealthy() {
-        List<Boolean> told = new ArrayList<>();
-        harness.gateway.onHealth(told::add);
+        List<Boolean> reportedHealth = new ArrayList<>();
+        harness.gateway.onHealth(reportedHealth::add);
         harness.gateway.beginDraining(harness.now - 40, harness.now + 2960);
         harness.gateway.beginDraining(harness.now, harness.now + 3000);
         harness.controller.actions.setHealth(true, true);
         assertEquals(List.of("drain 3000"), harness.controller.events);
-        assertEquals(List.of(false), told);
+        assertEquals(List.of(false), reportedHealth);
         assertFalse(harness.gateway.healthy());
     }
 
@@ -376,17 +379,19 @@
 
     @Test
     void countsRequestCompletedAfterTheGraceAsArrivedAfterIt() {
-        double noticedAt = harness.now;
-        harness.gateway.beginDraining(noticedAt, noticedAt + 5000);
+        double noticedAtMillis = harness.now;
+        harness.gateway.beginDraining(noticedAtMillis, noticedAtMillis + 5000);
         harness.advance(2490);
         send(harness, ID, "order", harness.now - 300);
         assertEquals(300, harness.controller.lastRequest.ageMillis());
         harness.advance(110);
         send(harness, OTHER_ID, "order", harness.now - 300);
         assertTrue(
-                harness.now - harness.controller.lastRequest.ageMillis() > noticedAt + 2500,
+                harness.now - harness.controller.lastRequest.ageMillis() > noticedAtMillis + 2500,
                 "arrived "
-                        + (harness.now - harness.controller.lastRequest.ageMillis() - noticedAt));
+                        + (harness.now
+                                - harness.controller.lastRequest.ageMillis()
+                                - noticedAtMillis));
         harness.advance(1699);
         assertEquals(
                 1,
--- a/src/test/java/tinroad/core/IdempotencyKeyTest.java
+++ b/src/test/java/tinroad/core/IdempotencyKeyTest.java
@@ -19,8 +19,8 @@
 import tinroad.overload.Controller.Request;
 
 /**
- * Keyed classes: of all attempts of one request one runs, and each gets that request's answer or
- * none.
+ * Tests keyed classes: of all attempts of one request one runs, and each gets that request's answer
+ * or none.
  */
 class IdempotencyKeyTest {
     private static final String KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -55,30 +55,35 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private void send(int n, String token, double arrivedAt, String body, ResponseSink requester) {
+    private void send(
+            int n,
+            String idempotencyKey,
+            double arrivedAtMillis,
+            String body,
+            ResponseSink responseSink) {
         harness.gateway.handle(
                 new IncomingRequest(
                         id(n),
-                        arrivedAt,
+                        arrivedAtMillis,
                         "pay",
                         "acme",
                         4,
                         20,
                         0.5,
                         null,
-                        token,
+                        idempotencyKey,
                         Double.NaN,
                         n > 1,
                         bytes(body)),
-                requester);
+                responseSink);
     }
 
-    private void send(int n, ResponseSink requester) {
-        send(n, KEY, harness.now, "body", requester);
+    private void send(int n, ResponseSink responseSink) {
+        send(n, KEY, harness.now, "body", responseSink);
     }
 
-    private void endRun(int n, Engine.RunOutcome end, String result) {
-        harness.gateway.onRunEnded(id(n), end, 5, bytes(result));
+    private void endRun(int n, Engine.RunOutcome outcome, String result) {
+        harness.gateway.onRunEnded(id(n), outcome, 5, bytes(result));
     }
 
     private void serveFirst() {
@@ -99,7 +104,7 @@
     @Test
     void answersOnceAndNeverRunsDuplicateSentWhileTheOriginalEnds() {
         send(1, first);
-        // The answer is being sent, and the client sends a duplicate from within the call.
+        // While the answer is being sent, the client sends a duplicate from within the call.
         ResponseSink again = answer -> send(2, second);
         harness.gateway.handle(
                 new IncomingRequest(
@@ -275,8 +280,8 @@
     @Test
     void dropsOldestResultFirstAndFailsItsDuplicateWithoutARun() {
         String large = "r".repeat(4096);
-        int most = IdempotencyTable.MAX_RESULT_BYTES / 4096;
-        IntStream.rangeClosed(0, most)
+        int maxResults = IdempotencyTable.MAX_RESULT_BYTES / 4096;
+        IntStream.rangeClosed(0, maxResults)
                 .forEach(
                         i -> {
                             send(i, String.format("%032x", i), harness.now, "b", first);
@@ -285,7 +290,7 @@
         send(70_000, String.format("%032x", 0), harness.now, "b", second);
         send(70_001, String.format("%032x", 1), harness.now, "b", second);
         assertEquals(List.of("FAILED NOT_SENT", "SERVED RAN " + large), second.responses);
-        assertEquals(most + 1, harness.runs.size());
+        assertEquals(maxResults + 1, harness.runs.size());
     }
 
     @Test
@@ -332,27 +337,28 @@
     @Property(seed = "20261204", tries = 200)
     void runsEachKeyOnceInItsWindowInAnyOrderOfEvents(@ForAll long seed) {
         Random random = new Random(seed);
-        double[] ranAt = {-1, -1, -1};
+        double[] ranAtMillis = {-1, -1, -1};
         List<Integer> running = new ArrayList<>();
         for (int n = 1; n < 120; n++) {
             harness.advance(random.nextInt(200));
             if (random.nextInt(3) == 0 && !running.isEmpty()) {
-                int end = running.remove(random.nextInt(running.size()));
+                int ended = running.remove(random.nextInt(running.size()));
                 endRun(
-                        end,
+                        ended,
                         random.nextBoolean() ? Engine.RunOutcome.DONE : Engine.RunOutcome.CRASHED,
                         "x");
             } else {
-                int token = random.nextInt(3);
+                int keyNumber = random.nextInt(3);
                 int before = harness.runs.size();
-                send(n, String.format("%032x", token), harness.now, "b" + token, a -> {});
+                send(n, String.format("%032x", keyNumber), harness.now, "b" + keyNumber, a -> {});
                 if (harness.runs.size() > before) {
                     assertTrue(
-                            ranAt[token] < 0
+                            ranAtMillis[keyNumber] < 0
                                     || harness.now
-                                            > ranAt[token] + GatewayHarness.KEY_WINDOW_MILLIS,
-                            "ran twice in its window");
-                    ranAt[token] = harness.now;
+                                            > ranAtMillis[keyNumber]
+                                                    + GatewayHarness.KEY_WINDOW_MILLIS,
+                            "ran twice within its window");
+                    ranAtMillis[keyNumber] = harness.now;
                     running.add(n);
                 }
             }
--- a/src/test/java/tinroad/core/RandomSettingsTest.java
+++ b/src/test/java/tinroad/core/RandomSettingsTest.java
@@ -27,19 +27,19 @@
 import tinroad.overload.OverloadController;
 
 /**
- * The whole gateway with the real overload controller, on random settings: classes with every kind
- * of idempotency, their names, limits, deadlines, windows and weights, tenants, cores, memory, what
- * the protocol offers. Whatever they are, each request gets one answer by its deadline, nothing
- * runs twice, nothing that ran is rejected as unrun, nothing runs that came after the grace, and
- * something is served.
+ * Tests the whole gateway with the real overload controller on random settings: classes with every
+ * kind of idempotency, their names, limits, deadlines, windows and weights, tenants, cores, memory,
+ * and the capabilities of the protocol. Whatever the settings are, each request gets one answer by
+ * its deadline, nothing runs twice, nothing that ran is rejected as if it had not, nothing runs
+ * that came after the grace period, and something is served.
  */
 class RandomSettingsTest {
     private static final double LOAD_MILLIS = 12_000;
     private static final double STEP_MILLIS = 5;
 
-    private record Task(double at, long order, Runnable run) {}
+    private record Task(double atMillis, long sequence, Runnable run) {}
 
-    /** A request that was sent, and what became of it. */
+    /** A request that was sent, with its answers and its run. */
     private static final class SentRequest {
         private final int classIndex;
         private final String idempotencyKey;
@@ -63,18 +63,18 @@
 
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
+                    Comparator.comparingDouble(Task::atMillis).thenComparingLong(Task::sequence));
     private final Map<String, SentRequest> sentRequests = new HashMap<>();
     private final Map<String, Double> runEndsAtMillis = new HashMap<>();
     private final Map<String, Double> runStartedAtMillis = new HashMap<>();
-    private double now = 5_000_000;
-    private long order;
+    private double nowMillis = 5_000_000;
+    private long lastSequence;
     private Random random;
     private Site site;
     private Gateway gateway;
     private double drainingSinceMillis = Double.POSITIVE_INFINITY;
 
-    /** All tries of the property use one object. */
+    /** Resets the state, because all tries of the property share one object. */
     @BeforeTry
     void reset() {
         tasks.clear();
@@ -84,21 +84,21 @@
         drainingSinceMillis = Double.POSITIVE_INFINITY;
     }
 
-    private double between(double least, double most) {
-        return least + random.nextDouble() * (most - least);
+    private double between(double min, double max) {
+        return min + random.nextDouble() * (max - min);
     }
 
-    private static <T> T pick(List<T> of, Random random) {
-        return of.get(random.nextInt(of.size()));
+    private static <T> T pick(List<T> values, Random random) {
+        return values.get(random.nextInt(values.size()));
     }
 
     private Site randomSite() {
         int classes = 1 + random.nextInt(5);
-        List<Controller.RequestClass> drawn = new ArrayList<>();
+        List<Controller.RequestClass> requestClasses = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
             double deadlineMillis = between(300, 9000);
             Idempotency idempotency = pick(List.of(Idempotency.values()), random);
-            drawn.add(
+            requestClasses.add(
                     new Controller.RequestClass(
                             deadlineMillis * between(0.2, 0.9),
                             0,
@@ -115,7 +115,7 @@
         int tenants = random.nextInt(5);
         Controller.Settings settings =
                 new Controller.Settings(
-                        drawn,
+                        requestClasses,
                         IntStream.range(0, tenants)
                                 .mapToObj(
                                         i -> new Controller.Tenant(between(1, 100), 1.0 / tenants))
@@ -166,27 +166,27 @@
             assertTrue(
                     sentRequest.arrivedAtMillis
                             <= drainingSinceMillis + site.settings().rules().drainGraceMillis(),
-                    "ran after the grace");
+                    "ran although it came after the grace period");
             if (sentRequest.idempotencyKey != null) {
-                double window =
+                double windowMillis =
                         site.settings().classes().get(sentRequest.classIndex).keyWindowMillis();
                 sentRequests.values().stream()
                         .filter(
-                                a ->
-                                        a != sentRequest
+                                other ->
+                                        other != sentRequest
                                                 && sentRequest.idempotencyKey.equals(
-                                                        a.idempotencyKey)
-                                                && a.ranAtMillis > 0)
+                                                        other.idempotencyKey)
+                                                && other.ranAtMillis > 0)
                         .forEach(
-                                a ->
+                                other ->
                                         assertTrue(
                                                 sentRequest.arrivedAtMillis
-                                                        > a.arrivedAtMillis + window,
-                                                "ran again in its window"));
+                                                        > other.arrivedAtMillis + windowMillis,
+                                                "ran again within its window"));
             }
-            sentRequest.ranAtMillis = now;
-            runEndsAtMillis.put(id, now + between(5, 400));
-            runStartedAtMillis.put(id, now);
+            sentRequest.ranAtMillis = nowMillis;
+            runEndsAtMillis.put(id, nowMillis + between(5, 400));
+            runStartedAtMillis.put(id, nowMillis);
             return Progress.SENT;
         }
 
@@ -206,7 +206,7 @@
     private void sendRequest() {
         int classIndex = random.nextInt(site.classNames().size());
         Controller.RequestClass requestClass = site.settings().classes().get(classIndex);
-        String id = String.format("%016x", ++order);
+        String id = String.format("%016x", ++lastSequence);
         String idempotencyKey =
                 requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         ? String.format("%032x", classIndex * 1000 + random.nextInt(40))
@@ -215,7 +215,7 @@
                 site.settings().requestsCarryDeadline() && random.nextBoolean()
                         ? between(0, requestClass.deadlineMillis())
                         : Double.NaN;
-        double arrivedAtMillis = now - random.nextInt(60);
+        double arrivedAtMillis = nowMillis - random.nextInt(60);
         SentRequest sentRequest =
                 new SentRequest(
                         classIndex,
@@ -245,11 +245,11 @@
                         Unpooled.wrappedBuffer(new byte[] {(byte) classIndex})),
                 answer -> {
                     sentRequest.answers.add(answer.kind());
-                    sentRequest.answeredAtMillis = now;
+                    sentRequest.answeredAtMillis = nowMillis;
                     assertTrue(
                             answer.kind() != Response.Kind.REJECTED
                                     || Double.isNaN(sentRequest.ranAtMillis),
-                            "rejected as unrun, and ran");
+                            "rejected although it ran");
                 });
     }
 
@@ -261,25 +261,28 @@
                 new Gateway(
                         site,
                         seed,
-                        () -> now,
-                        (ms, task) -> tasks.add(new Task(now + ms, order++, task)),
+                        () -> nowMillis,
+                        (millis, task) ->
+                                tasks.add(new Task(nowMillis + millis, lastSequence++, task)),
                         new CheckingEngine(),
                         OverloadController::new,
                         NOPLogger.NOP_LOGGER);
         gateway.onAttached(random.nextBoolean(), 0);
-        double startedAtMillis = now;
+        double startedAtMillis = nowMillis;
         double requestsPerSecond = site.settings().cores() * between(1, 12);
         double shutdownMillis = between(1000, 6000);
-        while (now < startedAtMillis + LOAD_MILLIS || !gateway.allAnswered()) {
-            now += STEP_MILLIS;
-            assertTrue(now < startedAtMillis + LOAD_MILLIS + 30_000, "never all answered");
-            while (!tasks.isEmpty() && tasks.peek().at() <= now) {
+        while (nowMillis < startedAtMillis + LOAD_MILLIS || !gateway.allAnswered()) {
+            nowMillis += STEP_MILLIS;
+            assertTrue(
+                    nowMillis < startedAtMillis + LOAD_MILLIS + 30_000,
+                    "not all requests were answered");
+            while (!tasks.isEmpty() && tasks.peek().atMillis() <= nowMillis) {
                 tasks.poll().run().run();
             }
             Set<String> ended = new HashSet<>();
             runEndsAtMillis.forEach(
                     (id, end) -> {
-                        if (end <= now) {
+                        if (end <= nowMillis) {
                             ended.add(id);
                         }
                     });
@@ -293,34 +296,39 @@
                                         random.nextInt(20) == 0
                                                 ? Engine.RunOutcome.CRASHED
                                                 : Engine.RunOutcome.DONE,
-                                        now - runStartedAtMillis.remove(id),
+                                        nowMillis - runStartedAtMillis.remove(id),
                                         Unpooled.wrappedBuffer(new byte[] {1}));
                             });
-            if (now < startedAtMillis + LOAD_MILLIS + shutdownMillis
+            if (nowMillis < startedAtMillis + LOAD_MILLIS + shutdownMillis
                     && random.nextDouble() < requestsPerSecond * STEP_MILLIS / 1000) {
                 sendRequest();
             }
-            if (now >= startedAtMillis + LOAD_MILLIS
+            if (nowMillis >= startedAtMillis + LOAD_MILLIS
                     && drainingSinceMillis == Double.POSITIVE_INFINITY) {
-                drainingSinceMillis = now;
-                gateway.beginDraining(now, now + shutdownMillis);
+                drainingSinceMillis = nowMillis;
+                gateway.beginDraining(nowMillis, nowMillis + shutdownMillis);
             }
         }
         double slackMillis = site.settings().rules().answerSlackMillis();
         sentRequests
                 .values()
                 .forEach(
-                        a -> {
-                            assertEquals(1, a.answers.size(), "answers");
+                        request -> {
+                            assertEquals(1, request.answers.size(), "answers");
                             assertTrue(
-                                    a.answeredAtMillis
-                                            <= Math.max(a.deadlineAtMillis, a.arrivedAtMillis + 60)
+                                    request.answeredAtMillis
+                                            <= Math.max(
+                                                            request.deadlineAtMillis,
+                                                            request.arrivedAtMillis + 60)
                                                     + slackMillis,
-                                    () -> "late by " + (a.answeredAtMillis - a.deadlineAtMillis));
+                                    () ->
+                                            "late by "
+                                                    + (request.answeredAtMillis
+                                                            - request.deadlineAtMillis));
                         });
         assertTrue(
                 sentRequests.values().stream()
-                        .anyMatch(a -> a.answers.get(0) == Response.Kind.SERVED),
+                        .anyMatch(request -> request.answers.get(0) == Response.Kind.SERVED),
                 "nothing was served");
     }
 }
--- a/src/test/java/tinroad/core/TableInvariantsTest.java
+++ b/src/test/java/tinroad/core/TableInvariantsTest.java
@@ -25,14 +25,18 @@
 import tinroad.overload.OverloadController;
 
 /**
- * The counts of the gateway's tables are those of the requests in them, after each event of random
- * sequences, and once all is over nothing is left in any table. Guards against a slot, a result's
- * bytes or capacity of the controller that is taken once and given back twice, or never.
+ * Tests that the counts of the gateway's tables are those of the requests in them, after each event
+ * of random sequences, and that nothing is left in any table once all is over. Guards against a
+ * slot, a result's bytes or capacity of the controller that is taken once and released twice, or
+ * never.
  */
 class TableInvariantsTest {
     private static final double RESULT_FRESH_MILLIS = 400;
 
-    /** After this everything is over: the longest deadline, and what is kept beyond it. */
+    /**
+     * The time after which everything is over: the longest deadline, and what is retained beyond
+     * it.
+     */
     private static final double QUIET_MILLIS = 10_000;
 
     private static final List<String> CLASSES = List.of("read", "order", "pay");
@@ -58,8 +62,8 @@
     /**
      * One event.
      *
-     * @param pick which of those that it can happen to
-     * @param millis so long after the event before
+     * @param pick selects one of the requests, runs or variants that the event can apply to
+     * @param millis the time since the previous event
      */
     private record Event(Kind kind, int pick, int millis) {}
 
@@ -80,28 +84,29 @@
                 .ofMaxSize(60);
     }
 
-    /** What a client sent. */
-    private record Sent(String id, String className, int key, GatewayHarness.ResponseRecorder to) {}
+    /** A request that a client sent. */
+    private record SentRequest(
+            String id, String className, int key, GatewayHarness.ResponseRecorder recorder) {}
 
-    private static final class Fleet {
+    private static final class Scenario {
         private final OverloadController[] controller = new OverloadController[1];
         private final GatewayHarness harness =
-                GatewayHarness.deciding(RESULT_FRESH_MILLIS, controller);
-        private final CatalogBuilder catalogs = new CatalogBuilder(harness.gateway.catalog());
-        private final List<Sent> sent = new ArrayList<>();
+                GatewayHarness.withOverloadController(RESULT_FRESH_MILLIS, controller);
+        private final CatalogBuilder catalogBuilder = new CatalogBuilder(harness.gateway.catalog());
+        private final List<SentRequest> sent = new ArrayList<>();
 
-        /** Runs that the engine has begun and not reported. */
+        /** The runs that the engine has begun and not reported. */
         private final Set<String> running = new LinkedHashSet<>();
 
         private final List<String> ended = new ArrayList<>();
         private int commandsRead;
         private boolean draining;
 
-        Fleet() {
+        Scenario() {
             harness.gateway.onAttached(false, 0);
         }
 
-        void play(Event event) {
+        void apply(Event event) {
             harness.advance(event.millis);
             readCommands();
             switch (event.kind) {
@@ -112,7 +117,7 @@
                 case RUN_CRASHED -> endRun(event.pick, Engine.RunOutcome.CRASHED);
                 case RUN_STALE -> endRun(event.pick, Engine.RunOutcome.STALE);
                 case RUN_REJECTED -> endRun(event.pick, Engine.RunOutcome.REJECTED);
-                case RUN_ENDED_TWICE -> endAgain(event.pick);
+                case RUN_ENDED_TWICE -> reportEndAgain(event.pick);
                 case COMMAND_NOT_WRITTEN -> harness.failNextRunOutOfMemory = true;
                 case LINK_LOST -> loseLink(event.pick % 2 == 0);
                 case LINK_BACK -> reattach();
@@ -134,8 +139,8 @@
         }
 
         private void send(int classIndex, int key) {
-            Sent request =
-                    new Sent(
+            SentRequest request =
+                    new SentRequest(
                             String.format("%016x", sent.size()),
                             CLASSES.get(classIndex),
                             key,
@@ -156,20 +161,20 @@
                             Double.NaN,
                             false,
                             Unpooled.wrappedBuffer(new byte[] {(byte) key})),
-                    request.to);
+                    request.recorder);
         }
 
         private void sendDuplicate(int pick) {
             if (!sent.isEmpty()) {
-                Sent original = sent.get(pick % sent.size());
+                SentRequest original = sent.get(pick % sent.size());
                 send(CLASSES.indexOf(original.className), original.key);
             }
         }
 
         private void cancel(int pick) {
             if (!sent.isEmpty()) {
-                Sent request = sent.get(pick % sent.size());
-                harness.gateway.cancel(request.id, request.to);
+                SentRequest request = sent.get(pick % sent.size());
+                harness.gateway.cancel(request.id, request.recorder);
             }
         }
 
@@ -182,7 +187,7 @@
             }
         }
 
-        private void endAgain(int pick) {
+        private void reportEndAgain(int pick) {
             if (harness.linkUp && !ended.isEmpty()) {
                 report(ended.get(pick % ended.size()), Engine.RunOutcome.DONE);
             }
@@ -192,11 +197,11 @@
             harness.gateway.onRunEnded(id, outcome, 50, Unpooled.wrappedBuffer(new byte[300]));
         }
 
-        private void loseLink(boolean losesLastCommand) {
+        private void loseLink(boolean lastCommandLost) {
             if (harness.linkUp) {
                 harness.linkUp = false;
                 harness.gateway.onDetached();
-                if (losesLastCommand && !running.isEmpty()) {
+                if (lastCommandLost && !running.isEmpty()) {
                     running.remove(List.copyOf(running).get(running.size() - 1));
                 }
             }
@@ -218,7 +223,7 @@
             catchUp();
         }
 
-        /** As the engine's connection does, which ends where this throws. */
+        /** Catches up as the engine's connection does, which ends if this throws. */
         private void catchUp() {
             try {
                 harness.gateway.onCaughtUp();
@@ -227,17 +232,17 @@
             }
         }
 
-        /** Removes the class {@code order}, or puts it, perhaps with another deadline. */
+        /** Removes the class {@code order}, or adds it, perhaps with another deadline. */
         private void changeClass(int pick) {
-            Catalog now = catalogs.current();
-            RequestClass pattern = now.classEntry("read").spec();
-            boolean present = now.classEntry("order") != null;
+            Catalog current = catalogBuilder.current();
+            RequestClass template = current.classEntry("read").spec();
+            boolean present = current.classEntry("order") != null;
             CatalogBuilder.ChangeResult result =
-                    catalogs.apply(
+                    catalogBuilder.apply(
                             new CatalogChange(
-                                    now.epoch(),
-                                    now.number() + 1,
-                                    present && pick % 2 == 0 ? Map.of() : Map.of("order", pattern),
+                                    current.epoch(),
+                                    current.number() + 1,
+                                    present && pick % 2 == 0 ? Map.of() : Map.of("order", template),
                                     present && pick % 2 == 0 ? Set.of("order") : Set.of(),
                                     Map.of(),
                                     Set.of()));
@@ -253,7 +258,7 @@
             }
         }
 
-        /** Lets all that may still run end, and the last deadline pass. */
+        /** Lets everything end that may still run, and the last deadline pass. */
         void settle() {
             harness.failNextRunOutOfMemory = false;
             reattach();
@@ -263,7 +268,10 @@
             harness.advance(QUIET_MILLIS);
         }
 
-        /** Each run that ends may let another one start: at most all that were sent do. */
+        /**
+         * Ends all runs. Each run that ends may let another one start, but at most as many as were
+         * sent.
+         */
         private void endAllRuns() {
             for (int i = 0; i <= sent.size(); i++) {
                 readCommands();
@@ -280,7 +288,7 @@
                 tenantSlots.merge(request.tenantSlot, 1, Integer::sum);
                 assertTrue(
                         !request.answered || request.progress != Progress.NOT_SENT,
-                        "answered, never sent, and still in the table");
+                        "still in the table although it was answered and never sent");
             }
             for (int slot = 0; slot < 8; slot++) {
                 assertEquals(
@@ -293,7 +301,7 @@
                         "tenant slot " + slot);
             }
             for (ActiveRequest request : table.awaitingLink()) {
-                assertSame(request, table.find(request.id), "awaits the link and is over");
+                assertSame(request, table.find(request.id), "awaits the link although it is over");
                 assertEquals(Progress.NOT_SENT, request.progress);
             }
             assertRetainedResults();
@@ -303,7 +311,9 @@
             IdempotencyTable table = harness.gateway.idempotencyTable();
             int bytes = 0;
             for (IdempotencyTable.Entry entry : table.keyedResults()) {
-                assertTrue(entry.completed() && table.isCurrent(entry), "a result of no key");
+                assertTrue(
+                        entry.completed() && table.isCurrent(entry),
+                        "a retained result without a current key");
                 bytes += entry.result().length;
             }
             assertEquals(bytes, table.resultBytes(), "bytes of results");
@@ -312,8 +322,8 @@
         void assertEmpty() {
             assertEquals(0, harness.gateway.requestTable().size(), "in the request table");
             assertEquals(0, controller[0].activeRequests(), "in the controller");
-            for (Sent request : sent) {
-                assertEquals(1, request.to.responses.size(), "answers to " + request);
+            for (SentRequest request : sent) {
+                assertEquals(1, request.recorder.responses.size(), "answers to " + request);
             }
         }
     }
@@ -321,10 +331,10 @@
     @Property(seed = "20261204", tries = 3000)
     void everyCountIsThatOfTheRequestsAndNothingIsLeftAtTheEnd(
             @ForAll("sequences") List<Event> sequence) {
-        Fleet fleet = new Fleet();
-        sequence.forEach(fleet::play);
-        fleet.settle();
-        fleet.assertCounts();
-        fleet.assertEmpty();
+        Scenario scenario = new Scenario();
+        sequence.forEach(scenario::apply);
+        scenario.settle();
+        scenario.assertCounts();
+        scenario.assertEmpty();
     }
 }
