--- a/src/main/java/tinroad/overload/ActiveRequest.java
+++ b/src/main/java/tinroad/overload/ActiveRequest.java
@@ -6,11 +6,11 @@
 
 /** One request from its arrival until its final answer is out and its run, if any, has ended. */
 final class ActiveRequest {
-    /** How far it has come. */
+    /** How far the request has come. */
     enum State {
         /** Waits for a run. */
         QUEUED,
-        /** Duplicate request that waits for the result of the one it repeats. */
+        /** A duplicate that waits for the result of the request it repeats. */
         JOINED,
         RUNNING,
         /** Its run is paused for a call to the dependency. */
@@ -19,13 +19,13 @@
 
     final String id;
 
-    /** The class it arrived under, whatever has been committed since. */
+    /** The class under which the request arrived, whatever has been committed since. */
     final RequestClass spec;
 
     final ClassStatistics statistics;
     final int tenantSlot;
 
-    /** The tenant's quota as it was at the arrival; null: none. */
+    /** The tenant's quota and share as they were at the arrival; null for none. */
     final Tenant tenant;
 
     final int caller;
@@ -33,44 +33,47 @@
     final double arrivedAtMillis;
     final double deadlineAtMillis;
 
-    /** When its answer would meet the latency objective at the latest. */
+    /** The latest time at which an answer meets the latency objective. */
     final double objectiveAtMillis;
 
     /**
-     * Priority that the client gave it, 0 to 1; the order in the queue is {@link
-     * RequestPriority}'s.
+     * Priority that the client assigned, 0 to 1. {@link RequestPriority} decides the order in the
+     * queue.
      */
     final double priority;
 
-    /** The client marked it as a retry. */
+    /** Whether the client marked the request as a retry. */
     final boolean retry;
 
-    /** Work that the client announced for it; 0: not announced. */
+    /** Work that the client announced for the request; 0 if it announced none. */
     final double workMillis;
 
     State state = State.QUEUED;
 
-    /** The final answer is out, or the client has gone. */
+    /** Whether the final answer is out or the client has disconnected. */
     boolean answered;
 
-    /** Its run was started at some time. */
+    /** Whether a run of the request was ever started. */
     boolean started;
 
     boolean keyRetained;
     boolean callInFlight;
 
-    /** Core time when its run began, moved on by the core time of its pauses. */
+    /**
+     * Core time at which the run began, moved forward by the core time that passed while it was
+     * paused.
+     */
     double startedAtCoreMillis;
 
     double pausedAtMillis;
     double pausedAtCoreMillis;
 
-    /** How long its run has been paused for calls so far. */
+    /** Total time that the run has been paused for calls so far. */
     double pausedMillis;
 
     /**
-     * @param requestClass its class at the arrival
-     * @param carriesDeadline whether the deadline that the request names is the client's own
+     * @param requestClass the class of the request at its arrival
+     * @param carriesDeadline whether the deadline that the request carries is the client's own
      * @param spentMillis what earlier attempts have spent of the client's timeout
      */
     ActiveRequest(
--- a/src/main/java/tinroad/overload/AdmissionControl.java
+++ b/src/main/java/tinroad/overload/AdmissionControl.java
@@ -4,27 +4,27 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * Which arrivals are admitted: those that fit into memory, are above the priority cutoff, and whose
- * estimated answer meets their latency objective.
+ * Decides which arrivals are admitted: those that fit into memory, are not below the priority
+ * cutoff, and are expected to be answered within their latency objective.
  */
 final class AdmissionControl {
     /**
-     * Part of the time to its objective that a request's estimated answer may take, for the spread
-     * of run times.
+     * Share of the time left until a request's objective that its estimated answer may take. The
+     * rest allows for the spread of run times.
      */
-    private static final double MAX_TIME_SHARE = 0.65;
+    private static final double MAX_ESTIMATE_SHARE = 0.65;
 
     /**
-     * How much more of it, by the part of arrivals that are retries: elsewhere a request would meet
-     * the same.
+     * Added to that share when all arrivals are retries, and proportionally less otherwise: with
+     * many retries, a rejected request would meet the same load elsewhere.
      */
-    private static final double MAX_TIME_SHARE_BY_RETRIES = 0.8;
+    private static final double MAX_ESTIMATE_SHARE_GAIN_BY_RETRIES = 0.8;
 
     /**
-     * A request in time is admitted beside fewer than this: one oversized or hung run must not idle
-     * a core.
+     * A request whose objective has not passed is always admitted while fewer than this many
+     * requests run or wait, so that one oversized or hung run does not leave a core idle.
      */
-    private static final int ALWAYS_ADMITTED = 2;
+    private static final int ALWAYS_ADMITTED_REQUESTS = 2;
 
     private final Settings settings;
     private final CoreUsage cores;
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Whether this arrival is admitted. To be called once for each: it counts trial requests, and
-     * reports an objective that cannot be met to the cutoff.
+     * Whether this arrival is admitted. Must be called once for each arrival, because it counts
+     * trial requests and reports objectives that cannot be met to the cutoff.
      */
     boolean admits(ActiveRequest request, RequestClass requestClass, double nowMillis) {
         return memory.fits(requestClass)
@@ -83,33 +83,34 @@
         if (request.priority * tenantQuotas.weight(request) < cutoff.value()) {
             return false;
         }
-        double share = MAX_TIME_SHARE + MAX_TIME_SHARE_BY_RETRIES * arrivals.retryShare();
-        double leftMillis = request.objectiveAtMillis - nowMillis;
-        boolean meets =
-                request.workMillis <= leftMillis
-                        && estimatedAnswerMillis(request) <= leftMillis * share;
-        if (!meets && nowMillis < request.objectiveAtMillis) {
+        double maxShare =
+                MAX_ESTIMATE_SHARE + MAX_ESTIMATE_SHARE_GAIN_BY_RETRIES * arrivals.retryShare();
+        double remainingMillis = request.objectiveAtMillis - nowMillis;
+        boolean meetsObjective =
+                request.workMillis <= remainingMillis
+                        && estimatedAnswerMillis(request) <= remainingMillis * maxShare;
+        if (!meetsObjective && nowMillis < request.objectiveAtMillis) {
             cutoff.onObjectiveMissed();
         }
-        int always =
+        int alwaysAdmitted =
                 nowMillis > request.objectiveAtMillis
                         ? settings.cores() / 2
-                        : Math.min(settings.cores(), ALWAYS_ADMITTED);
-        return meets || cores.running() + queue.size() < always;
+                        : Math.min(settings.cores(), ALWAYS_ADMITTED_REQUESTS);
+        return meetsObjective || cores.running() + queue.size() < alwaysAdmitted;
     }
 
-    /** Estimated time to the answer: the work queued before this request, then its own run. */
+    /** Estimated time to the answer: the work queued ahead of this request, then its own run. */
     private double estimatedAnswerMillis(ActiveRequest request) {
-        double ownMillis = estimator.runMillis(request);
-        double beforeMillis = queue.workBeforeMillis(priority.of(request));
-        double busy =
+        double ownRunMillis = estimator.runMillis(request);
+        double queuedMillis = queue.workBeforeMillis(priority.of(request));
+        double coreLoad =
                 Math.max((cores.running() + 1) * cores.onCoreShare(), settings.cores())
                         / settings.cores();
-        beforeMillis +=
-                beforeMillis > 0 || cores.running() >= (int) limit.allowed() ? ownMillis / 2 : 0;
-        double most = Math.max(1, limit.allowed() * cores.onCoreShare() / settings.cores());
-        return beforeMillis * cores.onCoreShare() / settings.cores()
-                + ownMillis * Math.min(busy, most)
+        queuedMillis +=
+                queuedMillis > 0 || cores.running() >= (int) limit.allowed() ? ownRunMillis / 2 : 0;
+        double maxCoreLoad = Math.max(1, limit.allowed() * cores.onCoreShare() / settings.cores());
+        return queuedMillis * cores.onCoreShare() / settings.cores()
+                + ownRunMillis * Math.min(coreLoad, maxCoreLoad)
                 + request.statistics.pausedMillis;
     }
 }
--- a/src/main/java/tinroad/overload/ArrivalStatistics.java
+++ b/src/main/java/tinroad/overload/ArrivalStatistics.java
@@ -1,13 +1,14 @@
 package tinroad.overload;
 
 /**
- * What arrived lately over all classes and tenants: rate, share of retries, how late it is read.
+ * Statistics of recent arrivals over all classes and tenants: their rate, the share of retries, and
+ * how late they are read.
  */
 final class ArrivalStatistics {
-    /** Time in which a rate of arrivals falls to its e-th part. */
+    /** Time constant of arrival rates: a rate decays to 1/e in this time. */
     static final double RATE_SPAN_MILLIS = 3000;
 
-    /** What one arrival adds to a rate in requests a second. */
+    /** What one arrival adds to a rate in requests per second. */
     static final double RATE_PER_ARRIVAL = 1000 / RATE_SPAN_MILLIS;
 
     private final ControllerClock clock;
@@ -19,35 +20,35 @@
         this.clock = clock;
     }
 
-    /** Time passes. */
-    void advance(double passedMillis) {
-        decayingRate *= Math.exp(-passedMillis / RATE_SPAN_MILLIS);
+    /** Decays the rate by the elapsed time. */
+    void advance(double elapsedMillis) {
+        decayingRate *= Math.exp(-elapsedMillis / RATE_SPAN_MILLIS);
     }
 
-    /** A request was read, {@code ageMillis} after it came. */
+    /** Counts a request that was read {@code ageMillis} after it arrived. */
     void arrived(boolean retry, double ageMillis, double objectiveMillis) {
         decayingRate += RATE_PER_ARRIVAL;
         retryShare += Smoothing.CALM_WEIGHT * ((retry ? 1 : 0) - retryShare);
         readDelayShare += Smoothing.RUN_WEIGHT * (ageMillis / objectiveMillis - readDelayShare);
     }
 
-    /** The decaying rate, in requests a second; too low soon after the start. */
+    /** The decaying rate, in requests per second. It is too low soon after the start. */
     double decayingRate() {
         return decayingRate;
     }
 
-    /** Arrivals a second, lately; soon after the start, since then. */
+    /** Recent arrivals per second. Soon after the start, the rate since the start. */
     double requestsPerSecond() {
         return decayingRate
                 / (1 - Math.exp(-Math.max(1, clock.sinceStartMillis()) / RATE_SPAN_MILLIS));
     }
 
-    /** Part of the arrivals that are marked retries, 0 to 1. */
+    /** Share of the arrivals that are marked as retries, 0 to 1. */
     double retryShare() {
         return retryShare;
     }
 
-    /** How late requests are read, in parts of their latency objectives. */
+    /** Mean delay with which requests are read, as a share of their latency objectives. */
     double readDelayShare() {
         return readDelayShare;
     }
--- a/src/main/java/tinroad/overload/CancellationPolicy.java
+++ b/src/main/java/tinroad/overload/CancellationPolicy.java
@@ -5,9 +5,9 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.Settings;
 
-/** Which runs are canceled. */
+/** Decides which runs are canceled. */
 final class CancellationPolicy {
-    /** A late run this many times longer than expected is an oversized one. */
+    /** A late run that took this many times its expected time counts as oversized. */
     private static final double OVERSIZED_RATIO = 2;
 
     private final Settings settings;
@@ -23,7 +23,7 @@
         this.estimator = estimator;
     }
 
-    /** Cancels a run where that is possible. */
+    /** Cancels the run of a request where that is possible. */
     void cancel(ActiveRequest request) {
         if (settings.cancellationMode() != CancellationMode.NONE && request.isRunning()) {
             actions.cancel(request.id);
@@ -31,8 +31,9 @@
     }
 
     /**
-     * Whether a run past its objective may be canceled to free its core: it is oversized, its late
-     * answer would have no weight, and it may be run again. The caller has checked that it is late.
+     * Whether a run past its objective may be canceled to free its core: the run is oversized, a
+     * late answer has no weight, and the request may be run again. The caller has checked that the
+     * objective has passed.
      */
     boolean mayCancelLate(ActiveRequest request) {
         boolean oversized =
--- a/src/main/java/tinroad/overload/ClassStatistics.java
+++ b/src/main/java/tinroad/overload/ClassStatistics.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/**
- * What is measured of one class. Holds values only: they are updated and summed by {@link
- * ClassTable}.
- */
+/** Statistics of one request class. Holds values only; {@link ClassTable} updates and sums them. */
 final class ClassStatistics {
-    /** A timeout that fresh attempts of a class come with, and how sure that is. */
+    /**
+     * A client timeout with which fresh attempts of the class arrive, and the votes for it, which
+     * count how often it was seen.
+     */
     static final class ClientTimeout {
         final double timeoutMillis;
         double votes = 1;
@@ -19,10 +19,10 @@
 
     final int slot;
 
-    /** Mean core time of a run; 0: no sample and nothing restored. */
+    /** Mean core time of a run; 0 if there is neither a sample nor a restored value. */
     double runMillis;
 
-    /** The same while calm. */
+    /** Mean core time of a run while the server is calm; 0 as for {@link #runMillis}. */
     double calmRunMillis;
 
     /** Mean time that a run is paused for calls to the dependency. */
@@ -31,34 +31,41 @@
     double runSamples;
     double calmRunSamples;
 
-    /** There are samples, or restored values. */
+    /** Whether there are samples or restored values. */
     boolean measured;
 
-    /** Requests lately, and those of them answered in time; both decayed up to a time. */
+    /** Decaying count of recent requests, decayed up to {@link #decayedAtMillis}. */
     double recentRequests;
 
+    /** Decaying count of those requests that were answered in time. */
     double recentServed;
+
     private double decayedAtMillis;
 
-    /** Its index in {@link UnderservedClasses}; -1: not in there. */
+    /** Index of the class in {@link UnderservedClasses}; -1 if it is not there. */
     int underservedIndex = -1;
 
     List<ClientTimeout> clientTimeouts = List.of();
 
-    /** Nothing measured yet, which weighs {@code samples}. */
+    /**
+     * Creates statistics without a measurement; what is assumed instead weighs as much as {@code
+     * samples} samples.
+     */
     ClassStatistics(int slot, double samples) {
         this.slot = slot;
         runSamples = samples;
         calmRunSamples = samples;
     }
 
-    /** Decays the recent counts; {@code spanMillis}: time in which they fall to their e-th part. */
-    void decay(double nowMillis, double spanMillis) {
+    /** Decays the recent counts, which fall to 1/e in {@code timeConstantMillis}. */
+    void decay(double nowMillis, double timeConstantMillis) {
         if (nowMillis > decayedAtMillis) {
-            double share =
-                    recentRequests == 0 ? 0 : Math.exp((decayedAtMillis - nowMillis) / spanMillis);
-            recentRequests *= share;
-            recentServed *= share;
+            double factor =
+                    recentRequests == 0
+                            ? 0
+                            : Math.exp((decayedAtMillis - nowMillis) / timeConstantMillis);
+            recentRequests *= factor;
+            recentServed *= factor;
             decayedAtMillis = nowMillis;
         }
     }
--- a/src/main/java/tinroad/overload/ClassTable.java
+++ b/src/main/java/tinroad/overload/ClassTable.java
@@ -9,13 +9,16 @@
 import tinroad.overload.Controller.RequestClass;
 
 /**
- * The request classes by slot, and sums over them, kept up to date with every sample: no event
- * walks over all classes. A change is staged in a version beside the current one, which receives
- * all samples meanwhile, and replaces it at once. Knows the time only from {@link #advance}, and
- * nothing of what the sums are used for.
+ * The request classes by slot, and sums over them. The sums are updated with every sample, so that
+ * no event walks over all classes. A change is staged in a version beside the current one, which
+ * receives all samples meanwhile and replaces the current one at once. The table knows the time
+ * only from {@link #advance}, and does not know what the sums are used for.
  */
 final class ClassTable {
-    /** The specs of one version, their statistics, where there are any, and the sums. */
+    /**
+     * One version of the table: the specs of the classes, their statistics, where there are any,
+     * and the sums.
+     */
     private static final class Version {
         final SlotTable<RequestClass> specs;
         final SlotTable<ClassStatistics> statistics;
@@ -34,27 +37,27 @@
             weight = new CompensatedSum();
         }
 
-        Version(Version before) {
-            specs = before.specs.nextVersion();
-            statistics = before.statistics.nextVersion();
-            size = before.size;
-            runMillis = new CompensatedSum(before.runMillis);
-            calmRunMillis = new CompensatedSum(before.calmRunMillis);
-            recentRequests = new CompensatedSum(before.recentRequests);
-            weight = new CompensatedSum(before.weight);
+        Version(Version previous) {
+            specs = previous.specs.nextVersion();
+            statistics = previous.statistics.nextVersion();
+            size = previous.size;
+            runMillis = new CompensatedSum(previous.runMillis);
+            calmRunMillis = new CompensatedSum(previous.calmRunMillis);
+            recentRequests = new CompensatedSum(previous.recentRequests);
+            weight = new CompensatedSum(previous.weight);
         }
 
-        void decay(double share) {
-            recentRequests.scale(share);
-            weight.scale(share);
+        void decay(double factor) {
+            recentRequests.scale(factor);
+            weight.scale(factor);
         }
     }
 
     private final LearnedStatistics learned;
-    private final double spanMillis;
+    private final double timeConstantMillis;
     private final boolean weightByWork;
 
-    /** No request, change or restored value yet. */
+    /** Whether there was no request, change or restored value yet. */
     private boolean untouched = true;
 
     private Version current = new Version();
@@ -63,20 +66,20 @@
     private final UnderservedClasses underserved;
 
     /**
-     * @param spanMillis time in which recent counts fall to their e-th part
-     * @param lag how far behind a class is by its ratio of requests answered in time and the worst
-     *     ratio
-     * @param weightByWork a class's priority weight is for each ms of its run
+     * @param timeConstantMillis time in which recent counts decay to 1/e
+     * @param lag computes how far a class is behind from its ratio of requests answered in time and
+     *     the worst ratio
+     * @param weightByWork whether a class's priority weight is for each ms of its run
      */
     ClassTable(
             List<RequestClass> specs,
             LearnedStatistics learned,
-            double spanMillis,
+            double timeConstantMillis,
             DoubleBinaryOperator lag,
             boolean weightByWork,
             double nowMillis) {
         this.learned = learned;
-        this.spanMillis = spanMillis;
+        this.timeConstantMillis = timeConstantMillis;
         underserved = new UnderservedClasses(lag);
         this.weightByWork = weightByWork;
         this.nowMillis = nowMillis;
@@ -85,75 +88,75 @@
         }
     }
 
-    /** Time passes. */
+    /** Advances time; the sums of recent requests decay. */
     void advance(double eventAtMillis) {
-        double share = Math.exp((nowMillis - eventAtMillis) / spanMillis);
+        double factor = Math.exp((nowMillis - eventAtMillis) / timeConstantMillis);
         nowMillis = eventAtMillis;
-        current.decay(share);
+        current.decay(factor);
         if (staged != null) {
-            staged.decay(share);
+            staged.decay(factor);
         }
     }
 
-    /** The class in this slot, or null. */
+    /** Returns the class in this slot, or null. */
     RequestClass at(int slot) {
         return current.specs.get(slot);
     }
 
     /**
-     * The classes with samples or restored values. Until the first request, change or restored
-     * value: all, with what is assumed of them.
+     * Returns the classes with samples or restored values. Until the first request, change or
+     * restored value it returns all classes, with what is assumed of them.
      */
     List<ClassStatistics> measuredClasses() {
         if (untouched) {
             return IntStream.range(0, current.specs.size()).mapToObj(learned::unmeasured).toList();
         }
-        List<ClassStatistics> known = new ArrayList<>();
+        List<ClassStatistics> measuredStatistics = new ArrayList<>();
         current.statistics.forEach(
                 statistics -> {
                     if (statistics.measured) {
-                        known.add(statistics);
+                        measuredStatistics.add(statistics);
                     }
                 });
-        return known;
+        return measuredStatistics;
     }
 
-    /** How many classes there are. */
+    /** Returns the number of classes. */
     int size() {
         return current.size;
     }
 
-    /** What an answer of this class adds to the operators' objective, before any bonus. */
+    /** Returns what an answer of this class adds to the operators' objective, before any bonus. */
     double weight(ClassStatistics statistics, RequestClass requestClass) {
         return requestClass.priorityWeight()
                 * (weightByWork ? learned.runMillis(statistics, requestClass) : 1);
     }
 
-    /** Requests lately, over all classes. */
+    /** Returns the decaying count of recent requests over all classes. */
     double totalRequests() {
         return current.recentRequests.value();
     }
 
-    /** Their weights added up. */
+    /** Returns the sum of the weights of these requests. */
     double totalWeight() {
         return current.weight.value();
     }
 
-    /** Requests of this class lately. */
+    /** Returns the decaying count of recent requests of this class. */
     double recentRequests(ClassStatistics statistics) {
-        statistics.decay(nowMillis, spanMillis);
+        statistics.decay(nowMillis, timeConstantMillis);
         return statistics.recentRequests;
     }
 
-    /** Mean of the classes' run latencies over their calm baselines. */
+    /** Returns the mean run time over all classes divided by the mean of their calm baselines. */
     double slowdown() {
         double calm = current.calmRunMillis.value();
         return calm > 0 ? current.runMillis.value() / calm : 1;
     }
 
     /**
-     * This class's share of the weight of the classes served worst, 0 to 1; 0 for a class that was
-     * removed.
+     * Returns this class's share of the weight of the classes served worst, 0 to 1; 0 for a class
+     * that was removed.
      */
     double lagShare(ClassStatistics statistics) {
         return isCurrent(statistics)
@@ -163,37 +166,38 @@
 
     // --- samples ---
 
-    /** A request of the class in this slot has arrived. */
+    /** Counts a request for the class in this slot and returns the statistics of the class. */
     ClassStatistics requestArrived(int slot) {
         ClassStatistics statistics = statisticsAt(slot);
-        statistics.decay(nowMillis, spanMillis);
+        statistics.decay(nowMillis, timeConstantMillis);
         addIfCurrent(statistics, -1);
         statistics.recentRequests++;
         addIfCurrent(statistics, 1);
-        underserved.add(statistics, nowMillis + spanMillis * Math.log(statistics.recentRequests));
+        underserved.add(
+                statistics, nowMillis + timeConstantMillis * Math.log(statistics.recentRequests));
         return statistics;
     }
 
-    /** One of them was answered in time. */
+    /** Counts a request of this class that was answered in time. */
     void servedInTime(ClassStatistics statistics) {
-        statistics.decay(nowMillis, spanMillis);
+        statistics.decay(nowMillis, timeConstantMillis);
         statistics.recentServed++;
         underserved.update(statistics);
     }
 
     /** Updates the statistics of the class in this slot. */
-    void update(int slot, BiConsumer<ClassStatistics, RequestClass> how) {
-        update(statisticsAt(slot), at(slot), how);
+    void update(int slot, BiConsumer<ClassStatistics, RequestClass> updater) {
+        update(statisticsAt(slot), at(slot), updater);
     }
 
-    /** The same for the class that an active request arrived under. */
+    /** Updates the statistics of the class under which an active request arrived. */
     void update(
             ClassStatistics statistics,
             RequestClass requestClass,
-            BiConsumer<ClassStatistics, RequestClass> how) {
-        statistics.decay(nowMillis, spanMillis);
+            BiConsumer<ClassStatistics, RequestClass> updater) {
+        statistics.decay(nowMillis, timeConstantMillis);
         addIfCurrent(statistics, -1);
-        how.accept(statistics, requestClass);
+        updater.accept(statistics, requestClass);
         addIfCurrent(statistics, 1);
         statistics.measured = true;
     }
@@ -249,7 +253,7 @@
         for (ClassSlot change : changes) {
             int slot = change.slot();
             if (change.spec() != null && at(slot) == null && staged.statistics.get(slot) != null) {
-                // Whatever was learned in this slot is of another class.
+                // What was learned in this slot belongs to another class.
                 staged.statistics.set(slot, null);
             }
             put(staged, slot, change.spec(), staged.statistics.get(slot));
@@ -259,16 +263,16 @@
     private void put(
             Version version, int slot, RequestClass requestClass, ClassStatistics statistics) {
         if (statistics != null) {
-            statistics.decay(nowMillis, spanMillis);
+            statistics.decay(nowMillis, timeConstantMillis);
         }
-        RequestClass before = version.specs.get(slot);
-        add(version, before, statistics, -1);
+        RequestClass previous = version.specs.get(slot);
+        add(version, previous, statistics, -1);
         version.specs.set(slot, requestClass);
         add(version, requestClass, statistics, 1);
-        version.size += (requestClass == null ? 0 : 1) - (before == null ? 0 : 1);
+        version.size += (requestClass == null ? 0 : 1) - (previous == null ? 0 : 1);
     }
 
-    /** The staged version becomes the current one. */
+    /** Makes the staged version the current one. */
     void commit() {
         if (staged != null) {
             current = staged;
@@ -277,12 +281,12 @@
         }
     }
 
-    /** Drops the staged version. */
+    /** Discards the staged version. */
     void discardStaged() {
         staged = null;
     }
 
-    /** How often a slot was read, by which tests bound the cost of an event. */
+    /** Number of slot reads so far, by which tests bound the cost of an event. */
     long reads() {
         return current.specs.reads() + current.statistics.reads();
     }
--- a/src/main/java/tinroad/overload/ClientTimeoutEstimator.java
+++ b/src/main/java/tinroad/overload/ClientTimeoutEstimator.java
@@ -7,21 +7,21 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * What earlier attempts have spent of a client's timeout. Fresh attempts of a class come with one
- * of a few timeouts, as many as clients have habits; a last attempt comes with what remains of the
- * deadline. A timeout longer than all usual ones shows what earlier attempts have spent of the
- * deadline, a shorter one what a server has spent.
+ * Estimates what earlier attempts have spent of a client's timeout. Fresh attempts of a class come
+ * with one of a few usual timeouts, which differ between kinds of clients; a last attempt comes
+ * with what remains of the deadline. A timeout longer than all usual ones shows what earlier
+ * attempts have spent of the deadline, a shorter one what a server has spent.
  */
 final class ClientTimeoutEstimator {
-    /** Timeouts this near, in parts of the class's deadline, are one. */
-    private static final double SAME_SHARE = 0.01;
+    /** Timeouts that differ by at most this share of the class's deadline count as the same. */
+    private static final double SAME_TIMEOUT_SHARE = 0.01;
 
-    /** Votes that make a timeout a usual one. */
-    private static final double USUAL_VOTES = 5;
+    /** Votes from which on a timeout counts as usual. */
+    private static final double MIN_USUAL_VOTES = 5;
 
     private static final double MAX_VOTES = 20;
 
-    /** Timeouts remembered for each class. */
+    /** Maximum number of timeouts stored for each class. */
     private static final int MAX_CLIENT_TIMEOUTS = 4;
 
     private final Settings settings;
@@ -31,9 +31,10 @@
     }
 
     /**
-     * What earlier attempts have spent, in ms; learns from fresh ones. Guards against work that is
-     * late on arrival. Where requests carry no deadline, a marked retry has waited elsewhere, or
-     * stayed away for as long as it was asked.
+     * Returns what earlier attempts have spent, in ms, and learns from fresh ones. Guards against
+     * work that is already late on arrival. Where requests carry no deadline, a marked retry is
+     * assumed to have waited on another server, or to have stayed away for as long as its
+     * Retry-After.
      */
     double spentMillis(
             Request request,
@@ -46,29 +47,32 @@
                     : 0;
         }
         double timeoutMillis = request.deadlineAtMillis() - nowMillis + request.ageMillis();
-        double nextMillis = Double.MAX_VALUE;
-        boolean known = false;
-        for (ClientTimeout usual : statistics.clientTimeouts) {
-            if (Math.abs(timeoutMillis - usual.timeoutMillis)
-                    <= SAME_SHARE * requestClass.deadlineMillis()) {
-                usual.votes = Math.min(MAX_VOTES, usual.votes + (request.retry() ? 0 : 1));
+        double nextUsualMillis = Double.MAX_VALUE;
+        boolean anyUsual = false;
+        for (ClientTimeout stored : statistics.clientTimeouts) {
+            if (Math.abs(timeoutMillis - stored.timeoutMillis)
+                    <= SAME_TIMEOUT_SHARE * requestClass.deadlineMillis()) {
+                stored.votes = Math.min(MAX_VOTES, stored.votes + (request.retry() ? 0 : 1));
                 return 0;
             }
-            known |= usual.votes >= USUAL_VOTES;
-            nextMillis =
-                    usual.votes >= USUAL_VOTES && usual.timeoutMillis > timeoutMillis
-                            ? Math.min(nextMillis, usual.timeoutMillis)
-                            : nextMillis;
+            anyUsual |= stored.votes >= MIN_USUAL_VOTES;
+            nextUsualMillis =
+                    stored.votes >= MIN_USUAL_VOTES && stored.timeoutMillis > timeoutMillis
+                            ? Math.min(nextUsualMillis, stored.timeoutMillis)
+                            : nextUsualMillis;
         }
         if (!request.retry()) {
             addClientTimeout(statistics, timeoutMillis);
         }
-        return known
-                ? Math.max(0, Math.min(nextMillis, requestClass.deadlineMillis()) - timeoutMillis)
+        return anyUsual
+                ? Math.max(
+                        0, Math.min(nextUsualMillis, requestClass.deadlineMillis()) - timeoutMillis)
                 : 0;
     }
 
-    /** A new timeout displaces those that are seldom seen. */
+    /**
+     * Adds a new timeout if there is room; otherwise it displaces timeouts that are rarely seen.
+     */
     private static void addClientTimeout(ClassStatistics statistics, double timeoutMillis) {
         if (statistics.clientTimeouts.size() < MAX_CLIENT_TIMEOUTS) {
             statistics.clientTimeouts =
--- a/src/main/java/tinroad/overload/CompensatedSum.java
+++ b/src/main/java/tinroad/overload/CompensatedSum.java
@@ -1,17 +1,17 @@
 package tinroad.overload;
 
 /**
- * A running sum, added to and subtracted from for ever. Neumaier's compensated summation guards
- * against drift: what each addition rounds away is kept beside it.
+ * A running sum with no bound on the number of additions and subtractions. Neumaier's compensated
+ * summation prevents drift: it keeps track of what each addition rounds away.
  */
 final class CompensatedSum {
     private double sum;
     private double compensation;
 
-    /** A sum of 0. */
+    /** Creates a sum of 0. */
     CompensatedSum() {}
 
-    /** A copy. */
+    /** Creates a copy. */
     CompensatedSum(CompensatedSum other) {
         sum = other.sum;
         compensation = other.compensation;
@@ -23,7 +23,7 @@
         sum = next;
     }
 
-    /** Multiplies it. */
+    /** Multiplies the sum by {@code factor}. */
     void scale(double factor) {
         sum *= factor;
         compensation *= factor;
--- a/src/main/java/tinroad/overload/ConcurrencyLimit.java
+++ b/src/main/java/tinroad/overload/ConcurrencyLimit.java
@@ -5,23 +5,29 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * How many requests may run at once: follows the use of the cores, below what the server survives.
+ * The limit on the number of concurrent runs. It follows the use of the cores and stays below the
+ * concurrency that the server survives.
  */
 final class ConcurrencyLimit {
     private static final double INITIAL_RUNS_PER_CORE = 1.25;
 
-    /** Part of the concurrency that the server survives which is never passed. */
-    private static final double MAX_SURVIVED_SHARE = 0.6;
+    /** Share of the concurrency that the server survives which the limit never exceeds. */
+    private static final double MAX_SURVIVABLE_SHARE = 0.6;
 
-    /** From this utilization on the cores are busy. */
+    /** Utilization of the cores from which they count as busy. */
     private static final double BUSY_UTILIZATION = 0.92;
 
-    /** With more than this many runs a core that want one the cores are overcommitted. */
+    /**
+     * The cores are overcommitted with more than this many runs per core that are on a core or
+     * waiting for one.
+     */
     private static final double MAX_RUNNABLE_PER_CORE = 1.6;
 
     private final Settings settings;
     private final ControllerClock clock;
     private final CoreUsage cores;
+
+    /** Limit on runs that need a core at the same time. */
     private double onCoreLimit;
 
     ConcurrencyLimit(Settings settings, ControllerClock clock, CoreUsage cores) {
@@ -31,32 +37,35 @@
         onCoreLimit = Math.max(1, settings.cores() * INITIAL_RUNS_PER_CORE);
     }
 
-    /** Runs allowed at once, at least 1: more where runs wait off the cores. */
+    /**
+     * Number of runs allowed at once, at least 1. It is higher where runs spend time off the cores.
+     */
     double allowed() {
         return Math.max(1, Math.min(onCoreLimit / cores.onCoreShare(), survivable()));
     }
 
     /**
-     * Runs, those paused for calls included, that the server survives with a reserve, at least 1.
-     * After a cold start fewer, more by the clock until {@link Rules#slowStartMillis()} have
-     * passed.
+     * Number of runs, including those paused for calls, that the server survives with a reserve, at
+     * least 1. After a cold start it is lower and rises with time until {@link
+     * Rules#slowStartMillis()} have passed.
      */
     double survivable() {
         Rules rules = settings.rules();
-        double warm = 1;
+        double speed = 1;
         if (settings.coldStart() && rules.slowStartMillis() > 0) {
-            double ramp = Math.min(1, clock.sinceStartMillis() / rules.slowStartMillis());
-            warm = rules.coldStartSpeed() + (1 - rules.coldStartSpeed()) * ramp;
+            double rampShare = Math.min(1, clock.sinceStartMillis() / rules.slowStartMillis());
+            speed = rules.coldStartSpeed() + (1 - rules.coldStartSpeed()) * rampShare;
         }
         return Math.max(
                 1,
                 settings.cores()
-                        * (1 + (rules.concurrencyPerCore() - 1) * warm)
-                        * MAX_SURVIVED_SHARE);
+                        * (1 + (rules.concurrencyPerCore() - 1) * speed)
+                        * MAX_SURVIVABLE_SHARE);
     }
 
     /**
-     * One sweep: fewer while the cores are overcommitted, more while queued work could use them.
+     * Adjusts the limit, once per sweep: down while the cores are overcommitted, up while queued
+     * work could use free cores.
      */
     void adjust(Gauges gauges, boolean requestsQueued) {
         if (gauges.runnable() > MAX_RUNNABLE_PER_CORE * settings.cores()) {
@@ -67,7 +76,7 @@
                             onCoreLimit + 1,
                             settings.cores()
                                     * settings.rules().concurrencyPerCore()
-                                    * MAX_SURVIVED_SHARE);
+                                    * MAX_SURVIVABLE_SHARE);
         }
     }
 }
--- a/src/main/java/tinroad/overload/Controller.java
+++ b/src/main/java/tinroad/overload/Controller.java
@@ -4,33 +4,37 @@
 import java.util.Map;
 
 /**
- * The interface of the overload controller: the events of a server (the methods), what the
- * controller may do ({@link Actions}) and the types that both use. All times and durations are
- * milliseconds, times on the server's own monotonic clock. An implementation is driven by one
- * thread and calls its {@code Actions} only from inside an event method. One object serves one
- * server process from its start to its end.
+ * The interface of the overload controller. The methods are the events of a server, {@link Actions}
+ * lists what the controller may do, and the nested types are used by both.
+ *
+ * <p>All times and durations are in milliseconds; times are on the server's own monotonic clock. An
+ * implementation is driven by one thread and calls its {@code Actions} only from inside an event
+ * method. One object serves one server process from its start to its end.
  */
 public interface Controller {
 
     /**
-     * The server starts; called once, before anything else. {@code seed} feeds all random choices.
+     * Starts the controller. Called once, before any other method. {@code seed} is the seed of all
+     * random choices.
      */
     void start(double nowMillis, long seed, Settings settings);
 
-    /** A request was read and now waits for a run. It is owed exactly one final answer. */
+    /**
+     * A request was read and now waits for a run. The controller owes it exactly one final answer.
+     */
     void requestArrived(double nowMillis, Request request);
 
     /**
-     * A run, or a wait for {@link Actions#replayResult}, has ended; {@code elapsedMillis} after its
-     * beginning.
+     * A run, or a wait started by {@link Actions#replayResult}, has ended, {@code elapsedMillis}
+     * after it began.
      */
     void completed(double nowMillis, String id, double elapsedMillis, Outcome outcome);
 
-    /** A running request cannot go on without a call to the dependency. */
+    /** A running request cannot continue without a call to the dependency. */
     void dependencyCallNeeded(double nowMillis, String id);
 
     /**
-     * A call made with {@link Actions#callDependency} has ended; {@code elapsedMillis} after it was
+     * A call made with {@link Actions#callDependency} has ended, {@code elapsedMillis} after it was
      * made.
      */
     void dependencyCallCompleted(
@@ -39,62 +43,70 @@
     /** The client of this request has disconnected. */
     void cancelled(double nowMillis, String id);
 
-    /** Shutdown notice; the process is killed at {@code shutdownAtMillis}. */
+    /** A shutdown notice was received; the process is killed at {@code shutdownAtMillis}. */
     void beginDraining(double nowMillis, double shutdownAtMillis);
 
     /** A timer set with {@link Actions#scheduleTimer} is due. */
     void timerFired(double nowMillis, String token, Gauges gauges);
 
-    /** What was learned so far, by name: all that a later process may begin with. */
+    /**
+     * Returns what was learned so far, by name. A later process can start from these values and
+     * from nothing else.
+     */
     default Map<String, Estimate> learnedEstimates() {
         return Map.of();
     }
 
     /**
-     * Begins with what an earlier process learned, decayed by its age; called once, right after the
-     * start, or never. {@code cold}: what runs here was just started, and is slower than it was
-     * then.
+     * Starts from the estimates of an earlier process, decayed by their age. Called at most once,
+     * right after the start. {@code cold} says that the back end was just started and is slower
+     * than when the estimates were learned.
      */
-    default void restore(Map<String, Estimate> known, boolean cold) {}
+    default void restore(Map<String, Estimate> estimates, boolean cold) {}
 
     /**
-     * Stages a part of a change of classes and tenants, in as many parts as it takes. Nothing of it
-     * takes effect before {@link #commit}, so that no event waits long for a large change.
+     * Stages a part of a change of classes and tenants; a change may come in any number of parts.
+     * Nothing takes effect before {@link #commit}, so that a large change delays no event for long.
      */
     default void stage(List<ClassSlot> classes, List<TenantSlot> tenants) {}
 
     /**
-     * All that was staged takes effect at once. Active requests keep the deadline, the idempotency
-     * and the tenant that they arrived under; what was learned of a slot that stays used stays.
+     * Puts everything that was staged into effect at once. Active requests keep the deadline, the
+     * idempotency and the tenant with which they arrived. What was learned for a slot that stays in
+     * use is kept.
      */
     default void commit(double nowMillis) {}
 
-    /** Drops all that was staged since the last commit. */
+    /** Discards everything that was staged since the last commit. */
     default void discardStaged() {}
 
     /**
-     * What the controller may do. Every action takes effect at the time of the event being handled.
+     * The actions that the controller may take. Every action takes effect at the time of the event
+     * being handled.
      */
     interface Actions {
         /** Starts a queued request or resumes a paused one. */
         void run(String id);
 
         /**
-         * Final answer: rejected without a run. {@code retryAfterMillis} 0: no Retry-After; {@code
-         * doNotRetry}: not elsewhere, either.
+         * Final answer: rejected without a run. {@code retryAfterMillis} is 0 for no Retry-After.
+         * {@code doNotRetry} asks the client not to retry on other servers either.
          */
         void reject(String id, double retryAfterMillis, boolean doNotRetry);
 
-        /** Final answer: error, whether or not it ran. */
+        /** Final answer: an error, whether or not the request ran. */
         void fail(String id);
 
         /** Stops a running request, as {@link Settings#cancellationMode} allows. */
         void cancel(String id);
 
-        /** Makes the call that a request waits for, which times out after {@code timeoutMillis}. */
+        /**
+         * Makes the dependency call that a request waits for. The call times out after {@code
+         * timeoutMillis}.
+         */
         void callDependency(String id, double timeoutMillis);
 
-        /** Continues without the call, for a degraded answer. */
+        /** Continues the run without the dependency call, for a degraded answer. */
         void skipDependency(String id);
 
         /**
@@ -108,26 +120,31 @@
         /** Answers a duplicate with the result of the request that it repeats. */
         void replayResult(String id);
 
-        /** Sets the answer to health checks; {@code stored}: without doing real work for it. */
+        /**
+         * Sets the answer to health checks. {@code stored} says that the checks are answered from
+         * this value, without doing real work.
+         */
         void setHealth(boolean healthy, boolean stored);
 
-        /** Sets the value that goes out with every answer, as {@link LoadHint} says. */
+        /**
+         * Sets the load value that is sent with every answer; {@link LoadHint} defines its meaning.
+         */
         void advertiseLoad(double value);
 
-        /** Closes connections idle for this long; 0 leaves them to the clients. */
+        /** Closes connections that are idle for this long; 0 leaves closing them to the clients. */
         void setIdleTimeout(double idleMillis);
 
-        /** Asks for one {@link Controller#timerFired} event. */
+        /** Requests one {@link Controller#timerFired} event. */
         void scheduleTimer(String token, double delayMillis);
 
         /** Writes a line to the operators' log. */
         void log(String text);
     }
 
-    /** A learned value, in ms or as a share, and how many samples it was learned from. */
+    /** A learned value, in ms or as a share, and the number of samples it was learned from. */
     record Estimate(double value, double weight) {}
 
-    /** How a run or a call has ended. */
+    /** How a run or a dependency call ended. */
     enum Outcome {
         OK,
         FAILED,
@@ -140,8 +157,9 @@
     }
 
     /**
-     * What clients make of {@link Actions#advertiseLoad}: nothing, the least priority to send, the
-     * number of requests that each may have out, or the share of requests to send here.
+     * How clients interpret the value of {@link Actions#advertiseLoad}: they ignore it, or it is
+     * the minimum priority of the requests to send, the number of requests that each client may
+     * have in flight, or the share of its requests to send to this server.
      */
     enum LoadHint {
         NONE,
@@ -157,14 +175,14 @@
         PAUSE
     }
 
-    /** Whether a request may be run again. */
+    /** Whether a request may be run more than once. */
     enum Idempotency {
         IDEMPOTENT,
         IDEMPOTENT_WITH_KEY,
         NON_IDEMPOTENT
     }
 
-    /** What this server depends on. */
+    /** The kind of dependency that this server calls. */
     enum DependencyKind {
         NONE,
         SHARED,
@@ -172,9 +190,10 @@
     }
 
     /**
-     * A request as read, {@code ageMillis} after it came. {@code deadlineAtMillis} 0 and {@code
-     * workMillis} 0: not announced; {@code resultKey} and {@code duplicateOf} null: none. {@code
-     * priority} is from 0 to 1, {@code caller} identifies the client.
+     * A request as it was read, {@code ageMillis} after it arrived. {@code deadlineAtMillis} and
+     * {@code workMillis} are 0 where the client did not announce them; {@code resultKey} and {@code
+     * duplicateOf} are null for none. {@code priority} is from 0 to 1; {@code caller} identifies
+     * the client.
      */
     record Request(
             String id,
@@ -192,8 +211,9 @@
             boolean write) {}
 
     /**
-     * The server's own gauges, NaN where absent: share of the cores that is busy, 0 to 1; runs on a
-     * core or waiting for one; share of the memory in use, 0 to 1; open connections.
+     * The server's own gauges, NaN where absent: the share of the cores that is busy, 0 to 1; the
+     * number of runs on a core or waiting for one; the share of the memory in use, 0 to 1; the
+     * number of open connections.
      */
     record Gauges(
             double coreUtilization,
@@ -202,10 +222,11 @@
             double connections) {}
 
     /**
-     * A request class. {@code objectivePerWork}: added to the latency objective for each ms of
-     * announced work; 0: it is fixed. {@code keyWindowMillis}: how long keys are retained, with
-     * {@link Idempotency#IDEMPOTENT_WITH_KEY} only. The shares are parts of {@code priorityWeight},
-     * 0 to 1: of an answer after the objective, and of a degraded one.
+     * A class of requests. {@code objectivePerWork} is added to the latency objective for each ms
+     * of announced work; with 0 the objective is fixed. {@code keyWindowMillis} is how long
+     * idempotency keys are retained, used only with {@link Idempotency#IDEMPOTENT_WITH_KEY}. {@code
+     * lateWeightShare} and {@code degradedWeightShare} are the shares of {@code priorityWeight}, 0
+     * to 1, that an answer after the objective and a degraded answer count.
      */
     record RequestClass(
             double objectiveMillis,
@@ -219,28 +240,31 @@
             double degradedWeightShare) {}
 
     /**
-     * A tenant's quota, in requests a second over the whole fleet, and its share of the service, 0
-     * to 1.
+     * A tenant's quota, in requests per second over the whole fleet, and its share of the service,
+     * 0 to 1.
      */
     record Tenant(double quotaPerSecond, double share) {}
 
     /**
-     * A class in its slot, which requests name. {@code spec} null: it is removed; its active
-     * requests go on. A spec in a free slot begins with nothing learned; a slot is used anew only
-     * once no active request names it.
+     * A request class in the slot by which requests refer to it. With {@code spec} null the class
+     * is removed, and its active requests continue. A class put into a free slot starts with
+     * nothing learned. A slot may be reused only when no active request refers to it.
      */
     record ClassSlot(int slot, RequestClass spec) {}
 
-    /** The same for a tenant. */
+    /** A tenant in its slot, under the same rules as a {@link ClassSlot}. */
     record TenantSlot(int slot, Tenant spec) {}
 
-    /** Weights of the parts of the operators' objective. */
+    /**
+     * Weights of the parts of the operators' objective: the service overall, the worst time window,
+     * the worst class and the worst tenant.
+     */
     record ObjectiveWeights(
             double overall, double worstWindow, double worstClass, double worstTenant) {}
 
     /**
-     * The limits of the rules that a server has to keep. {@code coldStartSpeed}: speed right after
-     * a cold start, in parts of the full one.
+     * The limits of the rules that a server has to keep. {@code coldStartSpeed} is the speed right
+     * after a cold start, as a share of the full speed.
      */
     record Rules(
             double answerSlackMillis,
@@ -251,8 +275,9 @@
             double concurrencyWindowMillis) {}
 
     /**
-     * The dependency: this server's quota of concurrent calls, the window over which their mean
-     * counts, and how long a call that timed out still occupies the dependency.
+     * The dependency: its kind, this server's quota of concurrent calls, the window over which
+     * their mean counts against the quota, and how long a call that timed out still occupies the
+     * dependency.
      */
     record Dependency(
             DependencyKind kind,
@@ -261,8 +286,8 @@
             double lingerMillis) {}
 
     /**
-     * All that a controller is given at the start. {@code memoryKb} and {@code clientIdleMillis} 0:
-     * unknown.
+     * All settings that a controller receives at the start. {@code memoryKb} and {@code
+     * clientIdleMillis} are 0 where they are unknown.
      */
     record Settings(
             List<RequestClass> classes,
--- a/src/main/java/tinroad/overload/ControllerClock.java
+++ b/src/main/java/tinroad/overload/ControllerClock.java
@@ -1,8 +1,8 @@
 package tinroad.overload;
 
 /**
- * The controller's time: that of the latest event, in milliseconds of the server's monotonic clock.
- * Guards against events out of order: it never goes back.
+ * The controller's time: that of the latest event, in milliseconds on the server's monotonic clock.
+ * It never goes back, which guards against events that come out of order.
  */
 final class ControllerClock {
     private final double startedAtMillis;
@@ -13,13 +13,16 @@
         this.nowMillis = nowMillis;
     }
 
-    /** Moves to an event's time. Returns how long that was, in ms; 0 or less: nothing has moved. */
+    /**
+     * Advances to the time of an event. Returns the time that has passed in ms; at 0 or less the
+     * clock stays as it is.
+     */
     double advance(double eventAtMillis) {
-        double passedMillis = eventAtMillis - nowMillis;
-        if (passedMillis > 0) {
+        double elapsedMillis = eventAtMillis - nowMillis;
+        if (elapsedMillis > 0) {
             nowMillis = eventAtMillis;
         }
-        return passedMillis;
+        return elapsedMillis;
     }
 
     double nowMillis() {
--- a/src/main/java/tinroad/overload/CoreUsage.java
+++ b/src/main/java/tinroad/overload/CoreUsage.java
@@ -4,35 +4,40 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * The runs and what they get of the cores: how many run, how many are paused for calls, the part of
- * a run that is spent on a core, and the core time that each run has been served so far.
+ * Tracks the runs and their use of the cores: how many run, how many are paused for calls, the
+ * share of a run's time that it spends on a core, and the core time that each run has received so
+ * far.
  */
 final class CoreUsage {
     private final Settings settings;
     private final ControllerClock clock;
     private int running;
 
-    /** Runs before the latest event that time passed to. */
+    /** Number of runs just before the latest event at which time had advanced. */
     private int runningBefore;
 
     private int paused;
+
+    /** Core time, in ms, that a run would have received if it had run since the start. */
     private double coreMillis;
 
-    /** Moving averages of runs, and of those of them that are on a core or want one. */
+    /** Moving average of the number of runs. */
     private double meanRunning;
 
-    private double meanOnCores;
+    /** Moving average of the number of runs that are on a core or waiting for one. */
+    private double meanRunnable;
 
     CoreUsage(Settings settings, ControllerClock clock) {
         this.settings = settings;
         this.clock = clock;
     }
 
-    /** Time passes; each run gets an equal part of the cores. */
-    void advance(double passedMillis) {
+    /** Advances the core time; every run gets an equal share of the cores. */
+    void advance(double elapsedMillis) {
         runningBefore = running;
         coreMillis +=
-                passedMillis * Math.min(1, settings.cores() / Math.max(1, running * onCoreShare()));
+                elapsedMillis
+                        * Math.min(1, settings.cores() / Math.max(1, running * onCoreShare()));
     }
 
     void start(ActiveRequest request) {
@@ -42,7 +47,7 @@
         running++;
     }
 
-    /** The run waits for a call to the dependency. */
+    /** Pauses a run for a call to the dependency. */
     void pause(ActiveRequest request, double nowMillis) {
         request.state = State.CALLING;
         request.pausedAtMillis = nowMillis;
@@ -67,12 +72,15 @@
         paused--;
     }
 
-    /** Takes up the gauge of runs that are on a core or want one; less than 0 or NaN: absent. */
-    void measure(double onCores) {
+    /**
+     * Records the gauge of runs that are on a core or waiting for one; a negative value or NaN
+     * means that it is absent.
+     */
+    void measure(double runnable) {
         int runs = Math.min(running, runningBefore);
-        if (runs > 0 && onCores >= 0) {
+        if (runs > 0 && runnable >= 0) {
             meanRunning += Smoothing.CALM_WEIGHT * (runs - meanRunning);
-            meanOnCores += Smoothing.CALM_WEIGHT * (Math.min(onCores, runs) - meanOnCores);
+            meanRunnable += Smoothing.CALM_WEIGHT * (Math.min(runnable, runs) - meanRunnable);
         }
     }
 
@@ -88,23 +96,23 @@
         return running + paused;
     }
 
-    /** At least as many run as there are cores. */
+    /** Whether at least as many requests run as there are cores. */
     boolean saturated() {
         return running >= settings.cores();
     }
 
-    /** Core time that this request's run has been served, in ms. */
+    /** Core time that this request's run has received, in ms. */
     double servedMillis(ActiveRequest request) {
         return coreMillis - request.startedAtCoreMillis;
     }
 
     /**
-     * Part of a run's time on the cores, above 0 and up to 1; the rest waits for disk. Reads and
-     * handshakes may hide it.
+     * Share of a run's time that it spends on the cores, above 0 and up to 1; the rest is waiting
+     * for disk. Reads and handshakes may hide that waiting.
      */
     double onCoreShare() {
         return meanRunning > 0
-                ? Math.max(1 / settings.rules().concurrencyPerCore(), meanOnCores / meanRunning)
+                ? Math.max(1 / settings.rules().concurrencyPerCore(), meanRunnable / meanRunning)
                 : 1;
     }
 }
--- a/src/main/java/tinroad/overload/DecayingRates.java
+++ b/src/main/java/tinroad/overload/DecayingRates.java
@@ -3,23 +3,24 @@
 import java.util.Arrays;
 
 /**
- * Rates by slot that decay with time. Each has its own time stamp and is decayed only when it is
- * read or added to, so that time passing costs nothing. Chunks never used take no memory.
+ * Rates by slot that decay with time. Each rate has its own time stamp and is decayed only when it
+ * is read or added to, so that the passing of time costs nothing. Chunks that were never used take
+ * no memory.
  */
 final class DecayingRates {
     private static final int CHUNK_BITS = 8;
 
-    /** Time in which a rate falls to its e-th part. */
-    private final double spanMillis;
+    /** Time constant of the decay: a rate falls to 1/e in this time. */
+    private final double timeConstantMillis;
 
-    /** Each rate and then its time stamp. */
+    /** Chunks in which each rate is followed by its time stamp. */
     private double[][] chunks = new double[1][];
 
-    DecayingRates(double spanMillis) {
-        this.spanMillis = spanMillis;
+    DecayingRates(double timeConstantMillis) {
+        this.timeConstantMillis = timeConstantMillis;
     }
 
-    /** The rate in this slot. */
+    /** Returns the rate in this slot. */
     double at(int slot, double nowMillis) {
         double[] chunk = slot >> CHUNK_BITS < chunks.length ? chunks[slot >> CHUNK_BITS] : null;
         return chunk == null ? 0 : decayed(chunk, index(slot), nowMillis);
@@ -54,7 +55,8 @@
             chunk[index] =
                     chunk[index] == 0
                             ? 0
-                            : chunk[index] * Math.exp((chunk[index + 1] - nowMillis) / spanMillis);
+                            : chunk[index]
+                                    * Math.exp((chunk[index + 1] - nowMillis) / timeConstantMillis);
             chunk[index + 1] = nowMillis;
         }
         return chunk[index];
--- a/src/main/java/tinroad/overload/DependencyCalls.java
+++ b/src/main/java/tinroad/overload/DependencyCalls.java
@@ -10,24 +10,27 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * The calls of runs to the dependency: when each is made, how many at once, and which runs go on
- * without. Guards the dependency: this server never has more calls in flight than its quota, those
- * abandoned ones included, and fewer while calls are slow or fail.
+ * The calls of runs to the dependency. Decides when each call is made, how many are in flight at
+ * once, and which runs continue without one. Protects the dependency: this server never has more
+ * calls in flight than its quota, abandoned ones included, and fewer while calls are slow or fail.
  */
 final class DependencyCalls {
-    /** Part of this server's quota of concurrent calls that is ever used. */
+    /** Share of this server's quota of concurrent calls that is used at most. */
     private static final double MAX_QUOTA_SHARE = 0.8;
 
-    /** A call this many times slower than the calm baseline is slow. */
+    /** A call that takes this many times the calm baseline is slow. */
     private static final double SLOW_RATIO = 2;
 
     /**
-     * How far one call may raise the calm baseline, in parts of it, so that a slow spell is not
+     * Maximum rise of the calm baseline by one call, as a share of it, so that a slow phase is not
      * soon taken for calm.
      */
     private static final double MAX_BASELINE_RISE = 0.002;
 
-    /** What a slow call leaves of the limit; a quick one adds a whole one for all of them. */
+    /**
+     * Factor by which a slow call reduces the limit. Each quick call raises it by 1 / limit, so
+     * that as many calls as the limit add one.
+     */
     private static final double SLOW_CALL_FACTOR = 0.8;
 
     private final Settings settings;
@@ -38,21 +41,24 @@
     private final RunTimeEstimator estimator;
     private final DrainPolicy draining;
 
-    /** Paused runs whose call is not made yet. */
+    /** Paused runs whose call has not been made yet. */
     private final List<ActiveRequest> waiting = new ArrayList<>();
 
-    /** When each abandoned call has left the dependency, too. */
+    /** Times at which the abandoned calls leave the dependency as well. */
     private final ArrayDeque<Double> lingeringUntilMillis = new ArrayDeque<>();
 
     private int inFlight;
 
-    /** Latency of calls while calm; 0: none has ended yet. */
+    /** Latency of calls while calm; 0 until a call has ended. */
     private double calmCallMillis;
 
-    /** Moving average of the latency of calls; 0: none has ended yet. */
-    private double callMillis;
+    /** Moving average of the latency of calls; 0 until a call has ended. */
+    private double meanCallMillis;
 
-    /** Calls in flight at most, by their latency and failures; the quota is a second bound. */
+    /**
+     * Maximum number of calls in flight, set from their latency and failures; the quota is a second
+     * bound.
+     */
     private double callLimit = Double.MAX_VALUE;
 
     /** Call time used beyond the quota so far, in ms. */
@@ -75,52 +81,55 @@
         this.draining = draining;
     }
 
-    /** Time passes. */
-    void advance(double passedMillis) {
+    /**
+     * Advances the call time used beyond the quota, and drops abandoned calls that have left the
+     * dependency.
+     */
+    void advance(double sinceLastEventMillis) {
         overdrawnMillis =
                 Math.max(
                                 0,
                                 overdrawnMillis
-                                        - passedMillis
+                                        - sinceLastEventMillis
                                                 * settings.dependency().concurrentCallQuota()
                                                 * MAX_QUOTA_SHARE
                                                 / 2)
-                        + passedMillis * (inFlight + lingeringUntilMillis.size());
+                        + sinceLastEventMillis * (inFlight + lingeringUntilMillis.size());
         while (!lingeringUntilMillis.isEmpty()
                 && lingeringUntilMillis.peek() <= clock.nowMillis()) {
             lingeringUntilMillis.remove();
         }
     }
 
-    /** Calls that were made and have not ended. */
+    /** Returns the number of calls that were made and have not ended. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Paused runs whose call is not made yet. */
+    /** Returns the paused runs whose call has not been made yet. */
     List<ActiveRequest> waiting() {
         return Collections.unmodifiableList(waiting);
     }
 
-    /** A paused run wants a call. */
+    /** Adds a paused run that waits for its call to be made. */
     void enqueue(ActiveRequest request) {
         waiting.add(request);
     }
 
-    /** It needs none any more. */
+    /** Removes a run that no longer needs a call. */
     void dequeue(ActiveRequest request) {
         waiting.remove(request);
     }
 
     /**
      * Makes the calls that are allowed now. A run that cannot call in time, or has waited for a
-     * tick, goes on without its call, where its class gives a degraded answer a weight.
+     * tick, continues without its call if its class gives weight to a degraded answer.
      */
     void makeCalls(double nowMillis) {
         for (ActiveRequest request : List.copyOf(waiting)) {
             boolean canDegrade = request.spec.degradedWeightShare() > 0;
             double timeoutMillis = timeoutMillis(request, nowMillis);
-            boolean inTime = timeoutMillis > 0 && (inFlight == 0 || callMillis < timeoutMillis);
+            boolean inTime = timeoutMillis > 0 && (inFlight == 0 || meanCallMillis < timeoutMillis);
             if (inTime && mayCall(timeoutMillis)) {
                 waiting.remove(request);
                 request.callInFlight = true;
@@ -138,18 +147,22 @@
     private double timeoutMillis(ActiveRequest request, double nowMillis) {
         double timeoutMillis = draining.answerByMillis(request) - nowMillis;
         if (request.spec.degradedWeightShare() > 0) {
-            double mostMillis =
+            double maxTimeoutMillis =
                     Math.max(
-                            LearnedStatistics.FIRST_RUN_SHARE * request.spec.objectiveMillis(),
+                            LearnedStatistics.ASSUMED_RUN_SHARE * request.spec.objectiveMillis(),
                             SLOW_RATIO * SLOW_RATIO * calmCallMillis);
-            double inTimeMillis =
+            double timeToObjectiveMillis =
                     request.objectiveAtMillis - estimator.runMillis(request) / 2 - nowMillis;
-            timeoutMillis = Math.min(Math.min(timeoutMillis, inTimeMillis), mostMillis);
+            timeoutMillis =
+                    Math.min(Math.min(timeoutMillis, timeToObjectiveMillis), maxTimeoutMillis);
         }
         return timeoutMillis;
     }
 
-    /** Where the quota is less than one call, calls are paid for by the time they take. */
+    /**
+     * Whether a call may be made now. Where the quota is less than one call, calls are charged by
+     * the time they take.
+     */
     private boolean mayCall(double timeoutMillis) {
         double quota =
                 settings.dependency().kind() == DependencyKind.SHARED
@@ -169,8 +182,8 @@
     }
 
     /**
-     * A call has ended. One that was abandoned, by a timeout, a reset or the end of its request, is
-     * in the dependency for a while yet, and counts.
+     * Notes that a call has ended. A call that was abandoned, by a timeout, a reset or the end of
+     * its request, still occupies the dependency for a while, and counts until then.
      */
     void ended(ActiveRequest request, boolean abandoned) {
         request.callInFlight = false;
@@ -180,33 +193,37 @@
         }
     }
 
-    /** Fewer calls at once while they are slow or fail, more again while they are quick. */
+    /**
+     * Learns from a call that ended: fewer calls are allowed at once while they are slow or fail,
+     * and more again while they are quick.
+     */
     void learn(RequestClass requestClass, boolean succeeded, double elapsedMillis) {
         double raisedMillis =
                 Math.min(
                         Smoothing.blend(calmCallMillis, elapsedMillis, Smoothing.CALM_WEIGHT),
                         calmCallMillis * (1 + MAX_BASELINE_RISE));
         calmCallMillis = calmCallMillis == 0 ? elapsedMillis : raisedMillis;
-        callMillis =
-                callMillis == 0
+        meanCallMillis =
+                meanCallMillis == 0
                         ? elapsedMillis
-                        : callMillis + Smoothing.OUTCOME_WEIGHT * (elapsedMillis - callMillis);
+                        : meanCallMillis
+                                + Smoothing.OUTCOME_WEIGHT * (elapsedMillis - meanCallMillis);
         boolean slow =
                 !succeeded
                         || elapsedMillis
                                 > Math.max(
                                         SLOW_RATIO * calmCallMillis,
-                                        LearnedStatistics.FIRST_RUN_SHARE
+                                        LearnedStatistics.ASSUMED_RUN_SHARE
                                                 * requestClass.objectiveMillis());
-        double most = Math.max(1, limit.survivable());
-        callLimit = Math.min(callLimit, most);
+        double maxCalls = Math.max(1, limit.survivable());
+        callLimit = Math.min(callLimit, maxCalls);
         callLimit =
                 slow
                         ? Math.max(1, callLimit * SLOW_CALL_FACTOR)
-                        : Math.min(most, callLimit + 1 / callLimit);
+                        : Math.min(maxCalls, callLimit + 1 / callLimit);
     }
 
-    /** The run goes on without its call, for a poorer answer. */
+    /** Continues the run without its call, for a degraded answer. */
     void skip(ActiveRequest request) {
         waiting.remove(request);
         cores.resume(request);
--- a/src/main/java/tinroad/overload/DrainPolicy.java
+++ b/src/main/java/tinroad/overload/DrainPolicy.java
@@ -3,8 +3,8 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * By when each request has to be answered: its own deadline or, while draining, the shutdown's; and
- * what is not run any more.
+ * Decides by when each request has to be answered (its own deadline or, while draining, the time of
+ * the shutdown), and which requests are no longer run.
  */
 final class DrainPolicy {
     private final Settings settings;
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Guards the rule on draining: nothing that arrived after the grace period is run; nor what has
-     * to be answered at once.
+     * Whether the request may no longer be run. The rule on draining is that nothing that arrived
+     * after the grace period is run; nor is a request that has to be answered at once.
      */
     boolean isTooLate(ActiveRequest request, double nowMillis) {
         return request.arrivedAtMillis
--- a/src/main/java/tinroad/overload/HealthPolicy.java
+++ b/src/main/java/tinroad/overload/HealthPolicy.java
@@ -5,34 +5,38 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * Whether this server fails or hangs: then admission is closed but for half-open trial requests,
- * and health checks are answered accordingly.
+ * Detects that this server fails or hangs. Admission is then closed except for half-open trial
+ * requests, and health checks are answered accordingly.
  */
 final class HealthPolicy {
-    /** Failed share of recent runs that closes admission, and the share at which it opens again. */
+    /** Share of failed runs among the recent ones at which admission closes. */
     private static final double FAILING_SHARE = 0.5;
 
+    /** Share of failed runs among the recent ones at which admission opens again. */
     private static final double RECOVERED_SHARE = 0.15;
 
     /**
-     * Failed share over which health checks fail, too: under it, leaving the endpoint list would
-     * lose what succeeds.
+     * Share of failed runs above which health checks fail as well. Below it, leaving the endpoint
+     * list would lose the requests that still succeed.
      */
     private static final double UNHEALTHY_SHARE = 0.9;
 
-    /** Arrivals grown by this are retries of what fails elsewhere, too. */
+    /**
+     * Arrivals that have grown by this factor since runs began to fail include retries of requests
+     * that fail on other servers as well.
+     */
     private static final double OTHERS_FAIL_RATE_RATIO = 1.5;
 
-    /** So long such retries take to show. */
+    /** Time that such retries take to show in the arrival rate. */
     private static final double OTHERS_FAIL_DELAY_MILLIS = 1000;
 
     /**
-     * No run has completed for this many mean runs on any core, which no single oversized request
-     * does: the work hangs.
+     * The work hangs if no run has completed on any core for this many mean run times. No single
+     * oversized request causes that.
      */
     private static final double HANG_MEAN_RUNS = 10;
 
-    /** While admission is closed, one trial request is admitted this often. */
+    /** Interval at which one trial request is admitted while admission is closed. */
     private static final double TRIAL_INTERVAL_MILLIS = 250;
 
     private final Settings settings;
@@ -76,18 +80,18 @@
     }
 
     /**
-     * Time passes. Off the endpoint lists nothing arrives that could prove a failing server
-     * recovered, so while no run completes the evidence fades.
+     * Advances time. A server that has left the endpoint lists receives nothing that could prove
+     * its recovery, so the failed share decays while no run completes.
      */
-    void advance(double passedMillis) {
+    void advance(double elapsedMillis) {
         if (failing
                 && clock.nowMillis() - lastCompletedAtMillis > ArrivalStatistics.RATE_SPAN_MILLIS) {
-            failedShare *= Math.exp(-passedMillis / ArrivalStatistics.RATE_SPAN_MILLIS);
+            failedShare *= Math.exp(-elapsedMillis / ArrivalStatistics.RATE_SPAN_MILLIS);
         }
         failing &= failedShare > RECOVERED_SHARE;
     }
 
-    /** A run starts while no other is under way. */
+    /** Notes that a run starts while no other is running. */
     void firstRunStarted() {
         lastCompletedAtMillis = clock.nowMillis();
     }
@@ -101,7 +105,7 @@
         failing = failedShare > (failing ? RECOVERED_SHARE : FAILING_SHARE);
     }
 
-    /** One tick: whether the work hangs, by the time since a run completed. */
+    /** Detects, on each tick, whether the work hangs, by the time since a run completed. */
     void detectHang(Collection<ActiveRequest> requests, double nowMillis) {
         hung =
                 cores.running() >= Math.min(settings.cores(), (int) limit.allowed())
@@ -118,9 +122,9 @@
     }
 
     /**
-     * Whether this arrival is admitted while admission is closed: the share of arrivals that runs
-     * succeed at, none while the work hangs, and one trial request in each interval besides; never
-     * beyond one for each core.
+     * Whether this arrival is admitted while admission is closed. As many arrivals are admitted as
+     * the share of runs that succeed (none while the work hangs), and one trial request in each
+     * interval besides, but never more than one for each core.
      */
     boolean admitTrial(int runningOrQueued, double nowMillis) {
         trialCredit += hung ? 0 : 1 - failedShare;
@@ -138,7 +142,7 @@
         healthy = false;
     }
 
-    /** Reports what has changed to the log and the health checks. */
+    /** Reports changes to the log and to the health checks. */
     void report() {
         if (admissionClosed() != closedLogged) {
             closedLogged = admissionClosed();
@@ -156,7 +160,8 @@
     }
 
     /**
-     * Guards against a fleet that leaves the endpoint list as one when a dependency of all fails.
+     * Whether other servers fail as well, or it is too early to tell. Guards against the whole
+     * fleet leaving the endpoint list at once when a dependency of all servers fails.
      */
     private boolean othersFail() {
         return clock.nowMillis() - failingSinceMillis < OTHERS_FAIL_DELAY_MILLIS
--- a/src/main/java/tinroad/overload/IdleTimeoutControl.java
+++ b/src/main/java/tinroad/overload/IdleTimeoutControl.java
@@ -6,34 +6,41 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * After what time idle connections are closed: sooner while run latency or the number of
+ * Controls after what time idle connections are closed: sooner while run latency or the number of
  * connections exceeds its calm baseline, so that clients with pools of reused connections leave a
- * lagging server.
+ * slow server.
  */
 final class IdleTimeoutControl {
-    /** Timeout of a calm server, from the source's test pool. */
+    /** Idle timeout of a calm server. */
     private static final double CALM_MILLIS = 5000;
 
-    /** Floor, in parts of the calm timeout: sooner, and the handshakes cost more. */
+    /**
+     * Floor of the timeout, as a share of the calm timeout. Below it the additional handshakes cost
+     * more.
+     */
     private static final double FLOOR_SHARE = 0.2;
 
-    /** Least timeout: a client's answer and its next request may cross within this. */
+    /**
+     * Minimum timeout: an answer to a client and the client's next request may cross within this
+     * time.
+     */
     private static final double MIN_MILLIS = 100;
 
     /**
-     * Part of the requests whose client was here within {@link #CALM_MILLIS} from which on the
-     * whole of that time is used.
+     * Share of the requests from clients seen within {@link #CALM_MILLIS} from which on the whole
+     * calm timeout is used.
      */
     private static final double FULL_RETURNING_SHARE = 0.5;
 
-    /** How fast the timeout falls with the excess over the baseline. */
+    /** How strongly the timeout falls with the excess over the baseline. */
     private static final double EXCESS_GAIN = 2;
 
-    /** Its growth in a sweep when calm. */
+    /** Factor by which the timeout grows in a sweep when calm. */
     private static final double GROWTH_PER_SWEEP = 1.25;
 
     /**
-     * Requests read this late, in parts of their objectives: reads and handshakes eat the cores.
+     * Mean read delay of requests, as a share of their objectives, above which reads and handshakes
+     * are taken to use up the cores.
      */
     private static final double LATE_READ_SHARE = 0.1;
 
@@ -47,15 +54,15 @@
     private final RequestQueue queue;
     private final DrainPolicy draining;
 
-    /** When each client was here, the one seen longest ago first. */
+    /** When each client was last seen, in that order, the oldest first. */
     private final LinkedHashMap<Integer, Double> lastSeenMillis = new LinkedHashMap<>();
 
     private double timeoutMillis;
     private double calmConnections;
     private double calmSweeps;
 
-    /** Floor of the timeout while reads and handshakes eat the cores. */
-    private double keepOpenMillis;
+    /** Floor of the timeout while reads and handshakes use up the cores. */
+    private double lateReadFloorMillis;
 
     IdleTimeoutControl(
             Settings settings,
@@ -76,7 +83,7 @@
         this.arrivals = arrivals;
         this.queue = queue;
         this.draining = draining;
-        timeoutMillis = longestMillis();
+        timeoutMillis = maxCalmMillis();
     }
 
     void start() {
@@ -89,12 +96,12 @@
     }
 
     /**
-     * Learns how many clients come back while a calm server would keep their connection; the rest
-     * are forgotten.
+     * Learns how many clients return while a calm server would keep their connection open; clients
+     * that stay away for longer are removed.
      */
     void requestArrived(int caller, double nowMillis) {
         Iterator<Double> oldest = lastSeenMillis.values().iterator();
-        while (oldest.hasNext() && oldest.next() < nowMillis - longestMillis()) {
+        while (oldest.hasNext() && oldest.next() < nowMillis - maxCalmMillis()) {
             oldest.remove();
         }
         learned.returningShare +=
@@ -104,11 +111,14 @@
         lastSeenMillis.put(caller, nowMillis);
     }
 
-    /** One sweep; {@code connections} that are open, NaN: unknown. */
+    /**
+     * Adjusts the timeout, once per sweep. {@code connections} is the number of open connections,
+     * NaN if unknown.
+     */
     void adjust(double connections) {
-        keepOpenWhileReadsAreLate();
+        updateLateReadFloor();
         double excess = classes.slowdown() - 1;
-        if (connections > 0 && clock.sinceStartMillis() > longestMillis()) {
+        if (connections > 0 && clock.sinceStartMillis() > maxCalmMillis()) {
             if (calmSweeps == 0 || (cores.running() <= settings.cores() && queue.isEmpty())) {
                 calmConnections +=
                         Math.max(Smoothing.CALM_WEIGHT, 1 / ++calmSweeps)
@@ -118,12 +128,12 @@
         }
         double targetMillis = calmMillis() / (1 + EXCESS_GAIN * Math.max(0, excess));
         double floorMillis = floorMillis();
-        double leastMillis = Math.max(floorMillis, keepOpenMillis);
+        double minTimeoutMillis = Math.max(floorMillis, lateReadFloorMillis);
         double nextMillis =
                 draining.isDraining()
                         ? floorMillis
                         : Math.max(
-                                leastMillis,
+                                minTimeoutMillis,
                                 Math.min(targetMillis, timeoutMillis * GROWTH_PER_SWEEP));
         if (nextMillis != timeoutMillis) {
             timeoutMillis = nextMillis;
@@ -132,35 +142,41 @@
     }
 
     /**
-     * Guards against overload in which reads and handshakes eat the cores, whatever began it: each
-     * connection closed is opened anew, while a full table rejects clients for free. While requests
-     * are read late the timeout doubles up to the clients' own, then falls back slowly; not while
-     * runs are slow themselves, when it shrinks. May harm where the clients that fill the table are
-     * not those that send requests.
+     * Raises the floor of the timeout while requests are read late: the floor doubles up to the
+     * clients' own timeout, and falls back slowly afterwards. It does not rise while the runs
+     * themselves are slow, when the timeout shrinks.
+     *
+     * <p>This guards against overload in which reads and handshakes use up the cores, whatever
+     * started it: every connection that is closed is opened again, while a full connection table
+     * rejects clients at no cost. It may do harm where the clients that fill the table are not
+     * those that send requests.
      */
-    private void keepOpenWhileReadsAreLate() {
-        double longerMillis =
+    private void updateLateReadFloor() {
+        double raisedFloorMillis =
                 Math.max(
-                        longestMillis(), Math.min(settings.clientIdleMillis(), 2 * keepOpenMillis));
-        keepOpenMillis =
+                        maxCalmMillis(),
+                        Math.min(settings.clientIdleMillis(), 2 * lateReadFloorMillis));
+        lateReadFloorMillis =
                 arrivals.readDelayShare() > LATE_READ_SHARE
                                 && classes.slowdown() < 1 + 2 * LATE_READ_SHARE
-                        ? longerMillis
-                        : keepOpenMillis / GROWTH_PER_SWEEP;
+                        ? raisedFloorMillis
+                        : lateReadFloorMillis / GROWTH_PER_SWEEP;
     }
 
-    /** Timeout when calm: the more seldom clients come back, the sooner their connections close. */
+    /**
+     * Timeout when calm: the more rarely clients return, the sooner their connections are closed.
+     */
     private double calmMillis() {
         return Math.max(
-                Math.min(MIN_MILLIS / FLOOR_SHARE, longestMillis()),
-                longestMillis() * Math.min(1, learned.returningShare / FULL_RETURNING_SHARE));
+                Math.min(MIN_MILLIS / FLOOR_SHARE, maxCalmMillis()),
+                maxCalmMillis() * Math.min(1, learned.returningShare / FULL_RETURNING_SHARE));
     }
 
     private double floorMillis() {
-        return Math.max(Math.min(MIN_MILLIS, longestMillis()), FLOOR_SHARE * calmMillis());
+        return Math.max(Math.min(MIN_MILLIS, maxCalmMillis()), FLOOR_SHARE * calmMillis());
     }
 
-    private double longestMillis() {
+    private double maxCalmMillis() {
         return settings.clientIdleMillis() > 0
                 ? Math.min(CALM_MILLIS, settings.clientIdleMillis())
                 : CALM_MILLIS;
--- a/src/main/java/tinroad/overload/LearnedStatistics.java
+++ b/src/main/java/tinroad/overload/LearnedStatistics.java
@@ -5,46 +5,57 @@
 import tinroad.overload.Controller.Estimate;
 import tinroad.overload.Controller.RequestClass;
 
-/** What the controller has learned of its classes and clients: all that may outlive the process. */
+/**
+ * What the controller has learned about its classes and clients. This is all that may outlive the
+ * process.
+ */
 final class LearnedStatistics {
-    /** Samples that the share of returning clients counts for, which are not counted. */
-    private static final double RETURNING_SAMPLES = 4;
-
     /**
-     * Without samples a run is assumed to take this part of its class's latency objective, which
-     * weighs so many samples.
+     * Sample count that is exported for the share of returning clients, whose samples are not
+     * counted.
      */
-    static final double FIRST_RUN_SHARE = 0.25;
+    private static final double RETURNING_SAMPLES = 4;
+
+    /** Without samples, a run is assumed to take this share of its class's latency objective. */
+    static final double ASSUMED_RUN_SHARE = 0.25;
 
-    private static final double FIRST_RUN_SAMPLES = 2;
+    /** Number of samples that the assumed run time weighs. */
+    private static final double ASSUMED_RUN_SAMPLES = 2;
 
     /**
-     * Share of the requests whose client comes back while a calm server would keep its connection,
-     * 0 to 1.
+     * Share of the requests whose client returns while a calm server would keep its connection
+     * open, 0 to 1.
      */
     double returningShare = 1;
 
-    /** Statistics of a class of which nothing is measured. */
+    /** Creates the statistics of a class of which nothing is measured. */
     ClassStatistics unmeasured(int slot) {
-        return new ClassStatistics(slot, FIRST_RUN_SAMPLES);
+        return new ClassStatistics(slot, ASSUMED_RUN_SAMPLES);
     }
 
-    /** Expected core time of a run of this class; {@code statistics} null: nothing is measured. */
+    /**
+     * Returns the expected core time of a run of this class; {@code statistics} is null if nothing
+     * is measured.
+     */
     double runMillis(ClassStatistics statistics, RequestClass requestClass) {
         return statistics == null || statistics.runMillis == 0
-                ? FIRST_RUN_SHARE * requestClass.objectiveMillis()
+                ? ASSUMED_RUN_SHARE * requestClass.objectiveMillis()
                 : statistics.runMillis;
     }
 
-    /** The same while calm. */
+    /**
+     * Returns the expected core time of a run of this class while the server is calm; {@code
+     * statistics} is null if nothing is measured.
+     */
     double calmRunMillis(ClassStatistics statistics, RequestClass requestClass) {
         return statistics == null || statistics.calmRunMillis == 0
-                ? FIRST_RUN_SHARE * requestClass.objectiveMillis()
+                ? ASSUMED_RUN_SHARE * requestClass.objectiveMillis()
                 : statistics.calmRunMillis;
     }
 
     /**
-     * All of it by name, each with the samples behind it: {@code run.0} is of the class in slot 0.
+     * Returns everything learned, by name, each with the number of samples behind it: {@code run.0}
+     * belongs to the class in slot 0.
      */
     Map<String, Estimate> export(ClassTable classes) {
         Map<String, Estimate> estimates = new LinkedHashMap<>();
@@ -68,11 +79,11 @@
     }
 
     /**
-     * Begins with what an earlier process learned, on cores of this part of their speed. What names
-     * no class is left out.
+     * Starts from the estimates of an earlier process, on cores that run at this share of their
+     * speed. Names that belong to no class are ignored.
      */
-    void restore(Map<String, Estimate> known, double speed, ClassTable classes) {
-        for (String name : known.keySet()) {
+    void restore(Map<String, Estimate> restored, double speed, ClassTable classes) {
+        for (String name : restored.keySet()) {
             int slot =
                     name.matches("(run|calm)[.][0-9]{1,8}")
                             ? Integer.parseInt(name.substring(name.indexOf('.') + 1))
@@ -81,22 +92,23 @@
                 classes.update(
                         slot,
                         (statistics, requestClass) ->
-                                restore(statistics, requestClass, known, speed));
+                                restore(statistics, requestClass, restored, speed));
             }
         }
-        Estimate back = known.get("returning");
-        returningShare = isPlausible(back) ? Math.min(1, back.value()) : returningShare;
+        Estimate returning = restored.get("returning");
+        returningShare = isPlausible(returning) ? Math.min(1, returning.value()) : returningShare;
     }
 
     private void restore(
             ClassStatistics statistics,
             RequestClass requestClass,
-            Map<String, Estimate> known,
+            Map<String, Estimate> restored,
             double speed) {
-        Estimate run = known.get("run." + statistics.slot);
-        Estimate calm = known.get("calm." + statistics.slot);
+        Estimate run = restored.get("run." + statistics.slot);
+        Estimate calm = restored.get("calm." + statistics.slot);
         if (isPlausible(run)) {
-            // Guards against another day's slowness: no more is expected than without it.
+            // A restored value of a slow day must not raise the estimate above what is expected
+            // without it.
             statistics.runMillis =
                     Math.min(
                             runMillis(statistics, requestClass),
--- a/src/main/java/tinroad/overload/LoadAdvertisement.java
+++ b/src/main/java/tinroad/overload/LoadAdvertisement.java
@@ -4,12 +4,15 @@
 import tinroad.overload.Controller.LoadHint;
 import tinroad.overload.Controller.Settings;
 
-/** The level of load that goes out with every answer, in the form that clients understand. */
+/** Computes the load value that is sent with every answer, in the form that clients understand. */
 final class LoadAdvertisement {
-    /** The level moves in steps of this, so that it is not set anew at every tick. */
+    /** Minimum change of the load value, so that it is not set anew at every tick. */
     private static final double MIN_STEP = 0.05;
 
-    /** Requests that clients may have out here, in parts of what may run: some wait meanwhile. */
+    /**
+     * Requests that clients may have in flight here for each run that is allowed; more than one,
+     * because some of them wait meanwhile.
+     */
     private static final double TOKENS_PER_RUN = 2;
 
     private final Settings settings;
@@ -32,10 +35,10 @@
         this.limit = limit;
     }
 
-    /** Sets the level where it has changed by a step. */
+    /** Sets the load value if it has changed by a step. */
     void update() {
         double closedShare = health.admissionClosed() ? 1 : cutoff.value();
-        double level =
+        double loadValue =
                 switch (settings.loadHint()) {
                     case NONE -> 0;
                     case MIN_RANK -> closedShare;
@@ -46,10 +49,10 @@
                                     / Math.max(1, settings.callers());
                     case BIAS -> 1 - closedShare;
                 };
-        if ((settings.loadHint() != LoadHint.NONE && Math.abs(level - advertised) >= MIN_STEP)
-                || (level == 0 && advertised > 0)) {
-            advertised = level;
-            actions.advertiseLoad(level);
+        if ((settings.loadHint() != LoadHint.NONE && Math.abs(loadValue - advertised) >= MIN_STEP)
+                || (loadValue == 0 && advertised > 0)) {
+            advertised = loadValue;
+            actions.advertiseLoad(loadValue);
         }
     }
 }
--- a/src/main/java/tinroad/overload/MemoryBudget.java
+++ b/src/main/java/tinroad/overload/MemoryBudget.java
@@ -8,14 +8,18 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * The memory that requests, runs and retained idempotency keys use, in KB, against the server's
- * own. Guards against running out of it. Without a known size everything fits.
+ * Tracks the memory, in KB, that requests, runs and retained idempotency keys use, and compares it
+ * with the memory of the server, so that the server does not run out of it. Where the size of the
+ * memory is unknown, everything fits.
  */
 final class MemoryBudget {
-    /** Part of the memory that may be used; the rest is for what arrives meanwhile. */
+    /** Share of the memory that may be used; the rest is a reserve for what arrives meanwhile. */
     private static final double MAX_USED_SHARE = 0.92;
 
-    /** The same for a further run, and for keys retained without need. */
+    /**
+     * Share of the memory up to which a further run may start, or a key may be retained that need
+     * not be.
+     */
     private static final double MAX_USED_SHARE_FOR_RUNS = 0.85;
 
     private final Settings settings;
@@ -32,7 +36,7 @@
         usedKb += request.memoryKb;
     }
 
-    /** There is room for what a request of this class needs beside its own body. */
+    /** Whether there is memory for what a request of this class needs besides its own body. */
     boolean fits(RequestClass requestClass) {
         double keyKb =
                 requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
@@ -45,7 +49,7 @@
         return usedKb;
     }
 
-    /** Keys that are retained and not expired yet. */
+    /** Number of keys that are retained and have not expired. */
     int retainedKeys() {
         return retainedKeys.activeSize();
     }
@@ -54,7 +58,10 @@
         return usedKb > capacityKb(MAX_USED_SHARE);
     }
 
-    /** A server that runs nothing may use the arrivals' reserve for one run. */
+    /**
+     * Whether the run of this request fits into memory. A server that runs nothing may use the
+     * reserve for arrivals for one run.
+     */
     boolean fitsRun(ActiveRequest request, int running) {
         double share = running == 0 ? MAX_USED_SHARE : MAX_USED_SHARE_FOR_RUNS;
         return usedKb + request.memoryKb * (settings.runMemoryFactor() - 1) <= capacityKb(share);
@@ -64,7 +71,10 @@
         usedKb += request.memoryKb * (settings.runMemoryFactor() - 1);
     }
 
-    /** The request is over; to be called before its state changes, which shows whether it ran. */
+    /**
+     * Releases the memory of a request that is over. Must be called before the state of the request
+     * changes, because the state shows whether it ran.
+     */
     void requestEnded(ActiveRequest request) {
         usedKb -=
                 request.memoryKb
@@ -74,24 +84,24 @@
     }
 
     /**
-     * Retains the request's idempotency key where duplicates have to be known, or where its result
-     * may be replayed and there is room.
+     * Retains the request's idempotency key where duplicates have to be recognized, or where its
+     * result may be replayed and memory allows it.
      */
     void retainKey(
             ActiveRequest active, RequestClass requestClass, Request request, double nowMillis) {
-        double spanMillis = 0;
+        double retentionMillis = 0;
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
-            spanMillis = requestClass.keyWindowMillis() + settings.clockStepMillis();
+            retentionMillis = requestClass.keyWindowMillis() + settings.clockStepMillis();
         } else if (requestClass.idempotency() == Idempotency.IDEMPOTENT
                 && settings.resultFreshMillis() > 0
                 && request.resultKey() != null
                 && usedKb + settings.keyKb() <= capacityKb(MAX_USED_SHARE_FOR_RUNS)) {
-            spanMillis = active.deadlineAtMillis - nowMillis + settings.resultFreshMillis();
+            retentionMillis = active.deadlineAtMillis - nowMillis + settings.resultFreshMillis();
         }
-        if (spanMillis > 0) {
-            actions.retainKey(active.id, spanMillis);
+        if (retentionMillis > 0) {
+            actions.retainKey(active.id, retentionMillis);
             active.keyRetained = true;
-            retainedKeys.put(active.id, nowMillis + spanMillis + settings.clockStepMillis());
+            retainedKeys.put(active.id, nowMillis + retentionMillis + settings.clockStepMillis());
             usedKb += settings.keyKb();
         }
     }
--- a/src/main/java/tinroad/overload/OverloadController.java
+++ b/src/main/java/tinroad/overload/OverloadController.java
@@ -9,30 +9,36 @@
 import java.util.Map;
 
 /**
- * The overload controller of one server. It dispatches each event to the classes that decide, in a
- * fixed order, and owns the table of active requests; each decision has a class of its own. Decides
- * from the settings, given at the start and by changes, and from the events of this server alone.
- * Driven by one thread.
+ * The overload controller of one server. It owns the table of active requests and passes each
+ * event, in a fixed order, to the classes that make the decisions, one class for each decision. It
+ * decides from the settings, given at the start and by changes, and from the events of this server
+ * alone. Driven by one thread.
  */
 public final class OverloadController implements Controller {
-    /** The one repeating timer: fine enough to answer before a deadline within the slack. */
+    /**
+     * Period of the only repeating timer. Short enough to answer before a deadline within the
+     * answer slack.
+     */
     static final double TICK_MILLIS = 20;
 
-    /** How often idle timeout and concurrency limit are adjusted, from the source's test pool. */
+    /** How often the idle timeout and the concurrency limit are adjusted. */
     private static final double SWEEP_MILLIS = 1000;
 
-    /** Time in which what each class was asked and served falls to its e-th part. */
+    /**
+     * Time constant of each class's counts of requests and of answers in time: the counts decay to
+     * 1/e in this time.
+     */
     private static final double SERVED_SPAN_MILLIS = 20000;
 
     private final Actions actions;
     private final LearnedStatistics learned = new LearnedStatistics();
 
-    /** By id, in order of arrival. */
+    /** The active requests by id, in order of arrival. */
     private final Map<String, ActiveRequest> requests = new LinkedHashMap<>();
 
     private double lastSweepAtMillis;
 
-    // Made at the start, from the settings.
+    // Created in start(), from the settings.
     private Settings settings;
     private ControllerClock clock;
     private ClassTable classes;
@@ -55,7 +61,7 @@
     private DependencyCalls calls;
     private IdleTimeoutControl idleTimeout;
 
-    /** A controller that acts through {@code actions}. */
+    /** Creates a controller that acts through {@code actions}. */
     public OverloadController(Actions actions) {
         this.actions = actions;
     }
@@ -72,7 +78,7 @@
         actions.scheduleTimer("tick", TICK_MILLIS);
     }
 
-    /** What the decisions are taken from. */
+    /** Creates the state from which the decisions are made. */
     private void composeState() {
         classes =
                 new ClassTable(
@@ -91,6 +97,7 @@
         estimator = new RunTimeEstimator(settings, clock, cores, classes, learned);
     }
 
+    /** Creates the classes that make the decisions. */
     private void composeDecisions() {
         health =
                 new HealthPolicy(
@@ -129,12 +136,15 @@
                         draining);
     }
 
-    /** How many requests are not over: queued, waiting for a result, running or paused. */
+    /**
+     * Returns the number of requests that are not over: queued, waiting for a result, running or
+     * paused.
+     */
     public int activeRequests() {
         return requests.size();
     }
 
-    /** The active requests and what counts them: tests hold the counts to the requests. */
+    /** The active requests and the components that count them, for tests that compare the two. */
     record Tables(
             Collection<ActiveRequest> requests,
             RequestQueue queue,
@@ -153,17 +163,17 @@
     }
 
     @Override
-    public void restore(Map<String, Estimate> known, boolean cold) {
+    public void restore(Map<String, Estimate> estimates, boolean cold) {
         learned.restore(
-                known, cold ? Math.max(0.01, settings.rules().coldStartSpeed()) : 1, classes);
+                estimates, cold ? Math.max(0.01, settings.rules().coldStartSpeed()) : 1, classes);
     }
 
     // --- changes of settings ---
 
     @Override
-    public void stage(List<ClassSlot> changed, List<TenantSlot> quotas) {
-        classes.stage(changed);
-        tenants.stage(quotas);
+    public void stage(List<ClassSlot> changedClasses, List<TenantSlot> changedTenants) {
+        classes.stage(changedClasses);
+        tenants.stage(changedTenants);
     }
 
     @Override
@@ -186,7 +196,7 @@
         advance(nowMillis);
         RequestClass requestClass = classes.at(request.classSlot());
         if (requestClass == null) {
-            // No class in this slot: the request is not counted, and gets no Retry-After.
+            // There is no class in this slot: the request is not counted and gets no Retry-After.
             actions.reject(request.id(), 0, false);
             return;
         }
@@ -218,8 +228,8 @@
     }
 
     /**
-     * A duplicate of a retained request never runs: it gets the other's result, or fails where
-     * memory is short.
+     * A duplicate of a retained request never runs: it gets the result of the original, or fails
+     * where memory is short.
      */
     private void join(ActiveRequest request) {
         if (memory.exceeded()) {
@@ -271,14 +281,17 @@
         dispatcher.dispatch();
     }
 
-    /** Rejects what never ran, with the Retry-After of {@link RejectionPolicy}. */
+    /** Rejects a request that never ran, with the Retry-After of {@link RejectionPolicy}. */
     private void reject(ActiveRequest request) {
         request.answered = true;
         rejection.reject(request);
         remove(request);
     }
 
-    /** Fails a request; what runs is canceled where it can be, and stays counted until it ends. */
+    /**
+     * Fails a request. Its run, if there is one, is canceled where possible and stays counted until
+     * it ends.
+     */
     private void fail(ActiveRequest request) {
         request.answered = true;
         actions.fail(request.id);
@@ -291,14 +304,14 @@
         }
     }
 
-    /** Takes a request that is over out of all tables. */
+    /** Removes a request that is over from all tables. */
     private void remove(ActiveRequest request) {
         requests.remove(request.id);
         memory.requestEnded(request);
         switch (request.state) {
             case QUEUED -> queue.remove(request);
             case JOINED -> {
-                // Waits for the result of another run, and is counted among none.
+                // The request waited for the result of another run and is in no count.
             }
             case RUNNING -> cores.endRun();
             case CALLING -> endPause(request);
@@ -389,8 +402,8 @@
     }
 
     /**
-     * Answers every request before its deadline, and rejects queued ones that can no longer meet
-     * their objective.
+     * Answers every request before its deadline, and rejects queued requests that can no longer
+     * meet their objective.
      */
     private void answerInTime(double nowMillis) {
         for (ActiveRequest request : List.copyOf(requests.values())) {
@@ -398,15 +411,15 @@
                 continue;
             }
             if (request.isQueued()) {
-                boolean misses =
+                boolean missesObjective =
                         nowMillis + estimator.runMillis(request) + request.statistics.pausedMillis
                                 > request.objectiveAtMillis;
-                if (misses) {
+                if (missesObjective) {
                     cutoff.onObjectiveMissed();
                 }
                 if (nowMillis >= draining.answerByMillis(request)
                         || health.isHung()
-                        || (misses && cores.saturated())) {
+                        || (missesObjective && cores.saturated())) {
                     reject(request);
                 }
             } else if (nowMillis >= draining.answerByMillis(request)
@@ -419,16 +432,16 @@
         }
     }
 
-    /** Moves the clock, the averages by time, and the work done by each core so far. */
+    /** Advances the clock, the averages over time, and the core time that runs have received. */
     private void advance(double nowMillis) {
-        double passedMillis = clock.advance(nowMillis);
-        if (passedMillis <= 0) {
+        double sinceLastEventMillis = clock.advance(nowMillis);
+        if (sinceLastEventMillis <= 0) {
             return;
         }
-        cores.advance(passedMillis);
-        arrivals.advance(passedMillis);
-        health.advance(passedMillis);
+        cores.advance(sinceLastEventMillis);
+        arrivals.advance(sinceLastEventMillis);
+        health.advance(sinceLastEventMillis);
         classes.advance(nowMillis);
-        calls.advance(passedMillis);
+        calls.advance(sinceLastEventMillis);
     }
 }
--- a/src/main/java/tinroad/overload/PriorityCutoff.java
+++ b/src/main/java/tinroad/overload/PriorityCutoff.java
@@ -1,14 +1,14 @@
 package tinroad.overload;
 
 /**
- * The priority below which arrivals are rejected at once: rises while runs fill the cores and
- * requests miss their latency objectives, falls when calm.
+ * The priority below which arrivals are rejected at once. It rises while runs fill the cores and
+ * requests miss their latency objectives, and falls when calm.
  */
 final class PriorityCutoff {
     private static final double RISE_PER_TICK = 0.01;
     private static final double FALL_PER_TICK = 0.004;
 
-    /** The highest cutoff, as a multiple of one class's equal share of the priorities. */
+    /** Maximum cutoff, as a multiple of one class's equal share of the priorities. */
     private static final double MAX_CLASS_SHARE = 2;
 
     private final ClassTable classes;
@@ -25,18 +25,18 @@
         return cutoff;
     }
 
-    /** A request misses its objective, or would. */
+    /** Notes that a request misses its objective or would miss it. */
     void onObjectiveMissed() {
         objectiveMissed = true;
     }
 
-    /** One tick. */
+    /** Adjusts the cutoff, once per tick. */
     void adjust() {
-        boolean pressed = objectiveMissed && cores.saturated();
-        double top = MAX_CLASS_SHARE / Math.max(1, classes.size());
+        boolean overloaded = objectiveMissed && cores.saturated();
+        double maxCutoff = MAX_CLASS_SHARE / Math.max(1, classes.size());
         cutoff =
-                pressed
-                        ? Math.min(top, cutoff + RISE_PER_TICK)
+                overloaded
+                        ? Math.min(maxCutoff, cutoff + RISE_PER_TICK)
                         : Math.max(0, cutoff - FALL_PER_TICK);
         objectiveMissed = false;
     }
--- a/src/main/java/tinroad/overload/RejectionPolicy.java
+++ b/src/main/java/tinroad/overload/RejectionPolicy.java
@@ -4,28 +4,34 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * What a rejected request's client is advised: after what time to retry, and whether elsewhere. A
- * fault of this server: retry elsewhere. General load: do not retry; many marked retries show it;
- * where none are marked, any may have been elsewhere.
+ * Decides what the client of a rejected request is advised: how long to wait before a retry, and
+ * whether to retry on another server. After a fault of this server it is advised to retry
+ * elsewhere; under general load it is advised not to retry. A high share of marked retries is a
+ * sign of general load. Where retries are not marked, any request may have been rejected elsewhere
+ * before, so that general load is assumed.
  */
 final class RejectionPolicy {
-    /** Runs this much slower than calm are this server's own fault. */
+    /**
+     * A slowdown of runs over the calm baseline by more than this factor is this server's own
+     * fault.
+     */
     private static final double SLOW_RATIO = 1.6;
 
     /**
-     * Part of the longest Retry-After that load alone may give: all of it sets clients swinging.
+     * Share of the maximum Retry-After that load alone may lead to; with all of it, the load from
+     * the clients oscillates.
      */
     private static final double MAX_SHARE_UNDER_LOAD = 0.5;
 
     /**
-     * The mean of it while admission is closed, spread: with one value for all, clients would come
-     * as one.
+     * Mean Retry-After while admission is closed, as a share of the maximum. The values are spread
+     * around it, because with one value for all, clients would return at the same time.
      */
     private static final double MEAN_SHARE_WHILE_CLOSED = 0.4;
 
     /**
-     * Marked retries beyond this part of the arrivals: others reject, too, so a retry elsewhere is
-     * no use.
+     * Share of marked retries among the arrivals above which other servers reject requests as well,
+     * so that a retry elsewhere is of no use.
      */
     private static final double GENERAL_LOAD_RETRY_SHARE = 0.2;
 
@@ -61,7 +67,7 @@
         this.arrivals = arrivals;
     }
 
-    /** Answers a request that never ran; the controller removes it. */
+    /** Rejects a request that never ran. The controller removes it. */
     void reject(ActiveRequest request) {
         boolean closed = health.admissionClosed() || draining.isDraining();
         boolean localCause = closed || classes.slowdown() > SLOW_RATIO;
@@ -74,27 +80,28 @@
     }
 
     /**
-     * In ms; 0: no Retry-After is sent. While admission is closed, the client's slot in the
-     * schedule. While draining, the longest one allowed. Otherwise as long as the queued work takes
-     * and this request waited, at most a part of the longest one unless runs are slow here: all
-     * clients gone for longer than that leaves the cores idle.
+     * Returns the Retry-After in ms; 0 if none is sent. While admission is closed, it is the time
+     * until the client's slot in the schedule. While draining, it is the maximum allowed. Otherwise
+     * it is the time that the queued work takes plus the time that this request waited, limited to
+     * a share of the maximum unless runs are slow on this server: if all clients stayed away for
+     * longer, the cores would be idle.
      */
     private double retryAfterMillis(ActiveRequest request, boolean closed, boolean localCause) {
-        double mostMillis =
+        double maxMillis =
                 settings.sendsRetryAfter()
                         ? settings.maxRetryAfterMillis() * (localCause ? 1 : MAX_SHARE_UNDER_LOAD)
                         : 0;
-        if (health.admissionClosed() && mostMillis > 0) {
+        if (health.admissionClosed() && maxMillis > 0) {
             return schedule.retryAfterMillis(
                     request.caller,
                     clock.nowMillis(),
-                    MEAN_SHARE_WHILE_CLOSED * mostMillis,
-                    mostMillis);
+                    MEAN_SHARE_WHILE_CLOSED * maxMillis,
+                    maxMillis);
         }
         return closed
-                ? mostMillis
+                ? maxMillis
                 : Math.min(
-                        mostMillis,
+                        maxMillis,
                         queue.workBeforeMillis(0) * cores.onCoreShare() / settings.cores()
                                 + clock.nowMillis()
                                 - request.arrivedAtMillis);
--- a/src/main/java/tinroad/overload/RequestPriority.java
+++ b/src/main/java/tinroad/overload/RequestPriority.java
@@ -2,16 +2,25 @@
 
 import tinroad.overload.Controller.Settings;
 
-/** The order in which queued requests run: their weight in the operators' objective by run time. */
+/**
+ * The order in which queued requests run: by their weight in the operators' objective divided by
+ * their run time.
+ */
 final class RequestPriority {
-    /** What a marked retry counts: serving a fresh request saves all its further attempts. */
+    /**
+     * Weight of a marked retry relative to a fresh request: serving a fresh request saves all its
+     * further attempts.
+     */
     private static final double RETRY_WEIGHT = 0.5;
 
-    /** A class this much better served than the worst is not counted among the worst. */
-    private static final double LAG_SPAN = 0.1;
+    /**
+     * A class whose ratio of requests answered in time is this much above the worst ratio does not
+     * count among the worst served.
+     */
+    private static final double LAG_RANGE = 0.1;
 
-    /** Requests that have to be counted before classes are compared. */
-    private static final double MIN_SAMPLES = 10;
+    /** Minimum number of counted requests before classes are compared. */
+    private static final double MIN_REQUESTS = 10;
 
     private final Settings settings;
     private final ControllerClock clock;
@@ -33,9 +42,9 @@
     }
 
     /**
-     * Weight for each ms of run; what can no longer meet its objective counts by its late share.
-     * Retries count less: guards against overload that feeds on its retries; may harm one that met
-     * only full servers elsewhere.
+     * Returns the weight for each ms of run time. A request that can no longer meet its objective
+     * counts with its late share. Retries count less, which guards against overload that is
+     * sustained by its own retries; it may harm a request that met only full servers elsewhere.
      */
     double of(ActiveRequest request) {
         double runMillis = estimator.runMillis(request);
@@ -52,14 +61,14 @@
     }
 
     /**
-     * What one answer in time adds to the objective; the classes served worst share the worst one's
-     * weight.
+     * Returns what one answer in time adds to the objective. The classes served worst share the
+     * weight of the worst class.
      */
     private double weight(ActiveRequest request) {
         double totalRequests = classes.totalRequests();
         double totalWeight = classes.totalWeight();
         double ownWeight = classes.weight(request.statistics, request.spec);
-        if (totalWeight <= 0 || totalRequests < MIN_SAMPLES) {
+        if (totalWeight <= 0 || totalRequests < MIN_REQUESTS) {
             return ownWeight;
         }
         double share = classes.recentRequests(request.statistics) / totalRequests;
@@ -77,9 +86,11 @@
     }
 
     /**
-     * How far a class is behind that is served so, beside the worst: who is near shares its weight.
+     * Returns how far a class with this ratio of requests answered in time is behind: 1 for the
+     * class with the worst ratio, and 0 at {@link #LAG_RANGE} above it. Classes close to the worst
+     * one share its weight.
      */
-    static double lag(double ratio, double worst) {
-        return Math.max(0, 1 - (ratio - worst) / LAG_SPAN);
+    static double lag(double servedRatio, double worstRatio) {
+        return Math.max(0, 1 - (servedRatio - worstRatio) / LAG_RANGE);
     }
 }
--- a/src/main/java/tinroad/overload/RequestQueue.java
+++ b/src/main/java/tinroad/overload/RequestQueue.java
@@ -30,25 +30,27 @@
         return queued.isEmpty();
     }
 
-    /** Expected runs, in ms, of all that goes before or with this priority. */
-    double workBeforeMillis(double order) {
+    /** Sum of the expected run times, in ms, of the queued requests with at least this priority. */
+    double workBeforeMillis(double priorityValue) {
         return queued.stream()
-                .filter(request -> priority.of(request) >= order)
+                .filter(request -> priority.of(request) >= priorityValue)
                 .mapToDouble(estimator::runMillis)
                 .sum();
     }
 
     /**
-     * The request of highest priority whose run fits into memory, the oldest of equals, or null.
+     * Returns the queued request of the highest priority whose run fits into memory, the oldest of
+     * equals, or null if there is none.
      */
     ActiveRequest next(MemoryBudget memory, int running) {
         ActiveRequest best = null;
-        double first = 0;
+        double bestPriority = 0;
         for (ActiveRequest request : queued) {
-            double order = priority.of(request);
-            if (memory.fitsRun(request, running) && (best == null || order > first)) {
+            double priorityValue = priority.of(request);
+            if (memory.fitsRun(request, running)
+                    && (best == null || priorityValue > bestPriority)) {
                 best = request;
-                first = order;
+                bestPriority = priorityValue;
             }
         }
         return best;
--- a/src/main/java/tinroad/overload/RunTimeEstimator.java
+++ b/src/main/java/tinroad/overload/RunTimeEstimator.java
@@ -4,17 +4,20 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * Expected run times, from the learned statistics of each class and from how far the runs under way
- * are over them.
+ * Estimates run times from the learned statistics of each class and from how far the current runs
+ * exceed them.
  */
 final class RunTimeEstimator {
     /**
-     * Served time of the runs under way over their expected one that is still chance, for work of
-     * skewed sizes.
+     * Ratio of the core time received by the current runs to their expected run times that is still
+     * chance, for work of skewed sizes.
      */
     private static final double CALM_RATIO = 1.5;
 
-    /** One run counts for so many of its class at most: an oversized request is no slowdown. */
+    /**
+     * A run counts for at most this many expected run times of its class, because one oversized
+     * request is no slowdown.
+     */
     private static final double MAX_RATIO_PER_RUN = 8;
 
     private final Settings settings;
@@ -37,17 +40,20 @@
         this.learned = learned;
     }
 
-    /** Expected run on one free core as things are now, in ms. */
+    /** Returns the expected run time on one free core under the current conditions, in ms. */
     double runMillis(ActiveRequest request) {
         return slowdown * baselineMillis(request);
     }
 
-    /** The same without the slowdown of the runs under way. */
+    /** Returns the expected run time without the slowdown of the current runs, in ms. */
     double baselineMillis(ActiveRequest request) {
         return learned.runMillis(request.statistics, request.spec);
     }
 
-    /** Mean baseline of the runs under way, in ms; not stretched by how long they have taken. */
+    /**
+     * Returns the mean baseline of the current runs, in ms. It does not grow with the time that
+     * they have taken.
+     */
     double meanBaselineMillis(Collection<ActiveRequest> requests) {
         double sumMillis = 0;
         for (ActiveRequest request : requests) {
@@ -57,9 +63,9 @@
     }
 
     /**
-     * Guards against a sudden slowdown, which ended runs show too late: what runs now has been
-     * served for longer than its class takes. Some oversized requests at once look the same, and
-     * are slow work too.
+     * Measures the slowdown: how far the core time that the current runs have received exceeds the
+     * expected run times of their classes. Guards against a sudden slowdown, which completed runs
+     * show too late. Several oversized requests at once look the same, and are slow work as well.
      */
     void measureSlowdown(Collection<ActiveRequest> requests) {
         double servedMillis = 0;
@@ -78,8 +84,8 @@
     }
 
     /**
-     * Learns from a run that succeeded. The first samples count alike, so that no single one
-     * decides; later ones by the average's weight.
+     * Learns from a run that succeeded. The first samples count equally, so that no single one
+     * decides; later ones count by the weight of the moving average.
      */
     void learn(ActiveRequest request) {
         classes.update(
--- a/src/main/java/tinroad/overload/SlotTable.java
+++ b/src/main/java/tinroad/overload/SlotTable.java
@@ -5,28 +5,31 @@
 import java.util.function.Consumer;
 
 /**
- * Values by slot, in chunks that versions of the table share until one changes them (copy on
- * write). Guards against a change of one entry that costs by the size of the table. Chunks never
- * used take no memory.
+ * A table of values by slot. Versions of the table share chunks until one of them changes a chunk
+ * (copy on write), so that the cost of changing one entry does not depend on the size of the table.
+ * Chunks that were never used take no memory.
  */
 final class SlotTable<T> {
     private static final int CHUNK_BITS = 8;
     private static final int CHUNK_SLOTS = 1 << CHUNK_BITS;
 
-    /** Slots beyond this are an error of the caller: the table grows up to the highest one. */
+    /**
+     * Bound on slot numbers. A higher one is an error of the caller, because the table grows up to
+     * the highest slot.
+     */
     static final int MAX_SLOTS = 1 << 24;
 
     private Object[][] chunks;
 
-    /** Which chunks belong to this version alone; the others are shared. */
+    /** Whether each chunk belongs to this version alone; the others are shared. */
     private boolean[] ownChunks;
 
     private int size;
 
-    /** Reads so far, by which tests bound the cost of an event. */
+    /** Number of slot reads so far, by which tests bound the cost of an event. */
     private long reads;
 
-    /** An empty table. */
+    /** Creates an empty table. */
     SlotTable() {
         this(new Object[0][], 0);
     }
@@ -37,23 +40,26 @@
         this.size = size;
     }
 
-    /** The values of a list, each in the slot of its index. */
+    /** Creates a table from a list, each value in the slot of its index. */
     static <T> SlotTable<T> of(List<T> values) {
-        SlotTable<T> all = new SlotTable<>();
+        SlotTable<T> table = new SlotTable<>();
         for (T value : values) {
-            all.set(all.size, value);
+            table.set(table.size, value);
         }
-        return all;
+        return table;
     }
 
-    /** A copy to be changed; what is set in this version afterwards may show in the copy or not. */
+    /**
+     * Returns a copy to be changed. What is set in this version afterwards may or may not show in
+     * the copy.
+     */
     SlotTable<T> nextVersion() {
         SlotTable<T> next = new SlotTable<>(chunks.clone(), size);
         next.reads = reads;
         return next;
     }
 
-    /** The value in this slot; null where there is none. */
+    /** Returns the value in this slot, or null if there is none. */
     @SuppressWarnings("unchecked")
     T get(int slot) {
         reads++;
@@ -63,10 +69,10 @@
                 : (T) chunks[chunk][slot & CHUNK_SLOTS - 1];
     }
 
-    /** Sets the value in this slot, null for none; the table grows as it must. */
+    /** Sets the value in this slot, null for none. The table grows as needed. */
     void set(int slot, T value) {
         if (slot < 0 || slot >= MAX_SLOTS) {
-            throw new IllegalArgumentException("slot " + slot);
+            throw new IllegalArgumentException("slot out of range: " + slot);
         }
         int chunk = slot >> CHUNK_BITS;
         if (chunk >= chunks.length) {
@@ -82,7 +88,7 @@
         size = Math.max(size, slot + 1);
     }
 
-    /** Visits all values, without a look at chunks never used. */
+    /** Visits all values; chunks that were never used are skipped. */
     @SuppressWarnings("unchecked")
     void forEach(Consumer<T> action) {
         for (Object[] chunk : chunks) {
@@ -100,7 +106,7 @@
         return size;
     }
 
-    /** How often a slot was read, in this version and those before it. */
+    /** Number of slot reads in this version and those before it. */
     long reads() {
         return reads;
     }
--- a/src/main/java/tinroad/overload/TenantQuotas.java
+++ b/src/main/java/tinroad/overload/TenantQuotas.java
@@ -3,9 +3,9 @@
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 
-/** What requests of a tenant that exceeds its quota still weigh. */
+/** Reduces the weight of requests of a tenant that exceeds its quota. */
 final class TenantQuotas {
-    /** A tenant exceeds its quota by chance up to this many standard deviations. */
+    /** Number of standard deviations by which a tenant may exceed its quota by chance. */
     private static final double MAX_DEVIATIONS = 2.5;
 
     private final Settings settings;
@@ -25,26 +25,27 @@
     }
 
     /**
-     * 1, or less for a request whose tenant's rate and part of the arrivals are both over its
-     * share.
+     * Returns 1, or less for a request whose tenant's rate exceeds both its quota and its share of
+     * the arrivals.
      */
     double weight(ActiveRequest request) {
         Tenant tenant = request.tenant;
         if (tenant == null) {
             return 1;
         }
-        double own = tenants.rate(request.tenantSlot, clock.nowMillis());
-        double quota = tenant.quotaPerSecond() / Math.max(1, settings.servers());
-        double besideOthers =
-                (arrivals.decayingRate() - own)
+        double ownRate = tenants.rate(request.tenantSlot, clock.nowMillis());
+        double serverQuota = tenant.quotaPerSecond() / Math.max(1, settings.servers());
+        double shareRate =
+                (arrivals.decayingRate() - ownRate)
                         * tenant.share()
                         / Math.max(1e-9, 1 - tenant.share());
-        double expected = Math.max(quota, besideOthers) * ArrivalStatistics.RATE_SPAN_MILLIS / 1000;
-        double fair =
-                (expected + MAX_DEVIATIONS * Math.sqrt(expected))
+        double expectedArrivals =
+                Math.max(serverQuota, shareRate) * ArrivalStatistics.RATE_SPAN_MILLIS / 1000;
+        double allowedRate =
+                (expectedArrivals + MAX_DEVIATIONS * Math.sqrt(expectedArrivals))
                         * 1000
                         / ArrivalStatistics.RATE_SPAN_MILLIS;
-        double within = Math.min(1, fair / Math.max(1e-9, own));
-        return within + (1 - within) * settings.overQuotaWeight();
+        double withinQuotaShare = Math.min(1, allowedRate / Math.max(1e-9, ownRate));
+        return withinQuotaShare + (1 - withinQuotaShare) * settings.overQuotaWeight();
     }
 }
--- a/src/main/java/tinroad/overload/TenantTable.java
+++ b/src/main/java/tinroad/overload/TenantTable.java
@@ -5,7 +5,7 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * The tenants by slot and the recent rate of requests of each. A change is staged in a version
+ * The tenants by slot, and the recent rate of requests of each. A change is staged in a version
  * beside the current one.
  */
 final class TenantTable {
@@ -13,23 +13,23 @@
     private SlotTable<Tenant> current;
     private SlotTable<Tenant> staged;
 
-    /** {@code spanMillis}: time in which a rate falls to its e-th part. */
-    TenantTable(List<Tenant> tenants, double spanMillis) {
+    /** Creates the table; rates decay to 1/e in {@code timeConstantMillis}. */
+    TenantTable(List<Tenant> tenants, double timeConstantMillis) {
         current = SlotTable.of(tenants);
-        rates = new DecayingRates(spanMillis);
+        rates = new DecayingRates(timeConstantMillis);
     }
 
-    /** The tenant in this slot, or null. */
+    /** Returns the tenant in this slot, or null. */
     Tenant at(int slot) {
         return current.get(slot);
     }
 
-    /** Its requests a second, lately. */
+    /** Returns the recent requests per second of the tenant in this slot. */
     double rate(int slot, double nowMillis) {
         return rates.at(slot, nowMillis);
     }
 
-    /** Adds to its rate. */
+    /** Adds to the rate of the tenant in this slot. */
     void add(int slot, double amount, double nowMillis) {
         rates.add(slot, amount, nowMillis);
     }
@@ -42,25 +42,26 @@
         staged = staged == null ? current.nextVersion() : staged;
         for (TenantSlot change : changes) {
             if (at(change.slot()) == null) {
-                // The slot is free before the change, so no rate is lost if the change is dropped.
+                // The slot is free before the change, so no rate is lost if the change is
+                // discarded.
                 rates.clear(change.slot());
             }
             staged.set(change.slot(), change.spec());
         }
     }
 
-    /** The staged version becomes the current one. */
+    /** Makes the staged version the current one. */
     void commit() {
         current = staged == null ? current : staged;
         staged = null;
     }
 
-    /** Drops the staged version. */
+    /** Discards the staged version. */
     void discardStaged() {
         staged = null;
     }
 
-    /** How often a slot was read. */
+    /** Number of slot reads so far. */
     long reads() {
         return current.reads();
     }
--- a/src/main/java/tinroad/overload/UnderservedClasses.java
+++ b/src/main/java/tinroad/overload/UnderservedClasses.java
@@ -5,44 +5,48 @@
 import java.util.function.Predicate;
 
 /**
- * The classes with requests enough lately for their ratio of answers in time to mean something, and
- * how far each is behind. At most as many as there were requests in that time. What each refresh
- * walks over lies in arrays: statistics of classes with few requests lie all over the memory.
+ * The classes that had enough recent requests for their ratio of answers in time to be meaningful,
+ * and how far each is behind. There are at most as many of them as there were requests in that
+ * time. What each refresh walks over is stored in arrays, because the statistics of classes with
+ * few requests are scattered over the memory.
  */
 final class UnderservedClasses {
     private final DoubleBinaryOperator lag;
     private ClassStatistics[] classes = new ClassStatistics[16];
     private double[] servedRatio = new double[16];
-    private double[] untilMillis = new double[16];
+    private double[] expiresAtMillis = new double[16];
     private int size;
     private double worstRatio = 1;
     private double lagSum;
     private boolean stale = true;
 
-    /** When the first of them no longer counts. */
+    /** When the first of the classes stops counting. */
     private double nextExpiryMillis;
 
-    /** {@code lag}: how far behind a class is, by its ratio and the worst ratio. */
+    /**
+     * Creates an empty set. {@code lag} computes how far a class is behind from its ratio and the
+     * worst ratio.
+     */
     UnderservedClasses(DoubleBinaryOperator lag) {
         this.lag = lag;
     }
 
-    /** This class counts until then. */
+    /** Lets a class count until this time. */
     void add(ClassStatistics statistics, double countsUntilMillis) {
         if (statistics.underservedIndex < 0) {
             if (size == classes.length) {
                 classes = Arrays.copyOf(classes, 2 * size);
                 servedRatio = Arrays.copyOf(servedRatio, 2 * size);
-                untilMillis = Arrays.copyOf(untilMillis, 2 * size);
+                expiresAtMillis = Arrays.copyOf(expiresAtMillis, 2 * size);
             }
             classes[size] = statistics;
             statistics.underservedIndex = size++;
         }
-        untilMillis[statistics.underservedIndex] = countsUntilMillis;
+        expiresAtMillis[statistics.underservedIndex] = countsUntilMillis;
         update(statistics);
     }
 
-    /** It had a request or an answer in time. */
+    /** Updates the ratio of a class after a request or an answer in time. */
     void update(ClassStatistics statistics) {
         if (statistics.underservedIndex >= 0) {
             servedRatio[statistics.underservedIndex] =
@@ -51,10 +55,10 @@
         }
     }
 
-    /** Keeps only these, after a change of the classes. */
-    void retain(Predicate<ClassStatistics> kept) {
+    /** Keeps only the classes that match, after a change of the classes. */
+    void retain(Predicate<ClassStatistics> isRetained) {
         for (int index = size - 1; index >= 0; index--) {
-            if (!kept.test(classes[index])) {
+            if (!isRetained.test(classes[index])) {
                 remove(index);
             }
         }
@@ -62,8 +66,8 @@
     }
 
     /**
-     * How far this class is behind, as a share of all of {@code classCount} classes. One that does
-     * not count here counts as well served.
+     * Returns how far this class is behind, as a share of the sum over all {@code classCount}
+     * classes. A class that does not count here is taken to be well served.
      */
     double lagShare(ClassStatistics statistics, int classCount, double nowMillis) {
         if (stale || nowMillis > nextExpiryMillis) {
@@ -77,11 +81,11 @@
         worstRatio = 1;
         nextExpiryMillis = Double.MAX_VALUE;
         for (int index = size - 1; index >= 0; index--) {
-            if (untilMillis[index] < nowMillis) {
+            if (expiresAtMillis[index] < nowMillis) {
                 remove(index);
             } else {
                 worstRatio = Math.min(worstRatio, servedRatio[index]);
-                nextExpiryMillis = Math.min(nextExpiryMillis, untilMillis[index]);
+                nextExpiryMillis = Math.min(nextExpiryMillis, expiresAtMillis[index]);
             }
         }
         lagSum = (classCount - size) * lag(1);
@@ -96,7 +100,7 @@
         size--;
         classes[index] = classes[size];
         servedRatio[index] = servedRatio[size];
-        untilMillis[index] = untilMillis[size];
+        expiresAtMillis[index] = expiresAtMillis[size];
         if (index < size) {
             classes[index].underservedIndex = index;
         }
