--- a/src/test/java/tinroad/overload/ClassTableTest.java
+++ b/src/test/java/tinroad/overload/ClassTableTest.java
@@ -15,58 +15,61 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.RequestClass;
 
-/** The sums over the classes, against walks over all of them. */
+/** The sums of {@link ClassTable} equal those of walks over all classes. */
 class ClassTableTest {
-    private static final double SPAN = 20_000;
-    private static final double LAG = 0.1;
+    private static final double TIME_CONSTANT_MILLIS = 20_000;
+    private static final double LAG_RANGE = 0.1;
 
-    private static double behind(double ratio, double worst) {
-        return Math.max(0, 1 - (ratio - worst) / LAG);
+    private static double lag(double ratio, double worst) {
+        return Math.max(0, 1 - (ratio - worst) / LAG_RANGE);
     }
 
-    /** The same by walking: what each class was asked and served, faded at each step. */
-    private static final class Walked {
+    /**
+     * A reference that walks over all classes. For each slot it holds the recent requests and those
+     * answered in time, both decayed at each step, the run time and the calm run time.
+     */
+    private static final class ReferenceTable {
         final List<RequestClass> specs = new ArrayList<>();
-        final List<double[]> of = new ArrayList<>();
+        final List<double[]> values = new ArrayList<>();
 
         void put(int slot, RequestClass requestClass) {
             while (specs.size() <= slot) {
                 specs.add(null);
-                of.add(null);
+                values.add(null);
             }
             if (specs.get(slot) == null) {
-                of.set(slot, new double[] {0, 0, 0, 0});
+                values.set(slot, new double[] {0, 0, 0, 0});
             }
             specs.set(slot, requestClass);
         }
 
         double run(int i) {
-            return of.get(i)[2] == 0 ? 0.25 * specs.get(i).objectiveMillis() : of.get(i)[2];
+            return values.get(i)[2] == 0 ? 0.25 * specs.get(i).objectiveMillis() : values.get(i)[2];
         }
 
         double calm(int i) {
-            return of.get(i)[3] == 0 ? 0.25 * specs.get(i).objectiveMillis() : of.get(i)[3];
+            return values.get(i)[3] == 0 ? 0.25 * specs.get(i).objectiveMillis() : values.get(i)[3];
         }
 
-        double asked() {
-            return live().stream().mapToDouble(i -> of.get(i)[0]).sum();
+        double requestCount() {
+            return usedSlots().stream().mapToDouble(i -> values.get(i)[0]).sum();
         }
 
-        double worth(boolean byWork) {
-            return live().stream()
+        double weightSum(boolean weightByWork) {
+            return usedSlots().stream()
                     .mapToDouble(
                             i ->
-                                    of.get(i)[0]
+                                    values.get(i)[0]
                                             * specs.get(i).priorityWeight()
-                                            * (byWork ? run(i) : 1))
+                                            * (weightByWork ? run(i) : 1))
                     .sum();
         }
 
         double ratio(int i) {
-            return of.get(i)[0] < 1 ? 1 : Math.min(1, of.get(i)[1] / of.get(i)[0]);
+            return values.get(i)[0] < 1 ? 1 : Math.min(1, values.get(i)[1] / values.get(i)[0]);
         }
 
-        List<Integer> live() {
+        List<Integer> usedSlots() {
             return IntStream.range(0, specs.size())
                     .filter(i -> specs.get(i) != null)
                     .boxed()
@@ -74,9 +77,9 @@
         }
 
         double lagShare(int slot) {
-            double worst = live().stream().mapToDouble(this::ratio).reduce(1, Math::min);
-            double lags = live().stream().mapToDouble(i -> behind(ratio(i), worst)).sum();
-            return behind(ratio(slot), worst) / lags;
+            double worst = usedSlots().stream().mapToDouble(this::ratio).reduce(1, Math::min);
+            double lags = usedSlots().stream().mapToDouble(i -> lag(ratio(i), worst)).sum();
+            return lag(ratio(slot), worst) / lags;
         }
     }
 
@@ -95,107 +98,120 @@
 
     private final LearnedStatistics learned = new LearnedStatistics();
 
-    private static void same(double walked, double kept, String what) {
-        assertEquals(walked, kept, 1e-9 * Math.max(1e-3, walked), what);
+    private static void assertClose(double reference, double actual, String description) {
+        assertEquals(reference, actual, 1e-9 * Math.max(1e-3, reference), description);
     }
 
     @Property(tries = 50, seed = "32")
     void anyOrderOfSamplesAndChangesGivesTheSumsOfAWalkOverAllClasses(@ForAll long seed) {
         Random random = new Random(seed);
-        Walked walked = new Walked();
-        List<RequestClass> begin = new ArrayList<>();
+        ReferenceTable reference = new ReferenceTable();
+        List<RequestClass> initialClasses = new ArrayList<>();
         for (int i = 0; i < 1 + random.nextInt(40); i++) {
-            begin.add(spec(random));
-            walked.put(i, begin.get(i));
+            initialClasses.add(spec(random));
+            reference.put(i, initialClasses.get(i));
         }
-        boolean byWork = random.nextBoolean();
+        boolean weightByWork = random.nextBoolean();
         ClassTable classes =
-                new ClassTable(begin, learned, SPAN, ClassTableTest::behind, byWork, 0);
+                new ClassTable(
+                        initialClasses,
+                        learned,
+                        TIME_CONSTANT_MILLIS,
+                        ClassTableTest::lag,
+                        weightByWork,
+                        0);
         double nowMillis = 0;
-        List<ClassSlot> staged = new ArrayList<>();
-        double[] peaks = new double[2];
+        List<ClassSlot> stagedChanges = new ArrayList<>();
+        double[] maxima = new double[2];
         for (int step = 0; step < 2000; step++) {
-            double passed =
+            double elapsedMillis =
                     random.nextInt(200) == 0
                             ? 30_000 * random.nextDouble()
                             : 20 * random.nextDouble();
-            nowMillis += passed;
+            nowMillis += elapsedMillis;
             classes.advance(nowMillis);
-            walked.of.forEach(
+            reference.values.forEach(
                     s -> {
                         if (s != null) {
-                            s[0] *= Math.exp(-passed / SPAN);
-                            s[1] *= Math.exp(-passed / SPAN);
+                            s[0] *= Math.exp(-elapsedMillis / TIME_CONSTANT_MILLIS);
+                            s[1] *= Math.exp(-elapsedMillis / TIME_CONSTANT_MILLIS);
                         }
                     });
-            List<Integer> live = walked.live();
-            int dice = random.nextInt(100);
-            if (dice < 70 && !live.isEmpty()) {
+            List<Integer> usedSlots = reference.usedSlots();
+            int draw = random.nextInt(100);
+            if (draw < 70 && !usedSlots.isEmpty()) {
                 int slot =
-                        live.get((int) (live.size() * random.nextDouble() * random.nextDouble()));
+                        usedSlots.get(
+                                (int)
+                                        (usedSlots.size()
+                                                * random.nextDouble()
+                                                * random.nextDouble()));
                 ClassStatistics statistics = classes.requestArrived(slot);
-                walked.of.get(slot)[0]++;
+                reference.values.get(slot)[0]++;
                 if (random.nextInt(3) > 0) {
                     classes.servedInTime(statistics);
-                    walked.of.get(slot)[1]++;
+                    reference.values.get(slot)[1]++;
                 }
                 double sample = 1 + 1000 * random.nextDouble();
                 if (random.nextBoolean()) {
                     classes.update(
                             statistics,
                             classes.at(slot),
-                            (of, requestClass) -> {
-                                of.runMillis = sample;
-                                of.calmRunMillis = sample / 2;
+                            (updated, requestClass) -> {
+                                updated.runMillis = sample;
+                                updated.calmRunMillis = sample / 2;
                             });
-                    walked.of.get(slot)[2] = sample;
-                    walked.of.get(slot)[3] = sample / 2;
+                    reference.values.get(slot)[2] = sample;
+                    reference.values.get(slot)[3] = sample / 2;
                 }
-            } else if (dice < 85) {
-                int slot = random.nextInt(walked.specs.size() + 3);
+            } else if (draw < 85) {
+                int slot = random.nextInt(reference.specs.size() + 3);
                 ClassSlot change =
                         new ClassSlot(slot, random.nextInt(3) == 0 ? null : spec(random));
                 classes.stage(List.of(change));
-                staged.add(change);
-            } else if (dice < 90) {
+                stagedChanges.add(change);
+            } else if (draw < 90) {
                 classes.commit();
-                Map<Integer, RequestClass> last = new TreeMap<>();
-                staged.forEach(c -> last.put(c.slot(), c.spec()));
-                last.forEach(walked::put);
-                staged.clear();
-            } else if (dice < 92) {
+                Map<Integer, RequestClass> lastBySlot = new TreeMap<>();
+                stagedChanges.forEach(c -> lastBySlot.put(c.slot(), c.spec()));
+                lastBySlot.forEach(reference::put);
+                stagedChanges.clear();
+            } else if (draw < 92) {
                 classes.discardStaged();
-                staged.clear();
+                stagedChanges.clear();
             }
-            // A faded sum errs by parts of what it was, not of what is left of it.
-            peaks[0] = Math.max(peaks[0], walked.asked());
-            peaks[1] = Math.max(peaks[1], walked.worth(byWork));
-            assertEquals(walked.asked(), classes.totalRequests(), 1e-12 * peaks[0]);
-            assertEquals(walked.worth(byWork), classes.totalWeight(), 1e-12 * peaks[1]);
+            // The error of a decayed sum is relative to its former maximum, not to what is left of
+            // it.
+            maxima[0] = Math.max(maxima[0], reference.requestCount());
+            maxima[1] = Math.max(maxima[1], reference.weightSum(weightByWork));
+            assertEquals(reference.requestCount(), classes.totalRequests(), 1e-12 * maxima[0]);
+            assertEquals(
+                    reference.weightSum(weightByWork), classes.totalWeight(), 1e-12 * maxima[1]);
             if (step % 10 == 0) {
-                check(walked, classes);
+                check(reference, classes);
             }
         }
     }
 
-    private static void check(Walked walked, ClassTable classes) {
-        List<Integer> live = walked.live();
-        assertEquals(live.size(), classes.size());
-        if (!live.isEmpty()) {
-            same(
-                    live.stream().mapToDouble(walked::run).sum()
-                            / live.stream().mapToDouble(walked::calm).sum(),
+    private static void check(ReferenceTable reference, ClassTable classes) {
+        List<Integer> usedSlots = reference.usedSlots();
+        assertEquals(usedSlots.size(), classes.size());
+        if (!usedSlots.isEmpty()) {
+            assertClose(
+                    usedSlots.stream().mapToDouble(reference::run).sum()
+                            / usedSlots.stream().mapToDouble(reference::calm).sum(),
                     classes.slowdown(),
                     "slowdown");
         }
-        for (int slot : live) {
-            ClassStatistics[] s = new ClassStatistics[1];
-            if (walked.of.get(slot)[0] > 0) {
-                classes.update(slot, (of, requestClass) -> s[0] = of);
-                // Whether a class tells is decided at one request; on the very edge either is
-                // right.
-                if (Math.abs(walked.of.get(slot)[0] - 1) > 1e-9) {
-                    same(walked.lagShare(slot), classes.lagShare(s[0]), "lag of " + slot);
+        for (int slot : usedSlots) {
+            ClassStatistics[] found = new ClassStatistics[1];
+            if (reference.values.get(slot)[0] > 0) {
+                classes.update(slot, (updated, requestClass) -> found[0] = updated);
+                // A class counts from one request on; exactly at that limit either result is
+                // correct.
+                if (Math.abs(reference.values.get(slot)[0] - 1) > 1e-9) {
+                    assertClose(
+                            reference.lagShare(slot), classes.lagShare(found[0]), "lag of " + slot);
                 }
             }
         }
@@ -208,19 +224,20 @@
         for (int i = 0; i < 50; i++) {
             specs.add(spec(random));
         }
-        ClassTable classes = new ClassTable(specs, learned, SPAN, ClassTableTest::behind, true, 0);
-        ClassStatistics[] of = new ClassStatistics[50];
+        ClassTable classes =
+                new ClassTable(specs, learned, TIME_CONSTANT_MILLIS, ClassTableTest::lag, true, 0);
+        ClassStatistics[] statisticsBySlot = new ClassStatistics[50];
         for (int i = 0; i < 10_000_000; i++) {
             int slot = i % 50;
             if (i % 3 == 0) {
                 classes.advance(i);
-                of[slot] = classes.requestArrived(slot);
-            } else if (of[slot] != null) {
-                // From a thousandth of a ms to a day, so that each sum swallows what is added to
-                // it.
+                statisticsBySlot[slot] = classes.requestArrived(slot);
+            } else if (statisticsBySlot[slot] != null) {
+                // From a thousandth of a ms to a day, so that small values are added to sums far
+                // larger than they are.
                 double sample = Math.pow(10, random.nextDouble() * 11 - 3);
                 classes.update(
-                        of[slot],
+                        statisticsBySlot[slot],
                         specs.get(slot),
                         (statistics, requestClass) -> {
                             statistics.runMillis = sample;
@@ -228,24 +245,25 @@
                         });
             }
         }
-        // All back to small values: what is left of large ones would show.
+        // Sets all classes back to small values: an error left over from large values would show.
         for (int i = 0; i < 50; i++) {
             classes.update(
-                    of[i],
+                    statisticsBySlot[i],
                     specs.get(i),
                     (statistics, requestClass) -> {
                         statistics.runMillis = 3;
                         statistics.calmRunMillis = 2;
                     });
         }
-        double asked = 0;
-        double worth = 0;
+        double requestCount = 0;
+        double weightSum = 0;
         for (int i = 0; i < 50; i++) {
-            asked += classes.recentRequests(of[i]);
-            worth += classes.recentRequests(of[i]) * specs.get(i).priorityWeight() * 3;
+            requestCount += classes.recentRequests(statisticsBySlot[i]);
+            weightSum +=
+                    classes.recentRequests(statisticsBySlot[i]) * specs.get(i).priorityWeight() * 3;
         }
         assertEquals(1.5, classes.slowdown(), 1e-12);
-        assertEquals(asked, classes.totalRequests(), 1e-9 * asked);
-        assertEquals(worth, classes.totalWeight(), 1e-6 * worth);
+        assertEquals(requestCount, classes.totalRequests(), 1e-9 * requestCount);
+        assertEquals(weightSum, classes.totalWeight(), 1e-6 * weightSum);
     }
 }
--- a/src/test/java/tinroad/overload/CounterInvariantsTest.java
+++ b/src/test/java/tinroad/overload/CounterInvariantsTest.java
@@ -32,9 +32,10 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * Every count of the controller is the number of its active requests in that state, after each
- * event of random sequences. Guards against a count that is raised in one place and not lowered, or
- * lowered without having been raised, in another: a server that admits more and more, or nothing.
+ * Every count of the controller equals the number of its active requests in that state, after each
+ * event of random sequences. Guards against a count that is raised in one code path but not lowered
+ * in another, or lowered without having been raised: the server then admits more and more requests,
+ * or none.
  */
 class CounterInvariantsTest {
     private static final double TICK_MILLIS = 20;
@@ -61,8 +62,8 @@
     /**
      * One event.
      *
-     * @param pick which of the requests that it can happen to
-     * @param millis so long after the event before, with the ticks that are due in between
+     * @param pick which of the requests to which it can happen
+     * @param millis time since the previous event, with the ticks that are due in between
      */
     private record Event(Kind kind, int pick, int millis) {}
 
@@ -125,20 +126,23 @@
                 false);
     }
 
-    /** A server that plays a sequence: it does what the controller wants, and tells how it ends. */
+    /**
+     * A server that plays a sequence of events: it carries out the actions of the controller and
+     * reports how runs and calls end.
+     */
     private static final class Server {
-        private final RuleChecker machine;
+        private final RuleChecker checker;
         private final OverloadController controller;
         private double nextTickMillis;
         private boolean draining;
 
         Server(Sequence sequence) {
             Settings settings = settings(sequence);
-            machine = new RuleChecker(settings);
-            controller = new OverloadController(machine);
-            machine.now = 1000;
-            nextTickMillis = machine.now + TICK_MILLIS;
-            controller.start(machine.now, 7, settings);
+            checker = new RuleChecker(settings);
+            controller = new OverloadController(checker);
+            checker.nowMillis = 1000;
+            nextTickMillis = checker.nowMillis + TICK_MILLIS;
+            controller.start(checker.nowMillis, 7, settings);
         }
 
         void play(Event event) {
@@ -161,21 +165,21 @@
         }
 
         private void passTime(int millis) {
-            double untilMillis = machine.now + millis;
+            double untilMillis = checker.nowMillis + millis;
             while (nextTickMillis <= untilMillis) {
-                machine.now = nextTickMillis;
+                checker.nowMillis = nextTickMillis;
                 nextTickMillis += TICK_MILLIS;
-                controller.timerFired(machine.now, "tick", GAUGES);
+                controller.timerFired(checker.nowMillis, "tick", GAUGES);
                 assertInvariants();
             }
-            machine.now = untilMillis;
+            checker.nowMillis = untilMillis;
         }
 
         private void arrive(int classSlot, String duplicateOf) {
-            if (machine.classes.get(classSlot) == null) {
+            if (checker.classes.get(classSlot) == null) {
                 return;
             }
-            int number = machine.seen.size();
+            int number = checker.requestsById.size();
             Request request =
                     new Request(
                             "r" + number,
@@ -183,7 +187,7 @@
                             number % 2,
                             number % 3,
                             5 + number % 40,
-                            machine.now + 300 + number * 37 % 1700,
+                            checker.nowMillis + 300 + number * 37 % 1700,
                             number % 30,
                             number * 0.37 % 1,
                             0,
@@ -191,68 +195,79 @@
                             duplicateOf,
                             number % 5 == 0,
                             classSlot >= 2);
-            machine.arrive(request);
-            controller.requestArrived(machine.now, request);
+            checker.arrive(request);
+            controller.requestArrived(checker.nowMillis, request);
         }
 
-        private List<RuleChecker.Seen> those(Predicate<RuleChecker.Seen> which) {
-            return machine.seen.values().stream().filter(which).toList();
+        private List<RuleChecker.TrackedRequest> requestsWhere(
+                Predicate<RuleChecker.TrackedRequest> condition) {
+            return checker.requestsById.values().stream().filter(condition).toList();
         }
 
-        private static RuleChecker.Seen pick(List<RuleChecker.Seen> from, int number) {
-            return from.isEmpty() ? null : from.get(number % from.size());
+        private static RuleChecker.TrackedRequest pick(
+                List<RuleChecker.TrackedRequest> candidates, int number) {
+            return candidates.isEmpty() ? null : candidates.get(number % candidates.size());
         }
 
-        /** A duplicate of any earlier request: queued, running, paused, joined or over. */
+        /**
+         * A duplicate of any earlier request, whether that one is queued, running, paused, joined
+         * or over.
+         */
         private void duplicate(int number) {
-            RuleChecker.Seen original = pick(those(seen -> true), number);
+            RuleChecker.TrackedRequest original = pick(requestsWhere(tracked -> true), number);
             if (original != null) {
                 arrive(original.request.classSlot(), original.request.id());
             }
         }
 
         private void cancel(int number) {
-            RuleChecker.Seen request = pick(those(seen -> !seen.over), number);
+            RuleChecker.TrackedRequest request =
+                    pick(requestsWhere(tracked -> !tracked.ended), number);
             if (request != null) {
-                request.answers = Math.max(1, request.answers);
-                request.over = !request.running && !request.atCall;
-                controller.cancelled(machine.now, request.request.id());
+                request.answerCount = Math.max(1, request.answerCount);
+                request.ended = !request.running && !request.paused;
+                controller.cancelled(checker.nowMillis, request.request.id());
             }
         }
 
         private void endRun(int number, Outcome outcome) {
-            RuleChecker.Seen request = pick(those(seen -> seen.running || seen.atCall), number);
+            RuleChecker.TrackedRequest request =
+                    pick(requestsWhere(tracked -> tracked.running || tracked.paused), number);
             if (request != null) {
-                request.calling = false;
+                request.callInFlight = false;
                 complete(request, outcome);
             }
         }
 
         private void endReplay(int number) {
-            RuleChecker.Seen request =
-                    pick(those(seen -> seen.joined != null && !seen.over), number);
+            RuleChecker.TrackedRequest request =
+                    pick(
+                            requestsWhere(tracked -> tracked.joinedTo != null && !tracked.ended),
+                            number);
             if (request != null) {
                 complete(request, number % 2 == 0 ? Outcome.OK : Outcome.FAILED);
             }
         }
 
-        private void complete(RuleChecker.Seen request, Outcome outcome) {
-            machine.end(request.request.id(), outcome);
-            controller.completed(machine.now, request.request.id(), 50, outcome);
+        private void complete(RuleChecker.TrackedRequest request, Outcome outcome) {
+            checker.end(request.request.id(), outcome);
+            controller.completed(checker.nowMillis, request.request.id(), 50, outcome);
         }
 
         private void needCall(int number) {
-            RuleChecker.Seen request = pick(those(seen -> seen.running), number);
+            RuleChecker.TrackedRequest request =
+                    pick(requestsWhere(tracked -> tracked.running), number);
             if (request != null) {
                 request.running = false;
-                request.atCall = true;
-                controller.dependencyCallNeeded(machine.now, request.request.id());
+                request.paused = true;
+                controller.dependencyCallNeeded(checker.nowMillis, request.request.id());
             }
         }
 
-        /** Every outcome, those after which the call is made again among them. */
+        /** Ends a call with any outcome, including those after which the call is made again. */
         private void endCall(int number) {
-            RuleChecker.Seen request = pick(those(seen -> seen.calling), number);
+            RuleChecker.TrackedRequest request =
+                    pick(requestsWhere(tracked -> tracked.callInFlight), number);
             if (request != null) {
                 Outcome outcome =
                         List.of(
@@ -263,8 +278,9 @@
                                         Outcome.CONNECT_ERROR,
                                         Outcome.RESET)
                                 .get(number % 6);
-                machine.callEnds(request, outcome);
-                controller.dependencyCallCompleted(machine.now, request.request.id(), 50, outcome);
+                checker.callEnded(request, outcome);
+                controller.dependencyCallCompleted(
+                        checker.nowMillis, request.request.id(), 50, outcome);
             }
         }
 
@@ -273,32 +289,33 @@
             RequestClass changed =
                     number % 3 == 0
                             ? null
-                            : requestClass(machine.settings.classes().get(slot).idempotency(), 0);
+                            : requestClass(checker.settings.classes().get(slot).idempotency(), 0);
             controller.stage(
                     List.of(new ClassSlot(slot, changed)),
                     List.of(new TenantSlot(number % 2, new Tenant(1 + number, 0.5))));
             if (number % 5 == 0) {
                 controller.discardStaged();
             } else {
-                controller.commit(machine.now);
-                machine.classes.set(slot, changed);
+                controller.commit(checker.nowMillis);
+                checker.classes.set(slot, changed);
             }
         }
 
         private void drain() {
             if (!draining) {
                 draining = true;
-                controller.beginDraining(machine.now, machine.now + 3000);
+                controller.beginDraining(checker.nowMillis, checker.nowMillis + 3000);
             }
         }
 
         private void assertInvariants() {
             OverloadController.Tables tables = controller.tables();
-            List<ActiveRequest> paused = in(tables, State.CALLING);
+            List<ActiveRequest> paused = requestsIn(tables, State.CALLING);
             List<ActiveRequest> calling =
                     tables.requests().stream().filter(request -> request.callInFlight).toList();
-            assertEquals(in(tables, State.QUEUED).size(), tables.queue().size(), "queued");
-            assertEquals(in(tables, State.RUNNING).size(), tables.cores().running(), "running");
+            assertEquals(requestsIn(tables, State.QUEUED).size(), tables.queue().size(), "queued");
+            assertEquals(
+                    requestsIn(tables, State.RUNNING).size(), tables.cores().running(), "running");
             assertEquals(paused.size(), tables.cores().paused(), "paused");
             assertEquals(calling.size(), tables.calls().inFlight(), "calls in flight");
             assertTrue(paused.containsAll(calling), "a call of a request that is not paused");
@@ -306,7 +323,8 @@
             assertMemory(tables);
         }
 
-        private static List<ActiveRequest> in(OverloadController.Tables tables, State state) {
+        private static List<ActiveRequest> requestsIn(
+                OverloadController.Tables tables, State state) {
             return tables.requests().stream().filter(request -> request.state == state).toList();
         }
 
@@ -318,10 +336,10 @@
             assertTrue(
                     waiting.stream().noneMatch(request -> request.callInFlight),
                     "waits for a call that was made");
-            List<ActiveRequest> forgotten = new ArrayList<>(paused);
-            forgotten.removeAll(waiting);
-            forgotten.removeIf(request -> request.callInFlight || request.answered);
-            assertEquals(List.of(), forgotten, "paused for no call");
+            List<ActiveRequest> unaccounted = new ArrayList<>(paused);
+            unaccounted.removeAll(waiting);
+            unaccounted.removeIf(request -> request.callInFlight || request.answered);
+            assertEquals(List.of(), unaccounted, "paused for no call");
         }
 
         private static void assertMemory(OverloadController.Tables tables) {
--- a/src/test/java/tinroad/overload/DecayingRatesTest.java
+++ b/src/test/java/tinroad/overload/DecayingRatesTest.java
@@ -7,26 +7,26 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Rates that fade when they are read. */
+/** Rates that are decayed when they are read equal rates that are decayed at each step. */
 class DecayingRatesTest {
     @Property(tries = 100, seed = "31")
     void rateEqualsThatOfDecayingAllAtEachStep(@ForAll long seed) {
         DecayingRates rates = new DecayingRates(3000);
         Random random = new Random(seed);
-        double[] walked = new double[600];
+        double[] expected = new double[600];
         double nowMillis = 0;
         for (int i = 0; i < 2000; i++) {
-            double passed = random.nextInt(3) * random.nextDouble() * 100;
-            nowMillis += passed;
-            for (int slot = 0; slot < walked.length; slot++) {
-                walked[slot] *= Math.exp(-passed / 3000);
+            double elapsedMillis = random.nextInt(3) * random.nextDouble() * 100;
+            nowMillis += elapsedMillis;
+            for (int slot = 0; slot < expected.length; slot++) {
+                expected[slot] *= Math.exp(-elapsedMillis / 3000);
             }
-            int slot = random.nextInt(walked.length);
-            walked[slot]++;
+            int slot = random.nextInt(expected.length);
+            expected[slot]++;
             rates.add(slot, 1, nowMillis);
         }
-        for (int slot = 0; slot < walked.length; slot++) {
-            assertEquals(walked[slot], rates.at(slot, nowMillis), 1e-12 * (1 + walked[slot]));
+        for (int slot = 0; slot < expected.length; slot++) {
+            assertEquals(expected[slot], rates.at(slot, nowMillis), 1e-12 * (1 + expected[slot]));
         }
     }
 
--- a/src/test/java/tinroad/overload/EmbeddingExampleTest.java
+++ b/src/test/java/tinroad/overload/EmbeddingExampleTest.java
@@ -5,66 +5,66 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's embedding example, compiled and run. */
+/** An example of embedding the controller, compiled and run. */
 class EmbeddingExampleTest {
     @Test
     void theReadmeExampleRuns() {
         // README:begin
-        var read =
+        var readClass =
                 new Controller.RequestClass(
-                        /* aim, stretch, deadline */ 800,
+                        /* objective, objective per work, deadline */ 800,
                         0,
-                        3000, /* worth, late share */
+                        3000, /* priority weight, late weight share */
                         1,
                         0,
                         Controller.Idempotency.IDEMPOTENT, /* key window */
-                        0, /* calls, skip worth */
+                        0, /* calls dependency, degraded weight share */
                         false,
                         0);
-        var goal =
+        var objectiveWeights =
                 new Controller.ObjectiveWeights(
-                        /* whole */ 1, /* worst window, class, tenant */ 0, 0, 0);
+                        /* overall */ 1, /* worst window, class, tenant */ 0, 0, 0);
         var rules =
                 new Controller.Rules(
-                        /* answer slack */ 50, /* cold from, ramp */
+                        /* answer slack */ 50, /* cold start speed, slow start */
                         0.3,
                         10000,
-                        /* drain grace */ 2000, /* crowd a core, its span */
+                        /* drain grace */ 2000, /* concurrency per core, its window */
                         4,
                         1500);
-        var nothingBelow = new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0);
+        var noDependency = new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0);
         int cores = 8;
         int servers = 12;
         int callers = 4;
-        double callersCloseAfter = 30000;
+        double clientIdleMillis = 30000;
         double memoryKb = 65536;
-        double runFactor = 4;
-        double maxStayAway = 1000;
-        double batchStep = 1;
+        double runMemoryFactor = 4;
+        double maxRetryAfterMillis = 1000;
+        double clockStepMillis = 1;
         var settings =
                 new Controller.Settings(
-                        List.of(read), /* tenants */
+                        List.of(readClass), /* tenants */
                         List.of(),
-                        goal,
+                        objectiveWeights,
                         rules,
-                        nothingBelow,
+                        noDependency,
                         Controller.LoadHint.NONE,
                         Controller.CancellationMode.NONE,
                         cores,
                         servers,
                         callers,
-                        /* cold, tells deadlines */ false,
+                        /* cold start, requests carry deadline */ false,
                         true,
-                        callersCloseAfter,
+                        clientIdleMillis,
                         memoryKb,
-                        runFactor,
-                        /* key kB, fresh for */ 0,
+                        runMemoryFactor,
+                        /* key kB, results fresh for */ 0,
                         0,
-                        maxStayAway, /* advice passed on, retries marked */
+                        maxRetryAfterMillis, /* sends Retry-After, requests mark retries */
                         true,
                         true,
-                        /* worth over share */ 1,
-                        batchStep, /* worth by work */
+                        /* weight over quota */ 1,
+                        clockStepMillis, /* weight by work */
                         false);
         Recorder actions = new Recorder(); // your implementation of Controller.Actions
         Controller controller = new OverloadController(actions);
@@ -77,13 +77,13 @@
                         0,
                         0, /* kB */
                         16,
-                        /* due, age */ 3005,
-                        0, /* rank, work */
+                        /* deadline, age */ 3005,
+                        0, /* priority, work */
                         0.5,
-                        0, /* key, repeats */
+                        0, /* result key, duplicate of */
                         null,
                         null,
-                        /* resent, write */ false,
+                        /* retry, write */ false,
                         false));
         controller.completed(60, "r1", /* elapsed */ 55, Controller.Outcome.OK);
         // README:end
--- a/src/test/java/tinroad/overload/ExpiringSetTest.java
+++ b/src/test/java/tinroad/overload/ExpiringSetTest.java
@@ -6,30 +6,30 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Names that are kept for a time. */
+/** Expiry and removal of the names in an {@link ExpiringSet}. */
 class ExpiringSetTest {
-    private final ExpiringSet kept = new ExpiringSet();
+    private final ExpiringSet names = new ExpiringSet();
 
     @Test
     void eachNameExpiresOnceAndOnlyAfterItsTime() {
-        kept.put("late", 300);
-        kept.put("soon", 100);
-        kept.put("gone", 200);
-        assertEquals(0, kept.expire(100));
-        assertEquals(1, kept.expire(101));
-        assertTrue(kept.remove("gone"));
-        assertFalse(kept.remove("gone"));
-        assertFalse(kept.remove("soon"));
-        assertEquals(1, kept.expire(1000));
-        assertEquals(0, kept.size());
+        names.put("late", 300);
+        names.put("soon", 100);
+        names.put("gone", 200);
+        assertEquals(0, names.expire(100));
+        assertEquals(1, names.expire(101));
+        assertTrue(names.remove("gone"));
+        assertFalse(names.remove("gone"));
+        assertFalse(names.remove("soon"));
+        assertEquals(1, names.expire(1000));
+        assertEquals(0, names.size());
     }
 
     @Test
     void nameAddedAgainExpiresAtItsLastTime() {
-        kept.put("a", 100);
-        kept.put("a", 500);
-        assertEquals(0, kept.expire(200));
-        assertTrue(kept.remove("a"));
-        assertEquals(0, kept.expire(1000));
+        names.put("a", 100);
+        names.put("a", 500);
+        assertEquals(0, names.expire(200));
+        assertTrue(names.remove("a"));
+        assertEquals(0, names.expire(1000));
     }
 }
--- a/src/test/java/tinroad/overload/Fixture.java
+++ b/src/test/java/tinroad/overload/Fixture.java
@@ -16,38 +16,47 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * One controller on two cores with three classes: free, guarded and single-shot, and two tenants.
+ * A controller on two cores with two tenants and three classes of requests: idempotent, idempotent
+ * with a key, and non-idempotent. Its actions are recorded.
  */
 final class Fixture {
-    static final int FREE = 0;
-    static final int GUARDED = 1;
-    static final int ONCE = 2;
-    static final Gauges CALM = new Gauges(0.3, 2, 0.1, 50);
+    static final int IDEMPOTENT_CLASS = 0;
+    static final int KEYED_CLASS = 1;
+    static final int NON_IDEMPOTENT_CLASS = 2;
+    static final Gauges CALM_GAUGES = new Gauges(0.3, 2, 0.1, 50);
 
     final Recorder recorder = new Recorder();
     final Controller controller = new OverloadController(recorder);
-    double now = 1000;
+    double nowMillis = 1000;
 
-    // settings that a test may change before begin()
-    LoadHint say = LoadHint.NONE;
-    CancellationMode halt = CancellationMode.PAUSE;
-    boolean cold;
-    double callersIdle = 30000;
-    boolean marksRetry = true;
-    boolean passesDeadline = true;
-    boolean worthByWork;
+    // Settings that a test may change before begin().
+    LoadHint loadHint = LoadHint.NONE;
+    CancellationMode cancellationMode = CancellationMode.PAUSE;
+    boolean coldStart;
+    double clientIdleMillis = 30000;
+    boolean requestsMarkRetries = true;
+    boolean requestsCarryDeadline = true;
+    boolean weightByWork;
     double memoryKb = 10000;
-    double freshFor;
-    Dependency below = new Dependency(DependencyKind.NONE, 0, 0, 0);
-    double skipWorth;
-    double coldFrom = 0.25;
+    double resultFreshMillis;
+    Dependency dependency = new Dependency(DependencyKind.NONE, 0, 0, 0);
+    double degradedWeightShare;
+    double coldStartSpeed = 0.25;
     List<Tenant> tenants = List.of(new Tenant(100, 0.5), new Tenant(100, 0.5));
 
     Fixture begin() {
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
-                                1000, 0, 4000, 1, 0, Idempotency.IDEMPOTENT, 0, true, skipWorth),
+                                1000,
+                                0,
+                                4000,
+                                1,
+                                0,
+                                Idempotency.IDEMPOTENT,
+                                0,
+                                true,
+                                degradedWeightShare),
                         new RequestClass(
                                 1000,
                                 0,
@@ -57,7 +66,7 @@
                                 Idempotency.IDEMPOTENT_WITH_KEY,
                                 9000,
                                 true,
-                                skipWorth),
+                                degradedWeightShare),
                         new RequestClass(
                                 1000,
                                 0,
@@ -67,60 +76,60 @@
                                 Idempotency.NON_IDEMPOTENT,
                                 0,
                                 true,
-                                skipWorth));
+                                degradedWeightShare));
         controller.start(
-                now,
+                nowMillis,
                 7,
                 new Settings(
                         classes,
                         tenants,
                         new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-                        new Rules(60, coldFrom, 10000, 2000, 5, 1500),
-                        below,
-                        say,
-                        halt,
+                        new Rules(60, coldStartSpeed, 10000, 2000, 5, 1500),
+                        dependency,
+                        loadHint,
+                        cancellationMode,
                         2,
                         4,
                         3,
-                        cold,
-                        passesDeadline,
-                        callersIdle,
+                        coldStart,
+                        requestsCarryDeadline,
+                        clientIdleMillis,
                         memoryKb,
                         4,
                         20,
-                        freshFor,
+                        resultFreshMillis,
                         1000,
                         true,
-                        marksRetry,
+                        requestsMarkRetries,
                         0.1,
                         5,
-                        worthByWork));
+                        weightByWork));
         return this;
     }
 
-    void request(String id, int cls) {
-        request(id, cls, null);
+    void request(String id, int classSlot) {
+        request(id, classSlot, null);
     }
 
-    void request(String id, int cls, String repeats) {
-        request(id, cls, 0, 0.9, repeats, 0, false);
+    void request(String id, int classSlot, String duplicateOf) {
+        request(id, classSlot, 0, 0.9, duplicateOf, 0, false);
     }
 
     void requestBy(String id, int caller) {
         requestBy(id, caller, 0);
     }
 
-    void requestBy(String id, int caller, double age) {
+    void requestBy(String id, int caller, double ageMillis) {
         controller.requestArrived(
-                now,
+                nowMillis,
                 new Request(
                         id,
-                        FREE,
+                        IDEMPOTENT_CLASS,
                         0,
                         caller,
                         20,
-                        now - age + 4000,
-                        age,
+                        nowMillis - ageMillis + 4000,
+                        ageMillis,
                         0.9,
                         0,
                         null,
@@ -129,64 +138,79 @@
                         false));
     }
 
-    void requestOfWork(String id, double work) {
+    void requestOfWork(String id, double workMillis) {
         controller.requestArrived(
-                now,
+                nowMillis,
                 new Request(
-                        id, FREE, 0, 1, 20, now + 4000, 0, 0.9, work, null, null, false, false));
+                        id,
+                        IDEMPOTENT_CLASS,
+                        0,
+                        1,
+                        20,
+                        nowMillis + 4000,
+                        0,
+                        0.9,
+                        workMillis,
+                        null,
+                        null,
+                        false,
+                        false));
     }
 
     void request(
             String id,
-            int cls,
-            int tenant,
-            double rank,
-            String repeats,
-            double age,
-            boolean resent) {
-        double due = passesDeadline ? now - age + 4000 : 0;
+            int classSlot,
+            int tenantSlot,
+            double priority,
+            String duplicateOf,
+            double ageMillis,
+            boolean retry) {
+        double deadlineAtMillis = requestsCarryDeadline ? nowMillis - ageMillis + 4000 : 0;
         controller.requestArrived(
-                now,
+                nowMillis,
                 new Request(
                         id,
-                        cls,
-                        tenant,
+                        classSlot,
+                        tenantSlot,
                         1,
                         20,
-                        due,
-                        age,
-                        rank,
+                        deadlineAtMillis,
+                        ageMillis,
+                        priority,
                         0,
                         "k" + id,
-                        repeats,
-                        resent,
-                        cls != FREE));
+                        duplicateOf,
+                        retry,
+                        classSlot != IDEMPOTENT_CLASS));
     }
 
-    void ended(String id, Outcome outcome) {
-        controller.completed(now, id, 100, outcome);
+    void complete(String id, Outcome outcome) {
+        controller.completed(nowMillis, id, 100, outcome);
     }
 
-    /** Serves so many requests of a class alone, each in so many ms: the class's calm baseline. */
-    void serveCalmly(String prefix, int cls, int count, double ms) {
+    /**
+     * Serves {@code count} requests of a class one at a time, each in {@code millis}, which sets
+     * the calm baseline of the class.
+     */
+    void serveCalmly(String prefix, int classSlot, int count, double millis) {
         for (int i = 0; i < count; i++) {
-            request(prefix + i, cls);
-            after(ms);
-            ended(prefix + i, Outcome.OK);
+            request(prefix + i, classSlot);
+            advance(millis);
+            complete(prefix + i, Outcome.OK);
         }
     }
 
-    /** Lets time pass with ticks as the timer asked for them, under calm gauges. */
-    void after(double ms) {
-        after(ms, CALM);
+    /** Advances time by {@code millis} with calm gauges, with a tick whenever the timer is due. */
+    void advance(double millis) {
+        advance(millis, CALM_GAUGES);
     }
 
-    void after(double ms, Gauges gauges) {
-        double end = now + ms;
-        while (now + 20 <= end) {
-            now += 20;
-            controller.timerFired(now, "tick", gauges);
+    void advance(double millis, Gauges gauges) {
+        double endMillis = nowMillis + millis;
+        while (nowMillis + 20 <= endMillis) {
+            nowMillis += 20;
+            controller.timerFired(nowMillis, "tick", gauges);
         }
-        now = end;
+        nowMillis = endMillis;
     }
 }
--- a/src/test/java/tinroad/overload/FourRulesTest.java
+++ b/src/test/java/tinroad/overload/FourRulesTest.java
@@ -27,27 +27,27 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * Seeded random events over varied settings: the controller breaks no rule, and a broken one is
- * found out.
+ * The controller breaks none of the four rules under seeded random events and varied settings, and
+ * {@link RuleChecker} finds the violations of a broken controller.
  */
 @SuppressWarnings("EnumOrdinal") // Random draws choose by index.
 class FourRulesTest {
     private static Settings settings(Random rnd) {
-        boolean calls = rnd.nextBoolean();
+        boolean callsDependency = rnd.nextBoolean();
         List<RequestClass> classes = new ArrayList<>();
-        for (Idempotency kind : Idempotency.values()) {
-            classes.add(spec(rnd, kind, calls));
+        for (Idempotency idempotency : Idempotency.values()) {
+            classes.add(spec(rnd, idempotency, callsDependency));
         }
         List<Tenant> tenants =
                 rnd.nextBoolean() ? List.of() : List.of(new Tenant(20, 0.5), new Tenant(20, 0.5));
-        DependencyKind below =
-                calls ? DependencyKind.values()[1 + rnd.nextInt(2)] : DependencyKind.NONE;
+        DependencyKind dependencyKind =
+                callsDependency ? DependencyKind.values()[1 + rnd.nextInt(2)] : DependencyKind.NONE;
         return new Settings(
                 classes,
                 tenants,
                 new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
                 new Rules(60, 0.2 + rnd.nextDouble() * 0.5, 5000, 1000, 3 + rnd.nextInt(5), 1500),
-                new Dependency(below, rnd.nextDouble() * 4, 1000, 200),
+                new Dependency(dependencyKind, rnd.nextDouble() * 4, 1000, 200),
                 LoadHint.values()[rnd.nextInt(4)],
                 CancellationMode.values()[rnd.nextInt(3)],
                 1 + rnd.nextInt(8),
@@ -68,16 +68,16 @@
                 rnd.nextBoolean());
     }
 
-    private static RequestClass spec(Random rnd, Idempotency kind, boolean calls) {
+    private static RequestClass spec(Random rnd, Idempotency idempotency, boolean callsDependency) {
         return new RequestClass(
                 500 + rnd.nextInt(1000),
                 rnd.nextInt(2),
                 2000 + rnd.nextInt(2000),
                 1 + rnd.nextInt(5),
                 rnd.nextInt(2) * 0.2,
-                kind,
+                idempotency,
                 3000 + rnd.nextInt(4000),
-                calls,
+                callsDependency,
                 rnd.nextInt(2) * 0.5);
     }
 
@@ -86,78 +86,88 @@
     }
 
     /**
-     * {@code changes}: so many of a hundred events are preceded by a part of a change of classes
-     * and tenants.
+     * Plays random events. Of every hundred events, {@code changes} are preceded by a part of a
+     * change of classes and tenants.
      */
     private static RuleChecker play(
             long seed, Function<Controller.Actions, Controller> factory, int changes) {
         Random rnd = new Random(seed);
-        Settings set = settings(rnd);
-        RuleChecker server = new RuleChecker(set);
-        Controller c = factory.apply(server);
-        Random edits = new Random(-seed);
-        List<RequestClass> next = new ArrayList<>(server.classes);
-        server.now = 1000;
-        c.start(server.now, seed, set);
-        double leaveAt = 9000;
+        Settings settings = settings(rnd);
+        RuleChecker checker = new RuleChecker(settings);
+        Controller controller = factory.apply(checker);
+        Random changeRandom = new Random(-seed);
+        List<RequestClass> nextClasses = new ArrayList<>(checker.classes);
+        checker.nowMillis = 1000;
+        controller.start(checker.nowMillis, seed, settings);
+        double shutdownAtMillis = 9000;
         boolean draining = false;
-        double nextTick = server.now + 20;
-        while (server.now < leaveAt) {
-            server.now = Math.min(nextTick, server.now + rnd.nextInt(12));
-            if (!draining && server.now > 6000) {
+        double nextTickMillis = checker.nowMillis + 20;
+        while (checker.nowMillis < shutdownAtMillis) {
+            checker.nowMillis = Math.min(nextTickMillis, checker.nowMillis + rnd.nextInt(12));
+            if (!draining && checker.nowMillis > 6000) {
                 draining = true;
-                server.drainedAt = server.now;
-                c.beginDraining(server.now, leaveAt);
+                checker.drainingSinceMillis = checker.nowMillis;
+                controller.beginDraining(checker.nowMillis, shutdownAtMillis);
             }
-            if (edits.nextInt(100) < changes) {
-                change(edits, set, server, next, c);
+            if (changeRandom.nextInt(100) < changes) {
+                change(changeRandom, settings, checker, nextClasses, controller);
             }
             if (rnd.nextInt(100) < 40) {
-                arrive(rnd, set, server, c);
+                arrive(rnd, settings, checker, controller);
             }
-            for (RuleChecker.Seen s : List.copyOf(server.seen.values())) {
-                step(rnd, server, c, s);
+            for (RuleChecker.TrackedRequest tracked : List.copyOf(checker.requestsById.values())) {
+                step(rnd, checker, controller, tracked);
             }
-            if (server.now >= nextTick) {
-                nextTick = server.now + 20;
-                c.timerFired(
-                        server.now,
+            if (checker.nowMillis >= nextTickMillis) {
+                nextTickMillis = checker.nowMillis + 20;
+                controller.timerFired(
+                        checker.nowMillis,
                         "tick",
                         new Gauges(rnd.nextDouble(), rnd.nextInt(10), 0.5, rnd.nextInt(200)));
             }
-            server.check(leaveAt);
+            checker.check(shutdownAtMillis);
         }
-        return server;
+        return checker;
     }
 
     /**
-     * Puts a class anew, changes one in place or takes one out, and now and then has all of it
-     * count or none.
+     * Stages the addition, change or removal of a class, and sometimes commits or discards
+     * everything that is staged.
      */
     private static void change(
-            Random rnd, Settings set, RuleChecker server, List<RequestClass> next, Controller c) {
+            Random rnd,
+            Settings settings,
+            RuleChecker checker,
+            List<RequestClass> nextClasses,
+            Controller controller) {
         int slot = rnd.nextInt(8);
-        while (next.size() <= slot) {
-            next.add(null);
+        while (nextClasses.size() <= slot) {
+            nextClasses.add(null);
         }
-        boolean inUse = slot < server.classes.size() && server.classes.get(slot) != null;
-        boolean named =
-                server.seen.values().stream()
-                                .anyMatch(s -> s.request.classSlot() == slot && !s.over)
-                        || server.kept.keySet().stream()
-                                .anyMatch(id -> server.seen.get(id).request.classSlot() == slot);
+        boolean inUse = slot < checker.classes.size() && checker.classes.get(slot) != null;
+        boolean referenced =
+                checker.requestsById.values().stream()
+                                .anyMatch(
+                                        tracked ->
+                                                tracked.request.classSlot() == slot
+                                                        && !tracked.ended)
+                        || checker.retainedKeys.keySet().stream()
+                                .anyMatch(
+                                        id ->
+                                                checker.requestsById.get(id).request.classSlot()
+                                                        == slot);
         if (rnd.nextInt(3) == 0) {
-            next.set(slot, null);
-            c.stage(List.of(new ClassSlot(slot, null)), List.of());
-        } else if (inUse || !named) {
-            next.set(
+            nextClasses.set(slot, null);
+            controller.stage(List.of(new ClassSlot(slot, null)), List.of());
+        } else if (inUse || !referenced) {
+            nextClasses.set(
                     slot,
                     spec(
                             rnd,
                             Idempotency.values()[slot % 3],
-                            set.classes().get(0).callsDependency()));
-            c.stage(
-                    List.of(new ClassSlot(slot, next.get(slot))),
+                            settings.classes().get(0).callsDependency()));
+            controller.stage(
+                    List.of(new ClassSlot(slot, nextClasses.get(slot))),
                     List.of(
                             new TenantSlot(
                                     rnd.nextInt(2),
@@ -169,105 +179,119 @@
         }
         switch (rnd.nextInt(4)) {
             case 0 -> {
-                c.commit(server.now);
-                server.classes.clear();
-                server.classes.addAll(next);
+                controller.commit(checker.nowMillis);
+                checker.classes.clear();
+                checker.classes.addAll(nextClasses);
             }
             case 1 -> {
-                c.discardStaged();
-                next.clear();
-                next.addAll(server.classes);
+                controller.discardStaged();
+                nextClasses.clear();
+                nextClasses.addAll(checker.classes);
             }
             default -> {}
         }
     }
 
-    private static void arrive(Random rnd, Settings set, RuleChecker server, Controller c) {
-        int cls = server.classes.size() > 3 ? rnd.nextInt(server.classes.size()) : rnd.nextInt(3);
-        if (server.classes.get(cls) == null) {
+    private static void arrive(
+            Random rnd, Settings settings, RuleChecker checker, Controller controller) {
+        int classSlot =
+                checker.classes.size() > 3 ? rnd.nextInt(checker.classes.size()) : rnd.nextInt(3);
+        if (checker.classes.get(classSlot) == null) {
             return;
         }
-        String key = cls + "-" + rnd.nextInt(40);
-        double age = rnd.nextInt(30);
-        double due = set.requestsCarryDeadline() ? server.now - age + 300 + rnd.nextInt(2500) : 0;
-        String repeats =
-                cls % 3 == 2 || (cls % 3 == 0 && set.resultFreshMillis() == 0)
+        String key = classSlot + "-" + rnd.nextInt(40);
+        double ageMillis = rnd.nextInt(30);
+        double deadlineAtMillis =
+                settings.requestsCarryDeadline()
+                        ? checker.nowMillis - ageMillis + 300 + rnd.nextInt(2500)
+                        : 0;
+        String duplicateOf =
+                classSlot % 3 == 2 || (classSlot % 3 == 0 && settings.resultFreshMillis() == 0)
                         ? null
-                        : server.repeatOf(key, server.now - age);
-        Request r =
+                        : checker.findDuplicate(key, checker.nowMillis - ageMillis);
+        Request incoming =
                 new Request(
-                        "r" + server.seen.size(),
-                        cls,
-                        set.tenants().isEmpty() ? 0 : rnd.nextInt(2),
+                        "r" + checker.requestsById.size(),
+                        classSlot,
+                        settings.tenants().isEmpty() ? 0 : rnd.nextInt(2),
                         rnd.nextInt(3),
                         5 + rnd.nextInt(40),
-                        due,
-                        age,
+                        deadlineAtMillis,
+                        ageMillis,
                         rnd.nextDouble(),
                         rnd.nextInt(300),
                         key,
-                        repeats,
+                        duplicateOf,
                         rnd.nextBoolean(),
-                        cls % 3 > 0);
-        server.arrive(r);
-        c.requestArrived(server.now, r);
+                        classSlot % 3 > 0);
+        checker.arrive(incoming);
+        controller.requestArrived(checker.nowMillis, incoming);
     }
 
-    private static void step(Random rnd, RuleChecker server, Controller c, RuleChecker.Seen s) {
-        String id = s.request.id();
-        int dice = rnd.nextInt(400);
-        if (s.running && dice < 12) {
+    private static void step(
+            Random rnd,
+            RuleChecker checker,
+            Controller controller,
+            RuleChecker.TrackedRequest tracked) {
+        String id = tracked.request.id();
+        int draw = rnd.nextInt(400);
+        if (tracked.running && draw < 12) {
             Outcome outcome =
-                    s.answers > 0 && rnd.nextBoolean()
+                    tracked.answerCount > 0 && rnd.nextBoolean()
                             ? Outcome.CANCELED
                             : rnd.nextInt(4) == 0 ? Outcome.FAILED : Outcome.OK;
-            server.end(id, outcome);
-            c.completed(server.now, id, 50, outcome);
-        } else if (s.running
-                && dice < 15
-                && server.settings.dependency().kind() != DependencyKind.NONE) {
-            s.running = false;
-            s.atCall = true;
-            c.dependencyCallNeeded(server.now, id);
-        } else if (s.atCall && dice < 12 && (s.calling || s.answers > 0)) {
-            Outcome outcome = s.answers > 0 ? Outcome.CANCELED : Outcome.values()[rnd.nextInt(6)];
-            if (s.calling) {
-                server.callEnds(s, outcome);
+            checker.end(id, outcome);
+            controller.completed(checker.nowMillis, id, 50, outcome);
+        } else if (tracked.running
+                && draw < 15
+                && checker.settings.dependency().kind() != DependencyKind.NONE) {
+            tracked.running = false;
+            tracked.paused = true;
+            controller.dependencyCallNeeded(checker.nowMillis, id);
+        } else if (tracked.paused
+                && draw < 12
+                && (tracked.callInFlight || tracked.answerCount > 0)) {
+            Outcome outcome =
+                    tracked.answerCount > 0 ? Outcome.CANCELED : Outcome.values()[rnd.nextInt(6)];
+            if (tracked.callInFlight) {
+                checker.callEnded(tracked, outcome);
             }
             if (outcome == Outcome.CANCELED) {
-                server.end(id, outcome);
-                c.completed(server.now, id, 50, outcome);
+                checker.end(id, outcome);
+                controller.completed(checker.nowMillis, id, 50, outcome);
             } else {
-                c.dependencyCallCompleted(server.now, id, 50, outcome);
+                controller.dependencyCallCompleted(checker.nowMillis, id, 50, outcome);
             }
-        } else if (s.joined != null && !s.over && server.seen.get(s.joined).over) {
-            server.end(id, Outcome.OK);
-            c.completed(server.now, id, 50, Outcome.OK);
-        } else if (s.running && dice == 399 && s.answers == 0) {
-            s.answers = 1;
-            c.cancelled(server.now, id);
+        } else if (tracked.joinedTo != null
+                && !tracked.ended
+                && checker.requestsById.get(tracked.joinedTo).ended) {
+            checker.end(id, Outcome.OK);
+            controller.completed(checker.nowMillis, id, 50, Outcome.OK);
+        } else if (tracked.running && draw == 399 && tracked.answerCount == 0) {
+            tracked.answerCount = 1;
+            controller.cancelled(checker.nowMillis, id);
         }
     }
 
     @Test
     void noRuleIsBrokenUnderRandomEventsAndSettings() {
         for (long seed = 1; seed <= 150; seed++) {
-            assertEquals(List.of(), play(seed, OverloadController::new).broken, "seed " + seed);
+            assertEquals(List.of(), play(seed, OverloadController::new).violations, "seed " + seed);
         }
     }
 
     @Test
     void noRuleIsBrokenWhileClassesAndTenantsChange() {
-        long answered = 0;
+        long runsInAddedSlots = 0;
         for (long seed = 1; seed <= 150; seed++) {
-            RuleChecker server = play(seed, OverloadController::new, 30);
-            assertEquals(List.of(), server.broken, "seed " + seed);
-            answered +=
-                    server.seen.values().stream()
-                            .filter(s -> s.ran && s.request.classSlot() > 2)
+            RuleChecker checker = play(seed, OverloadController::new, 30);
+            assertEquals(List.of(), checker.violations, "seed " + seed);
+            runsInAddedSlots +=
+                    checker.requestsById.values().stream()
+                            .filter(tracked -> tracked.ran && tracked.request.classSlot() > 2)
                             .count();
         }
-        assertTrue(answered > 1000, "ran at places put anew: " + answered);
+        assertTrue(runsInAddedSlots > 1000, "runs in slots of added classes: " + runsInAddedSlots);
     }
 
     @Test
@@ -295,15 +319,15 @@
         return calls;
     }
 
-    /** A controller with one action taken away or doubled breaks the rule that the action keeps. */
-    private static List<String> brokenWithout(String action) {
+    /** Returns the violations of a controller one of whose actions has no effect. */
+    private static List<String> violationsWithout(String action) {
         assertTrue(
                 Stream.of(Controller.Actions.class.getMethods())
                         .anyMatch(method -> method.getName().equals(action)),
                 "no such action: " + action);
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (long seed = 1; seed <= 40; seed++) {
-            broken.addAll(
+            violations.addAll(
                     play(
                                     seed,
                                     actions ->
@@ -323,22 +347,28 @@
                                                                                     : m.invoke(
                                                                                             actions,
                                                                                             args))))
-                            .broken);
+                            .violations);
         }
-        return broken;
+        return violations;
     }
 
     @Test
     void theCheckerFindsABrokenController() {
-        assertTrue(brokenWithout("fail").stream().anyMatch(b -> b.startsWith("lost")));
         assertTrue(
-                brokenWithout("retainKey").stream().anyMatch(b -> b.startsWith("duplicate key")));
+                violationsWithout("fail").stream()
+                        .anyMatch(
+                                violation ->
+                                        violation.startsWith("unanswered after its deadline")));
+        assertTrue(
+                violationsWithout("retainKey").stream()
+                        .anyMatch(violation -> violation.startsWith("duplicate key")));
         assertTrue(
-                brokenWithout("reject").stream()
+                violationsWithout("reject").stream()
                         .anyMatch(
-                                b ->
-                                        b.startsWith("fall-over")
-                                                || b.startsWith("drain")
-                                                || b.startsWith("lost")));
+                                violation ->
+                                        violation.startsWith("limit exceeded")
+                                                || violation.startsWith("drain")
+                                                || violation.startsWith(
+                                                        "unanswered after its deadline")));
     }
 }
--- a/src/test/java/tinroad/overload/LearnedStatisticsTest.java
+++ b/src/test/java/tinroad/overload/LearnedStatisticsTest.java
@@ -13,7 +13,7 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.RequestClass;
 
-/** What one life of the module leaves to the next. */
+/** What one incarnation of the controller exports and the next restores. */
 class LearnedStatisticsTest {
     private static final List<RequestClass> CLASSES =
             List.of(
@@ -66,7 +66,7 @@
                 classes);
         assertEquals(120, run(0));
         assertEquals(500, run(1));
-        // No slowdown is seen in what is only cold, or was slow on another day.
+        // Neither a cold engine nor values of another, slower day count as a slowdown.
         assertEquals(250, learned.calmRunMillis(stats(0), CLASSES.get(0)));
         assertEquals((120 + 500) / 750.0, classes.slowdown(), 1e-12);
     }
@@ -79,7 +79,8 @@
         classes.requestArrived(0);
         assertEquals(Set.of("returning"), learned.export(classes).keySet());
         learned.restore(Map.of("calm.1", new Estimate(400, 9)), 1, classes);
-        // A memory of it stays told, so that it is left to the next life as it was found.
+        // A restored estimate is exported again, so that the next incarnation receives it
+        // unchanged.
         assertEquals(Set.of("run.1", "calm.1", "returning"), learned.export(classes).keySet());
         assertEquals(new Estimate(500, 2), learned.export(classes).get("calm.1"));
     }
@@ -107,8 +108,11 @@
     }
 
     @Property(tries = 500, seed = "21")
-    void noRestoredNumberMakesAClassImpossible(
-            @ForAll double run, @ForAll double calm, @ForAll double weight, @ForAll double back) {
+    void anyRestoredNumbersLeaveValidEstimates(
+            @ForAll double run,
+            @ForAll double calm,
+            @ForAll double weight,
+            @ForAll double returning) {
         LearnedStatisticsTest after = new LearnedStatisticsTest();
         after.learned.restore(
                 Map.of(
@@ -119,7 +123,7 @@
                         "run.9",
                         new Estimate(run, 1),
                         "returning",
-                        new Estimate(back, 1),
+                        new Estimate(returning, 1),
                         "unheard.of",
                         new Estimate(1, 1)),
                 0.2,
--- a/src/test/java/tinroad/overload/ModuleShapeTest.java
+++ b/src/test/java/tinroad/overload/ModuleShapeTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the operators hold the decision classes to: listed in the deploy file, and free of clock,
- * wire and thread.
+ * The operators' requirements on the decision classes: the deploy file lists all of them, and they
+ * use no clock, network protocol or thread.
  */
 class ModuleShapeTest {
     private static final Path SOURCES = Path.of("src/main/java/tinroad/overload");
     private static final Path CONTROLLER = SOURCES.resolve("OverloadController.java");
 
     /**
-     * Uses a {@code HashMap} that it never iterates over, so the order of its entries decides
-     * nothing.
+     * Files that use a {@code HashMap} without iterating over it, so that the order of its entries
+     * decides nothing.
      */
     private static final Set<String> UNORDERED_LOOKUP_ONLY = Set.of("ExpiringSet.java");
 
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void noDecisionClassKnowsAWireClockOrThread() throws IOException {
+    void noDecisionClassUsesAProtocolClockOrThread() throws IOException {
         for (Path file : decisionClasses()) {
             String text = Files.readString(file);
             for (String word :
--- a/src/test/java/tinroad/overload/Recorder.java
+++ b/src/test/java/tinroad/overload/Recorder.java
@@ -4,18 +4,20 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Records every action as one word line, in order. */
+/** Records every action as one line of text, in order. */
 class Recorder implements Controller.Actions {
     final List<String> lines = new ArrayList<>();
 
-    /** The lines recorded since the last call. */
+    /** Returns and removes the lines recorded since the last call. */
     List<String> take() {
         List<String> taken = List.copyOf(lines);
         lines.clear();
         return taken;
     }
 
-    /** The lines since the last call that start with this word. */
+    /**
+     * Removes the lines recorded since the last call, and returns those that start with this word.
+     */
     List<String> take(String word) {
         return take().stream().filter(l -> l.startsWith(word + " ")).toList();
     }
@@ -30,8 +32,8 @@
     }
 
     @Override
-    public void reject(String id, double stayAway, boolean last) {
-        add("refuse %s %.0f %s", id, stayAway, last);
+    public void reject(String id, double retryAfterMillis, boolean doNotRetry) {
+        add("refuse %s %.0f %s", id, retryAfterMillis, doNotRetry);
     }
 
     @Override
@@ -45,8 +47,8 @@
     }
 
     @Override
-    public void callDependency(String id, double within) {
-        add("call %s %.0f", id, within);
+    public void callDependency(String id, double timeoutMillis) {
+        add("call %s %.0f", id, timeoutMillis);
     }
 
     @Override
@@ -55,8 +57,8 @@
     }
 
     @Override
-    public void retainKey(String id, double duration) {
-        add("keep %s %.0f", id, duration);
+    public void retainKey(String id, double durationMillis) {
+        add("keep %s %.0f", id, durationMillis);
     }
 
     @Override
@@ -70,8 +72,8 @@
     }
 
     @Override
-    public void setHealth(boolean good, boolean stored) {
-        add("health %s %s", good, stored);
+    public void setHealth(boolean healthy, boolean stored) {
+        add("health %s %s", healthy, stored);
     }
 
     @Override
@@ -80,13 +82,13 @@
     }
 
     @Override
-    public void setIdleTimeout(double after) {
-        add("idle %.0f", after);
+    public void setIdleTimeout(double idleMillis) {
+        add("idle %.0f", idleMillis);
     }
 
     @Override
-    public void scheduleTimer(String token, double delay) {
-        add("timer %s %.0f", token, delay);
+    public void scheduleTimer(String token, double delayMillis) {
+        add("timer %s %.0f", token, delayMillis);
     }
 
     @Override
--- a/src/test/java/tinroad/overload/RetryAfterScheduleTest.java
+++ b/src/test/java/tinroad/overload/RetryAfterScheduleTest.java
@@ -10,57 +10,62 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Who is told to come back when. */
+/** The Retry-After that each client receives. */
 class RetryAfterScheduleTest {
-    private static final double MOST = 1000;
+    private static final double MAX_MILLIS = 1000;
 
     @Test
-    void clientKeepsItsSlotUntilItHasCome() {
-        RetryAfterSchedule returns = new RetryAfterSchedule();
-        double slot = returns.retryAfterMillis(1, 0, 400, MOST);
-        assertEquals(slot - 40, returns.retryAfterMillis(1, 40, 800, MOST), 1e-9);
-        assertEquals(1, returns.retryAfterMillis(1, slot - 1, 800, MOST), 1e-9);
-        assertTrue(returns.retryAfterMillis(1, slot, 800, MOST) >= 400);
+    void clientKeepsItsSlotUntilTheTimeOfTheSlot() {
+        RetryAfterSchedule schedule = new RetryAfterSchedule();
+        double slot = schedule.retryAfterMillis(1, 0, 400, MAX_MILLIS);
+        assertEquals(slot - 40, schedule.retryAfterMillis(1, 40, 800, MAX_MILLIS), 1e-9);
+        assertEquals(1, schedule.retryAfterMillis(1, slot - 1, 800, MAX_MILLIS), 1e-9);
+        assertTrue(schedule.retryAfterMillis(1, slot, 800, MAX_MILLIS) >= 400);
     }
 
     @Test
     void slotsAreSpreadEvenly() {
-        RetryAfterSchedule returns = new RetryAfterSchedule();
-        double[] told = new double[64];
-        for (int caller = 0; caller < told.length; caller++) {
-            told[caller] = returns.retryAfterMillis(caller, 0, 500, MOST);
+        RetryAfterSchedule schedule = new RetryAfterSchedule();
+        double[] retryAfters = new double[64];
+        for (int caller = 0; caller < retryAfters.length; caller++) {
+            retryAfters[caller] = schedule.retryAfterMillis(caller, 0, 500, MAX_MILLIS);
         }
-        Arrays.sort(told);
-        assertTrue(told[0] >= 250 && told[63] < 750);
-        for (int i = 1; i < told.length; i++) {
-            // Even would be 8 ms; the golden ratio keeps each gap within three of that.
-            assertTrue(told[i] - told[i - 1] < 24, "gap " + (told[i] - told[i - 1]));
+        Arrays.sort(retryAfters);
+        assertTrue(retryAfters[0] >= 250 && retryAfters[63] < 750);
+        for (int i = 1; i < retryAfters.length; i++) {
+            // Perfectly even gaps would be 8 ms; the golden ratio keeps each gap below three times
+            // that.
+            assertTrue(
+                    retryAfters[i] - retryAfters[i - 1] < 24,
+                    "gap " + (retryAfters[i] - retryAfters[i - 1]));
         }
     }
 
     @Property(tries = 300, seed = "1")
     void retryAfterIsNeverNegativeNorLongerThanTheMaximum(
             @ForAll @IntRange(min = 0, max = 100_000) int caller,
-            @ForAll @DoubleRange(min = 0, max = 5000) double mean,
-            @ForAll @DoubleRange(min = 0, max = 5000) double gap) {
-        RetryAfterSchedule returns = new RetryAfterSchedule();
+            @ForAll @DoubleRange(min = 0, max = 5000) double meanMillis,
+            @ForAll @DoubleRange(min = 0, max = 5000) double gapMillis) {
+        RetryAfterSchedule schedule = new RetryAfterSchedule();
         double nowMillis = 0;
         for (int i = 0; i < 200; i++) {
-            double away = returns.retryAfterMillis((caller + 31 * i) % 97, nowMillis, mean, MOST);
-            assertTrue(away >= 0 && away <= MOST + 1e-6, "" + away);
-            nowMillis += gap / 7;
+            double delayMillis =
+                    schedule.retryAfterMillis(
+                            (caller + 31 * i) % 97, nowMillis, meanMillis, MAX_MILLIS);
+            assertTrue(delayMillis >= 0 && delayMillis <= MAX_MILLIS + 1e-6, "" + delayMillis);
+            nowMillis += gapMillis / 7;
         }
     }
 
     @Test
     void tableIsBounded() {
-        RetryAfterSchedule returns = new RetryAfterSchedule();
+        RetryAfterSchedule schedule = new RetryAfterSchedule();
         for (int caller = 0; caller < 100_000; caller++) {
-            returns.retryAfterMillis(caller, 0, MOST, MOST);
+            schedule.retryAfterMillis(caller, 0, MAX_MILLIS, MAX_MILLIS);
         }
-        double last = returns.retryAfterMillis(99_999, 1, MOST, MOST);
-        assertEquals(last, returns.retryAfterMillis(99_999, 1, MOST, MOST));
-        // The first was forgotten: it is told anew.
-        assertTrue(returns.retryAfterMillis(0, 0, 1, 1) < 2);
+        double last = schedule.retryAfterMillis(99_999, 1, MAX_MILLIS, MAX_MILLIS);
+        assertEquals(last, schedule.retryAfterMillis(99_999, 1, MAX_MILLIS, MAX_MILLIS));
+        // The slot of the first client was evicted, so it gets a new one.
+        assertTrue(schedule.retryAfterMillis(0, 0, 1, 1) < 2);
     }
 }
--- a/src/test/java/tinroad/overload/RuleChecker.java
+++ b/src/test/java/tinroad/overload/RuleChecker.java
@@ -10,249 +10,274 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * A small server that obeys a controller's actions and notes where one of the four rules is broken.
+ * A minimal server that carries out a controller's actions and records each violation of the four
+ * rules.
  */
 class RuleChecker implements Controller.Actions {
-    /** What the server knows of one request. */
-    static final class Seen {
+    /** What the server knows about one request. */
+    static final class TrackedRequest {
         final Request request;
         final Controller.RequestClass spec;
-        final double arrived;
-        final double due;
-        int answers;
+        final double arrivedAtMillis;
+        final double deadlineAtMillis;
+        int answerCount;
         boolean running;
-        boolean over;
+        boolean ended;
         boolean ran;
-        boolean atCall;
-        boolean calling;
-        String joined;
+        boolean paused;
+        boolean callInFlight;
 
-        Seen(Request request, Controller.RequestClass spec, double arrived, double due) {
+        /** The id of the request whose result this duplicate waits for, or null. */
+        String joinedTo;
+
+        TrackedRequest(
+                Request request,
+                Controller.RequestClass spec,
+                double arrivedAtMillis,
+                double deadlineAtMillis) {
             this.request = request;
             this.spec = spec;
-            this.arrived = arrived;
-            this.due = due;
+            this.arrivedAtMillis = arrivedAtMillis;
+            this.deadlineAtMillis = deadlineAtMillis;
         }
     }
 
     final Settings settings;
 
-    /** The classes as they stand now, by place; null where there is none. */
+    /** The current classes by slot; null where there is none. */
     final List<Controller.RequestClass> classes;
 
-    final Map<String, Seen> seen = new LinkedHashMap<>();
-    final Map<String, Double> kept = new LinkedHashMap<>();
+    final Map<String, TrackedRequest> requestsById = new LinkedHashMap<>();
+
+    /** The time until which the key of each request is retained, by request id. */
+    final Map<String, Double> retainedKeys = new LinkedHashMap<>();
 
     /**
-     * Until when a key may not run again: by the window of the class as it stood when the one that
-     * ran came.
+     * For each key that ran, the time until which it may not run again: the key window of the class
+     * as it was when the request arrived.
      */
-    final Map<String, Double> ranKeys = new LinkedHashMap<>();
+    final Map<String, Double> keyBlockedUntilMillis = new LinkedHashMap<>();
 
-    final List<String> broken = new ArrayList<>();
-    final List<Double> lingering = new ArrayList<>();
-    double now;
-    double drainedAt = Double.MAX_VALUE;
+    final List<String> violations = new ArrayList<>();
+    final List<Double> lingeringUntilMillis = new ArrayList<>();
+    double nowMillis;
+    double drainingSinceMillis = Double.MAX_VALUE;
 
     RuleChecker(Settings settings) {
         this.settings = settings;
         classes = new ArrayList<>(settings.classes());
     }
 
-    void arrive(Request r) {
-        double arrived = now - r.ageMillis();
-        Controller.RequestClass spec = classes.get(r.classSlot());
-        double due =
+    void arrive(Request incoming) {
+        double arrivedAtMillis = nowMillis - incoming.ageMillis();
+        Controller.RequestClass spec = classes.get(incoming.classSlot());
+        double deadlineAtMillis =
                 settings.requestsCarryDeadline()
-                        ? r.deadlineAtMillis()
-                        : arrived + spec.deadlineMillis();
-        seen.put(r.id(), new Seen(r, spec, arrived, due));
+                        ? incoming.deadlineAtMillis()
+                        : arrivedAtMillis + spec.deadlineMillis();
+        requestsById.put(
+                incoming.id(),
+                new TrackedRequest(incoming, spec, arrivedAtMillis, deadlineAtMillis));
     }
 
     /**
-     * The kept request that a new one with this key repeats if it arrived while the entry lived, or
-     * null.
+     * Returns the id of the request with a retained key that a new request with this key
+     * duplicates, if the new one arrived before the key expired; otherwise null.
      */
-    String repeatOf(String key, double arrived) {
-        for (Map.Entry<String, Double> e : kept.entrySet()) {
-            if (e.getValue() >= arrived && key.equals(seen.get(e.getKey()).request.resultKey())) {
-                return e.getKey();
+    String findDuplicate(String key, double arrivedAtMillis) {
+        for (Map.Entry<String, Double> entry : retainedKeys.entrySet()) {
+            if (entry.getValue() >= arrivedAtMillis
+                    && key.equals(requestsById.get(entry.getKey()).request.resultKey())) {
+                return entry.getKey();
             }
         }
         return null;
     }
 
-    /** To be called after each event: memory, due times and the end of a drain. */
-    void check(double leaveAt) {
-        double kb = 0;
-        for (Seen s : seen.values()) {
-            boolean inMemory = !s.over;
-            kb +=
+    /** Checks the memory, the deadlines and the end of draining. To be called after each event. */
+    void check(double shutdownAtMillis) {
+        double usedKb = 0;
+        for (TrackedRequest tracked : requestsById.values()) {
+            boolean inMemory = !tracked.ended;
+            usedKb +=
                     !inMemory
                             ? 0
-                            : s.request.memoryKb()
-                                    * (s.running || s.atCall ? settings.runMemoryFactor() : 1);
-            if (s.answers == 0
-                    && now > Math.max(s.due, s.arrived) + settings.rules().answerSlackMillis()) {
-                s.answers = 1;
-                broken.add("lost " + s.request.id());
+                            : tracked.request.memoryKb()
+                                    * (tracked.running || tracked.paused
+                                            ? settings.runMemoryFactor()
+                                            : 1);
+            if (tracked.answerCount == 0
+                    && nowMillis
+                            > Math.max(tracked.deadlineAtMillis, tracked.arrivedAtMillis)
+                                    + settings.rules().answerSlackMillis()) {
+                tracked.answerCount = 1;
+                violations.add("unanswered after its deadline: " + tracked.request.id());
             }
-            if (s.answers == 0 && now >= leaveAt) {
-                broken.add("drain: unanswered " + s.request.id());
+            if (tracked.answerCount == 0 && nowMillis >= shutdownAtMillis) {
+                violations.add("drain: unanswered at the shutdown: " + tracked.request.id());
             }
         }
-        kept.values().removeIf(until -> until < now - 100);
-        kb += kept.values().stream().filter(until -> until >= now).count() * settings.keyKb();
-        if (kb > settings.memoryKb()) {
-            broken.add("fall-over: memory");
+        retainedKeys.values().removeIf(untilMillis -> untilMillis < nowMillis - 100);
+        usedKb +=
+                retainedKeys.values().stream()
+                                .filter(untilMillis -> untilMillis >= nowMillis)
+                                .count()
+                        * settings.keyKb();
+        if (usedKb > settings.memoryKb()) {
+            violations.add("limit exceeded: memory");
         }
-        long crowd = seen.values().stream().filter(s -> s.running).count();
-        if (crowd > settings.cores() * settings.rules().concurrencyPerCore()) {
-            broken.add("fall-over: crowd");
+        long runningCount =
+                requestsById.values().stream().filter(tracked -> tracked.running).count();
+        if (runningCount > settings.cores() * settings.rules().concurrencyPerCore()) {
+            violations.add("limit exceeded: concurrent runs");
         }
     }
 
     void end(String id, Outcome outcome) {
-        Seen s = seen.get(id);
-        s.running = false;
-        s.atCall = false;
-        s.over = true;
+        TrackedRequest tracked = requestsById.get(id);
+        tracked.running = false;
+        tracked.paused = false;
+        tracked.ended = true;
         if (outcome == Outcome.OK || outcome == Outcome.FAILED) {
-            s.answers = Math.max(1, s.answers);
+            tracked.answerCount = Math.max(1, tracked.answerCount);
         }
     }
 
-    private void answer(Seen s, String how) {
-        if (s.over && s.answers > 0) {
+    private void answer(TrackedRequest tracked, String action) {
+        if (tracked.ended && tracked.answerCount > 0) {
             return;
         }
-        if (s.answers++ > 0) {
-            broken.add("second answer " + how + " " + s.request.id());
+        if (tracked.answerCount++ > 0) {
+            violations.add("second answer " + action + " " + tracked.request.id());
         }
     }
 
     @Override
     public void run(String id) {
-        Seen s = seen.get(id);
-        Idempotency kind = s.spec.idempotency();
-        if (s.over) {
+        TrackedRequest tracked = requestsById.get(id);
+        Idempotency idempotency = tracked.spec.idempotency();
+        if (tracked.ended) {
             return;
         }
-        if (kind != Idempotency.IDEMPOTENT && s.ran) {
-            broken.add("duplicate " + id);
+        if (idempotency != Idempotency.IDEMPOTENT && tracked.ran) {
+            violations.add("duplicate run " + id);
         }
-        if (kind == Idempotency.IDEMPOTENT_WITH_KEY) {
-            Double until = ranKeys.get(s.request.resultKey());
-            if (until != null && s.arrived <= until) {
-                broken.add("duplicate key " + s.request.resultKey());
+        if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
+            Double untilMillis = keyBlockedUntilMillis.get(tracked.request.resultKey());
+            if (untilMillis != null && tracked.arrivedAtMillis <= untilMillis) {
+                violations.add("duplicate key " + tracked.request.resultKey());
             }
-            ranKeys.put(s.request.resultKey(), s.arrived + s.spec.keyWindowMillis());
+            keyBlockedUntilMillis.put(
+                    tracked.request.resultKey(),
+                    tracked.arrivedAtMillis + tracked.spec.keyWindowMillis());
         }
-        if (s.arrived > drainedAt + settings.rules().drainGraceMillis()) {
-            broken.add("drain: ran " + id);
+        if (tracked.arrivedAtMillis > drainingSinceMillis + settings.rules().drainGraceMillis()) {
+            violations.add("drain: ran after the grace period: " + id);
         }
-        s.ran = true;
-        s.running = true;
+        tracked.ran = true;
+        tracked.running = true;
     }
 
     @Override
-    public void reject(String id, double stayAway, boolean last) {
-        Seen s = seen.get(id);
-        boolean effect = s.spec.idempotency() != Idempotency.IDEMPOTENT;
-        if (effect && (s.ran || s.joined != null)) {
-            broken.add("duplicate: refused after a run " + id);
+    public void reject(String id, double retryAfterMillis, boolean doNotRetry) {
+        TrackedRequest tracked = requestsById.get(id);
+        boolean mayRunOnlyOnce = tracked.spec.idempotency() != Idempotency.IDEMPOTENT;
+        if (mayRunOnlyOnce && (tracked.ran || tracked.joinedTo != null)) {
+            violations.add("duplicate: rejected after a run " + id);
         }
-        answer(s, "refuse");
-        s.over |= !s.running;
+        answer(tracked, "refuse");
+        tracked.ended |= !tracked.running;
     }
 
     @Override
     public void fail(String id) {
-        Seen s = seen.get(id);
-        answer(s, "fail");
-        s.over |= !s.running && !s.atCall;
+        TrackedRequest tracked = requestsById.get(id);
+        answer(tracked, "fail");
+        tracked.ended |= !tracked.running && !tracked.paused;
     }
 
     @Override
     public void cancel(String id) {
         if (settings.cancellationMode() == Controller.CancellationMode.NONE) {
-            broken.add("fault: halt");
+            violations.add("action not allowed: cancel");
         }
     }
 
     @Override
-    public void callDependency(String id, double within) {
-        seen.get(id).calling = true;
-        lingering.removeIf(until -> until <= now);
-        long inHand = seen.values().stream().filter(s -> s.calling).count() + lingering.size();
-        double share = settings.dependency().concurrentCallQuota();
+    public void callDependency(String id, double timeoutMillis) {
+        requestsById.get(id).callInFlight = true;
+        lingeringUntilMillis.removeIf(untilMillis -> untilMillis <= nowMillis);
+        long callsInFlight =
+                requestsById.values().stream().filter(tracked -> tracked.callInFlight).count()
+                        + lingeringUntilMillis.size();
+        double quota = settings.dependency().concurrentCallQuota();
         if (settings.dependency().kind() == Controller.DependencyKind.SHARED
-                && share >= 2
-                && inHand > share) {
-            broken.add("fall-over: calls below");
+                && quota >= 2
+                && callsInFlight > quota) {
+            violations.add("limit exceeded: dependency calls");
         }
     }
 
-    /** A call came back; one given up stays below for a while. */
-    void callEnds(Seen s, Outcome outcome) {
-        s.calling = false;
+    /** Records the end of a call. An abandoned call still occupies the dependency for a while. */
+    void callEnded(TrackedRequest tracked, Outcome outcome) {
+        tracked.callInFlight = false;
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELED) {
-            lingering.add(now + settings.dependency().lingerMillis());
+            lingeringUntilMillis.add(nowMillis + settings.dependency().lingerMillis());
         }
         if (outcome == Outcome.OK) {
-            s.atCall = false;
-            s.running = true;
+            tracked.paused = false;
+            tracked.running = true;
         }
     }
 
     @Override
     public void skipDependency(String id) {
-        Seen s = seen.get(id);
-        if (s.spec.degradedWeightShare() == 0) {
-            broken.add("fault: skip");
+        TrackedRequest tracked = requestsById.get(id);
+        if (tracked.spec.degradedWeightShare() == 0) {
+            violations.add("action not allowed: skip the dependency");
         }
-        s.atCall = false;
-        s.running = true;
+        tracked.paused = false;
+        tracked.running = true;
     }
 
     @Override
-    public void retainKey(String id, double duration) {
-        kept.put(id, now + duration);
+    public void retainKey(String id, double durationMillis) {
+        retainedKeys.put(id, nowMillis + durationMillis);
     }
 
     @Override
     public void releaseKey(String id) {
-        kept.remove(id);
+        retainedKeys.remove(id);
     }
 
     @Override
     public void replayResult(String id) {
-        Seen s = seen.get(id);
-        if (s.request.duplicateOf() == null) {
-            broken.add("fault: reuse");
+        TrackedRequest tracked = requestsById.get(id);
+        if (tracked.request.duplicateOf() == null) {
+            violations.add("action not allowed: replay the result");
         }
-        s.joined = s.request.duplicateOf();
+        tracked.joinedTo = tracked.request.duplicateOf();
     }
 
     @Override
-    public void setHealth(boolean good, boolean stored) {}
+    public void setHealth(boolean healthy, boolean stored) {}
 
     @Override
     public void advertiseLoad(double value) {
         if (settings.loadHint() == Controller.LoadHint.NONE) {
-            broken.add("fault: say");
+            violations.add("action not allowed: advertise the load");
         }
     }
 
     @Override
-    public void setIdleTimeout(double after) {
-        if (after < 10 || after > settings.clientIdleMillis()) {
-            broken.add("fault: idle");
+    public void setIdleTimeout(double idleMillis) {
+        if (idleMillis < 10 || idleMillis > settings.clientIdleMillis()) {
+            violations.add("idle timeout out of range");
         }
     }
 
     @Override
-    public void scheduleTimer(String token, double delay) {}
+    public void scheduleTimer(String token, double delayMillis) {}
 
     @Override
     public void log(String text) {}
--- a/src/test/java/tinroad/overload/SettingsChangeTest.java
+++ b/src/test/java/tinroad/overload/SettingsChangeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinroad.overload.Fixture.FREE;
-import static tinroad.overload.Fixture.GUARDED;
-import static tinroad.overload.Fixture.ONCE;
+import static tinroad.overload.Fixture.IDEMPOTENT_CLASS;
+import static tinroad.overload.Fixture.KEYED_CLASS;
+import static tinroad.overload.Fixture.NON_IDEMPOTENT_CLASS;
 
 import java.lang.reflect.Field;
 import java.util.ArrayList;
@@ -35,91 +35,91 @@
 import tinroad.overload.Controller.Tenant;
 import tinroad.overload.Controller.TenantSlot;
 
-/** Classes and tenants that change while the module serves. */
+/** Changes of classes and tenants while the controller serves requests. */
 @SuppressWarnings("EnumOrdinal") // Random draws choose by index.
 class SettingsChangeTest {
-    private static final RequestClass PATIENT =
+    private static final RequestClass LONG_DEADLINE_SPEC =
             new RequestClass(3900, 0, 4000, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0);
-    private static final RequestClass HASTY =
+    private static final RequestClass SHORT_DEADLINE_SPEC =
             new RequestClass(400, 0, 500, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0);
-    private static final RequestClass KEYED =
+    private static final RequestClass KEYED_SPEC =
             new RequestClass(1000, 0, 4000, 2, 0.2, Idempotency.IDEMPOTENT_WITH_KEY, 9000, true, 0);
 
-    private static final Gauges FULL = new Gauges(1, 2, 0.1, 50);
+    private static final Gauges BUSY_GAUGES = new Gauges(1, 2, 0.1, 50);
 
     private final Fixture f = new Fixture();
 
     private void change(int slot, RequestClass spec) {
         f.controller.stage(List.of(new ClassSlot(slot, spec)), List.of());
-        f.controller.commit(f.now);
+        f.controller.commit(f.nowMillis);
     }
 
-    private static Object field(Object of, String name) {
+    private static Object field(Object owner, String name) {
         try {
-            Field field = of.getClass().getDeclaredField(name);
+            Field field = owner.getClass().getDeclaredField(name);
             field.setAccessible(true);
-            return field.get(of);
+            return field.get(owner);
         } catch (ReflectiveOperationException e) {
-            throw new LinkageError(of.getClass() + " has no field " + name, e);
+            throw new LinkageError(owner.getClass() + " has no field " + name, e);
         }
     }
 
-    // --- a class is taken out ---
+    // --- removal of a class ---
 
     @Test
     void queuedRequestsOfARemovedClassStillRun() {
         f.begin();
-        f.request("a", GUARDED);
-        f.request("b", GUARDED);
-        f.request("held", GUARDED);
+        f.request("a", KEYED_CLASS);
+        f.request("b", KEYED_CLASS);
+        f.request("held", KEYED_CLASS);
         assertEquals(List.of("run a", "run b"), f.recorder.take("run"));
-        change(GUARDED, null);
+        change(KEYED_CLASS, null);
         assertEquals(List.of(), f.recorder.take());
-        f.after(100);
-        f.ended("a", Outcome.OK);
+        f.advance(100);
+        f.complete("a", Outcome.OK);
         assertEquals(List.of("run held"), f.recorder.take("run"));
-        f.ended("b", Outcome.FAILED);
-        f.ended("held", Outcome.OK);
-        f.after(9100);
+        f.complete("b", Outcome.FAILED);
+        f.complete("held", Outcome.OK);
+        f.advance(9100);
         assertEquals(List.of(), f.recorder.take("fail"));
-        // Their keys were held for as long as ever, and then all memory is given back.
+        // Their keys are retained for the whole window, and then all memory is released.
         assertEquals(0.0, field(field(f.controller, "memory"), "usedKb"));
     }
 
     @Test
     void runningRequestsOfARemovedClassAreAnsweredBeforeTheirDeadline() {
         f.begin();
-        f.request("a", ONCE);
-        change(ONCE, null);
+        f.request("a", NON_IDEMPOTENT_CLASS);
+        change(NON_IDEMPOTENT_CLASS, null);
         f.recorder.take();
-        f.after(3900);
+        f.advance(3900);
         assertEquals(List.of(), f.recorder.take("fail"));
-        f.after(100);
+        f.advance(100);
         assertEquals(List.of("fail a"), f.recorder.take("fail"));
     }
 
     @Test
     void duplicateOfARetainedRequestGetsItsResultAfterItsClassChanged() {
         f.begin();
-        f.request("first", GUARDED);
+        f.request("first", KEYED_CLASS);
         change(
-                GUARDED,
+                KEYED_CLASS,
                 new RequestClass(
                         500, 0, 1000, 1, 0, Idempotency.IDEMPOTENT_WITH_KEY, 100, true, 0));
         f.recorder.take();
-        f.request("again", GUARDED, "first");
+        f.request("again", KEYED_CLASS, "first");
         assertEquals(List.of("reuse again"), f.recorder.take("reuse"));
-        f.ended("first", Outcome.OK);
-        f.ended("again", Outcome.OK);
+        f.complete("first", Outcome.OK);
+        f.complete("again", Outcome.OK);
         assertEquals(List.of(), f.recorder.take("run"));
     }
 
     @Test
     void requestOfNoClassIsRejectedAndNothingIsRetained() {
         f.begin();
-        change(GUARDED, null);
+        change(KEYED_CLASS, null);
         f.recorder.take();
-        f.request("late", GUARDED);
+        f.request("late", KEYED_CLASS);
         f.request("never", 900);
         assertEquals(List.of("refuse late 0 false", "refuse never 0 false"), f.recorder.take());
         assertEquals(Map.of(), field(f.controller, "requests"));
@@ -131,155 +131,156 @@
         f.begin();
         ClassTable classes = (ClassTable) field(f.controller, "classes");
         for (int i = 0; i < 30; i++) {
-            f.request("f" + i, FREE);
-            f.after(20);
-            f.ended("f" + i, Outcome.OK);
-            f.request("o" + i, ONCE);
-            f.ended("o" + i, Outcome.FAILED);
+            f.request("f" + i, IDEMPOTENT_CLASS);
+            f.advance(20);
+            f.complete("f" + i, Outcome.OK);
+            f.request("o" + i, NON_IDEMPOTENT_CLASS);
+            f.complete("o" + i, Outcome.FAILED);
         }
-        ClassStatistics free = classes.requestArrived(FREE);
-        double behind = classes.lagShare(free);
-        change(ONCE, null);
-        assertTrue(behind < 0.01, "" + behind);
-        // Of the two that are left the one never asked counts as well served.
+        ClassStatistics free = classes.requestArrived(IDEMPOTENT_CLASS);
+        double lagShareBefore = classes.lagShare(free);
+        change(NON_IDEMPOTENT_CLASS, null);
+        assertTrue(lagShareBefore < 0.01, "" + lagShareBefore);
+        // Of the two classes that are left, the one without requests counts as well served.
         assertTrue(classes.lagShare(free) > 0.4, "" + classes.lagShare(free));
         assertEquals(2, classes.size());
     }
 
     @Test
-    void topOfThePriorityCutoffFollowsTheNumberOfClasses() {
-        f.say = LoadHint.MIN_RANK;
+    void maximumPriorityCutoffFollowsTheNumberOfClasses() {
+        f.loadHint = LoadHint.MIN_RANK;
         f.begin();
         f.controller.stage(
-                IntStream.range(3, 20).mapToObj(i -> new ClassSlot(i, KEYED)).toList(), List.of());
-        f.controller.commit(f.now);
-        f.serveCalmly("s", FREE, 20, 300);
-        assertEquals("say 0.10", lastSaidUnderPressure("a"));
-        // Guards the test against a module that takes the work for hung.
-        f.ended("a", Outcome.OK);
-        f.ended("aa", Outcome.OK);
+                IntStream.range(3, 20).mapToObj(i -> new ClassSlot(i, KEYED_SPEC)).toList(),
+                List.of());
+        f.controller.commit(f.nowMillis);
+        f.serveCalmly("s", IDEMPOTENT_CLASS, 20, 300);
+        assertEquals("say 0.10", lastLoadValueUnderOverload("a"));
+        // Ends the runs, so that the controller does not take them for hung.
+        f.complete("a", Outcome.OK);
+        f.complete("aa", Outcome.OK);
         f.controller.stage(
                 IntStream.range(3, 20).mapToObj(i -> new ClassSlot(i, null)).toList(), List.of());
-        f.controller.commit(f.now);
-        assertEquals("say 0.65", lastSaidUnderPressure("b"));
+        f.controller.commit(f.nowMillis);
+        assertEquals("say 0.65", lastLoadValueUnderOverload("b"));
     }
 
-    private String lastSaidUnderPressure(String prefix) {
-        f.request(prefix, FREE);
-        f.request(prefix + prefix, FREE);
+    private String lastLoadValueUnderOverload(String prefix) {
+        f.request(prefix, IDEMPOTENT_CLASS);
+        f.request(prefix + prefix, IDEMPOTENT_CLASS);
         for (int i = 0; i < 100; i++) {
-            f.request(prefix + i, FREE);
-            f.after(20);
+            f.request(prefix + i, IDEMPOTENT_CLASS);
+            f.advance(20);
         }
-        List<String> said = f.recorder.take("say");
-        return said.get(said.size() - 1);
+        List<String> loadValues = f.recorder.take("say");
+        return loadValues.get(loadValues.size() - 1);
     }
 
-    // --- taken out and put back ---
+    // --- removal and addition of the same class ---
 
     @Test
     void classRemovedAndAddedInOneChangeKeepsItsStatistics() {
         f.begin();
-        f.serveCalmly("g", GUARDED, 30, 40);
-        Estimate before = f.controller.learnedEstimates().get("run." + GUARDED);
-        f.controller.stage(List.of(new ClassSlot(GUARDED, null)), List.of());
-        f.controller.stage(List.of(new ClassSlot(GUARDED, KEYED)), List.of());
-        f.controller.commit(f.now);
-        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
+        f.serveCalmly("g", KEYED_CLASS, 30, 40);
+        Estimate before = f.controller.learnedEstimates().get("run." + KEYED_CLASS);
+        f.controller.stage(List.of(new ClassSlot(KEYED_CLASS, null)), List.of());
+        f.controller.stage(List.of(new ClassSlot(KEYED_CLASS, KEYED_SPEC)), List.of());
+        f.controller.commit(f.nowMillis);
+        assertEquals(before, f.controller.learnedEstimates().get("run." + KEYED_CLASS));
     }
 
     @Test
     void classRemovedAndAddedInTwoChangesBeginsAnewAndItsStatisticsStayReadableUntilThen() {
         f.begin();
-        f.serveCalmly("g", GUARDED, 30, 40);
-        Estimate before = f.controller.learnedEstimates().get("run." + GUARDED);
-        change(GUARDED, null);
-        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
-        f.controller.stage(List.of(new ClassSlot(GUARDED, KEYED)), List.of());
+        f.serveCalmly("g", KEYED_CLASS, 30, 40);
+        Estimate before = f.controller.learnedEstimates().get("run." + KEYED_CLASS);
+        change(KEYED_CLASS, null);
+        assertEquals(before, f.controller.learnedEstimates().get("run." + KEYED_CLASS));
+        f.controller.stage(List.of(new ClassSlot(KEYED_CLASS, KEYED_SPEC)), List.of());
         f.controller.discardStaged();
-        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
-        change(GUARDED, null);
-        assertEquals(before, f.controller.learnedEstimates().get("run." + GUARDED));
-        change(GUARDED, KEYED);
-        assertEquals(null, f.controller.learnedEstimates().get("run." + GUARDED));
-        f.request("new", GUARDED);
-        f.ended("new", Outcome.OK);
-        // The assumed 250 ms weigh two samples, and this one took a ms.
+        assertEquals(before, f.controller.learnedEstimates().get("run." + KEYED_CLASS));
+        change(KEYED_CLASS, null);
+        assertEquals(before, f.controller.learnedEstimates().get("run." + KEYED_CLASS));
+        change(KEYED_CLASS, KEYED_SPEC);
+        assertEquals(null, f.controller.learnedEstimates().get("run." + KEYED_CLASS));
+        f.request("new", KEYED_CLASS);
+        f.complete("new", Outcome.OK);
+        // The assumed 250 ms weigh two samples, and this run took 1 ms.
         assertEquals(
                 new Estimate(250 + (1 - 250) / 3.0, 3),
-                f.controller.learnedEstimates().get("run." + GUARDED));
+                f.controller.learnedEstimates().get("run." + KEYED_CLASS));
     }
 
     @Test
     void activeRequestsAddSamplesOnlyToTheClassTheyArrivedUnder() {
-        // While it is cold the calm run is not learned, so that any sample would show as a
+        // During a cold start the calm run time is not learned, so any sample would show as a
         // slowdown.
-        f.cold = true;
+        f.coldStart = true;
         f.begin();
-        f.request("old", GUARDED);
-        change(GUARDED, null);
-        change(GUARDED, KEYED);
-        f.after(200);
-        f.ended("old", Outcome.OK);
-        assertEquals(null, f.controller.learnedEstimates().get("run." + GUARDED));
+        f.request("old", KEYED_CLASS);
+        change(KEYED_CLASS, null);
+        change(KEYED_CLASS, KEYED_SPEC);
+        f.advance(200);
+        f.complete("old", Outcome.OK);
+        assertEquals(null, f.controller.learnedEstimates().get("run." + KEYED_CLASS));
         assertEquals(1, ((ClassTable) field(f.controller, "classes")).slowdown());
     }
 
-    // --- a class is changed ---
+    // --- changes of a class ---
 
     @Test
     void queuedRequestKeepsItsDeadlineWhenTheClassDeadlineIsShortenedBelowItsAge() {
-        f.passesDeadline = false;
+        f.requestsCarryDeadline = false;
         f.begin();
-        change(FREE, PATIENT);
-        f.request("a", FREE);
-        f.request("b", FREE);
-        f.request("held", FREE);
-        f.after(1000, FULL);
+        change(IDEMPOTENT_CLASS, LONG_DEADLINE_SPEC);
+        f.request("a", IDEMPOTENT_CLASS);
+        f.request("b", IDEMPOTENT_CLASS);
+        f.request("held", IDEMPOTENT_CLASS);
+        f.advance(1000, BUSY_GAUGES);
         f.recorder.take();
-        change(FREE, HASTY);
-        f.after(1000, FULL);
+        change(IDEMPOTENT_CLASS, SHORT_DEADLINE_SPEC);
+        f.advance(1000, BUSY_GAUGES);
         assertEquals(
                 List.of(), f.recorder.take().stream().filter(l -> !l.startsWith("timer")).toList());
-        f.ended("a", Outcome.OK);
+        f.complete("a", Outcome.OK);
         assertEquals(List.of("run held"), f.recorder.take("run"));
-        f.ended("b", Outcome.OK);
-        // What comes now is due by the new one.
-        f.request("new", FREE);
-        f.after(440);
+        f.complete("b", Outcome.OK);
+        // Requests that arrive now get the new deadline.
+        f.request("new", IDEMPOTENT_CLASS);
+        f.advance(440);
         assertEquals(List.of(), f.recorder.take("fail"));
-        f.after(60);
+        f.advance(60);
         assertEquals(List.of("fail new"), f.recorder.take("fail"));
     }
 
     @Test
     void assumedRunTimeFollowsTheNewObjectiveAndLearnedOneStays() {
         f.begin();
-        f.serveCalmly("f", FREE, 30, 40);
-        Estimate learned = f.controller.learnedEstimates().get("run." + FREE);
-        f.request("o", ONCE);
-        change(FREE, PATIENT);
-        change(ONCE, HASTY);
-        assertEquals(learned, f.controller.learnedEstimates().get("run." + FREE));
+        f.serveCalmly("f", IDEMPOTENT_CLASS, 30, 40);
+        Estimate learned = f.controller.learnedEstimates().get("run." + IDEMPOTENT_CLASS);
+        f.request("o", NON_IDEMPOTENT_CLASS);
+        change(IDEMPOTENT_CLASS, LONG_DEADLINE_SPEC);
+        change(NON_IDEMPOTENT_CLASS, SHORT_DEADLINE_SPEC);
+        assertEquals(learned, f.controller.learnedEstimates().get("run." + IDEMPOTENT_CLASS));
         ClassTable classes = (ClassTable) field(f.controller, "classes");
-        double calm = f.controller.learnedEstimates().get("calm." + FREE).value();
+        double calm = f.controller.learnedEstimates().get("calm." + IDEMPOTENT_CLASS).value();
         assertEquals((learned.value() + 250 + 100) / (calm + 250 + 100), classes.slowdown(), 1e-12);
     }
 
     @Test
     void changeWhileDrainingLeavesDrainingAsItIs() {
         f.begin();
-        f.request("a", FREE);
-        f.controller.beginDraining(f.now, f.now + 5000);
-        f.after(1000);
+        f.request("a", IDEMPOTENT_CLASS);
+        f.controller.beginDraining(f.nowMillis, f.nowMillis + 5000);
+        f.advance(1000);
         f.recorder.take();
-        change(FREE, PATIENT);
-        f.request("in the grace", FREE);
+        change(IDEMPOTENT_CLASS, LONG_DEADLINE_SPEC);
+        f.request("in the grace", IDEMPOTENT_CLASS);
         assertEquals(List.of("run in the grace"), f.recorder.take("run"));
-        f.after(1500);
-        f.request("after it", FREE);
+        f.advance(1500);
+        f.request("after it", IDEMPOTENT_CLASS);
         assertEquals(List.of("refuse after it 1000 false"), f.recorder.take("refuse"));
-        f.after(2500);
+        f.advance(2500);
         assertEquals(List.of("fail a", "fail in the grace"), f.recorder.take("fail"));
     }
 
@@ -290,58 +291,62 @@
         f.begin();
         TenantTable tenants = (TenantTable) field(f.controller, "tenants");
         for (int i = 0; i < 20; i++) {
-            f.request("r" + i, FREE, 1, 0.5, null, 0, false);
+            f.request("r" + i, IDEMPOTENT_CLASS, 1, 0.5, null, 0, false);
         }
-        double rate = tenants.rate(1, f.now);
+        double rate = tenants.rate(1, f.nowMillis);
         assertTrue(rate > 6);
         f.controller.stage(
                 List.of(),
                 List.of(
                         new TenantSlot(1, new Tenant(3, 0.1)),
                         new TenantSlot(700, new Tenant(1, 0.1))));
-        f.controller.commit(f.now);
-        assertEquals(rate, tenants.rate(1, f.now));
+        f.controller.commit(f.nowMillis);
+        assertEquals(rate, tenants.rate(1, f.nowMillis));
         f.controller.stage(List.of(), List.of(new TenantSlot(1, null)));
-        f.controller.commit(f.now);
+        f.controller.commit(f.nowMillis);
         f.controller.stage(List.of(), List.of(new TenantSlot(1, new Tenant(3, 0.1))));
-        f.controller.commit(f.now);
-        assertEquals(0, tenants.rate(1, f.now));
+        f.controller.commit(f.nowMillis);
+        assertEquals(0, tenants.rate(1, f.nowMillis));
         assertEquals(new Tenant(1, 0.1), tenants.at(700));
     }
 
-    // --- changes that change nothing ---
+    // --- changes without effect on decisions ---
 
-    /** A day of mixed traffic; after each event something else may happen to the module. */
-    private static List<String> day(
+    /**
+     * Plays mixed traffic and returns the recorded actions; {@code afterEachEvent} runs after each
+     * event.
+     */
+    private static List<String> playMixedTraffic(
             long seed,
             List<RequestClass> classes,
-            int[] places,
+            int[] slots,
             List<Tenant> tenants,
             Controller controller,
             Recorder recorder,
-            Runnable each) {
-        return day(seed, 2000, classes, places, tenants, controller, recorder, each);
+            Runnable afterEachEvent) {
+        return playMixedTraffic(
+                seed, 2000, classes, slots, tenants, controller, recorder, afterEachEvent);
     }
 
-    private static List<String> day(
+    private static List<String> playMixedTraffic(
             long seed,
-            double start,
+            double startMillis,
             List<RequestClass> classes,
-            int[] places,
+            int[] slots,
             List<Tenant> tenants,
             Controller controller,
             Recorder recorder,
-            Runnable each) {
+            Runnable afterEachEvent) {
         Random rnd = new Random(seed);
         recorder.take();
-        double nowMillis = start;
-        double tick = nowMillis;
-        List<String> all = new ArrayList<>();
+        double nowMillis = startMillis;
+        double nextTickMillis = nowMillis;
+        List<String> allActions = new ArrayList<>();
         ArrayList<String> running = new ArrayList<>();
         for (int i = 0; i < 4000; i++) {
             nowMillis += 10 * rnd.nextDouble();
-            if (nowMillis >= tick) {
-                tick = nowMillis + 20;
+            if (nowMillis >= nextTickMillis) {
+                nextTickMillis = nowMillis + 20;
                 controller.timerFired(
                         nowMillis,
                         "tick",
@@ -357,18 +362,18 @@
                         50,
                         rnd.nextInt(30) == 0 ? Outcome.FAILED : Outcome.OK);
             } else {
-                int cls = (int) (classes.size() * rnd.nextDouble() * rnd.nextDouble());
+                int classIndex = (int) (classes.size() * rnd.nextDouble() * rnd.nextDouble());
                 int tenant = (int) (tenants.size() * rnd.nextDouble() * rnd.nextDouble());
-                double due = nowMillis + classes.get(cls).deadlineMillis();
+                double deadlineAtMillis = nowMillis + classes.get(classIndex).deadlineMillis();
                 controller.requestArrived(
                         nowMillis,
                         new Request(
                                 "r" + i,
-                                places[cls],
+                                slots[classIndex],
                                 tenant,
                                 rnd.nextInt(9),
                                 20,
-                                due,
+                                deadlineAtMillis,
                                 0,
                                 rnd.nextDouble(),
                                 0,
@@ -377,16 +382,16 @@
                                 rnd.nextInt(9) == 0,
                                 false));
             }
-            each.run();
+            afterEachEvent.run();
             for (String line : recorder.take()) {
-                all.add(line);
+                allActions.add(line);
                 if (line.startsWith("run ")) {
                     running.add(line.substring(4));
                 }
             }
         }
-        assertTrue(all.stream().filter(l -> l.startsWith("refuse")).count() > 50);
-        return all;
+        assertTrue(allActions.stream().filter(l -> l.startsWith("refuse")).count() > 50);
+        return allActions;
     }
 
     private static Settings settings(List<RequestClass> classes, List<Tenant> tenants) {
@@ -416,7 +421,7 @@
                 false);
     }
 
-    private static final int[] SAME_PLACES = IntStream.range(0, 1000).toArray();
+    private static final int[] IDENTITY_SLOTS = IntStream.range(0, 1000).toArray();
 
     private static RequestClass spec(Random rnd) {
         return new RequestClass(
@@ -436,35 +441,38 @@
     private static final List<Tenant> TENANTS =
             List.of(new Tenant(5, 0.4), new Tenant(60, 0.3), new Tenant(9, 0.3));
 
-    /** A day is the same whether this is done after each event or not; the module after it. */
-    private static Controller decidesNothing(BiConsumer<Controller, Random> each) {
-        List<List<String>> days = new ArrayList<>();
+    /**
+     * Asserts that the actions are the same whether or not {@code extraStep} is called after each
+     * event. Returns the controller for which it was called.
+     */
+    private static Controller assertDecisionsUnchangedBy(BiConsumer<Controller, Random> extraStep) {
+        List<List<String>> actionsByRun = new ArrayList<>();
         Controller controller = null;
         for (BiConsumer<Controller, Random> after :
-                List.<BiConsumer<Controller, Random>>of((c, r) -> {}, each)) {
+                List.<BiConsumer<Controller, Random>>of((c, r) -> {}, extraStep)) {
             Recorder recorder = new Recorder();
-            Controller module = new OverloadController(recorder);
-            module.start(1000, 7, settings(CLASSES, TENANTS));
+            Controller target = new OverloadController(recorder);
+            target.start(1000, 7, settings(CLASSES, TENANTS));
             Random rnd = new Random(9);
-            days.add(
-                    day(
+            actionsByRun.add(
+                    playMixedTraffic(
                             5,
                             CLASSES,
-                            SAME_PLACES,
+                            IDENTITY_SLOTS,
                             TENANTS,
-                            module,
+                            target,
                             recorder,
-                            () -> after.accept(module, rnd)));
-            controller = module;
+                            () -> after.accept(target, rnd)));
+            controller = target;
         }
-        assertEquals(days.get(0), days.get(1));
+        assertEquals(actionsByRun.get(0), actionsByRun.get(1));
         return controller;
     }
 
     @Test
     void unchangedQuotasSetAThousandTimesASecondChangeNoDecision() {
-        // An event comes each 5 ms in the mean.
-        decidesNothing(
+        // The mean time between events is 5 ms.
+        assertDecisionsUnchangedBy(
                 (controller, rnd) -> {
                     for (int i = 0; i < 5; i++) {
                         controller.stage(
@@ -477,17 +485,17 @@
     @Test
     void quotasOfOtherTenantsChangedAThousandTimesASecondChangeNoDecisionAndTheLastCounts() {
         Controller controller =
-                decidesNothing(
-                        (module, rnd) -> {
+                assertDecisionsUnchangedBy(
+                        (target, rnd) -> {
                             for (int i = 1; i <= 5; i++) {
-                                module.stage(
+                                target.stage(
                                         List.of(),
                                         List.of(
                                                 new TenantSlot(
                                                         3 + rnd.nextInt(500),
                                                         new Tenant(rnd.nextInt(99), 0.1)),
                                                 new TenantSlot(700, new Tenant(i, 0.1))));
-                                module.commit(0);
+                                target.commit(0);
                             }
                         });
         assertEquals(new Tenant(5, 0.1), ((TenantTable) field(controller, "tenants")).at(700));
@@ -495,7 +503,7 @@
 
     @Test
     void unchangedClassesSetAgainChangeNoDecision() {
-        decidesNothing(
+        assertDecisionsUnchangedBy(
                 (controller, rnd) -> {
                     int slot = rnd.nextInt(CLASSES.size());
                     controller.stage(List.of(new ClassSlot(slot, CLASSES.get(slot))), List.of());
@@ -506,13 +514,13 @@
     @Test
     void stagedChangesAndEmptyCommitsChangeNoDecision() {
         Controller controller =
-                decidesNothing(
-                        (module, rnd) -> {
+                assertDecisionsUnchangedBy(
+                        (target, rnd) -> {
                             if (rnd.nextInt(10) == 0) {
-                                module.discardStaged();
-                                module.commit(0);
+                                target.discardStaged();
+                                target.commit(0);
                             }
-                            module.stage(
+                            target.stage(
                                     List.of(
                                             new ClassSlot(
                                                     rnd.nextInt(40),
@@ -535,17 +543,17 @@
         Random rnd = new Random(4);
         List<RequestClass> before = IntStream.range(0, 1000).mapToObj(i -> spec(rnd)).toList();
         List<RequestClass> after = IntStream.range(0, 1000).mapToObj(i -> spec(rnd)).toList();
-        for (int part : new int[] {100, 1}) {
+        for (int partSize : new int[] {100, 1}) {
             Controller controller = new OverloadController(new Recorder());
             controller.start(1000, 7, settings(before, TENANTS));
             ClassTable classes = (ClassTable) field(controller, "classes");
-            for (int i = 0; i < 1000; i += part) {
+            for (int i = 0; i < 1000; i += partSize) {
                 controller.stage(List.of(new ClassSlot(i, after.get(i))), List.of());
                 assertEquals(before.get(i), classes.at(i));
             }
             controller.commit(1000);
             for (int i = 0; i < 1000; i++) {
-                assertEquals(i % part == 0 ? after.get(i) : before.get(i), classes.at(i));
+                assertEquals(i % partSize == 0 ? after.get(i) : before.get(i), classes.at(i));
             }
         }
     }
@@ -555,55 +563,65 @@
         Random rnd = new Random(seed);
         Recorder recorder = new Recorder();
         Controller controller = new OverloadController(recorder);
-        List<RequestClass> begin = List.of(spec(rnd), spec(rnd));
-        List<Tenant> quotas = List.of(new Tenant(1, 0.5), new Tenant(2, 0.5));
-        controller.start(1000, 7, settings(begin, quotas));
+        List<RequestClass> initialClasses = List.of(spec(rnd), spec(rnd));
+        List<Tenant> initialTenants = List.of(new Tenant(1, 0.5), new Tenant(2, 0.5));
+        controller.start(1000, 7, settings(initialClasses, initialTenants));
         TreeMap<Integer, RequestClass> classes = new TreeMap<>();
-        classes.put(0, begin.get(0));
-        classes.put(1, begin.get(1));
-        List<Tenant> tenants = new ArrayList<>(quotas);
+        classes.put(0, initialClasses.get(0));
+        classes.put(1, initialClasses.get(1));
+        List<Tenant> tenants = new ArrayList<>(initialTenants);
         for (int i = 0; i < 200; i++) {
             int slot = rnd.nextInt(rnd.nextInt(20) == 0 ? 2000 : 20);
-            RequestClass put = rnd.nextInt(3) == 0 ? null : spec(rnd);
-            Tenant quota = new Tenant(1 + rnd.nextInt(60), 0.2);
+            RequestClass changedSpec = rnd.nextInt(3) == 0 ? null : spec(rnd);
+            Tenant changedTenant = new Tenant(1 + rnd.nextInt(60), 0.2);
             int tenant = rnd.nextInt(2);
             controller.stage(
-                    List.of(new ClassSlot(slot, put)), List.of(new TenantSlot(tenant, quota)));
+                    List.of(new ClassSlot(slot, changedSpec)),
+                    List.of(new TenantSlot(tenant, changedTenant)));
             if (rnd.nextInt(5) == 0) {
                 controller.discardStaged();
                 continue;
             }
             if (rnd.nextInt(5) == 0) {
-                // Within one change the last word on a place counts.
-                put = spec(rnd);
-                controller.stage(List.of(new ClassSlot(slot, put)), List.of());
+                // Within one change, the last value staged for a slot counts.
+                changedSpec = spec(rnd);
+                controller.stage(List.of(new ClassSlot(slot, changedSpec)), List.of());
             }
             controller.commit(1000 + i);
-            classes.put(slot, put);
-            tenants.set(tenant, quota);
+            classes.put(slot, changedSpec);
+            tenants.set(tenant, changedTenant);
         }
-        classes.put(0, HASTY);
-        controller.stage(List.of(new ClassSlot(0, HASTY)), List.of());
+        classes.put(0, SHORT_DEADLINE_SPEC);
+        controller.stage(List.of(new ClassSlot(0, SHORT_DEADLINE_SPEC)), List.of());
         controller.commit(1900);
         classes.values().removeIf(requestClass -> requestClass == null);
-        List<RequestClass> last = List.copyOf(classes.values());
-        int[] places = classes.keySet().stream().mapToInt(i -> i).toArray();
-        Recorder other = new Recorder();
-        Controller started = new OverloadController(other);
-        started.start(1000, 7, settings(last, tenants));
+        List<RequestClass> remainingClasses = List.copyOf(classes.values());
+        int[] slots = classes.keySet().stream().mapToInt(i -> i).toArray();
+        Recorder expectedRecorder = new Recorder();
+        Controller freshController = new OverloadController(expectedRecorder);
+        freshController.start(1000, 7, settings(remainingClasses, tenants));
         assertEquals(
-                day(seed, last, SAME_PLACES, tenants, started, other, () -> {}),
-                day(seed, last, places, tenants, controller, recorder, () -> {}));
+                playMixedTraffic(
+                        seed,
+                        remainingClasses,
+                        IDENTITY_SLOTS,
+                        tenants,
+                        freshController,
+                        expectedRecorder,
+                        () -> {}),
+                playMixedTraffic(
+                        seed, remainingClasses, slots, tenants, controller, recorder, () -> {}));
     }
 
     // --- cost ---
 
     /**
-     * How many entries are touched by ticks, a calm day, a busy one, a change and a look at what
-     * was learned.
+     * Returns how many slots are read by ticks, light traffic, heavy traffic, a change, and an
+     * export of what was learned.
      */
-    private static long[] touched(int classCount, int tenantCount) {
-        List<RequestClass> classes = IntStream.range(0, classCount).mapToObj(i -> HASTY).toList();
+    private static long[] slotReads(int classCount, int tenantCount) {
+        List<RequestClass> classes =
+                IntStream.range(0, classCount).mapToObj(i -> SHORT_DEADLINE_SPEC).toList();
         List<Tenant> tenants =
                 IntStream.range(0, tenantCount).mapToObj(i -> new Tenant(9, 1.0 / 4)).toList();
         Recorder recorder = new Recorder();
@@ -611,7 +629,7 @@
         controller.start(1000, 7, settings(classes, tenants));
         List<Long> reads = new ArrayList<>(List.of(reads(controller)));
         for (int i = 1; i <= 200; i++) {
-            controller.timerFired(1000 + 20 * i, "tick", Fixture.CALM);
+            controller.timerFired(1000 + 20 * i, "tick", Fixture.CALM_GAUGES);
         }
         reads.add(reads(controller));
         for (int i = 0; i < 200; i++) {
@@ -632,22 +650,23 @@
                             null,
                             false,
                             false));
-            controller.timerFired(nowMillis + 5, "tick", Fixture.CALM);
+            controller.timerFired(nowMillis + 5, "tick", Fixture.CALM_GAUGES);
             controller.completed(nowMillis + 10, "c" + i, 10, Outcome.OK);
         }
         reads.add(reads(controller));
-        day(
+        playMixedTraffic(
                 3,
                 11_000,
                 classes.subList(0, 2),
-                SAME_PLACES,
+                IDENTITY_SLOTS,
                 tenants.subList(0, 4),
                 controller,
                 recorder,
                 () -> {});
         reads.add(reads(controller));
         controller.stage(
-                List.of(new ClassSlot(1, PATIENT)), List.of(new TenantSlot(1, new Tenant(8, 0.1))));
+                List.of(new ClassSlot(1, LONG_DEADLINE_SPEC)),
+                List.of(new TenantSlot(1, new Tenant(8, 0.1))));
         controller.commit(90_000);
         reads.add(reads(controller));
         assertEquals(5, controller.learnedEstimates().size());
@@ -664,13 +683,13 @@
 
     @Test
     void tickRequestAndChangeReadNoMoreSlotsOfALargeTableThanOfASmallOne() {
-        long[] small = touched(2, 4);
-        long[] large = touched(24_000, 58_000);
+        long[] small = slotReads(2, 4);
+        long[] large = slotReads(24_000, 58_000);
         assertEquals(0, large[0]);
         assertEquals(small[1], large[1]);
         assertTrue(large[1] <= 200 * 20, "calm: " + large[1]);
-        // What is held is ordered anew at each event, and which requests are held hangs on how many
-        // classes there are.
+        // The queue is ordered anew at each event, and which requests are queued depends on the
+        // number of classes.
         assertTrue(large[2] < 2 * small[2], "busy: " + small[2] + ", " + large[2]);
         assertEquals(small[3], large[3]);
         assertTrue(large[3] <= 10, "change: " + large[3]);
--- a/src/test/java/tinroad/overload/SlotTableTest.java
+++ b/src/test/java/tinroad/overload/SlotTableTest.java
@@ -14,7 +14,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The tables whose versions share what did not change. */
+/**
+ * Versions of a {@link SlotTable} share what did not change, and none shows the changes of a later
+ * one.
+ */
 class SlotTableTest {
     @Test
     void versionKeepsItsValuesWhateverLaterOnesSet() {
@@ -37,7 +40,7 @@
     }
 
     @Test
-    void readsBeyondTheTableAreNullAndImpossibleSlotsAreNotSet() {
+    void readsBeyondTheTableAreNullAndSettingInvalidSlotsFails() {
         SlotTable<String> empty = new SlotTable<>();
         assertNull(empty.get(-1));
         assertNull(empty.get(Integer.MAX_VALUE));
@@ -47,26 +50,26 @@
     }
 
     @Property(tries = 100, seed = "30")
-    void everyVersionEqualsTheMapItWasWhenTheNextBegan(@ForAll long seed) {
+    void everyVersionEqualsItsModelAtTheCreationOfTheNext(@ForAll long seed) {
         Random random = new Random(seed);
-        SlotTable<Integer> places = new SlotTable<>();
+        SlotTable<Integer> table = new SlotTable<>();
         Map<Integer, Integer> model = new TreeMap<>();
         List<SlotTable<Integer>> versions = new ArrayList<>();
         List<Map<Integer, Integer>> models = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             int slot = random.nextInt(1 + random.nextInt(3000));
             Integer value = random.nextInt(4) == 0 ? null : Integer.valueOf(i);
-            places.set(slot, value);
+            table.set(slot, value);
             model.put(slot, value);
             if (random.nextInt(40) == 0) {
-                versions.add(places);
+                versions.add(table);
                 models.add(new TreeMap<>(model));
-                places = places.nextVersion();
+                table = table.nextVersion();
             }
         }
-        for (int v = 0; v < versions.size(); v++) {
+        for (int version = 0; version < versions.size(); version++) {
             for (int slot = 0; slot < 3000; slot++) {
-                assertEquals(models.get(v).get(slot), versions.get(v).get(slot));
+                assertEquals(models.get(version).get(slot), versions.get(version).get(slot));
             }
         }
     }
