--- a/src/main/java/tinroad/overload/Controller.java
+++ b/src/main/java/tinroad/overload/Controller.java
@@ -127,7 +127,7 @@
         void setHealth(boolean healthy, boolean stored);
 
         /**
-         * Sets the load value that is sent with every answer; {@link LoadHint} defines its meaning.
+         * Sets the load hint that is sent with every answer; {@link LoadHint} defines its meaning.
          */
         void advertiseLoad(double value);
 
--- a/src/main/java/tinroad/overload/LoadAdvertisement.java
+++ b/src/main/java/tinroad/overload/LoadAdvertisement.java
@@ -4,9 +4,9 @@
 import tinroad.overload.Controller.LoadHint;
 import tinroad.overload.Controller.Settings;
 
-/** Computes the load value that is sent with every answer, in the form that clients understand. */
+/** Computes the load hint that is sent with every answer, in the form that clients understand. */
 final class LoadAdvertisement {
-    /** Minimum change of the load value, so that it is not set anew at every tick. */
+    /** Minimum change of the load hint, so that it is not set anew at every tick. */
     private static final double MIN_STEP = 0.05;
 
     /**
@@ -35,10 +35,10 @@
         this.limit = limit;
     }
 
-    /** Sets the load value if it has changed by a step. */
+    /** Sets the load hint if it has changed by a step. */
     void update() {
         double closedShare = health.admissionClosed() ? 1 : cutoff.value();
-        double loadValue =
+        double hint =
                 switch (settings.loadHint()) {
                     case NONE -> 0;
                     case MIN_RANK -> closedShare;
@@ -49,10 +49,10 @@
                                     / Math.max(1, settings.callers());
                     case BIAS -> 1 - closedShare;
                 };
-        if ((settings.loadHint() != LoadHint.NONE && Math.abs(loadValue - advertised) >= MIN_STEP)
-                || (loadValue == 0 && advertised > 0)) {
-            advertised = loadValue;
-            actions.advertiseLoad(loadValue);
+        if ((settings.loadHint() != LoadHint.NONE && Math.abs(hint - advertised) >= MIN_STEP)
+                || (hint == 0 && advertised > 0)) {
+            advertised = hint;
+            actions.advertiseLoad(hint);
         }
     }
 }
--- a/src/test/java/tinroad/overload/OverloadControllerTest.java
+++ b/src/test/java/tinroad/overload/OverloadControllerTest.java
@@ -413,8 +413,8 @@
             f.complete("q" + i, Outcome.OK);
         }
         f.advance(20000);
-        List<String> loadValues = f.recorder.take("say");
-        assertEquals("say 0.00", loadValues.get(loadValues.size() - 1));
+        List<String> loadHints = f.recorder.take("say");
+        assertEquals("say 0.00", loadHints.get(loadHints.size() - 1));
         f.request("low2", KEYED_CLASS, 0, 0.0, null, 0, false);
         assertEquals(List.of("run low2"), f.recorder.take("run"));
     }
--- a/src/test/java/tinroad/overload/SettingsChangeTest.java
+++ b/src/test/java/tinroad/overload/SettingsChangeTest.java
@@ -155,25 +155,25 @@
                 List.of());
         f.controller.commit(f.nowMillis);
         f.serveCalmly("s", IDEMPOTENT_CLASS, 20, 300);
-        assertEquals("say 0.10", lastLoadValueUnderOverload("a"));
+        assertEquals("say 0.10", lastLoadHintUnderOverload("a"));
         // Ends the runs, so that the controller does not take them for hung.
         f.complete("a", Outcome.OK);
         f.complete("aa", Outcome.OK);
         f.controller.stage(
                 IntStream.range(3, 20).mapToObj(i -> new ClassSlot(i, null)).toList(), List.of());
         f.controller.commit(f.nowMillis);
-        assertEquals("say 0.65", lastLoadValueUnderOverload("b"));
+        assertEquals("say 0.65", lastLoadHintUnderOverload("b"));
     }
 
-    private String lastLoadValueUnderOverload(String prefix) {
+    private String lastLoadHintUnderOverload(String prefix) {
         f.request(prefix, IDEMPOTENT_CLASS);
         f.request(prefix + prefix, IDEMPOTENT_CLASS);
         for (int i = 0; i < 100; i++) {
             f.request(prefix + i, IDEMPOTENT_CLASS);
             f.advance(20);
         }
-        List<String> loadValues = f.recorder.take("say");
-        return loadValues.get(loadValues.size() - 1);
+        List<String> loadHints = f.recorder.take("say");
+        return loadHints.get(loadHints.size() - 1);
     }
 
     // --- removal and addition of the same class ---
