--- a/src/test/java/tinroad/overload/FourRulesTest.java
+++ b/src/test/java/tinroad/overload/FourRulesTest.java
@@ -356,9 +356,7 @@
     void theCheckerFindsABrokenController() {
         assertTrue(
                 violationsWithout("fail").stream()
-                        .anyMatch(
-                                violation ->
-                                        violation.startsWith("unanswered after its deadline")));
+                        .anyMatch(violation -> violation.startsWith("lost")));
         assertTrue(
                 violationsWithout("retainKey").stream()
                         .anyMatch(violation -> violation.startsWith("duplicate key")));
@@ -368,7 +366,6 @@
                                 violation ->
                                         violation.startsWith("limit exceeded")
                                                 || violation.startsWith("drain")
-                                                || violation.startsWith(
-                                                        "unanswered after its deadline")));
+                                                || violation.startsWith("lost")));
     }
 }
--- a/src/test/java/tinroad/overload/RuleChecker.java
+++ b/src/test/java/tinroad/overload/RuleChecker.java
@@ -111,7 +111,7 @@
                             > Math.max(tracked.deadlineAtMillis, tracked.arrivedAtMillis)
                                     + settings.rules().answerSlackMillis()) {
                 tracked.answerCount = 1;
-                violations.add("unanswered after its deadline: " + tracked.request.id());
+                violations.add("lost: unanswered after its deadline: " + tracked.request.id());
             }
             if (tracked.answerCount == 0 && nowMillis >= shutdownAtMillis) {
                 violations.add("drain: unanswered at the shutdown: " + tracked.request.id());
