--- a/src/main/java/tinroad/fleet/AntiEntropySync.java
+++ b/src/main/java/tinroad/fleet/AntiEntropySync.java
@@ -9,21 +9,25 @@
 import java.util.SplittableRandom;
 
 /**
- * The periodic exchange of state with one random member, a part of the table at a time, so that its
- * cost doesn't grow with the fleet. Each time one message also goes to an address that no present
- * member has: an unknown seed, or a member that was declared dead. So the sides of a healed network
- * partition find each other again, and a fleet outlives its seeds.
+ * Anti-entropy: periodically exchanges part of the member table with one random member. A message
+ * carries a bounded part of the table, so the cost does not grow with the size of the fleet. Each
+ * round also sends one message to an address that no present member has: a seed that is not a known
+ * member, or a member that was declared dead. This way the two sides of a healed network partition
+ * find each other again, and the fleet does not depend on its seeds once it runs.
  */
 final class AntiEntropySync {
     /**
-     * Updates in one message, the own one included: a datagram of 1,200 bytes has room for them.
+     * Updates in one message, including the one on this member itself: as many as fit into a
+     * datagram of 1,200 bytes.
      */
     private static final int MAX_UPDATES_PER_MESSAGE = 12;
 
-    /** Messages in reply to a member that asks for them. */
+    /** Messages sent in reply to a sync message that requests a reply. */
     private static final int MAX_REPLY_MESSAGES = 2;
 
-    /** Each period is drawn from this range around the configured one. */
+    /**
+     * The time until the next sync is the configured period times a random factor of this range.
+     */
     private static final double MIN_PERIOD_FACTOR = 0.75;
 
     private static final double MAX_PERIOD_FACTOR = 1.25;
@@ -36,7 +40,9 @@
     private final SuspicionTracker suspicions;
     private final Membership.Transport transport;
 
-    /** The last member sent: the next message begins after it. */
+    /**
+     * Index in the member table of the last member that was sent; the next message begins after it.
+     */
     private int cursor;
 
     private double nextSyncMillis;
@@ -58,7 +64,7 @@
         this.transport = transport;
     }
 
-    /** The first sync is at a random time within a probe period. */
+    /** Schedules the first sync at a random time within a probe period. */
     void scheduleFirstSync(double nowMillis) {
         nextSyncMillis = nowMillis + random.nextDouble() * config.probePeriodMillis();
     }
@@ -71,7 +77,8 @@
         if (nowMillis < nextSyncMillis) {
             return;
         }
-        // More often while there are suspects: after a partition much has to be repaired.
+        // Syncs more often while there are suspects: after a partition the tables differ in many
+        // members.
         double periodMillis =
                 suspicions.isEmpty() ? config.syncPeriodMillis() : config.probePeriodMillis();
         nextSyncMillis =
@@ -82,9 +89,9 @@
 
     private void sync() {
         List<MemberState> peers = members.samplePresent(1);
-        Map<String, List<MemberUpdate>> absent = absentAddresses();
+        Map<String, List<MemberUpdate>> absent = updatesByAbsentAddress();
         if (!peers.isEmpty()) {
-            sendPart(peers.get(0).address(), 1, true);
+            sendNextMembers(peers.get(0).address(), 1, true);
         }
         if (!absent.isEmpty()) {
             String address =
@@ -96,8 +103,8 @@
         }
     }
 
-    /** Addresses that no present member has, each with what to send there. */
-    private Map<String, List<MemberUpdate>> absentAddresses() {
+    /** Addresses that no present member has, each with the updates to send there. */
+    private Map<String, List<MemberUpdate>> updatesByAbsentAddress() {
         Map<String, List<MemberUpdate>> absent = new LinkedHashMap<>();
         Set<String> present = new HashSet<>();
         members.countVisits(2L * members.size());
@@ -112,7 +119,7 @@
             }
         }
         for (MemberState member : members.all()) {
-            // One that was declared dead and is alive must learn of it, to rejoin.
+            // A member that was declared dead but is alive has to learn of it before it can rejoin.
             if (member.status() == MemberStatus.DEAD && !present.contains(member.address())) {
                 absent.put(member.address(), List.of(self.update(), member.update()));
             }
@@ -121,24 +128,25 @@
     }
 
     void reply(String address) {
-        sendPart(address, MAX_REPLY_MESSAGES, false);
+        sendNextMembers(address, MAX_REPLY_MESSAGES, false);
     }
 
-    /** Sends the next few members of the table, in at most so many messages. */
-    private void sendPart(String address, int maxMessages, boolean replyWanted) {
+    /** Sends the next members of the table, in at most {@code maxMessages} messages. */
+    private void sendNextMembers(String address, int maxMessages, boolean replyWanted) {
         members.countVisits(members.size());
         List<MemberState> all = new ArrayList<>(members.all());
         int membersPerMessage = MAX_UPDATES_PER_MESSAGE - 1;
-        for (int part = 0;
-                part < maxMessages && (part == 0 || part * membersPerMessage < all.size());
-                part++) {
+        for (int messageIndex = 0;
+                messageIndex < maxMessages
+                        && (messageIndex == 0 || messageIndex * membersPerMessage < all.size());
+                messageIndex++) {
             List<MemberUpdate> updates = new ArrayList<>();
             updates.add(self.update());
             for (int i = 0; i < Math.min(membersPerMessage, all.size()); i++) {
                 cursor = (cursor + 1) % all.size();
                 updates.add(all.get(cursor).update());
             }
-            transport.send(address, new Message.Sync(replyWanted && part == 0, updates));
+            transport.send(address, new Message.Sync(replyWanted && messageIndex == 0, updates));
         }
     }
 }
--- a/src/main/java/tinroad/fleet/FailureDetector.java
+++ b/src/main/java/tinroad/fleet/FailureDetector.java
@@ -6,15 +6,17 @@
 import java.util.SplittableRandom;
 
 /**
- * SWIM's failure detector: one probe at a time, a direct ping first, then ping-reqs to a few others
- * that ping on this member's behalf. With Lifeguard's nacks: another that has no ack either sends a
- * nack, and a missing nack lowers this member's own health.
+ * SWIM's failure detector. It probes one member at a time: first with a direct ping, then with
+ * ping-reqs to a few other members, which ping the target on this member's behalf. It includes
+ * Lifeguard's nacks: a member that was sent a ping-req and has received no ack in time sends a
+ * nack. A missing nack suggests that this member itself is slow or cut off, and lowers its local
+ * health.
  */
 final class FailureDetector {
-    /** The part of the probe period after which a probe without an ack has failed. */
-    private static final double PROBE_DEADLINE_PART = 0.9;
+    /** The fraction of the probe period after which a probe without an ack has failed. */
+    private static final double PROBE_DEADLINE_FRACTION = 0.9;
 
-    /** One of so many probes goes to a suspect. */
+    /** While members are suspected, one probe in this many, on average, goes to a suspect. */
     private static final int SUSPECT_PROBE_INTERVAL = 4;
 
     private static final class Probe {
@@ -36,7 +38,7 @@
             this.deadlineMillis = deadlineMillis;
         }
 
-        /** Members asked for an indirect probe that sent neither an ack nor a nack. */
+        /** Members that were sent a ping-req and replied with neither an ack nor a nack. */
         int missedNacks() {
             return pingRequests - nacks;
         }
@@ -77,12 +79,15 @@
         probeOrder = new ProbeOrder(members, random);
     }
 
-    /** The first probe is at a random time within a period, so that a fleet doesn't run in step. */
+    /**
+     * Schedules the first probe at a random time within a period, so that the members of a fleet do
+     * not all probe at the same moment.
+     */
     void scheduleFirstProbe(double nowMillis) {
         nextProbeMillis = nowMillis + random.nextDouble() * config.probePeriodMillis();
     }
 
-    /** Drops the probe in flight: its deadlines say nothing after a pause of this process. */
+    /** Drops the probe in flight: after a pause of this process its deadlines are meaningless. */
     void restartAfterPause(double nowMillis) {
         probe = null;
         nextProbeMillis = nowMillis + config.probePeriodMillis() * random.nextDouble();
@@ -93,8 +98,8 @@
     }
 
     /**
-     * Continues the probe in flight: after the direct timeout by ping-reqs. Returns the member that
-     * sent no ack in time, or null.
+     * Advances the probe in flight: sends ping-reqs once the timeout of the direct ping has passed.
+     * Returns the target if it sent no ack by the deadline of the probe, otherwise null.
      */
     MemberState checkProbe(double nowMillis) {
         if (probe == null) {
@@ -104,7 +109,7 @@
         if (target == null || target.status().isTerminal()) {
             probe = null;
         } else if (nowMillis >= probe.deadlineMillis) {
-            // Whoever gets not even nacks is itself the one that is slow or cut off.
+            // If not even the nacks arrive, this member itself is probably slow or cut off.
             if (probe.pingRequests == 0 || probe.missedNacks() > 0) {
                 health.degrade(Math.max(1, probe.missedNacks()));
             }
@@ -127,7 +132,7 @@
         }
     }
 
-    /** Sends a nack for each ping on another's behalf that was not answered in time. */
+    /** Sends a nack for each ping on another member's behalf that got no ack in time. */
     void sendDueNacks(double nowMillis) {
         indirectProbes
                 .values()
@@ -147,13 +152,14 @@
                         });
     }
 
-    /** Begins the next probe where it is due and none is in flight. */
+    /** Starts the next probe if it is due and no probe is in flight. */
     void probeIfDue(double nowMillis) {
         if (nowMillis < nextProbeMillis || probe != null) {
             return;
         }
         nextProbeMillis = nowMillis + config.probePeriodMillis() * health.multiplier();
-        // A suspect learns of the suspicion for sure, and can refute it, only from a ping to it.
+        // Only a ping to the suspect itself is sure to carry the suspicion, so that it can refute
+        // it.
         MemberState target =
                 !suspicions.isEmpty() && random.nextInt(SUSPECT_PROBE_INTERVAL) == 0
                         ? members.get(suspicions.sample())
@@ -167,13 +173,16 @@
                         target.name(),
                         nextSequenceNumber(),
                         nowMillis + config.probeTimeoutMillis() * multiplier,
-                        nowMillis + PROBE_DEADLINE_PART * config.probePeriodMillis() * multiplier);
+                        nowMillis
+                                + PROBE_DEADLINE_FRACTION
+                                        * config.probePeriodMillis()
+                                        * multiplier);
         transport.send(
                 target.address(),
                 new Message.Ping(probe.sequenceNumber, piggybackQueue.nextUpdatesFor(target)));
     }
 
-    /** Pings a member on another's behalf; requests beyond the bound are dropped. */
+    /** Pings a member on another member's behalf. Requests beyond the bound are dropped. */
     void onPingRequest(double nowMillis, String requesterAddress, Message.PingRequest request) {
         if (indirectProbes.size() >= config.maxMembers()) {
             return;
@@ -183,13 +192,16 @@
                 sequenceNumber,
                 new IndirectProbe(
                         requesterAddress,
-                        request.number(),
+                        request.sequenceNumber(),
                         nowMillis + config.probeTimeoutMillis()));
         transport.send(
                 request.address(), new Message.Ping(sequenceNumber, piggybackQueue.nextUpdates()));
     }
 
-    /** An ack ends the own probe of this number, or is passed on to the one who requested it. */
+    /**
+     * Handles an ack: it ends the probe in flight with this sequence number, or is passed on to the
+     * member that requested the indirect probe.
+     */
     void onAck(long sequenceNumber) {
         IndirectProbe indirect = indirectProbes.remove(sequenceNumber);
         if (indirect != null) {
--- a/src/main/java/tinroad/fleet/LoadDigest.java
+++ b/src/main/java/tinroad/fleet/LoadDigest.java
@@ -4,40 +4,40 @@
 import java.util.stream.Collectors;
 
 /**
- * What one member advertises of its load at one moment, as it is passed on.
+ * The load that one member advertises at one moment, in the form in which members relay it.
  *
  * @param name of the member
  * @param incarnation of the member
- * @param number counts its digests within a membership; the higher one is the later one
- * @param ageMillis ms since it was advertised, by the clocks of those who passed it on: no two
- *     clocks are compared
- * @param values each in the unit that its kind names; values that are not finite are left out
+ * @param sequenceNumber counts the digests of one membership; the higher one is the later one
+ * @param ageMillis ms since the digest was advertised, summed up by each member that relayed it on
+ *     its own clock, so that no two clocks are compared
+ * @param values each in the unit that its kind names; values that are not finite are dropped
  */
 public record LoadDigest(
         String name,
         MemberIncarnation incarnation,
-        long number,
+        long sequenceNumber,
         double ageMillis,
         Map<Kind, Double> values) {
-    /** What a value measures. */
+    /** The quantity that a value measures. */
     public enum Kind {
-        /** Phase of its recovery: 0 starting, 1 cold, 2 ramping, 3 full, 4 draining. */
+        /** The member's recovery phase: 0 starting, 1 cold, 2 ramping, 3 full, 4 draining. */
         RECOVERY_PHASE,
-        /** Cores of its engine. */
+        /** Cores of the member's engine. */
         CORES,
-        /** Requests a second that it has capacity for. */
+        /** Requests per second that the member has capacity for. */
         CAPACITY_PER_SECOND,
-        /** Requests a second that arrive. */
+        /** Requests per second that arrive at the member. */
         ARRIVALS_PER_SECOND,
-        /** Requests a second that it rejects. */
+        /** Requests per second that the member rejects. */
         REJECTIONS_PER_SECOND,
-        /** Rank below which it rejects, 0 to 1. */
+        /** The priority below which the member rejects requests, 0 to 1. */
         PRIORITY_CUTOFF,
-        /** 1 while it is healthy, else 0. */
+        /** 1 while the member is healthy, otherwise 0. */
         HEALTHY
     }
 
-    /** Guards against values that are no numbers, whoever sends them. */
+    /** Drops values that are not finite, as any member may send them. */
     public LoadDigest {
         values =
                 values.entrySet().stream()
@@ -47,10 +47,10 @@
                                         Map.Entry::getKey, Map.Entry::getValue));
     }
 
-    boolean laterThan(LoadDigest other) {
+    boolean isLaterThan(LoadDigest other) {
         return other == null
                 || (incarnation.sameMembership(other.incarnation)
-                        ? number > other.number
+                        ? sequenceNumber > other.sequenceNumber
                         : incarnation.compareTo(other.incarnation) > 0);
     }
 }
--- a/src/main/java/tinroad/fleet/LocalHealth.java
+++ b/src/main/java/tinroad/fleet/LocalHealth.java
@@ -1,8 +1,9 @@
 package tinroad.fleet;
 
 /**
- * Lifeguard's local health multiplier: a member whose own probes fail, or that has to refute a
- * suspicion, takes itself for slow and gives the others more time. 0 is healthy.
+ * Lifeguard's local health multiplier. A member whose own probes fail, or that has to refute a
+ * suspicion, assumes that it is slow itself: it lengthens the period and the timeouts of its
+ * probes. A penalty of 0 means healthy.
  */
 final class LocalHealth {
     private final int maxPenalty;
@@ -12,13 +13,13 @@
         this.maxPenalty = maxPenalty;
     }
 
-    /** Whether the extensions of Lifeguard are in use; without them the penalty is always 0. */
+    /** Whether the extensions of Lifeguard are enabled. If not, the penalty is always 0. */
     boolean enabled() {
         return maxPenalty > 0;
     }
 
-    void degrade(int by) {
-        penalty = Math.min(maxPenalty, penalty + by);
+    void degrade(int penaltyIncrease) {
+        penalty = Math.min(maxPenalty, penalty + penaltyIncrease);
     }
 
     void degradeToWorst() {
@@ -33,7 +34,7 @@
         return penalty;
     }
 
-    /** The factor for the period and the timeouts of probes. */
+    /** The factor by which the period and the timeouts of probes are multiplied. */
     int multiplier() {
         return 1 + penalty;
     }
--- a/src/main/java/tinroad/fleet/LocalMember.java
+++ b/src/main/java/tinroad/fleet/LocalMember.java
@@ -1,6 +1,9 @@
 package tinroad.fleet;
 
-/** This member itself: what it claims of itself, and its refutation of what others claim of it. */
+/**
+ * The member that runs in this process: the update it publishes about itself, and its refutation of
+ * claims by others.
+ */
 final class LocalMember {
     private MemberUpdate update;
     private double sinceMillis;
@@ -14,15 +17,16 @@
     }
 
     /**
-     * The incarnation that refutes what another claims of this member, or null where there is
-     * nothing to refute.
+     * Returns the incarnation that refutes a claim of another member about this one, or null if
+     * there is nothing to refute.
      */
     MemberIncarnation refutationOf(MemberUpdate claim) {
         MemberIncarnation own = update.incarnation();
         MemberIncarnation claimed = claim.incarnation();
         if (claimed.sameMembership(own)) {
             if (claim.status().isTerminal()) {
-                // Declared dead, yet alive: that membership is over for all, a new one begins.
+                // This member was declared dead but is alive. Its membership is over for all
+                // others, so it begins a new one.
                 return own.rejoining(claimed.restart());
             }
             return claim.status() == MemberStatus.SUSPECT
@@ -35,7 +39,7 @@
                 : null;
     }
 
-    void raiseTo(double nowMillis, MemberIncarnation incarnation) {
+    void raiseIncarnation(double nowMillis, MemberIncarnation incarnation) {
         update =
                 new MemberUpdate(
                         update.name(),
@@ -48,7 +52,7 @@
     }
 
     void leave() {
-        update = update.as(MemberStatus.LEFT, update.name());
+        update = update.withStatus(MemberStatus.LEFT, update.name());
     }
 
     MemberUpdate update() {
--- a/src/main/java/tinroad/fleet/MemberState.java
+++ b/src/main/java/tinroad/fleet/MemberState.java
@@ -1,6 +1,6 @@
 package tinroad.fleet;
 
-/** What this process knows of one other member. Changed by {@link MemberTable} only. */
+/** The current update on one other member. Only {@link MemberTable} changes it. */
 final class MemberState {
     private MemberUpdate update;
     private double sinceMillis;
@@ -20,7 +20,7 @@
         return update;
     }
 
-    /** When that update was applied. */
+    /** When that update was applied, in ms. */
     double sinceMillis() {
         return sinceMillis;
     }
--- a/src/main/java/tinroad/fleet/MemberStatus.java
+++ b/src/main/java/tinroad/fleet/MemberStatus.java
@@ -1,17 +1,17 @@
 package tinroad.fleet;
 
 /**
- * The status of a member. Of updates with one incarnation the one whose status is declared later
- * here overrides the other. Operators see the names in lower case.
+ * The status of a member. Of two updates with the same incarnation, the one whose status is
+ * declared later here overrides the other. Operators see the names in lower case.
  */
 public enum MemberStatus {
-    /** Not suspected, by the update that overrides all others received. */
+    /** The member is not suspected, according to the current update. */
     ALIVE,
-    /** A probe by this or another member failed; it may still refute the suspicion. */
+    /** A probe by this or another member failed. The member may still refute the suspicion. */
     SUSPECT,
-    /** It did not refute the suspicion in time. */
+    /** The member did not refute the suspicion in time. */
     DEAD,
-    /** It left of its own accord. */
+    /** The member left the fleet itself. */
     LEFT;
 
     /** Whether this membership is over for good. */
--- a/src/main/java/tinroad/fleet/MemberTable.java
+++ b/src/main/java/tinroad/fleet/MemberTable.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The other members, in the order in which they became known, at most {@link
- * MembershipConfig#maxMembers()}. Terminal members stay for a while, so that a late update can't
- * bring them back.
+ * All known members except this one, at most {@link MembershipConfig#maxMembers()}, in the order in
+ * which they became known. Terminal members stay for some time, so that a late update can't bring
+ * them back.
  */
 final class MemberTable {
     private final MembershipConfig config;
@@ -25,7 +25,7 @@
         this.random = random;
     }
 
-    /** The member, or null where it is unknown. */
+    /** Returns the member, or null if it is unknown. */
     MemberState get(String name) {
         return members.get(name);
     }
@@ -43,13 +43,14 @@
     }
 
     /**
-     * Whether an unknown member is added: not where the update is terminal, nor beyond the bound.
+     * Whether an unknown member is added for this update: not if its status is terminal or the
+     * table is full.
      */
     boolean admits(MemberUpdate update) {
         return members.size() < config.maxMembers() && !update.status().isTerminal();
     }
 
-    /** Applies an update that overrides the current one of its member. */
+    /** Applies an update that overrides the current one on its member. */
     void apply(double nowMillis, MemberUpdate update) {
         MemberState member = members.get(update.name());
         if (member == null) {
@@ -71,12 +72,15 @@
                                                 > config.terminalRetentionMillis());
     }
 
-    /** Draws at most so many of the members that are alive, without the one of this name. */
+    /**
+     * Draws at most {@code count} alive members at random, except the one named {@code
+     * excludedName}.
+     */
     List<MemberState> sampleAlive(int count, String excludedName) {
         return sample(count, excludedName, false);
     }
 
-    /** Draws at most so many of the members that are alive or suspected. */
+    /** Draws at most {@code count} members at random that are alive or suspected. */
     List<MemberState> samplePresent(int count) {
         return sample(count, "", true);
     }
@@ -99,12 +103,12 @@
         return sampled;
     }
 
-    /** Counts entries that a caller is about to walk through. */
+    /** Counts entries that a caller is about to iterate over. */
     void countVisits(long entries) {
         visitedEntries += entries;
     }
 
-    /** Entries walked through so far. */
+    /** Entries iterated over so far, a measure of the cost of the size of the fleet. */
     long visitedEntries() {
         return visitedEntries;
     }
--- a/src/main/java/tinroad/fleet/MemberUpdate.java
+++ b/src/main/java/tinroad/fleet/MemberUpdate.java
@@ -1,14 +1,14 @@
 package tinroad.fleet;
 
 /**
- * A claim about one member, as it is disseminated.
+ * A claim about one member, in the form in which it is disseminated.
  *
  * @param name of the member
- * @param address where it receives messages; opaque here
- * @param zone that it claims to be in
+ * @param address at which the member receives messages; not interpreted here
+ * @param zone that the member claims to be in
  * @param incarnation of the member that the claim is about
- * @param status claimed
- * @param by name of the member that makes the claim: for a suspicion, the one whose probe failed
+ * @param status that is claimed
+ * @param by name of the member that makes the claim; for a suspicion, the one whose probe failed
  */
 public record MemberUpdate(
         String name,
@@ -19,9 +19,9 @@
         String by) {
 
     /**
-     * Whether this overrides {@code current}, which may be null. A join of a lattice: all who
-     * received the same updates end with the same one, in whatever order and however often they
-     * came.
+     * Whether this update overrides {@code current}, which may be null. Updates form a join
+     * semilattice: all members that received the same updates end with the same current update, in
+     * whatever order and however often the updates arrived.
      */
     public boolean overrides(MemberUpdate current) {
         if (current == null) {
@@ -30,7 +30,8 @@
         if (!incarnation.sameMembership(current.incarnation)) {
             return incarnation.compareTo(current.incarnation) > 0;
         }
-        // A terminal status is not refuted, whatever is claimed: only a new membership follows it.
+        // A terminal status can not be refuted, whatever the claim: only a new membership overrides
+        // it.
         if (status.isTerminal() || current.status.isTerminal()) {
             return status.compareTo(current.status) > 0;
         }
@@ -38,8 +39,11 @@
         return order > 0 || (order == 0 && status.compareTo(current.status) > 0);
     }
 
-    /** The same member and incarnation with another status, claimed by {@code claimant}. */
-    MemberUpdate as(MemberStatus claimedStatus, String claimant) {
+    /**
+     * Returns an update on the same member and incarnation with another status, claimed by {@code
+     * claimant}.
+     */
+    MemberUpdate withStatus(MemberStatus claimedStatus, String claimant) {
         return new MemberUpdate(name, address, zone, incarnation, claimedStatus, claimant);
     }
 }
--- a/src/main/java/tinroad/fleet/Membership.java
+++ b/src/main/java/tinroad/fleet/Membership.java
@@ -9,26 +9,26 @@
 import java.util.SplittableRandom;
 
 /**
- * One member's part in the membership protocol of the fleet: SWIM (Das, Gupta, Motivala, DSN 2002)
- * with the extensions of Lifeguard (Dadgar, Phillips, Currey, 2017: local health, dynamic suspicion
- * timeout, buddy system). Members are probed in rounds, suspected before they are declared dead,
- * and refute what is claimed of them; updates are piggybacked on the messages of the probes. Beyond
- * the papers: an anti-entropy sync, and many members suspected at once are taken for a network
- * partition.
+ * The membership protocol as one member runs it: SWIM (Das, Gupta, Motivala, DSN 2002) with the
+ * extensions of Lifeguard (Dadgar, Phillips, Currey, 2017: local health, dynamic suspicion timeout,
+ * buddy system). Members are probed in rounds, suspected before they are declared dead, and refute
+ * claims about themselves. Updates are piggybacked on the messages of the probes. Two things go
+ * beyond the papers: an anti-entropy sync, and a network partition is assumed when many members are
+ * suspected at once.
  *
- * <p>A pure state machine: messages and times (ms) go in, messages and changes go out through
- * {@link Transport}. The order of its random draws is part of what it does: the same seed and the
- * same events give the same messages. Owned by one thread.
+ * <p>A pure state machine: messages and times (in ms) are its input, messages and changes its
+ * output, through {@link Transport}. The order of its random draws is part of its behavior: the
+ * same seed and the same events lead to the same messages. Used by one thread.
  */
 public final class Membership {
-    /** Where messages and changes go. */
+    /** Sends messages, and is notified of changes. */
     public interface Transport {
-        /** Sends to an address; the message may be lost. */
+        /** Sends a message to an address; it may be lost. */
         void send(String address, Message message);
 
         /**
-         * The current update on a member has changed; {@code before} is null where the member was
-         * unknown.
+         * Called when the current update on a member has changed; {@code before} is null if the
+         * member was unknown.
          */
         void memberChanged(double nowMillis, MemberUpdate before, MemberUpdate after);
     }
@@ -36,12 +36,15 @@
     /**
      * The current update on a member.
      *
-     * @param sinceMillis ms since it was applied
+     * @param sinceMillis ms since the update was applied
      */
     public record MemberEntry(MemberUpdate update, double sinceMillis) {}
 
-    /** A tick that comes more than so many probe periods after the last one follows a pause. */
-    private static final double PAUSE_PERIODS = 1;
+    /**
+     * The longest time between two ticks, in probe periods. After a longer one the process is
+     * assumed to have been paused.
+     */
+    private static final double MAX_TICK_GAP_PROBE_PERIODS = 1;
 
     private final MembershipConfig config;
     private final Transport transport;
@@ -58,8 +61,10 @@
     private boolean left;
 
     /**
-     * @param self what this member claims of itself to begin with
-     * @param seeds addresses that are known to begin with
+     * Creates the membership; {@link #start} begins the protocol.
+     *
+     * @param self the first update of this member on itself
+     * @param seeds addresses that are known from the start
      * @param seed of all random draws
      */
     public Membership(
@@ -84,7 +89,10 @@
                         seeds, config, random, this.self, members, suspicions, transport);
     }
 
-    /** Begins; the first probe and the first sync are spread over a probe period. */
+    /**
+     * Starts the protocol. The first probe and the first sync are at random times within a probe
+     * period.
+     */
     public void start(double nowMillis) {
         self.start(nowMillis);
         lastTickMillis = nowMillis;
@@ -92,25 +100,29 @@
         sync.scheduleFirstSync(nowMillis);
     }
 
-    /** Lets timers fire; to be called every few ms. A late call is taken for a pause. */
+    /**
+     * Runs what is due. To be called every few ms; a late call is taken for a pause of the process.
+     */
     public void tick(double nowMillis) {
         double sinceLastTickMillis = nowMillis - lastTickMillis;
         lastTickMillis = nowMillis;
-        if (sinceLastTickMillis > config.probePeriodMillis() * PAUSE_PERIODS) {
+        if (sinceLastTickMillis > config.probePeriodMillis() * MAX_TICK_GAP_PROBE_PERIODS) {
             onPause(nowMillis, sinceLastTickMillis);
         }
         if (left) {
             return;
         }
-        // Suspected: no ack to a direct ping or a ping-req by the probe's deadline.
+        // A member is suspected if no ack, to a direct ping or a ping-req, arrives by the deadline
+        // of the probe.
         MemberState unreachable = failureDetector.checkProbe(nowMillis);
         if (unreachable != null) {
-            apply(nowMillis, unreachable.update().as(MemberStatus.SUSPECT, self.name()));
+            apply(nowMillis, unreachable.update().withStatus(MemberStatus.SUSPECT, self.name()));
         }
         failureDetector.sendDueNacks(nowMillis);
-        // Dead: no refutation by the deadline, which an assumed partition moves on for a while.
+        // A suspect is declared dead if it sends no refutation by its deadline, which is postponed
+        // for some time while a partition is assumed.
         for (String name : suspicions.expired(nowMillis, members.aliveMembers())) {
-            apply(nowMillis, members.get(name).update().as(MemberStatus.DEAD, self.name()));
+            apply(nowMillis, members.get(name).update().withStatus(MemberStatus.DEAD, self.name()));
         }
         failureDetector.probeIfDue(nowMillis);
         gossipIfDue(nowMillis);
@@ -118,8 +130,8 @@
     }
 
     /**
-     * Guards the others against a member that was paused, and whose timers all fire at once: it
-     * must not suspect them for acks that it could not receive. Plain SWIM does without.
+     * Prevents a member that was paused, and whose timers now all fire at once, from suspecting
+     * others for acks that it could not receive. Plain SWIM does not do this.
      */
     private void onPause(double nowMillis, double pauseMillis) {
         if (!health.enabled()) {
@@ -131,7 +143,7 @@
         sync.syncAtNextTick(nowMillis);
     }
 
-    /** Sends new updates to a few members at once, with a least pause between two rounds. */
+    /** Sends new updates to a few members at once, with a minimum pause between two rounds. */
     private void gossipIfDue(double nowMillis) {
         if (gossipPending && nowMillis >= nextGossipMillis) {
             gossipPending = false;
@@ -143,7 +155,7 @@
         }
     }
 
-    /** A message came from this address. */
+    /** Handles a message that was received from the address {@code from}. */
     public void receive(double nowMillis, String from, Message message) {
         if (left) {
             return;
@@ -152,11 +164,12 @@
             apply(nowMillis, update);
         }
         if (message instanceof Message.Ping ping) {
-            transport.send(from, new Message.Ack(ping.number(), piggybackQueue.nextUpdates()));
+            transport.send(
+                    from, new Message.Ack(ping.sequenceNumber(), piggybackQueue.nextUpdates()));
         } else if (message instanceof Message.Ack ack) {
-            failureDetector.onAck(ack.number());
+            failureDetector.onAck(ack.sequenceNumber());
         } else if (message instanceof Message.Nack nack) {
-            failureDetector.onNack(nack.number());
+            failureDetector.onNack(nack.sequenceNumber());
         } else if (message instanceof Message.PingRequest request) {
             failureDetector.onPingRequest(nowMillis, from, request);
         } else if (message instanceof Message.Sync request && request.replyWanted()) {
@@ -165,7 +178,7 @@
     }
 
     /**
-     * Applies an update, received or of this member's own failure detector, if it overrides the
+     * Applies an update, received or from this member's own failure detector, if it overrides the
      * current one.
      */
     private void apply(double nowMillis, MemberUpdate update) {
@@ -204,7 +217,7 @@
             return;
         }
         MemberUpdate before = self.update();
-        self.raiseTo(nowMillis, refutation);
+        self.raiseIncarnation(nowMillis, refutation);
         disseminate(nowMillis, before, self.update());
         if (claim.incarnation().sameMembership(before.incarnation())) {
             health.degrade(1);
@@ -217,7 +230,7 @@
         transport.memberChanged(nowMillis, before, after);
     }
 
-    /** Leaves the fleet: notifies a few members, which pass it on. Nothing is sent after it. */
+    /** Leaves the fleet: notifies a few members, which disseminate it. Sends nothing afterwards. */
     public void leave(double nowMillis) {
         MemberUpdate before = self.update();
         self.leave();
@@ -232,7 +245,7 @@
         transport.memberChanged(nowMillis, before, self.update());
     }
 
-    /** All members: this one first, the others by name. */
+    /** Returns all members: this one first, the others sorted by name. */
     public List<MemberEntry> entries(double nowMillis) {
         List<MemberEntry> entries = new ArrayList<>();
         for (MemberState member : members.all()) {
@@ -243,23 +256,23 @@
         return entries;
     }
 
-    /** What this member claims of itself. */
+    /** The current update of this member on itself. */
     public MemberUpdate self() {
         return self.update();
     }
 
-    /** The other members; terminal ones are included for a while. */
+    /** The current updates on the other members. Terminal members are included for some time. */
     public Collection<MemberUpdate> others() {
         return members.all().stream().map(MemberState::update).toList();
     }
 
-    /** The current update on another member, or null where it is unknown. */
+    /** The current update on another member, or null if it is unknown. */
     public MemberUpdate member(String name) {
         MemberState member = members.get(name);
         return member == null ? null : member.update();
     }
 
-    /** Names of the other members that are not terminal. */
+    /** Names of the other members whose status is not terminal. */
     public Set<String> presentMembers() {
         Set<String> names = new LinkedHashSet<>();
         for (MemberState member : members.all()) {
@@ -270,7 +283,7 @@
         return names;
     }
 
-    /** How many other members are alive. */
+    /** The number of other members that are alive. */
     int aliveMembers() {
         return members.aliveMembers();
     }
@@ -286,20 +299,21 @@
     }
 
     /**
-     * Lifeguard's local health: 0 is healthy, {@link MembershipConfig#maxHealthPenalty()} worst.
+     * The penalty of Lifeguard's local health, from 0, healthy, to {@link
+     * MembershipConfig#maxHealthPenalty()}.
      */
     public int healthPenalty() {
         return health.penalty();
     }
 
-    /** Updates that are still passed on; none in a fleet at rest. */
+    /** The number of updates still to be disseminated; 0 in a fleet without changes. */
     public int piggybackQueueSize() {
         return piggybackQueue.size();
     }
 
     /**
-     * Entries of the member table and the piggyback queue walked through so far: a measure of what
-     * the size of the fleet costs.
+     * Entries of the member table and the piggyback queue iterated over so far, a measure of the
+     * cost of the size of the fleet.
      */
     public long visitedEntries() {
         return members.visitedEntries() + piggybackQueue.visitedEntries();
--- a/src/main/java/tinroad/fleet/MembershipView.java
+++ b/src/main/java/tinroad/fleet/MembershipView.java
@@ -8,13 +8,13 @@
 import org.pcollections.PMap;
 
 /**
- * The latest load digest of each member, as one of them knows it: an immutable value, so that all
- * parts of a decision see the same. Merging is a join of a lattice by membership and number. A
- * reader states the age that it accepts, and gets a value with its age or nothing. Times in ms, of
- * the reader's own clock.
+ * The latest load digest of each member, as one of the members knows it. It is an immutable value,
+ * so that all parts of a decision use the same one. Merging is a join of a semilattice by
+ * membership and sequence number. A reader passes the maximum age that it accepts, and gets a value
+ * with its age or none. Times are in ms of the reader's own clock.
  */
 public final class MembershipView {
-    /** A value and its age. */
+    /** A value that a member advertises, with its age. */
     public record FreshValue(String name, double value, double ageMillis) {}
 
     private record ReceivedDigest(LoadDigest digest, double advertisedAtMillis) {
@@ -22,16 +22,16 @@
             return Math.max(0, nowMillis - advertisedAtMillis);
         }
 
-        boolean sameAs(ReceivedDigest other) {
+        boolean isSameDigestAs(ReceivedDigest other) {
             return other != null
                     && other.digest.incarnation().sameMembership(digest.incarnation())
-                    && other.digest.number() == digest.number();
+                    && other.digest.sequenceNumber() == digest.sequenceNumber();
         }
     }
 
     private static final int MAX_MEMBERS = 2_000;
 
-    /** Without any member. */
+    /** A view without members. */
     public static final MembershipView EMPTY = new MembershipView(HashTreePMap.empty());
 
     private final PMap<String, ReceivedDigest> digests;
@@ -41,28 +41,29 @@
     }
 
     /**
-     * With this digest, if it is later than the current one; members beyond a bound are left out.
+     * Returns a view with this digest, if it is later than the current one. New members beyond a
+     * bound are left out.
      */
     public MembershipView merge(double nowMillis, LoadDigest digest) {
         ReceivedDigest before = digests.get(digest.name());
-        if (!digest.laterThan(before == null ? null : before.digest)
+        if (!digest.isLaterThan(before == null ? null : before.digest)
                 || (before == null && digests.size() >= MAX_MEMBERS)) {
             return this;
         }
-        // Never from the future: a forged age makes a digest no younger than it can be.
+        // A digest is never in the future: a forged negative age counts as 0.
         double advertisedAtMillis = nowMillis - Math.max(0, digest.ageMillis());
         return new MembershipView(
                 digests.plus(digest.name(), new ReceivedDigest(digest, advertisedAtMillis)));
     }
 
-    /** Without a member, whose membership is over. */
+    /** Returns a view without this member, whose membership is over. */
     public MembershipView without(String name) {
         return digests.containsKey(name) ? new MembershipView(digests.minus(name)) : this;
     }
 
     /**
-     * What this member advertises of this kind, or null where that is unknown or older than {@code
-     * maxAgeMillis}: the reader then decides without it.
+     * Returns the value of this kind that the member advertises, or null if it is unknown or older
+     * than {@code maxAgeMillis}; the reader then decides without it.
      */
     public FreshValue fresh(
             double nowMillis, String name, LoadDigest.Kind kind, double maxAgeMillis) {
@@ -77,7 +78,10 @@
                 : new FreshValue(name, value, ageMillis);
     }
 
-    /** The same of all members, without those of which nothing so recent is known. */
+    /**
+     * Returns the values of this kind that all members advertise, except unknown values and those
+     * older than {@code maxAgeMillis}.
+     */
     public List<FreshValue> fresh(double nowMillis, LoadDigest.Kind kind, double maxAgeMillis) {
         List<FreshValue> values = new ArrayList<>();
         for (String name : digests.keySet()) {
@@ -89,7 +93,10 @@
         return values;
     }
 
-    /** A digest to pass on, with its present age; null where the member is unknown. */
+    /**
+     * Returns the digest of this member with its present age, to be relayed; null if the member is
+     * unknown.
+     */
     public LoadDigest relayDigest(double nowMillis, String name) {
         ReceivedDigest received = digests.get(name);
         return received == null
@@ -97,24 +104,24 @@
                 : new LoadDigest(
                         name,
                         received.digest.incarnation(),
-                        received.digest.number(),
+                        received.digest.sequenceNumber(),
                         received.ageMillis(nowMillis),
                         received.digest.values());
     }
 
-    /** How many members it has. */
+    /** The number of members in this view. */
     public int size() {
         return digests.size();
     }
 
-    /** Whether both contain the same digests, whenever they received them. */
-    public boolean knowsTheSame(MembershipView other) {
+    /** Whether both views contain the same digests, whenever these were received. */
+    public boolean hasSameDigests(MembershipView other) {
         return digests.size() == other.digests.size()
                 && digests.entrySet().stream()
-                        .allMatch(e -> e.getValue().sameAs(other.digests.get(e.getKey())));
+                        .allMatch(e -> e.getValue().isSameDigestAs(other.digests.get(e.getKey())));
     }
 
-    /** All digests with their present age, sorted by the member's name. */
+    /** Returns all digests with their present age, sorted by the name of the member. */
     public Map<String, LoadDigest> digests(double nowMillis) {
         Map<String, LoadDigest> all = new TreeMap<>();
         digests.keySet().forEach(name -> all.put(name, relayDigest(nowMillis, name)));
--- a/src/main/java/tinroad/fleet/PiggybackQueue.java
+++ b/src/main/java/tinroad/fleet/PiggybackQueue.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * SWIM's infection-style dissemination: recent updates go with messages that are sent anyway, each
- * one a number of times that grows with the logarithm of the fleet. At most one update for each
- * member.
+ * SWIM's infection-style dissemination: recent updates are piggybacked on messages that are sent
+ * anyway. Each update is sent a number of times that grows with the logarithm of the size of the
+ * fleet. The queue contains at most one update for each member.
  */
 final class PiggybackQueue {
     private static final double LN2 = Math.log(2);
@@ -33,25 +33,28 @@
         this.members = members;
     }
 
-    /** Queues an update in place of an older one on the same member. */
+    /** Queues an update; it replaces an older one on the same member. */
     void add(MemberUpdate update) {
         queue.put(update.name(), new QueuedUpdate(update));
     }
 
-    /** Updates for one message. */
+    /** Returns the updates for one message. */
     List<MemberUpdate> nextUpdates() {
         return nextUpdates(null);
     }
 
     /**
-     * Updates for one message to this member: a suspicion on the receiver goes first (Lifeguard's
-     * buddy system), so that it can refute it.
+     * Returns the updates for one message to this member. A suspicion of the receiver itself comes
+     * first (Lifeguard's buddy system), so that it can refute it.
      */
     List<MemberUpdate> nextUpdatesFor(MemberState receiver) {
         return nextUpdates(receiver.status() == MemberStatus.SUSPECT ? receiver.update() : null);
     }
 
-    /** The least transmitted updates first. */
+    /**
+     * Returns {@code first}, unless it is null, and then the updates that were sent the fewest
+     * times.
+     */
     private List<MemberUpdate> nextUpdates(MemberUpdate first) {
         int maxTransmissions =
                 config.retransmitMultiplier() * (int) Math.ceil(Math.log(members.size() + 2) / LN2);
@@ -76,7 +79,7 @@
         return queue.size();
     }
 
-    /** Entries walked through so far. */
+    /** Entries iterated over so far. */
     long visitedEntries() {
         return visitedEntries;
     }
--- a/src/main/java/tinroad/fleet/ProbeOrder.java
+++ b/src/main/java/tinroad/fleet/ProbeOrder.java
@@ -6,15 +6,15 @@
 import java.util.SplittableRandom;
 
 /**
- * SWIM's round-robin probe order: each round is shuffled and contains every member once, which
+ * SWIM's round-robin probe order. Each round is shuffled and contains every member once, which
  * bounds the time until a failed member is probed. A new member gets a random position in the
- * round.
+ * current round.
  */
 final class ProbeOrder {
     private final MemberTable members;
     private final SplittableRandom random;
 
-    /** What is left of the round; the last one is the next. */
+    /** The members that are left in this round; the last one in the list is probed next. */
     private final List<String> round = new ArrayList<>();
 
     ProbeOrder(MemberTable members, SplittableRandom random) {
@@ -26,7 +26,7 @@
         round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), name);
     }
 
-    /** The next member that is not terminal, or null where there is none. */
+    /** Returns the next member that is not terminal, or null if there is none. */
     MemberState next() {
         for (int attempt = 0; attempt < 2; attempt++) {
             MemberState member = nextOfRound();
--- a/src/main/java/tinroad/fleet/SuspicionTracker.java
+++ b/src/main/java/tinroad/fleet/SuspicionTracker.java
@@ -10,9 +10,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The suspected members, and how long each has to refute (Lifeguard's dynamic suspicion timeout):
- * suspicions of others shorten the time, down to a minimum. Where many are suspected at once, a
- * network partition is assumed, and none is declared dead for a while.
+ * Tracks the suspected members and the time that each has to refute the suspicion (Lifeguard's
+ * dynamic suspicion timeout): suspicions by other members shorten it, down to a minimum. If many
+ * members are suspected at once, a network partition is assumed, and no suspect is declared dead
+ * for some time.
  */
 final class SuspicionTracker {
     private static final class Suspicion {
@@ -36,7 +37,7 @@
         this.random = random;
     }
 
-    /** Follows an update that was applied: a suspicion begins anew, or ends. */
+    /** Follows an update that was applied to the member table: starts or ends a suspicion. */
     void onUpdateApplied(double nowMillis, MemberUpdate update) {
         suspicions.remove(update.name());
         if (update.status() == MemberStatus.SUSPECT) {
@@ -47,8 +48,9 @@
     }
 
     /**
-     * Another's suspicion of a member that is suspected already. Returns whether it counts: not
-     * twice from the same one, nor beyond the number that leads to the minimum.
+     * Adds another member's suspicion of a member that is suspected already. Returns whether it
+     * counts: each member counts once, and confirmations beyond the number that leads to the
+     * minimum timeout don't count.
      */
     boolean confirm(MemberUpdate update) {
         Suspicion suspicion = suspicions.get(update.name());
@@ -56,19 +58,23 @@
                 || !suspicion.suspectedBy.add(update.by())) {
             return false;
         }
-        double part = Math.log(suspicion.suspectedBy.size()) / Math.log(config.confirmations() + 1);
+        double fraction =
+                Math.log(suspicion.suspectedBy.size()) / Math.log(config.confirmations() + 1);
         double timeoutMillis =
                 Math.max(
                         config.minSuspicionMillis(),
                         config.maxSuspicionMillis()
                                 - (config.maxSuspicionMillis() - config.minSuspicionMillis())
-                                        * part);
+                                        * fraction);
         suspicion.deadlineMillis =
                 Math.min(suspicion.deadlineMillis, suspicion.startedAtMillis + timeoutMillis);
         return true;
     }
 
-    /** Names of those whose time to refute is over; while a partition is assumed they get more. */
+    /**
+     * Returns the names of the suspects whose time to refute is over. While a partition is assumed
+     * they get more time.
+     */
     List<String> expired(double nowMillis, int aliveMembers) {
         if (suspicions.isEmpty()) {
             return List.of();
@@ -80,8 +86,8 @@
                     if (partition
                             && nowMillis
                                     < suspicion.startedAtMillis + config.partitionWaitMillis()) {
-                        // Once the partition has healed each needs time to refute: the last ones
-                        // must not be declared dead while the others are cleared.
+                        // Each suspect needs time to refute once the partition has healed: the last
+                        // ones must not be declared dead while the others are cleared.
                         suspicion.deadlineMillis =
                                 Math.max(
                                         suspicion.deadlineMillis,
@@ -93,7 +99,7 @@
         return expired;
     }
 
-    /** Gives all suspects this much more time. */
+    /** Gives all suspects this much more time to refute. */
     void extendAll(double millis) {
         suspicions.values().forEach(suspicion -> suspicion.deadlineMillis += millis);
     }
@@ -113,7 +119,7 @@
         return Collections.unmodifiableSet(suspicions.keySet());
     }
 
-    /** Draws a suspect; there must be one. */
+    /** Draws a suspect at random; there must be at least one. */
     String sample() {
         return suspicions.keySet().stream()
                 .skip(random.nextInt(suspicions.size()))
--- a/src/main/java/tinroad/fleet/package-info.java
+++ b/src/main/java/tinroad/fleet/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The membership of the fleet by SWIM with Lifeguard's extensions ({@link
- * tinroad.fleet.Membership}), and what members advertise of their load ({@link
- * tinroad.fleet.MembershipView}; not in use by the gateway yet). Called by the transport in {@code
- * tinroad.gossip} and by the simulation; read by the admin endpoint. Messages are values in and
- * out; knows no clock, socket, file or thread.
+ * The membership of the fleet by SWIM with the extensions of Lifeguard ({@link
+ * tinroad.fleet.Membership}), and the load that members advertise ({@link
+ * tinroad.fleet.MembershipView}, which the gateway does not use yet). The transport in {@code
+ * tinroad.gossip} and the simulation call this package; the admin endpoint reads it. Messages are
+ * plain values. The package uses no clock, socket, file or thread.
  */
 package tinroad.fleet;
--- a/src/main/java/tinroad/gossip/DatagramAuthenticator.java
+++ b/src/main/java/tinroad/gossip/DatagramAuthenticator.java
@@ -9,9 +9,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Signs datagrams with the first {@link #TAG_BYTES} bytes of HMAC-SHA-256 (RFC 2104). Several keys
- * may be valid, so that a key can be replaced without a moment in which members reject each other;
- * the first one signs. Owned by one thread.
+ * Signs datagrams with the first {@link #TAG_BYTES} bytes of HMAC-SHA-256 (RFC 2104), and verifies
+ * them. Several keys may be valid at the same time, so that a key can be replaced without members
+ * rejecting each other meanwhile. The first key signs. Used by one thread.
  */
 final class DatagramAuthenticator {
     /** Length of the authentication tag at the end of a datagram. */
@@ -29,25 +29,27 @@
                 macs.add(mac);
             }
         } catch (GeneralSecurityException e) {
-            // Can't happen: every Java platform has it, and any key of one byte and more will do.
+            // Can't happen: every Java platform has this algorithm, and it accepts any key of at
+            // least one byte.
             throw new IllegalStateException(e);
         }
     }
 
-    /** The body with its tag behind it. */
+    /** Returns the body followed by its authentication tag. */
     byte[] sign(byte[] body) {
         byte[] datagram = Arrays.copyOf(body, body.length + TAG_BYTES);
         System.arraycopy(macs.get(0).doFinal(body), 0, datagram, body.length, TAG_BYTES);
         return datagram;
     }
 
-    /** Whether the tag behind the body fits one of the keys. */
+    /** Whether the tag that follows the body is valid for one of the keys. */
     boolean verify(byte[] datagram, int bodyLength) {
         byte[] tag = Arrays.copyOfRange(datagram, bodyLength, datagram.length);
         boolean valid = false;
         for (Mac mac : macs) {
             mac.update(datagram, 0, bodyLength);
-            // All keys are tried whatever the first says, each in constant time.
+            // Tries all keys, even after one fits, and compares each in constant time, so that the
+            // duration reveals nothing about the keys.
             valid |= MessageDigest.isEqual(tag, Arrays.copyOf(mac.doFinal(), TAG_BYTES));
         }
         return valid;
--- a/src/main/java/tinroad/gossip/MessageCodec.java
+++ b/src/main/java/tinroad/gossip/MessageCodec.java
@@ -15,18 +15,22 @@
 import tinroad.fleet.Message;
 
 /**
- * Messages as datagrams: a byte for the format, CBOR (RFC 8949), and an authentication tag over
- * both. Fields that a later version adds are skipped. Owned by one thread.
+ * Encodes messages as datagrams and decodes them: one byte for the version of the format, the
+ * message in CBOR (RFC 8949), and an authentication tag over both. Fields that a later version
+ * appends are skipped. Used by one thread.
  */
 public final class MessageCodec {
-    /** Longest datagram, in bytes: fits any path without fragmentation. */
+    /**
+     * Maximum length of a datagram in bytes: small enough for any network path without
+     * fragmentation.
+     */
     public static final int MAX_DATAGRAM_BYTES = 1200;
 
     private static final byte FORMAT = 1;
     private static final int MAX_TEXT_CHARS = 64;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    // The types of messages on the wire.
+    // Types of messages on the wire.
     private static final String PING = "ping";
     private static final String ACK = "ack";
     private static final String NACK = "nack";
@@ -34,7 +38,7 @@
     private static final String SYNC = "sync";
     private static final String SYNC_WITH_REPLY = "sync?";
 
-    // The codes of a member's status on the wire.
+    // Codes of a member's status on the wire.
     private static final int STATUS_ALIVE = 0;
     private static final int STATUS_SUSPECT = 1;
     private static final int STATUS_DEAD = 2;
@@ -43,41 +47,41 @@
     private final DatagramAuthenticator authenticator;
 
     /**
-     * With these keys, each of at least 16 bytes: the first one signs what is sent, any of them is
-     * accepted in what is received.
+     * Creates a codec with these keys, each of at least 16 bytes. The first one signs what is sent;
+     * any of them is accepted in what is received.
      */
     public MessageCodec(List<byte[]> keys) {
         authenticator = new DatagramAuthenticator(keys);
     }
 
     /**
-     * The datagram; updates that it has no room for are left out, the last ones first: they are
-     * piggybacked again.
+     * Encodes a message as a datagram. If the updates don't all fit, the last ones are left out:
+     * they are piggybacked on a later message.
      */
     public byte[] write(Message message) {
-        int updates = message.updates().size();
-        byte[] datagram = write(message, updates);
-        while (datagram.length > MAX_DATAGRAM_BYTES && updates > 0) {
-            updates -= Math.max(1, updates / 8);
-            datagram = write(message, updates);
+        int updateCount = message.updates().size();
+        byte[] datagram = write(message, updateCount);
+        while (datagram.length > MAX_DATAGRAM_BYTES && updateCount > 0) {
+            updateCount -= Math.max(1, updateCount / 8);
+            datagram = write(message, updateCount);
         }
         return datagram;
     }
 
-    private byte[] write(Message message, int updates) {
+    private byte[] write(Message message, int updateCount) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         body.write(FORMAT);
         try (JsonGenerator cbor = CBOR.createGenerator(body)) {
             cbor.writeStartArray();
             writeHeader(cbor, message);
             cbor.writeStartArray();
-            for (MemberUpdate update : message.updates().subList(0, updates)) {
+            for (MemberUpdate update : message.updates().subList(0, updateCount)) {
                 writeUpdate(cbor, update);
             }
             cbor.writeEndArray();
             cbor.writeEndArray();
         } catch (IOException e) {
-            // Can't happen: the target is memory.
+            // Can't happen: the generator writes to memory.
             throw new UncheckedIOException(e);
         }
         return authenticator.sign(body.toByteArray());
@@ -85,14 +89,15 @@
 
     private static void writeHeader(JsonGenerator cbor, Message message) throws IOException {
         if (message instanceof Message.Ping ping) {
-            writeHeader(cbor, PING, ping.number(), "");
+            writeHeader(cbor, PING, ping.sequenceNumber(), "");
         } else if (message instanceof Message.Ack ack) {
-            writeHeader(cbor, ACK, ack.number(), "");
+            writeHeader(cbor, ACK, ack.sequenceNumber(), "");
         } else if (message instanceof Message.Nack nack) {
-            writeHeader(cbor, NACK, nack.number(), "");
+            writeHeader(cbor, NACK, nack.sequenceNumber(), "");
         } else if (message instanceof Message.PingRequest request) {
             String address = request.address();
-            writeHeader(cbor, PING_REQUEST, request.number(), address == null ? "" : address);
+            writeHeader(
+                    cbor, PING_REQUEST, request.sequenceNumber(), address == null ? "" : address);
         } else if (message instanceof Message.Sync sync) {
             writeHeader(cbor, sync.replyWanted() ? SYNC_WITH_REPLY : SYNC, 0, "");
         }
@@ -127,7 +132,10 @@
         };
     }
 
-    /** The status of this code, or null where a later version has added it. */
+    /**
+     * Returns the status with this code, or null if the code is unknown, as a later version may add
+     * one.
+     */
     private static MemberStatus status(int code) {
         return switch (code) {
             case STATUS_ALIVE -> MemberStatus.ALIVE;
@@ -139,8 +147,8 @@
     }
 
     /**
-     * The message in a datagram, or null where it is not valid: too long, forged, damaged, or of an
-     * unknown type.
+     * Decodes the message in a datagram. Returns null if the datagram is not valid: too long,
+     * forged, damaged, or of an unknown type.
      */
     public Message read(byte[] datagram) {
         int bodyLength = datagram.length - DatagramAuthenticator.TAG_BYTES;
@@ -181,22 +189,25 @@
         };
     }
 
-    /** The update that the array holds, or null where it has no name or an unknown status. */
+    /**
+     * Reads the update in the current array. Returns null if it has no name or an unknown status.
+     */
     private static MemberUpdate readUpdate(JsonParser cbor) throws IOException {
         String name = readText(cbor);
         String address = readText(cbor);
         String zone = readText(cbor);
         MemberIncarnation incarnation =
-                new MemberIncarnation(readLong(cbor), readCount(cbor), readCount(cbor));
-        MemberStatus status = status(readCount(cbor));
-        String by = readText(cbor);
-        // A later version may add fields.
+                new MemberIncarnation(
+                        readLong(cbor), readNonNegativeInt(cbor), readNonNegativeInt(cbor));
+        MemberStatus status = status(readNonNegativeInt(cbor));
+        String claimant = readText(cbor);
+        // A later version may append fields.
         while (cbor.nextToken() != JsonToken.END_ARRAY) {
             cbor.skipChildren();
         }
         return status == null || name.isEmpty()
                 ? null
-                : new MemberUpdate(name, address, zone, incarnation, status, by);
+                : new MemberUpdate(name, address, zone, incarnation, status, claimant);
     }
 
     private static void expect(JsonParser cbor, JsonToken expected) throws IOException {
@@ -210,7 +221,7 @@
         expect(cbor, JsonToken.VALUE_STRING);
         String text = cbor.getText();
         if (text.length() > MAX_TEXT_CHARS) {
-            throw new IllegalArgumentException("text of " + text.length() + " characters");
+            throw new IllegalArgumentException("text too long: " + text.length() + " characters");
         }
         return text;
     }
@@ -220,7 +231,7 @@
         return cbor.getLongValue();
     }
 
-    private static int readCount(JsonParser cbor) throws IOException {
+    private static int readNonNegativeInt(JsonParser cbor) throws IOException {
         long value = readLong(cbor);
         if (value < 0 || value > Integer.MAX_VALUE) {
             throw new IllegalArgumentException("out of range: " + value);
--- a/src/main/java/tinroad/gossip/UdpTransport.java
+++ b/src/main/java/tinroad/gossip/UdpTransport.java
@@ -31,25 +31,25 @@
 import tinroad.fleet.Message;
 
 /**
- * Sends and receives a membership's messages over UDP, and drives its timers, on one event loop;
- * bounded in what it sends and reads, whatever comes in.
+ * Sends and receives the messages of a membership over UDP and drives its timers, on one event
+ * loop. Whatever is received, it sends and reads only a bounded number of datagrams per second.
  */
 public final class UdpTransport implements Membership.Transport {
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
     private static final long TICK_MILLIS = 20;
 
     /**
-     * A member of a fleet of a hundred that loses two fifths of all datagrams sends a sixth of
-     * this.
+     * A member of a fleet of a hundred sends a sixth of this while two fifths of all datagrams are
+     * lost.
      */
     private static final int MAX_SENT_PER_SECOND = 300;
 
     private static final int MAX_READ_PER_SECOND = 1000;
 
-    /** Least time between two log lines on a suspected partition. */
+    /** Minimum time between two log lines about a suspected partition. */
     private static final double PARTITION_LOG_INTERVAL_MILLIS = 5000;
 
-    /** Parsed addresses that are cached. */
+    /** Maximum number of parsed addresses in the cache. */
     private static final int MAX_ADDRESSES = 4096;
 
     private final EventLoop loop;
@@ -66,11 +66,11 @@
     private double partitionLoggedAtMillis;
 
     /**
-     * A transport that is not open yet.
+     * Creates a transport; {@link #start} opens its socket.
      *
      * @param bindAddress to receive on
      * @param keys that sign datagrams, see {@link MessageCodec}
-     * @param clock Unix ms that never step back
+     * @param clock returns Unix time in ms that never decreases
      */
     public UdpTransport(
             EventLoop loop,
@@ -88,9 +88,9 @@
      *
      * @param name of this member
      * @param process number of this process, see {@link MemberIncarnation}
-     * @param seeds addresses of members that are known to begin with
-     * @param seed of the membership's random draws
-     * @return done once the socket is bound, or failed where it can't be
+     * @param seeds addresses of members that are known from the start
+     * @param seed of the random draws of the membership
+     * @return succeeds once the socket is bound, or fails if it can't be bound
      */
     public ChannelFuture start(
             String name, String zone, long process, List<String> seeds, long seed) {
@@ -98,8 +98,8 @@
     }
 
     /**
-     * The same with handlers between the socket and this, for the lab: they count, lose and delay
-     * datagrams.
+     * Opens the socket and joins the fleet, with extra handlers between the socket and this
+     * transport. The lab uses them to count, drop and delay datagrams.
      */
     public ChannelFuture start(
             String name,
@@ -107,7 +107,7 @@
             long process,
             List<String> seeds,
             long seed,
-            ChannelHandler... between) {
+            ChannelHandler... handlers) {
         ChannelFuture bound =
                 new Bootstrap()
                         .group(loop)
@@ -118,14 +118,14 @@
                                     protected void initChannel(NioDatagramChannel datagrams) {
                                         datagrams
                                                 .pipeline()
-                                                .addLast(between)
+                                                .addLast(handlers)
                                                 .addLast(new DatagramHandler());
                                     }
                                 })
                         .bind(bindAddress);
         bound.addListener(
-                done -> {
-                    if (done.isSuccess()) {
+                completed -> {
+                    if (completed.isSuccess()) {
                         channel = bound.channel();
                         join(name, zone, process, seeds, seed);
                     }
@@ -133,7 +133,7 @@
         return bound;
     }
 
-    /** The timer's future is dropped: it ends with the event loop. */
+    /** The future of the timer is ignored: the timer ends with the event loop. */
     @SuppressWarnings("FutureReturnValueIgnored")
     private void join(String name, String zone, long process, List<String> seeds, long seed) {
         MemberUpdate self =
@@ -156,7 +156,10 @@
             receive(packet);
         }
 
-        /** Such as the ICMP error of a member that is gone: its failed probes say it, too. */
+        /**
+         * Ignores errors such as the ICMP error of a member that is gone: the failed probes of that
+         * member show the same.
+         */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
     }
@@ -172,11 +175,11 @@
             sentInSecond = 0;
             readInSecond = 0;
         }
-        logFailure(() -> membership.tick(nowMillis));
+        runAndLogFailure(() -> membership.tick(nowMillis));
         logPartition(nowMillis);
     }
 
-    /** Logs at most every few seconds: near the threshold the answer changes quickly. */
+    /** Logs at most once every few seconds, as the assumption changes often near its threshold. */
     private void logPartition(double nowMillis) {
         if (membership.suspectsPartition() != loggedPartition
                 && nowMillis - partitionLoggedAtMillis >= PARTITION_LOG_INTERVAL_MILLIS) {
@@ -191,7 +194,7 @@
     }
 
     private void receive(DatagramPacket packet) {
-        // Guards the event loop: datagrams beyond this are dropped before they are verified.
+        // Protects the event loop: datagrams beyond the limit are dropped before they are verified.
         if (membership == null
                 || ++readInSecond > MAX_READ_PER_SECOND
                 || packet.content().readableBytes() > MessageCodec.MAX_DATAGRAM_BYTES) {
@@ -199,7 +202,7 @@
         }
         Message message = codec.read(ByteBufUtil.getBytes(packet.content()));
         if (message != null) {
-            logFailure(
+            runAndLogFailure(
                     () ->
                             membership.receive(
                                     clock.getAsDouble(), format(packet.sender()), message));
@@ -207,18 +210,18 @@
     }
 
     /**
-     * Guards against a fault of the membership: an exception would end the timer. The gateway goes
-     * on alone.
+     * Logs an exception of the membership, which would otherwise end the timer. The gateway
+     * continues without its fleet.
      */
-    private static void logFailure(Runnable event) {
+    private static void runAndLogFailure(Runnable action) {
         try {
-            event.run();
+            action.run();
         } catch (RuntimeException e) {
             LOG.error("membership failed", e);
         }
     }
 
-    /** The write's future is dropped: a datagram may be lost, the protocol allows for it. */
+    /** The future of the write is ignored: the protocol tolerates lost datagrams. */
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void send(String address, Message message) {
@@ -232,7 +235,10 @@
         }
     }
 
-    /** A numeric address, or null: no host name is resolved that came over the wire. */
+    /**
+     * Parses a numeric address. Returns null for any other text: host names that come over the wire
+     * are not resolved.
+     */
     private static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip =
@@ -269,7 +275,7 @@
         }
     }
 
-    /** Leaves the fleet, see {@link Membership#leave}; does nothing before the socket is open. */
+    /** Leaves the fleet, see {@link Membership#leave}. Does nothing before the socket is open. */
     public void leave() {
         if (membership != null) {
             membership.leave(clock.getAsDouble());
--- a/src/test/java/tinroad/fleet/MemberCountsTest.java
+++ b/src/test/java/tinroad/fleet/MemberCountsTest.java
@@ -13,11 +13,12 @@
 import net.jqwik.api.Provide;
 
 /**
- * The members that are counted as alive are those that are, and each suspect, and no other, has a
- * time to refute. Guards against a partition that is assumed, or never found, as a count is off.
+ * Checks that the count of alive members is right, and that exactly the suspected members have a
+ * time to refute. A wrong count would make the fleet assume a partition that does not exist, or
+ * miss one.
  */
 class MemberCountsTest {
-    private static final Membership.Transport SILENT =
+    private static final Membership.Transport DISCARDING_TRANSPORT =
             new Membership.Transport() {
                 @Override
                 public void send(String to, Message message) {}
@@ -27,7 +28,7 @@
                         double nowMillis, MemberUpdate before, MemberUpdate after) {}
             };
 
-    /** An update that is received, after so many ms of ticks. */
+    /** An update that is received after {@code millis} of ticks. */
     private record Event(int millis, MemberUpdate update) {}
 
     @Provide
@@ -69,7 +70,7 @@
     }
 
     @Property(seed = "20261205", tries = 10_000)
-    void aliveAndSuspectedMembersAreCountedAsTheyAre(@ForAll("events") List<Event> events) {
+    void countsMatchTheAliveAndSuspectedMembers(@ForAll("events") List<Event> events) {
         Membership membership =
                 new Membership(
                         new MemberUpdate(
@@ -82,7 +83,7 @@
                         List.of("a"),
                         MembershipConfig.DEFAULT,
                         7,
-                        SILENT);
+                        DISCARDING_TRANSPORT);
         double nowMillis = 1000;
         membership.start(nowMillis);
         for (Event event : events) {
--- a/src/test/java/tinroad/fleet/MemberUpdateTest.java
+++ b/src/test/java/tinroad/fleet/MemberUpdateTest.java
@@ -16,7 +16,9 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Which update overrides which: all who received the same updates hold the same. */
+/**
+ * Which update overrides which: all members that received the same updates end with the same one.
+ */
 class MemberUpdateTest {
     @Provide
     Arbitrary<List<MemberUpdate>> updates() {
@@ -42,15 +44,15 @@
     }
 
     private static MemberUpdate join(List<MemberUpdate> updates) {
-        MemberUpdate held = null;
+        MemberUpdate current = null;
         for (MemberUpdate update : updates) {
-            held = update.overrides(held) ? update : held;
+            current = update.overrides(current) ? update : current;
         }
-        return held;
+        return current;
     }
 
-    private static String meaning(MemberUpdate update) {
-        // The refutation of a membership that is over means nothing.
+    private static String effectiveState(MemberUpdate update) {
+        // The refutation of a terminal membership has no effectiveState.
         return update.incarnation().process()
                 + "."
                 + update.incarnation().restart()
@@ -65,7 +67,7 @@
         List<MemberUpdate> shuffled = new ArrayList<>(updates);
         shuffled.addAll(updates.subList(0, updates.size() / 2));
         Collections.shuffle(shuffled, new Random(seed));
-        assertEquals(meaning(join(updates)), meaning(join(shuffled)));
+        assertEquals(effectiveState(join(updates)), effectiveState(join(shuffled)));
     }
 
     @Property(tries = 2000, seed = "42")
--- a/src/test/java/tinroad/fleet/MembershipViewTest.java
+++ b/src/test/java/tinroad/fleet/MembershipViewTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import tinroad.fleet.LoadDigest.Kind;
 
-/** The load digests of other members, and their age. */
+/** Merging and reading the load digests of other members, and their age. */
 class MembershipViewTest {
     private static final double MERGED_AT_MILLIS = 10_000;
     private static final double MAX_AGE_MILLIS = 3_000;
@@ -63,7 +63,8 @@
         shuffled.addAll(digests);
         Collections.shuffle(shuffled, new Random(seed));
         assertTrue(
-                merged(MERGED_AT_MILLIS, digests).knowsTheSame(merged(MERGED_AT_MILLIS, shuffled)));
+                merged(MERGED_AT_MILLIS, digests)
+                        .hasSameDigests(merged(MERGED_AT_MILLIS, shuffled)));
     }
 
     @Property(tries = 500, seed = "52")
--- a/src/test/java/tinroad/gossip/MessageCodecTest.java
+++ b/src/test/java/tinroad/gossip/MessageCodecTest.java
@@ -22,7 +22,7 @@
 import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Message;
 
-/** Messages are read as they were written, and nothing else is accepted. */
+/** Checks that messages are decoded as they were encoded, and that nothing else is accepted. */
 class MessageCodecTest {
     private static final byte[] KEY = "sixteen bytes...".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NEXT_KEY = "another sixteen.".getBytes(StandardCharsets.US_ASCII);
@@ -59,7 +59,7 @@
         assertEquals(message, codec.read(codec.write(message)));
     }
 
-    /** Members of another release read these bytes: they never change. */
+    /** Members of other releases read these bytes, so they must never change. */
     @Test
     void writesTheBytesOfTheWireFormat() {
         List<MemberUpdate> updates =
