--- a/src/main/java/tinroad/state/DecayedValue.java
+++ b/src/main/java/tinroad/state/DecayedValue.java
@@ -3,23 +3,23 @@
 import java.util.Optional;
 
 /**
- * A restored value at the moment of its use. It decays toward the prior, which is what is assumed
- * where nothing was learned: after one half-life half of the difference is left. Beyond its maximum
- * age a value is not used at all.
+ * A restored learned value at the moment of its use. It decays toward the prior, the value that is
+ * assumed if nothing was learned: after one half-life, half of the difference is left. A value
+ * older than its maximum age is not used at all.
  *
  * @param value decayed toward the prior, in the unit of the learned value
- * @param weight samples behind it, decayed alike
- * @param ageMillis time since it was learned
- * @param incarnation that learned it
+ * @param weight number of samples behind the value, decayed in the same way
+ * @param ageMillis time since the value was learned
+ * @param incarnation that learned the value
  */
 public record DecayedValue(double value, double weight, double ageMillis, long incarnation) {
 
     /**
-     * The value at {@code nowMillis}; empty where it is too old, comes from later than now, or is
-     * not a finite number.
+     * Returns the decayed value at {@code nowMillis}. Empty if the learned value is too old, comes
+     * from the future, or is not a finite number.
      *
      * @param nowMillis Unix time
-     * @param prior what is assumed without it, in its unit
+     * @param prior the value that is assumed if nothing was learned, in the same unit
      */
     public static Optional<DecayedValue> of(
             LearnedValue learned,
@@ -38,11 +38,11 @@
         if (!usable) {
             return Optional.empty();
         }
-        double remaining = Math.pow(0.5, ageMillis / halfLifeMillis);
+        double remainingFraction = Math.pow(0.5, ageMillis / halfLifeMillis);
         return Optional.of(
                 new DecayedValue(
-                        prior + (learned.value() - prior) * remaining,
-                        learned.weight() * remaining,
+                        prior + (learned.value() - prior) * remainingFraction,
+                        learned.weight() * remainingFraction,
                         ageMillis,
                         learned.incarnation()));
     }
--- a/src/main/java/tinroad/state/DurableFiles.java
+++ b/src/main/java/tinroad/state/DurableFiles.java
@@ -7,11 +7,11 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Writes files so that they are on the disk when a method returns; blocks until then. */
+/** Writes files and forces them to the disk. Its methods block until the data is durable. */
 public final class DurableFiles {
     private DurableFiles() {}
 
-    /** Writes a file, replacing what it held. */
+    /** Writes a file, replacing its previous content. */
     static void overwrite(Path file, byte[] bytes) throws IOException {
         write(
                 file,
@@ -24,7 +24,7 @@
     /**
      * Writes a new file.
      *
-     * @throws java.nio.file.FileAlreadyExistsException where there is one of this name
+     * @throws java.nio.file.FileAlreadyExistsException if a file of this name exists
      */
     public static void create(Path file, byte[] bytes) throws IOException {
         write(file, bytes, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
@@ -40,7 +40,10 @@
         }
     }
 
-    /** Makes the names in a folder durable: what was renamed, linked or deleted there before. */
+    /**
+     * Forces the entries of a folder to the disk, so that earlier renames, links and deletions in
+     * it are durable.
+     */
     public static void forceFolder(Path folder) throws IOException {
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
--- a/src/main/java/tinroad/state/LearnedValue.java
+++ b/src/main/java/tinroad/state/LearnedValue.java
@@ -1,11 +1,11 @@
 package tinroad.state;
 
 /**
- * A learned value, with what is needed to decide whether it can still be used.
+ * A learned value, with the data that decides whether it can still be used.
  *
  * @param value in the unit that its key names
- * @param weight number of samples behind it
- * @param learnedAtMillis when it was last true, in Unix ms
- * @param incarnation that learned it
+ * @param weight number of samples behind the value
+ * @param learnedAtMillis when the value last held, in Unix ms
+ * @param incarnation that learned the value
  */
 public record LearnedValue(double value, double weight, double learnedAtMillis, long incarnation) {}
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -7,10 +7,10 @@
 import tinroad.overload.Controller.Estimate;
 
 /**
- * When, and by which incarnation, each value was learned that an incarnation saves. Guards against
- * old knowledge that looks fresh because it was saved again: a value that has not changed keeps its
- * time and its incarnation, and one that was mixed with new samples moves toward now only by the
- * share of its samples that are new. Times in Unix ms. Not thread-safe.
+ * Tracks when, and by which incarnation, each value was learned that this incarnation saves. It
+ * prevents old values from looking fresh because they were saved again: an unchanged value keeps
+ * its time and its incarnation, and the time of a value that was mixed with new samples moves
+ * toward now only by the share of its samples that are new. Times are in Unix ms. Not thread-safe.
  */
 public final class Provenance {
     private final long incarnation;
@@ -21,14 +21,14 @@
     private final Map<String, LearnedValue> restoredValues = new HashMap<>();
     private final Map<String, LearnedValue> lastSaved = new HashMap<>();
 
-    /** The provenance of what this incarnation saves. */
+    /** Creates the provenance of the values that this incarnation saves. */
     public Provenance(long incarnation) {
         this.incarnation = incarnation;
     }
 
     /**
-     * The incarnation starts with {@code estimates}; those named in {@code restored} come from a
-     * snapshot, the others are assumed.
+     * Sets the {@code estimates} with which the incarnation starts. Those named in {@code restored}
+     * come from a snapshot, the others are assumed.
      */
     public void start(Map<String, Estimate> estimates, Map<String, LearnedValue> restored) {
         initialEstimates.putAll(estimates);
@@ -36,8 +36,8 @@
     }
 
     /**
-     * What to save at {@code nowMillis}, for {@code estimates} as they are then; what was only ever
-     * assumed is left out.
+     * Returns the values to save at {@code nowMillis}, given the {@code estimates} at that time.
+     * Values that were only ever assumed are left out.
      */
     public Map<String, LearnedValue> valuesToSave(
             double nowMillis, Map<String, Estimate> estimates) {
@@ -57,7 +57,7 @@
         Estimate initial = initialEstimates.get(name);
         LearnedValue restored = restoredValues.get(name);
         if (estimate.equals(initial)) {
-            // As it was read: decayed once more, it would be decayed twice.
+            // Saves the value as it was read: saving the decayed one would let it decay twice.
             return Optional.ofNullable(restored);
         }
         LearnedValue last = lastSaved.get(name);
@@ -69,7 +69,7 @@
         }
         double newSamples =
                 initial == null ? estimate.weight() : estimate.weight() - initial.weight();
-        // Of a value without counted samples it is only known that it changed.
+        // If no samples are counted, it is only known that the value changed: it counts as new.
         double newShare =
                 restored == null || newSamples <= 0
                         ? 1
--- a/src/main/java/tinroad/state/Snapshot.java
+++ b/src/main/java/tinroad/state/Snapshot.java
@@ -6,16 +6,17 @@
  * The state of one gateway at one moment.
  *
  * @param name of the gateway
- * @param incarnation number of its process, from 1 on: each start has a higher one than all before
+ * @param incarnation number of the gateway's process, at least 1; each start has a higher one than
+ *     all starts before it
  * @param generation counts the snapshots of an incarnation
  * @param savedAtMillis Unix time
- * @param evacuated whether operators had taken it out of service
+ * @param evacuated whether operators had taken the gateway out of service
  * @param values learned values by key
  * @param executedIds ids of requests that ran and whose deadline has not passed, with their
- *     deadlines in Unix ms: none may run again
- * @param catalogEpoch of the catalog of classes and tenants that was in force; 0 where none was
+ *     deadlines in Unix ms; none of them may run again
+ * @param catalogEpoch epoch of the catalog of classes and tenants that was in force; 0 if none was
  *     published
- * @param catalogNumber its version within the epoch
+ * @param catalogNumber version of that catalog within the epoch
  */
 public record Snapshot(
         String name,
@@ -28,15 +29,15 @@
         long catalogEpoch,
         long catalogNumber) {
     /**
-     * Ids that a snapshot holds at most; beyond it those with the latest deadlines are kept, as
-     * they could run twice for longest.
+     * Maximum number of ids in a snapshot. Beyond it those with the latest deadlines are stored, as
+     * these are the ones that could run twice for the longest time.
      */
     public static final int MAX_EXECUTED_IDS = 50_000;
 
-    /** Values that a snapshot holds at most. */
+    /** Maximum number of learned values in a snapshot. */
     public static final int MAX_VALUES = 50_000;
 
-    /** A snapshot without a published catalog. */
+    /** Creates a snapshot without a published catalog. */
     public Snapshot(
             String name,
             long incarnation,
--- a/src/main/java/tinroad/state/SnapshotCodec.java
+++ b/src/main/java/tinroad/state/SnapshotCodec.java
@@ -18,22 +18,22 @@
 import tinroad.state.SnapshotReadResult.Usable;
 
 /**
- * Snapshots as bytes: a header line that names format and version, the payload's length, the
- * payload in CBOR (RFC 8949), and CRC-32C over all of it. Unknown fields are skipped; a later
- * version of the format is not read at all.
+ * Encodes snapshots as bytes and decodes them: a header line with the name and the version of the
+ * format, the length of the payload, the payload in CBOR (RFC 8949), and a CRC-32C of all of it.
+ * Unknown fields are skipped; a later version of the format is not read at all.
  */
 public final class SnapshotCodec {
-    /** The version that is written, and the latest that is read. */
+    /** The version that is written, and the latest one that is read. */
     public static final int VERSION = 1;
 
-    /** A longer file is rejected unread. */
+    /** Maximum length of a file; a longer one is rejected without being read. */
     public static final int MAX_BYTES = 16 * 1024 * 1024;
 
     private static final String MAGIC = "tinroad-state ";
     private static final int MAX_HEADER_BYTES = 32;
     private static final int CHECKSUM_BYTES = 4;
 
-    // The fields' names in the file; what it calls a life is an incarnation, and "ran" holds the
+    // Names of the fields in the file. The file calls an incarnation a life, and "ran" contains the
     // executed ids.
     private static final String NAME = "name";
     private static final String INCARNATION = "life";
@@ -49,7 +49,7 @@
 
     private SnapshotCodec() {}
 
-    /** The bytes of a snapshot. */
+    /** Encodes a snapshot. */
     public static byte[] write(Snapshot snapshot) {
         return write(snapshot, VERSION);
     }
@@ -94,7 +94,7 @@
             out.writeEndObject();
             out.writeEndObject();
         } catch (IOException e) {
-            // Can't happen: the target is memory.
+            // Can't happen: the generator writes to memory.
             throw new UncheckedIOException(e);
         }
         return payload.toByteArray();
@@ -106,7 +106,10 @@
         return (int) crc.getValue();
     }
 
-    /** The snapshot in these bytes, or why they hold none; never throws, whatever they are. */
+    /**
+     * Decodes a snapshot. If the bytes are not a valid snapshot, the result says why; never throws,
+     * whatever the bytes are.
+     */
     public static SnapshotReadResult read(byte[] bytes) {
         int headerEnd = 0;
         while (headerEnd < Math.min(bytes.length, MAX_HEADER_BYTES) && bytes[headerEnd] != '\n') {
@@ -116,11 +119,11 @@
                 new String(bytes, 0, Math.min(headerEnd, bytes.length), StandardCharsets.US_ASCII);
         int payloadStart = headerEnd + 1 + Integer.BYTES;
         if (!header.matches(MAGIC + "\\d{1,6}") || bytes.length < payloadStart + CHECKSUM_BYTES) {
-            return corrupt("no state, or cut short: " + bytes.length + " bytes");
+            return corrupt("not a state file, or truncated: " + bytes.length + " bytes");
         }
         int payloadEnd = bytes.length - CHECKSUM_BYTES;
         if (ByteBuffer.wrap(bytes).getInt(payloadEnd) != checksum(bytes, payloadEnd)) {
-            return corrupt("its checksum does not fit its " + bytes.length + " bytes");
+            return corrupt("its checksum does not match its " + bytes.length + " bytes");
         }
         int version = Integer.parseInt(header.substring(MAGIC.length()));
         if (version > VERSION) {
@@ -129,7 +132,7 @@
                     "version " + version + ", and this program reads " + VERSION);
         }
         if (ByteBuffer.wrap(bytes).getInt(headerEnd + 1) != payloadEnd - payloadStart) {
-            return corrupt("its length does not fit its " + bytes.length + " bytes");
+            return corrupt("its length field does not match its " + bytes.length + " bytes");
         }
         try (JsonParser in =
                 CBOR.createParser(Arrays.copyOfRange(bytes, payloadStart, payloadEnd))) {
@@ -143,7 +146,7 @@
         return new Rejected(RejectionReason.CORRUPT, detail);
     }
 
-    /** Collects the fields in whatever order they come. */
+    /** Reads the payload, with its fields in any order. */
     private static final class PayloadReader {
         private final JsonParser in;
         private final Map<String, LearnedValue> values = new LinkedHashMap<>();
@@ -162,7 +165,7 @@
 
         Snapshot read() throws IOException {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("no object");
+                throw new IllegalArgumentException("the payload is not an object");
             }
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
@@ -181,7 +184,7 @@
                 }
             }
             if (name.isEmpty() || incarnation < 1 || !Double.isFinite(savedAtMillis)) {
-                throw new IllegalArgumentException("name, life or time is missing");
+                throw new IllegalArgumentException("name, life or saved_at is missing");
             }
             return new Snapshot(
                     name,
--- a/src/main/java/tinroad/state/SnapshotReadResult.java
+++ b/src/main/java/tinroad/state/SnapshotReadResult.java
@@ -2,12 +2,12 @@
 
 import java.util.Optional;
 
-/** What reading a file of state led to: a snapshot, or the reason why it can't be used. */
+/** The result of reading a state file: a snapshot, or the reason why the file was rejected. */
 public sealed interface SnapshotReadResult {
-    /** The snapshot, or empty where it was rejected. */
+    /** The snapshot, or empty if the file was rejected. */
     Optional<Snapshot> usable();
 
-    /** A snapshot that can be used. */
+    /** A valid snapshot. */
     record Usable(Snapshot snapshot) implements SnapshotReadResult {
         @Override
         public Optional<Snapshot> usable() {
@@ -16,9 +16,9 @@
     }
 
     /**
-     * A file that can't be used.
+     * A file that was rejected.
      *
-     * @param detail for operators, in one line
+     * @param detail one line for operators
      */
     record Rejected(RejectionReason reason, String detail) implements SnapshotReadResult {
         @Override
@@ -26,25 +26,33 @@
             return Optional.empty();
         }
 
-        /** Reason and detail, as log lines and the command {@code state verify} print them. */
+        /**
+         * Reason and detail in the form that log lines and the command {@code state verify} print.
+         */
         public String description() {
             return reason.label() + ": " + detail;
         }
     }
 
-    /** Why a file is rejected. */
+    /** Why a file was rejected. */
     enum RejectionReason {
-        /** Truncated, altered, or not a file of state. */
+        /** The file is truncated or altered, or is not a state file. */
         CORRUPT("damaged"),
-        /** Written by a later version of the program in a format that this one does not know. */
+        /** The file was written by a later version of the program in an unknown format. */
         UNSUPPORTED_VERSION("foreign version"),
-        /** Of a gateway with another name. */
+        /** The snapshot belongs to a gateway with another name. */
         OTHER_GATEWAY("anothers"),
-        /** Saved later than now: the clock was set back, or the file came from another machine. */
+        /**
+         * The snapshot was saved later than now: the clock was set back, or the file came from
+         * another machine.
+         */
         IN_FUTURE("future"),
-        /** Saved longer ago than the configured maximum age. */
+        /** The snapshot was saved longer ago than the configured maximum age. */
         TOO_OLD("too old"),
-        /** Of an earlier incarnation than the fence knows: the folder was rolled back. */
+        /**
+         * The snapshot belongs to an earlier incarnation than the fence knows: the folder was
+         * rolled back.
+         */
         ROLLED_BACK("rolled back");
 
         private final String label;
@@ -53,7 +61,9 @@
             this.label = label;
         }
 
-        /** As commands and log lines print it; scripts of operators read it. */
+        /**
+         * The reason in the form that commands and log lines print. Scripts of operators parse it.
+         */
         public String label() {
             return label;
         }
--- a/src/main/java/tinroad/state/SnapshotSelector.java
+++ b/src/main/java/tinroad/state/SnapshotSelector.java
@@ -8,24 +8,24 @@
 import tinroad.state.SnapshotReadResult.RejectionReason;
 
 /**
- * Decides which of the snapshots that were found is restored, and how the new incarnation starts.
- * The latest snapshot of the latest incarnation counts, so that a process that was suspended,
- * replaced and then resumed can't win over its successor.
+ * Decides which of the available snapshots is restored, and how the new incarnation starts. It
+ * selects the latest snapshot of the latest incarnation, so that a process that was suspended,
+ * replaced and then resumed can't override its successor.
  */
 public final class SnapshotSelector {
-    /** A clock may differ by this much from the one that stamped a snapshot. */
+    /** Maximum difference from the clock that timestamped a snapshot. */
     public static final double MAX_CLOCK_DIFFERENCE_MILLIS = 1000;
 
-    /** The name of a file, and what reading it led to. */
+    /** The name of a file, and the result of reading it. */
     public record Candidate(String file, SnapshotReadResult readResult) {}
 
-    /** What the new incarnation starts with. */
+    /** The state with which the new incarnation starts. */
     public enum StartMode {
-        /** With a snapshot of an earlier incarnation. */
+        /** It restores a snapshot of an earlier incarnation. */
         WARM,
-        /** There was no state: the first start. */
+        /** There was no state: this is the first start. */
         FIRST,
-        /** There was state, and all of it was rejected or is gone. */
+        /** There was state, but all of it was rejected or is gone. */
         COLD
     }
 
@@ -35,8 +35,8 @@
      * @param snapshot that is restored, if any
      * @param lastIncarnation the highest incarnation that is known to have existed; the next one
      *     has to be higher
-     * @param rejectedFiles a line for each rejected file, with its name and the reason; older valid
-     *     snapshots are not listed
+     * @param rejectedFiles one line for each rejected file, with its name and the reason; older
+     *     valid snapshots are not listed
      */
     public record Decision(
             StartMode startMode,
@@ -47,14 +47,14 @@
     private SnapshotSelector() {}
 
     /**
-     * Decides.
+     * Selects the snapshot to restore.
      *
      * @param name of this gateway
      * @param nowMillis Unix time
-     * @param maxAgeMillis age beyond which a snapshot is rejected
-     * @param markedIncarnation an incarnation known from the markers, 0 if none
-     * @param fencedIncarnation an incarnation known from the fence outside the folder, 0 if none:
-     *     snapshots of earlier ones are rejected as rolled back
+     * @param maxAgeMillis maximum age of a snapshot; an older one is rejected
+     * @param markedIncarnation the highest incarnation known from the marker files, 0 if none
+     * @param fencedIncarnation the last incarnation known from the fence outside the folder, 0 if
+     *     none: snapshots of earlier ones are rejected as rolled back
      */
     public static Decision select(
             List<Candidate> candidates,
@@ -74,7 +74,8 @@
                 rejectedFiles.add(candidate.file + ": " + rejected.description());
             }
             result.usable().ifPresent(accepted::add);
-            // Rejected or not, a snapshot of this gateway tells that its incarnation existed.
+            // A snapshot of this gateway shows that its incarnation existed, even if it was
+            // rejected.
             Optional<Snapshot> own =
                     candidate.readResult.usable().filter(found -> found.name().equals(name));
             if (own.isPresent()) {
@@ -117,7 +118,8 @@
             double maxAgeMillis,
             long fencedIncarnation) {
         if (!snapshot.name().equals(name)) {
-            return reject(RejectionReason.OTHER_GATEWAY, "it is of " + snapshot.name());
+            return reject(
+                    RejectionReason.OTHER_GATEWAY, "it belongs to gateway " + snapshot.name());
         }
         if (snapshot.savedAtMillis() > nowMillis + MAX_CLOCK_DIFFERENCE_MILLIS) {
             return reject(
--- a/src/main/java/tinroad/state/SnapshotStore.java
+++ b/src/main/java/tinroad/state/SnapshotStore.java
@@ -17,17 +17,17 @@
 import tinroad.state.SnapshotReadResult.RejectionReason;
 
 /**
- * The files of state; decides nothing about their content. A snapshot is written to a temporary
- * file, forced to the disk and renamed, so that a name stands for a complete file or for none. Each
- * incarnation has a marker file, created by one process only; a process that finds a marker above
- * its own stops writing. There is no lock: one held by a suspended process would stop its
- * successor, too. Blocks; used by one thread at a time.
+ * Reads and writes the state files, without judging their content. A snapshot is written to a
+ * temporary file, forced to the disk and renamed, so that a file with the final name is always
+ * complete. Each incarnation has a marker file that only one process can create; a process that
+ * finds a marker above its own stops writing. There is no lock file, because a suspended process
+ * that holds a lock would block its successor. The methods block. Used by one thread at a time.
  */
 public final class SnapshotStore {
-    /** Named by incarnation and generation. */
+    /** File name of a snapshot: its incarnation and generation. */
     private static final Pattern SNAPSHOT = Pattern.compile("state-(\\d{19})-(\\d{19})");
 
-    /** Marker of an incarnation, which the file names call a life. */
+    /** File name of the marker of an incarnation, which the file names call a life. */
     private static final Pattern MARKER = Pattern.compile("life-(\\d{19})");
 
     private static final String MARKER_FORMAT = "life-%019d";
@@ -41,7 +41,7 @@
     private final int maxSnapshots;
     private long incarnation;
 
-    /** How bytes get to the disk; tests have it fail. */
+    /** Writes bytes to a file; replaced in tests to simulate failures. */
     interface FileWriter {
         void write(Path file, byte[] bytes) throws IOException;
     }
@@ -49,11 +49,11 @@
     private FileWriter fileWriter = DurableFiles::overwrite;
 
     /**
-     * State in {@code folder}, which is created with the first incarnation.
+     * Creates a store for {@code folder}, which is created when the first incarnation is claimed.
      *
-     * @param fenceFolder a folder elsewhere that keeps the last incarnation, so that an older copy
-     *     of {@code folder} is detected; null for none
-     * @param maxSnapshots snapshots that are kept, at least 1
+     * @param fenceFolder a folder elsewhere in which the last incarnation is recorded, so that an
+     *     older copy of {@code folder} is detected; null for none
+     * @param maxSnapshots number of snapshots that are retained, at least 1
      */
     public SnapshotStore(Path folder, Path fenceFolder, int maxSnapshots) {
         this.folder = folder;
@@ -65,7 +65,7 @@
         fileWriter = other;
     }
 
-    /** All snapshots that are there, usable or not, by file name. */
+    /** Reads all snapshot files, valid or not, sorted by file name. */
     public List<SnapshotSelector.Candidate> candidates() throws IOException {
         List<SnapshotSelector.Candidate> candidates = new ArrayList<>();
         for (Path file : list(SNAPSHOT)) {
@@ -73,7 +73,7 @@
                 candidates.add(
                         new SnapshotSelector.Candidate(file.getFileName().toString(), read(file)));
             } catch (NoSuchFileException e) {
-                // Deleted in this moment by a process that keeps fewer.
+                // Deleted meanwhile by a process that retains fewer snapshots.
             }
         }
         return candidates;
@@ -102,7 +102,9 @@
         return found;
     }
 
-    /** The highest incarnation that a marker or a snapshot is named after; 0 without any. */
+    /**
+     * Returns the highest incarnation in the name of a marker or a snapshot, or 0 if there is none.
+     */
     public long latestMarkedIncarnation() throws IOException {
         long latest = 0;
         for (Pattern names : List.of(MARKER, SNAPSHOT)) {
@@ -120,12 +122,12 @@
         try {
             return Long.parseLong(digits);
         } catch (NumberFormatException e) {
-            // Above any incarnation: not a name that this class gave.
+            // Larger than any incarnation, so this class did not write the name.
             return 0;
         }
     }
 
-    /** The last incarnation that the fence knows; 0 without a fence. */
+    /** Returns the last incarnation that the fence records, or 0 if there is no fence. */
     public long fencedIncarnation() throws IOException {
         if (fenceFolder == null) {
             return 0;
@@ -134,7 +136,7 @@
         return Files.exists(file) ? parseIncarnation(Files.readString(file).strip()) : 0;
     }
 
-    /** Claims an incarnation above {@code last}, which no other process gets, and returns it. */
+    /** Claims an incarnation above {@code last} that no other process can claim, and returns it. */
     public long claimIncarnation(long last) throws IOException {
         Files.createDirectories(folder);
         incarnation = createMarker(Math.max(last, 0) + 1);
@@ -145,7 +147,8 @@
                     (incarnation + "\n").getBytes(StandardCharsets.US_ASCII));
         }
         deleteBefore(MARKER, String.format(MARKER_FORMAT, incarnation));
-        // Left by killed processes; one of this incarnation may be in progress.
+        // Deletes the files that killed processes left. A file of this incarnation may be in
+        // progress.
         deleteBefore(TEMPORARY_SNAPSHOT, String.format("state-%019d", incarnation));
         return incarnation;
     }
@@ -156,7 +159,7 @@
                 Files.createFile(folder.resolve(String.format(MARKER_FORMAT, candidate)));
                 return candidate;
             } catch (FileAlreadyExistsException e) {
-                // Another process started in the same moment.
+                // Another process that started at the same time has claimed it.
             }
         }
     }
@@ -170,8 +173,8 @@
     }
 
     /**
-     * Saves a snapshot of the claimed incarnation, and deletes the oldest beyond those to keep;
-     * false, without saving, where a later incarnation exists.
+     * Saves a snapshot of the claimed incarnation, and deletes the oldest ones beyond the number to
+     * retain. Returns false, without saving, if a later incarnation exists.
      */
     public boolean save(Snapshot snapshot) throws IOException {
         if (latestMarkedIncarnation() > incarnation || snapshot.incarnation() != incarnation) {
--- a/src/main/java/tinroad/state/SnapshotWriter.java
+++ b/src/main/java/tinroad/state/SnapshotWriter.java
@@ -10,8 +10,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Saves snapshots on a thread of its own: whoever offers one never waits. Of several that wait for
- * a slow disk only the latest is written. A failure is logged once, and once more when it is over.
+ * Saves snapshots on its own thread, so that offering one never blocks. If several are waiting for
+ * a slow disk, only the latest is written. A failure is logged once, and so is the first success
+ * after it.
  */
 public final class SnapshotWriter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("state");
@@ -28,24 +29,27 @@
                         return thread;
                     });
 
-    /** Used on the writer's thread only, like {@code fenced}. */
+    /** Like {@code fenced}, accessed only on the thread of the writer. */
     private boolean failing;
 
     private boolean fenced;
 
-    /** Saves into this store, whose incarnation was claimed. */
+    /** Creates a writer to this store, whose incarnation has to be claimed already. */
     public SnapshotWriter(SnapshotStore store) {
         this.store = store;
     }
 
-    /** Has this snapshot saved, unless a later one is offered first; on any thread. */
+    /**
+     * Schedules this snapshot to be saved, unless a later one replaces it first. Can be called on
+     * any thread.
+     */
     public void offer(Snapshot snapshot) {
         if (pending.getAndSet(snapshot) == null && !executor.isShutdown()) {
             executor.execute(this::savePending);
         }
     }
 
-    /** How many snapshots were saved. */
+    /** The number of snapshots saved so far. */
     public long savedCount() {
         return savedCount.get();
     }
@@ -74,7 +78,10 @@
         }
     }
 
-    /** Saves what is pending, for as long as the end of a process may take. */
+    /**
+     * Saves the pending snapshot; waits for it only as long as the shutdown of the process may
+     * take.
+     */
     @Override
     public void close() {
         executor.shutdown();
--- a/src/test/java/tinroad/state/KillWrites.java
+++ b/src/test/java/tinroad/state/KillWrites.java
@@ -8,16 +8,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Kills processes while they write state: {@code KillWrites FOLDER KILLS SEED} from the command
- * line. Damaged counts kills after which a snapshot could not be read, lost those after which one
- * that had been reported as saved was gone.
+ * Kills processes while they write state: {@code KillWrites FOLDER KILLS SEED} on the command line.
+ * In the result, damaged counts the kills after which a snapshot could not be read, and lost those
+ * after which a snapshot that had been reported as saved was gone.
  */
 public final class KillWrites {
-    private static final double NOW = 1.8e12;
+    private static final double NOW_MILLIS = 1.8e12;
 
     private KillWrites() {}
 
-    /** Writes without end and says what it has saved; or, with three arguments, runs a campaign. */
+    /**
+     * With one argument, writes snapshots forever and reports each saved one. With three arguments,
+     * runs a campaign of kills.
+     */
     public static void main(String[] args) throws Exception {
         if (args.length == 3) {
             System.out.println(
@@ -30,13 +33,13 @@
                         SnapshotSelector.select(
                                         store.candidates(),
                                         "n3",
-                                        NOW,
+                                        NOW_MILLIS,
                                         600_000,
                                         store.latestMarkedIncarnation(),
                                         0)
                                 .lastIncarnation());
         for (long generation = 1; ; generation++) {
-            store.save(SnapshotTest.snapshot(incarnation, generation, NOW));
+            store.save(SnapshotTest.snapshot(incarnation, generation, NOW_MILLIS));
             System.out.println(incarnation + " " + generation);
         }
     }
@@ -44,7 +47,7 @@
     static String campaign(Path folder, int kills, long seed)
             throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
-        int corrupt = 0;
+        int damaged = 0;
         int lost = 0;
         for (int k = 0; k < kills; k++) {
             String last = lastReported(KillWrites.class, folder, random);
@@ -53,23 +56,23 @@
                     SnapshotSelector.select(
                             store.candidates(),
                             "n3",
-                            NOW,
+                            NOW_MILLIS,
                             600_000,
                             store.latestMarkedIncarnation(),
                             0);
-            corrupt += decision.rejectedFiles().isEmpty() ? 0 : 1;
+            damaged += decision.rejectedFiles().isEmpty() ? 0 : 1;
             long[] reported = numbers(last);
-            boolean restored =
+            boolean found =
                     decision.snapshot()
                             .filter(snapshot -> snapshot.incarnation() == reported[0])
                             .filter(snapshot -> snapshot.generation() >= reported[1])
                             .isPresent();
-            lost += restored ? 0 : 1;
+            lost += found ? 0 : 1;
         }
-        return "kills " + kills + ", damaged " + corrupt + ", lost " + lost;
+        return "kills " + kills + ", damaged " + damaged + ", lost " + lost;
     }
 
-    /** The numbers in a line of {@link #lastReported}. */
+    /** Parses the numbers in a line of {@link #lastReported}. */
     public static long[] numbers(String line) {
         return Pattern.compile(" ").splitAsStream(line).mapToLong(Long::parseLong).toArray();
     }
@@ -93,12 +96,12 @@
                         .start();
         String last = "";
         try (BufferedReader out = process.inputReader(StandardCharsets.US_ASCII)) {
-            // So many writes, and then at any moment of the next ones.
+            // Kills at a random moment after a random number of reported writes.
             for (int n = random.nextInt(1, 30); n > 0; n--) {
                 last = out.readLine();
             }
             Thread.sleep(0, random.nextInt(999_999));
-            // By its handle: what it has said can still be read.
+            // Through its handle, so that its output can still be read.
             process.toHandle().destroyForcibly();
             for (String line = out.readLine(); line != null; line = out.readLine()) {
                 last = line.matches("\\d+ \\d+") ? line : last;
--- a/src/test/java/tinroad/state/ProvenanceTest.java
+++ b/src/test/java/tinroad/state/ProvenanceTest.java
@@ -11,28 +11,30 @@
 import org.junit.jupiter.api.Test;
 import tinroad.overload.Controller.Estimate;
 
-/** Old knowledge never looks fresh because it was saved again. */
+/** Checks that old values never look fresh because they were saved again. */
 class ProvenanceTest {
-    private static final double NOW = 1.8e12;
+    private static final double NOW_MILLIS = 1.8e12;
 
     @Test
     void doesNotSaveAssumedValues() {
         Provenance provenance = new Provenance(1);
         provenance.start(Map.of("run.a", new Estimate(375, 2)), Map.of());
-        assertEquals(Map.of(), provenance.valuesToSave(NOW, Map.of("run.a", new Estimate(375, 2))));
         assertEquals(
-                Map.of("run.a", new LearnedValue(30, 12, NOW, 1)),
-                provenance.valuesToSave(NOW, Map.of("run.a", new Estimate(30, 12))));
+                Map.of(),
+                provenance.valuesToSave(NOW_MILLIS, Map.of("run.a", new Estimate(375, 2))));
+        assertEquals(
+                Map.of("run.a", new LearnedValue(30, 12, NOW_MILLIS, 1)),
+                provenance.valuesToSave(NOW_MILLIS, Map.of("run.a", new Estimate(30, 12))));
     }
 
     @Test
     void savesUnchangedRestoredValuesAsTheyWere() {
-        LearnedValue restored = new LearnedValue(24, 900, NOW - 60_000, 4);
+        LearnedValue restored = new LearnedValue(24, 900, NOW_MILLIS - 60_000, 4);
         Provenance provenance = new Provenance(5);
         provenance.start(Map.of("run.a", new Estimate(29, 4)), Map.of("run.a", restored));
         assertEquals(
                 Map.of("run.a", restored),
-                provenance.valuesToSave(NOW + 5000, Map.of("run.a", new Estimate(29, 4))));
+                provenance.valuesToSave(NOW_MILLIS + 5000, Map.of("run.a", new Estimate(29, 4))));
     }
 
     @Test
@@ -40,37 +42,39 @@
         Provenance provenance = new Provenance(5);
         provenance.start(
                 Map.of("run.a", new Estimate(29, 4)),
-                Map.of("run.a", new LearnedValue(24, 900, NOW - 60_000, 4)));
+                Map.of("run.a", new LearnedValue(24, 900, NOW_MILLIS - 60_000, 4)));
         assertEquals(
-                new LearnedValue(31, 8, NOW - 30_000, 5),
-                provenance.valuesToSave(NOW, Map.of("run.a", new Estimate(31, 8))).get("run.a"));
-        // It ages without new samples, too.
+                new LearnedValue(31, 8, NOW_MILLIS - 30_000, 5),
+                provenance
+                        .valuesToSave(NOW_MILLIS, Map.of("run.a", new Estimate(31, 8)))
+                        .get("run.a"));
+        // Saved again later without new samples, it keeps its time.
         assertEquals(
-                new LearnedValue(31, 8, NOW - 30_000, 5),
+                new LearnedValue(31, 8, NOW_MILLIS - 30_000, 5),
                 provenance
-                        .valuesToSave(NOW + 9000, Map.of("run.a", new Estimate(31, 8)))
+                        .valuesToSave(NOW_MILLIS + 9000, Map.of("run.a", new Estimate(31, 8)))
                         .get("run.a"));
     }
 
     /**
-     * Incarnations that restore, learn a little or nothing, and save: no value is used beyond its
-     * age, counted from its true samples.
+     * Incarnations restore the value, learn a little or nothing, and save it. No value is used
+     * beyond its maximum age, counted from the last real sample.
      */
     @Property(tries = 200, seed = "31")
     void usesNoValueBeyondItsMaximumAgeOverManyIncarnations(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double maxAgeMillis = 600_000;
-        double nowMillis = NOW;
+        double nowMillis = NOW_MILLIS;
         double lastSampleMillis = Double.NEGATIVE_INFINITY;
-        Map<String, LearnedValue> folder = new HashMap<>();
+        Map<String, LearnedValue> saved = new HashMap<>();
         for (int incarnation = 1; incarnation < 40; incarnation++) {
-            LearnedValue restored = folder.get("run.a");
+            LearnedValue restored = saved.get("run.a");
             DecayedValue decayed =
                     restored == null
                             ? null
                             : DecayedValue.of(restored, nowMillis, 375, 300_000, maxAgeMillis)
                                     .orElse(null);
-            // What is used rests on a sample that is no older than is allowed.
+            // The last sample behind a used value must not be older than the maximum age.
             assertTrue(
                     decayed == null || nowMillis - lastSampleMillis <= maxAgeMillis + 1e-6,
                     "used at " + (nowMillis - lastSampleMillis));
@@ -92,7 +96,7 @@
                                     estimate.weight() + samples);
                     lastSampleMillis = nowMillis;
                 }
-                folder =
+                saved =
                         new HashMap<>(
                                 provenance.valuesToSave(nowMillis, Map.of("run.a", estimate)));
             }
--- a/src/test/java/tinroad/state/SnapshotStoreTest.java
+++ b/src/test/java/tinroad/state/SnapshotStoreTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The files of state: what is there when writing fails, stops half way, or is done by two. */
+/** Tests the state files when a write fails or is cut short, and when two processes write. */
 @Timeout(120)
 class SnapshotStoreTest {
-    private static final double NOW = 1.8e12;
+    private static final double NOW_MILLIS = 1.8e12;
 
     @TempDir private Path dir;
 
@@ -32,7 +32,7 @@
         return SnapshotSelector.select(
                 store.candidates(),
                 "n3",
-                NOW,
+                NOW_MILLIS,
                 600_000,
                 store.latestMarkedIncarnation(),
                 store.fencedIncarnation());
@@ -50,7 +50,7 @@
                     decision.startMode());
             assertEquals(incarnation, store.claimIncarnation(decision.lastIncarnation()));
             for (int g = 1; g <= 5; g++) {
-                assertTrue(store.save(SnapshotTest.snapshot(incarnation, g, NOW)));
+                assertTrue(store.save(SnapshotTest.snapshot(incarnation, g, NOW_MILLIS)));
             }
             assertEquals(
                     List.of(5L, 4L, 3L),
@@ -70,14 +70,15 @@
         SnapshotStore second = store();
         assertEquals(1, first.claimIncarnation(0));
         assertEquals(2, second.claimIncarnation(0));
-        assertTrue(second.save(SnapshotTest.snapshot(2, 1, NOW)));
-        // The first one was suspended and resumes: it may write no more.
-        assertFalse(first.save(SnapshotTest.snapshot(1, 900, NOW)));
+        assertTrue(second.save(SnapshotTest.snapshot(2, 1, NOW_MILLIS)));
+        // The first process was suspended and resumes: it must not write any more.
+        assertFalse(first.save(SnapshotTest.snapshot(1, 900, NOW_MILLIS)));
         assertEquals(2, select(store()).snapshot().orElseThrow().incarnation());
-        // Even if its check came before the second one's marker, and its rename after.
+        // Even if it checks before the second one creates its marker, and renames its file
+        // afterwards.
         Files.write(
                 dir.resolve("state/state-0000000000000000001-0000000000000000900"),
-                SnapshotCodec.write(SnapshotTest.snapshot(1, 900, NOW)));
+                SnapshotCodec.write(SnapshotTest.snapshot(1, 900, NOW_MILLIS)));
         assertEquals(2, select(store()).snapshot().orElseThrow().incarnation());
     }
 
@@ -85,13 +86,13 @@
     void rejectsSnapshotsOfAFolderRolledBackOrLost() throws Exception {
         SnapshotStore store = store();
         store.claimIncarnation(0);
-        store.save(SnapshotTest.snapshot(1, 1, NOW));
+        store.save(SnapshotTest.snapshot(1, 1, NOW_MILLIS));
         byte[] older =
                 Files.readAllBytes(
                         dir.resolve("state/state-0000000000000000001-0000000000000000001"));
         SnapshotStore next = store();
         next.claimIncarnation(1);
-        next.save(SnapshotTest.snapshot(2, 1, NOW));
+        next.save(SnapshotTest.snapshot(2, 1, NOW_MILLIS));
         try (Stream<Path> files = Files.list(dir.resolve("state"))) {
             files.forEach(p -> p.toFile().delete());
         }
@@ -110,8 +111,8 @@
     void keepsTheLastSnapshotWhenAWriteFails() throws Exception {
         SnapshotStore store = store();
         store.claimIncarnation(0);
-        store.save(SnapshotTest.snapshot(1, 1, NOW));
-        byte[] next = SnapshotCodec.write(SnapshotTest.snapshot(1, 2, NOW));
+        store.save(SnapshotTest.snapshot(1, 1, NOW_MILLIS));
+        byte[] next = SnapshotCodec.write(SnapshotTest.snapshot(1, 2, NOW_MILLIS));
         for (int n = 0; n <= next.length; n += 7) {
             int written = n;
             store.setFileWriter(
@@ -119,10 +120,11 @@
                         Files.write(file, Arrays.copyOf(bytes, Math.min(written, bytes.length)));
                         throw new IOException("no space left on device");
                     });
-            assertThrows(IOException.class, () -> store.save(SnapshotTest.snapshot(1, 2, NOW)));
+            assertThrows(
+                    IOException.class, () -> store.save(SnapshotTest.snapshot(1, 2, NOW_MILLIS)));
             assertEquals(1, select(store()).snapshot().orElseThrow().generation());
         }
-        // What a killed process left incomplete does not count; the next incarnation deletes it.
+        // The incomplete file of a killed process is ignored, and the next incarnation deletes it.
         Path incomplete = dir.resolve("state/state-0000000000000000001-0000000000000000003.part");
         Files.write(incomplete, new byte[20]);
         assertEquals(1, select(store()).snapshot().orElseThrow().generation());
@@ -142,25 +144,25 @@
         SnapshotStore store = store();
         store.claimIncarnation(0);
         CountDownLatch writing = new CountDownLatch(1);
-        CountDownLatch slow = new CountDownLatch(1);
+        CountDownLatch diskReady = new CountDownLatch(1);
         store.setFileWriter(
                 (file, bytes) -> {
                     writing.countDown();
                     try {
-                        slow.await();
+                        diskReady.await();
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
                     Files.write(file, bytes);
                 });
         try (SnapshotWriter writer = new SnapshotWriter(store)) {
-            writer.offer(SnapshotTest.snapshot(1, 1, NOW));
+            writer.offer(SnapshotTest.snapshot(1, 1, NOW_MILLIS));
             writing.await();
             for (int g = 2; g <= 1000; g++) {
-                writer.offer(SnapshotTest.snapshot(1, g, NOW));
+                writer.offer(SnapshotTest.snapshot(1, g, NOW_MILLIS));
             }
             assertEquals(0, writer.savedCount());
-            slow.countDown();
+            diskReady.countDown();
         }
         assertEquals(
                 List.of(1L, 1000L),
