--- a/src/main/java/tinroad/catalog/Catalog.java
+++ b/src/main/java/tinroad/catalog/Catalog.java
@@ -6,7 +6,8 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * One version of all classes and tenants; immutable. A later version shares with it what both have.
+ * One version of all classes and tenants. Immutable: a later version shares the parts that did not
+ * change with it.
  */
 public final class Catalog {
     private final long epoch;
@@ -14,11 +15,11 @@
     private final EntryTable<RequestClass, ClassEntry> classes;
     private final EntryTable<Tenant, TenantEntry> tenants;
 
-    /** A class of requests, in the slot by which the module knows it. */
+    /** A class of requests; the overload controller knows it by its slot. */
     public record ClassEntry(String name, int slot, RequestClass spec)
             implements CatalogEntry<RequestClass> {}
 
-    /** A tenant, in the slot by which the module knows it. */
+    /** A tenant; the overload controller knows it by its slot. */
     public record TenantEntry(String name, int slot, Tenant spec) implements CatalogEntry<Tenant> {}
 
     Catalog(
@@ -32,7 +33,10 @@
         this.tenants = tenants;
     }
 
-    /** The catalog of a full snapshot of the settings: slots are the indexes in the lists. */
+    /**
+     * Creates the catalog of a full snapshot of the settings. The slot of an entry is its index in
+     * its list.
+     */
     public static Catalog of(
             long epoch,
             long number,
@@ -47,12 +51,12 @@
                 EntryTable.of(EntryType.TENANTS, tenantNames, tenantSpecs));
     }
 
-    /** The same content, known to be that of another version. */
+    /** Returns the same content as another version. */
     public Catalog withVersion(long otherEpoch, long otherNumber) {
         return new Catalog(otherEpoch, otherNumber, classes, tenants);
     }
 
-    /** The publisher's epoch. */
+    /** The epoch of the publisher. */
     public long epoch() {
         return epoch;
     }
@@ -63,21 +67,21 @@
     }
 
     /**
-     * The hash of its content: two catalogs with the same classes and tenants, whatever their
-     * slots, have the same one.
+     * The hash of the content. Two catalogs with the same classes and tenants have the same hash,
+     * even if the slots differ.
      */
     public String contentHash() {
         return classes.hash().plus(tenants.hash()).toString();
     }
 
-    /** The hash of the content after a change, which need not be valid. */
+    /** The hash of the content that a change leads to. The change need not be valid. */
     public String hashAfter(CatalogChange change) {
         return classes.hashAfter(change.putClasses(), change.removedClasses())
                 .plus(tenants.hashAfter(change.putTenants(), change.removedTenants()))
                 .toString();
     }
 
-    /** Whether a change leads to the content that it has already. */
+    /** Whether this catalog already has the content that a change leads to. */
     boolean contains(CatalogChange change) {
         return change.hashAfter() != null
                 ? change.hashAfter().equals(contentHash())
@@ -85,32 +89,37 @@
                         && tenants.isUnchangedBy(change.putTenants(), change.removedTenants());
     }
 
-    /** How many classes there are. */
+    /** The number of classes. */
     public int classCount() {
         return classes.size();
     }
 
-    /** How many tenants there are. */
+    /** The number of tenants. */
     public int tenantCount() {
         return tenants.size();
     }
 
-    /** The class of this name, or null; per request, so nothing is allocated. */
+    /**
+     * Returns the class of this name, or null. Allocates nothing, as it is called for each request.
+     */
     public ClassEntry classEntry(String name) {
         return classes.get(name);
     }
 
-    /** The tenant of this name, or null; per request, so nothing is allocated. */
+    /**
+     * Returns the tenant of this name, or null. Allocates nothing, as it is called for each
+     * request.
+     */
     public TenantEntry tenantEntry(String name) {
         return tenants.get(name);
     }
 
-    /** All classes, ordered by name. */
+    /** All classes, sorted by name. */
     public Collection<ClassEntry> classEntries() {
         return classes.entries().values();
     }
 
-    /** All tenants, ordered by name. */
+    /** All tenants, sorted by name. */
     public Collection<TenantEntry> tenantEntries() {
         return tenants.entries().values();
     }
--- a/src/main/java/tinroad/catalog/CatalogBuilder.java
+++ b/src/main/java/tinroad/catalog/CatalogBuilder.java
@@ -10,63 +10,74 @@
 import tinroad.overload.Controller.TenantSlot;
 
 /**
- * Makes one version of the catalog from the one before it, and allocates slots. Used by one thread
- * at a time, off the event loop. A slot is allocated again only after {@link #releaseClassSlot} or
- * {@link #releaseTenantSlot}: the event loop calls for it once no request refers to the slot.
+ * Creates each version of the catalog from the one before it, and allocates slots. Used by one
+ * thread at a time, off the event loop. The slot of a removed entry is allocated again only after
+ * {@link #releaseClassSlot} or {@link #releaseTenantSlot}, which are called after the event loop
+ * has found that no request refers to the slot any more.
  */
 public final class CatalogBuilder {
     private final CatalogTableBuilder<RequestClass, Catalog.ClassEntry> classes;
     private final CatalogTableBuilder<Tenant, Catalog.TenantEntry> tenants;
     private Catalog current;
 
-    /** What applying a change led to. */
+    /** The result of applying a change. */
     public sealed interface ChangeResult {
-        /** The next version, and how it differs from the one before. */
+        /** The change was applied: the next version, and how it differs from the one before. */
         record Applied(Catalog next, CatalogDelta delta) implements ChangeResult {}
 
-        /** The change is invalid and nothing of it applies; a line for each error. */
+        /**
+         * The change is invalid, and no part of it was applied. Contains one line for each error.
+         */
         record Rejected(List<String> errors) implements ChangeResult {}
 
-        /** The version that it leads to was made before: nothing changes. */
+        /** The change was applied before, so nothing changes. */
         record AlreadyApplied() implements ChangeResult {}
 
-        /** Its epoch is over. */
+        /** The change belongs to an earlier epoch than the current one. */
         record Fenced(long currentEpoch) implements ChangeResult {}
 
-        /** Versions before it are missing, from this number on. */
+        /** Changes before this one are missing, from the number {@code firstMissing} on. */
         record Gap(long firstMissing) implements ChangeResult {}
 
         /**
-         * It follows another content than the current one, or is another change under a number that
-         * was applied: two publish with one epoch, or the log and the settings file don't belong
-         * together.
+         * The change follows another content than the current one, or is a different change under a
+         * number that was applied already. Either two publishers use the same epoch, or the change
+         * log and the settings file don't belong together.
          */
         record Diverged(String currentHash) implements ChangeResult {}
     }
 
-    /** Starts with a catalog whose slots are all in use, as {@link Catalog#of} leaves them. */
+    /**
+     * Starts with a catalog whose slots are all in use, as in one created by {@link Catalog#of}.
+     */
     public CatalogBuilder(Catalog first) {
         current = first;
         classes = new CatalogTableBuilder<>(first.classTable(), SettingsValidator.MAX_CLASSES);
         tenants = new CatalogTableBuilder<>(first.tenantTable(), SettingsValidator.MAX_TENANTS);
     }
 
-    /** The version that was made last. */
+    /** The latest version. */
     public Catalog current() {
         return current;
     }
 
-    /** No request refers to this slot of a removed class any more. */
+    /**
+     * Makes this slot of a removed class available again. To be called once no request refers to
+     * it.
+     */
     public void releaseClassSlot(int slot) {
         classes.releaseSlot(slot);
     }
 
-    /** No request refers to this slot of a removed tenant any more. */
+    /**
+     * Makes this slot of a removed tenant available again. To be called once no request refers to
+     * it.
+     */
     public void releaseTenantSlot(int slot) {
         tenants.releaseSlot(slot);
     }
 
-    /** Applies the change that comes next, or says why it can't. */
+    /** Applies the next change. If it can not be applied, the result says why. */
     public ChangeResult apply(CatalogChange change) {
         if (change.epoch() == current.epoch() && change.number() > current.number() + 1) {
             return new ChangeResult.Gap(current.number() + 1);
@@ -78,8 +89,9 @@
     }
 
     /**
-     * Applies a change that leads from the current version to a full snapshot, as {@link
-     * FullSnapshotDiff} makes it: it may skip numbers, and begin a higher epoch with any.
+     * Applies a change that leads from the current version to a full snapshot, as created by {@link
+     * FullSnapshotDiff}. Unlike other changes it may skip numbers, and may begin a higher epoch
+     * with any number.
      */
     public ChangeResult applyFullSnapshot(CatalogChange change) {
         if (change.epoch() < current.epoch()) {
@@ -91,7 +103,7 @@
                     : new ChangeResult.Diverged(current.contentHash());
         }
         if (change.hashAfter() != null && change.hashAfter().equals(current.contentHash())) {
-            // The settings file was read before the change that leads to it.
+            // The settings file was read before the change that leads to its content.
             current = current.withVersion(change.epoch(), change.number());
             return new ChangeResult.Applied(current, new CatalogDelta(List.of(), List.of()));
         }
@@ -121,7 +133,7 @@
         if (errors.isEmpty()
                 && change.hashAfter() != null
                 && !change.hashAfter().equals(hashAfter)) {
-            errors.add("it leads to content " + hashAfter + ", and says " + change.hashAfter());
+            errors.add("it leads to content " + hashAfter + ", not to " + change.hashAfter());
         }
         return errors;
     }
--- a/src/main/java/tinroad/catalog/CatalogChange.java
+++ b/src/main/java/tinroad/catalog/CatalogChange.java
@@ -6,14 +6,14 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * A change of the catalog: a batch of puts and removals, all or nothing. It follows the version
- * {@code number - 1} of the same epoch, or begins a higher epoch with number 1. A name is put or
- * removed, never both.
+ * A change of the catalog: a batch of puts and removals that is applied as a whole or not at all.
+ * It follows the version {@code number - 1} of the same epoch, or begins a higher epoch with number
+ * 1. A name is either put or removed, never both.
  *
- * @param epoch of the publisher: changes of a lower one than the catalog's are fenced
- * @param number of the version that it leads to, within the epoch
- * @param hashBefore the hash of the content that it follows, or null where it is not known
- * @param hashAfter the hash of the content that it leads to, or null where it is not known
+ * @param epoch of the publisher; a change of a lower epoch than the catalog's is rejected as fenced
+ * @param number of the version that the change leads to, within the epoch
+ * @param hashBefore hash of the content that the change follows, or null if unknown
+ * @param hashAfter hash of the content that the change leads to, or null if unknown
  */
 public record CatalogChange(
         long epoch,
@@ -25,7 +25,7 @@
         String hashBefore,
         String hashAfter) {
 
-    /** A change whose content hashes are not known. */
+    /** Creates a change with unknown content hashes. */
     public CatalogChange(
             long epoch,
             long number,
@@ -36,7 +36,7 @@
         this(epoch, number, putClasses, removedClasses, putTenants, removedTenants, null, null);
     }
 
-    /** How many entries it puts or removes. */
+    /** The number of entries that the change puts or removes. */
     public int size() {
         return putClasses.size()
                 + removedClasses.size()
--- a/src/main/java/tinroad/catalog/CatalogDelta.java
+++ b/src/main/java/tinroad/catalog/CatalogDelta.java
@@ -4,9 +4,12 @@
 import tinroad.overload.Controller.ClassSlot;
 import tinroad.overload.Controller.TenantSlot;
 
-/** What a version changes compared with the one before it, by slot, as the module needs it. */
+/**
+ * The changes of a version against the one before, by slot, in the form that the overload
+ * controller takes.
+ */
 public record CatalogDelta(List<ClassSlot> classes, List<TenantSlot> tenants) {
-    /** How many slots it changes. */
+    /** The number of slots that change. */
     public int size() {
         return classes.size() + tenants.size();
     }
--- a/src/main/java/tinroad/catalog/CatalogTableBuilder.java
+++ b/src/main/java/tinroad/catalog/CatalogTableBuilder.java
@@ -8,7 +8,9 @@
 import tinroad.config.SettingsValidator;
 import tinroad.config.ValidationErrors;
 
-/** Makes versions of one table of the catalog: allocates its slots, and shares equal specs. */
+/**
+ * Creates the versions of one table of the catalog: allocates its slots, and shares equal specs.
+ */
 final class CatalogTableBuilder<S, E extends CatalogEntry<S>> {
     private final SlotAllocator slots;
     private final Interner<S> specs = new Interner<>();
@@ -17,12 +19,17 @@
         slots = new SlotAllocator(first.initialSlots(), maxEntries);
     }
 
-    /** Nothing refers to this slot any more. */
+    /**
+     * Makes the slot of a removed entry available again. To be called once nothing refers to it.
+     */
     void releaseSlot(int slot) {
         slots.release(slot);
     }
 
-    /** Adds what is invalid in these puts and removals; returns how many entries there would be. */
+    /**
+     * Validates these puts and removals, and adds what is invalid to {@code errors}. Returns the
+     * number of entries that the table would have.
+     */
     int validate(
             EntryTable<S, E> table,
             Map<String, S> put,
@@ -44,29 +51,29 @@
                 removedCount++;
             }
         }
-        int added = 0;
+        int addedCount = 0;
         for (Map.Entry<String, S> entry : put.entrySet()) {
             SettingsValidator.name("put of " + keyword, -1, entry.getKey(), false, errors);
             table.type().validate(entry.getKey(), entry.getValue(), errors);
-            added += table.get(entry.getKey()) == null ? 1 : 0;
+            addedCount += table.get(entry.getKey()) == null ? 1 : 0;
         }
-        if (added > slots.available()) {
+        if (addedCount > slots.available()) {
             errors.add(
                     keyword
                             + ": no place for "
-                            + added
+                            + addedCount
                             + " new ones before what still runs under "
                             + (slots.retiredCount() + removedCount)
                             + " removed ones has ended");
         }
-        return table.size() - removedCount + added;
+        return table.size() - removedCount + addedCount;
     }
 
     /**
-     * The table after valid puts and removals.
+     * Returns the table after valid puts and removals.
      *
-     * @param onSlotChange is given each slot that changes, with its spec, or null where its entry
-     *     was removed
+     * @param onSlotChange called with each slot that changes and its spec, or null if its entry was
+     *     removed
      */
     EntryTable<S, E> apply(
             EntryTable<S, E> table,
@@ -82,7 +89,7 @@
         }
         for (Map.Entry<String, S> entry : put.entrySet()) {
             E existing = entries.get(entry.getKey());
-            // The name that is there already, so that equal ones are held once.
+            // Reuses the existing name object, so that equal names are stored once.
             String name = existing == null ? entry.getKey() : existing.name();
             S spec = specs.intern(entry.getValue());
             int slot = existing == null ? slots.allocate() : existing.slot();
--- a/src/main/java/tinroad/catalog/ContentHash.java
+++ b/src/main/java/tinroad/catalog/ContentHash.java
@@ -3,35 +3,39 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A hash of a set of entries: the sum of the entries' own hashes modulo 2^128 (AdHash, Bellare and
- * Micciancio 1997). So it knows no order, and putting or removing an entry adds or subtracts its
- * hash, whatever the size of the table. It distinguishes contents that differ by mistake or by
- * another publisher; it is no protection from someone who constructs two contents with one hash.
+ * A hash of a set of entries: the sum of the hashes of the entries modulo 2^128 (AdHash, Bellare
+ * and Micciancio 1997). It does not depend on the order of the entries, and putting or removing an
+ * entry adds or subtracts its hash, whatever the size of the table. It distinguishes contents that
+ * differ by mistake or because of another publisher. It does not protect against somebody who
+ * constructs two contents with the same hash.
  */
 record ContentHash(long high, long low) {
     static final ContentHash EMPTY = new ContentHash(0, 0);
     private static final int SEED = 0;
 
-    /** The hash of one entry: the code of its type, its name, and the numbers of its settings. */
+    /**
+     * Returns the hash of one entry: of the code of its type, its name, and the numbers of its
+     * settings.
+     */
     static ContentHash of(char typeCode, String name, double... values) {
         byte[] bytes = new byte[Character.BYTES * (1 + name.length()) + Long.BYTES * values.length];
-        int at = put(bytes, 0, typeCode, Character.BYTES);
-        // The number of values is fixed by the type, so the name needs no length.
+        int offset = putBigEndian(bytes, 0, typeCode, Character.BYTES);
+        // No length of the name is needed, as the number of values is fixed by the type.
         for (int i = 0; i < name.length(); i++) {
-            at = put(bytes, at, name.charAt(i), Character.BYTES);
+            offset = putBigEndian(bytes, offset, name.charAt(i), Character.BYTES);
         }
         for (double value : values) {
-            at = put(bytes, at, Double.doubleToLongBits(value), Long.BYTES);
+            offset = putBigEndian(bytes, offset, Double.doubleToLongBits(value), Long.BYTES);
         }
         long[] hash = MurmurHash3.hash128x64(bytes, 0, bytes.length, SEED);
         return new ContentHash(hash[0], hash[1]);
     }
 
-    private static int put(byte[] bytes, int at, long value, int size) {
+    private static int putBigEndian(byte[] bytes, int offset, long value, int size) {
         for (int i = 0; i < size; i++) {
-            bytes[at + i] = (byte) (value >>> (Byte.SIZE * (size - 1 - i)));
+            bytes[offset + i] = (byte) (value >>> (Byte.SIZE * (size - 1 - i)));
         }
-        return at + size;
+        return offset + size;
     }
 
     ContentHash plus(ContentHash other) {
--- a/src/main/java/tinroad/catalog/EntryTable.java
+++ b/src/main/java/tinroad/catalog/EntryTable.java
@@ -6,15 +6,16 @@
 import org.pcollections.TreePMap;
 
 /**
- * One table of a catalog; immutable. A sorted tree: 40 bytes a node, where the hashed map of the
- * same library takes 96 (measured).
+ * One table of a catalog. Immutable. It uses a sorted tree, with 40 bytes per node, as the hash map
+ * of the same library takes 96.
  *
- * @param initialSlots how many slots the first version had; {@link SlotAllocator} knows later ones
+ * @param initialSlots number of slots of the first version; {@link SlotAllocator} knows later ones
  */
 record EntryTable<S, E extends CatalogEntry<S>>(
         EntryType<S, E> type, TreePMap<String, E> entries, ContentHash hash, int initialSlots) {
     /**
-     * The table of a list; of two with the same name, which the reader rejects, the first counts.
+     * Creates the table of a list. If two entries have the same name, which the reader of the
+     * settings rejects, the first one counts.
      */
     static <S, E extends CatalogEntry<S>> EntryTable<S, E> of(
             EntryType<S, E> type, List<String> names, List<S> specs) {
@@ -39,24 +40,26 @@
         return entries.size();
     }
 
-    /** The hash after these puts and removals. */
+    /** The hash of the content after these puts and removals. */
     ContentHash hashAfter(Map<String, S> put, Set<String> removed) {
         ContentHash sum = hash;
         for (String name : removed) {
-            sum = without(sum, name);
+            sum = subtractEntry(sum, name);
         }
         for (Map.Entry<String, S> entry : put.entrySet()) {
-            sum = without(sum, entry.getKey()).plus(type.hash(entry.getKey(), entry.getValue()));
+            sum =
+                    subtractEntry(sum, entry.getKey())
+                            .plus(type.hash(entry.getKey(), entry.getValue()));
         }
         return sum;
     }
 
-    private ContentHash without(ContentHash sum, String name) {
+    private ContentHash subtractEntry(ContentHash sum, String name) {
         E existing = entries.get(name);
         return existing == null ? sum : sum.minus(type.hash(name, existing.spec()));
     }
 
-    /** Whether these puts and removals would leave it as it is. */
+    /** Whether these puts and removals would leave the table unchanged. */
     boolean isUnchangedBy(Map<String, S> put, Set<String> removed) {
         return removed.stream().noneMatch(entries::containsKey)
                 && put.entrySet().stream()
--- a/src/main/java/tinroad/catalog/EntryType.java
+++ b/src/main/java/tinroad/catalog/EntryType.java
@@ -7,14 +7,14 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * What differs between the two tables of a catalog; all else is written once. Its keywords are
- * those of the settings file.
+ * The differences between the two tables of a catalog; everything else is shared code. The keywords
+ * are those of the settings file.
  */
 interface EntryType<S, E extends CatalogEntry<S>> {
-    /** The character by which the content hash knows a class; stored logs depend on it. */
+    /** The character that stands for a class in the content hash; stored logs depend on it. */
     char CLASS_CODE = 'c';
 
-    /** The character by which the content hash knows a tenant; stored logs depend on it. */
+    /** The character that stands for a tenant in the content hash; stored logs depend on it. */
     char TENANT_CODE = 'o';
 
     EntryType<RequestClass, Catalog.ClassEntry> CLASSES =
@@ -74,7 +74,7 @@
                 }
             };
 
-    /** The word for one in the settings file. */
+    /** The keyword for an entry in the settings file. */
     String keyword();
 
     E entry(String name, int slot, S spec);
@@ -83,7 +83,9 @@
 
     void validate(String name, S spec, ValidationErrors errors);
 
-    /** The character by which the content hash knows an idempotency; stored logs depend on it. */
+    /**
+     * The character that stands for an idempotency in the content hash; stored logs depend on it.
+     */
     private static char hashedCode(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> 'F';
--- a/src/main/java/tinroad/catalog/FullSnapshotDiff.java
+++ b/src/main/java/tinroad/catalog/FullSnapshotDiff.java
@@ -11,15 +11,15 @@
 
 /**
  * Compares a full snapshot of the settings, which is read entry by entry, with the catalog in use.
- * Holds only what differs, and a bit for each entry that was seen; what was not seen by the end is
- * removed. Used once, by one thread.
+ * Stores only the differences, and one bit for each entry that was read; entries that were not read
+ * by the end are removed. Used once, by one thread.
  */
 public final class FullSnapshotDiff implements SiteVisitor {
     private final Catalog base;
     private final TableDiff<RequestClass, Catalog.ClassEntry> classes;
     private final TableDiff<Tenant, Catalog.TenantEntry> tenants;
 
-    /** A comparison with this catalog. */
+    /** Starts a comparison with this catalog. */
     public FullSnapshotDiff(Catalog base) {
         this.base = base;
         classes = new TableDiff<>(base.classTable());
@@ -36,7 +36,10 @@
         return tenants.add(name, spec);
     }
 
-    /** The change that leads from the catalog to the settings that were read, as this version. */
+    /**
+     * Returns the change that leads from the catalog to the settings that were read, with this
+     * version.
+     */
     public CatalogChange change(long epoch, long number) {
         CatalogChange withoutHashes =
                 new CatalogChange(
--- a/src/main/java/tinroad/catalog/SlotAllocator.java
+++ b/src/main/java/tinroad/catalog/SlotAllocator.java
@@ -4,8 +4,8 @@
 import java.util.BitSet;
 
 /**
- * Allocates the slots of a table. Guards against two entries in one slot: a slot is allocated again
- * only after it was retired and then released, each once.
+ * Allocates the slots of a table. It prevents two entries from sharing a slot: a slot is allocated
+ * again only after it was retired and then released, once each.
  */
 final class SlotAllocator {
     private final int maxSlots;
@@ -13,18 +13,21 @@
     private final BitSet retired = new BitSet();
     private int nextUnused;
 
-    /** Slots from 0 to {@code allocated} are in use; there are {@code maxSlots}. */
+    /**
+     * Creates an allocator of {@code maxSlots} slots, of which those below {@code allocated} are in
+     * use.
+     */
     SlotAllocator(int allocated, int maxSlots) {
         nextUnused = allocated;
         this.maxSlots = maxSlots;
     }
 
-    /** How many slots can be allocated now. */
+    /** The number of slots that can be allocated now. */
     int available() {
         return free.size() + maxSlots - nextUnused;
     }
 
-    /** Slots without an entry that requests in flight may still refer to. */
+    /** The number of slots without an entry to which requests in flight may still refer. */
     int retiredCount() {
         return retired.cardinality();
     }
@@ -33,12 +36,15 @@
         return free.isEmpty() ? nextUnused++ : free.remove();
     }
 
-    /** The slot's entry was removed; requests in flight may still refer to it. */
+    /** Marks a slot whose entry was removed, but to which requests in flight may still refer. */
     void retire(int slot) {
         retired.set(slot);
     }
 
-    /** Nothing refers to the slot any more; without effect on one that was not retired. */
+    /**
+     * Makes a retired slot available again, once nothing refers to it. Has no effect on other
+     * slots.
+     */
     void release(int slot) {
         if (retired.get(slot)) {
             retired.clear(slot);
--- a/src/test/java/tinroad/catalog/CatalogMemory.java
+++ b/src/test/java/tinroad/catalog/CatalogMemory.java
@@ -9,15 +9,15 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * What a catalog costs: {@code CatalogMemory TENANTS CLASSES} from the command line prints heap per
- * entry, and times.
+ * Measures the cost of a catalog: {@code CatalogMemory TENANTS CLASSES} on the command line prints
+ * the heap per entry, and times.
  */
 public final class CatalogMemory {
     private static final int DISTINCT_SPECS = 100;
 
     private CatalogMemory() {}
 
-    /** Prints a line for each measurement. */
+    /** Prints one line for each measurement. */
     public static void main(String[] args) {
         int tenants = Integer.parseInt(args[0]);
         int classes = Integer.parseInt(args[1]);
@@ -104,11 +104,11 @@
                 "tenant, of a re-read that is equal",
                 tenants,
                 () -> {
-                    FullSnapshotDiff same = new FullSnapshotDiff(full);
+                    FullSnapshotDiff diff = new FullSnapshotDiff(full);
                     for (int i = 0; i < tenants; i++) {
-                        same.tenant(tenantNames.get(i), quotas.get(i));
+                        diff.tenant(tenantNames.get(i), quotas.get(i));
                     }
-                    return same;
+                    return diff;
                 });
     }
 
@@ -120,17 +120,17 @@
         return names;
     }
 
-    private static void measure(String what, int entries, Supplier<Object> make) {
-        Object warmup = make.get();
+    private static void measure(String description, int entries, Supplier<Object> create) {
+        Object warmup = create.get();
         long before = usedBytes();
         long startNanos = System.nanoTime();
-        Object measured = make.get();
+        Object measured = create.get();
         try {
             long millis = (System.nanoTime() - startNanos) / 1_000_000;
             long bytes = usedBytes() - before;
             System.out.printf(
                     "%s: %.1f bytes, %d ms for %d%n",
-                    what, (double) bytes / entries, millis, entries);
+                    description, (double) bytes / entries, millis, entries);
         } finally {
             Reference.reachabilityFence(warmup);
             Reference.reachabilityFence(measured);
--- a/src/test/java/tinroad/catalog/CatalogTest.java
+++ b/src/test/java/tinroad/catalog/CatalogTest.java
@@ -24,7 +24,9 @@
 import tinroad.overload.Controller.RequestClass;
 import tinroad.overload.Controller.Tenant;
 
-/** Applies changes in any order, with repeats, gaps and crashes, and invalid ones. */
+/**
+ * Tests the application of changes in any order, with repeats, gaps, crashes and invalid changes.
+ */
 class CatalogTest {
     static RequestClass withDeadline(double deadline) {
         return new RequestClass(0, 0, deadline, 1, 0, Idempotency.IDEMPOTENT, 0, false, 0);
@@ -90,7 +92,7 @@
         String before = builder.current().contentHash();
         builder.apply(put(1, 6, Map.of("b", withDeadline(1))));
         String now = builder.current().contentHash();
-        // Another change under the same number, whether its hashes are known or not.
+        // A different change under the same number, whether its hashes are known or not.
         assertEquals(
                 new ChangeResult.Diverged(now),
                 builder.apply(put(1, 6, Map.of("b", withDeadline(2)))));
@@ -107,7 +109,7 @@
                                 Set.of(),
                                 before,
                                 "0".repeat(32))));
-        // Or one that follows what the other one wrote.
+        // Or a change that does not follow the current content.
         assertEquals(
                 new ChangeResult.Diverged(now),
                 builder.apply(
@@ -131,7 +133,7 @@
                         now,
                         before);
         assertRejected(
-                "it leads to content " + builder.current().hashAfter(next) + ", and says " + before,
+                "it leads to content " + builder.current().hashAfter(next) + ", not to " + before,
                 next);
     }
 
@@ -187,15 +189,16 @@
 
     @Test
     void boundsTheTables() {
-        Map<String, RequestClass> many = new HashMap<>();
+        Map<String, RequestClass> newClasses = new HashMap<>();
         for (int i = 0; i < SettingsValidator.MAX_CLASSES; i++) {
-            many.put("r" + i, withDeadline(1));
+            newClasses.put("r" + i, withDeadline(1));
         }
-        List<String> errors = ((ChangeResult.Rejected) builder.apply(put(1, 6, many))).errors();
+        List<String> errors =
+                ((ChangeResult.Rejected) builder.apply(put(1, 6, newClasses))).errors();
         assertTrue(errors.contains("classes: 65537 are more than 65536"), errors::toString);
-        many.remove("r0");
-        assertInstanceOf(ChangeResult.Applied.class, builder.apply(put(1, 6, many)));
-        // Full: one more slot there is only after a retired one was released.
+        newClasses.remove("r0");
+        assertInstanceOf(ChangeResult.Applied.class, builder.apply(put(1, 6, newClasses)));
+        // The table is full: a slot is available only after a retired one was released.
         builder.apply(remove(7, "r1"));
         assertRejected(
                 "class: no place for 1 new ones before what still runs under 1 removed ones has"
@@ -224,7 +227,7 @@
     }
 
     @Test
-    void leadsToTheContentOfAFullSnapshotByWhatDiffers() {
+    void reachesTheContentOfAFullSnapshotThroughADiff() {
         Map<String, RequestClass> classes = new HashMap<>(Map.of("a", withDeadline(10)));
         for (int i = 0; i < 1000; i++) {
             classes.put("r" + i, withDeadline(i + 1));
@@ -255,7 +258,7 @@
                         builder.current().contentHash(),
                         of(0, 0, classes, Map.of()).contentHash()),
                 c);
-        // As a version far ahead.
+        // The same difference as a version far ahead.
         CatalogChange ahead = other.change(3, 40);
         assertEquals(new ChangeResult.Gap(1), builder.apply(ahead));
         assertInstanceOf(ChangeResult.Applied.class, builder.applyFullSnapshot(ahead));
@@ -267,7 +270,7 @@
     }
 
     @Test
-    void hashesEveryPartAndNoOrder() {
+    void hashesEveryPartButNotTheOrder() {
         RequestClass c = new RequestClass(1, 2, 3, 4, 0.5, Idempotency.IDEMPOTENT, 6, false, 7);
         List<RequestClass> others =
                 List.of(
@@ -313,8 +316,8 @@
     }
 
     /**
-     * Changes come late, early, twice, with errors; the process restarts on a file: the end is that
-     * of the full snapshot.
+     * Changes come late, early, repeatedly and with errors, and the process restarts from a file.
+     * The final content is that of the full snapshot.
      */
     @Property(tries = 300, seed = "30")
     void endsInTheHashOfTheFileForAnyOrderOfChangesRepeatsAndCrashes(@ForAll long seed) {
@@ -353,11 +356,11 @@
         CatalogBuilder restarted = new CatalogBuilder(files.get(0));
         Set<Integer> retired = new HashSet<>();
         while (restarted.current().number() < log.size()) {
-            int at = (int) restarted.current().number();
+            int currentNumber = (int) restarted.current().number();
             switch (random.nextInt(8)) {
-                // The process ends, and restarts with the file as it is then.
+                // The process ends, and restarts from the file of that moment.
                 case 0 -> {
-                    restarted = new CatalogBuilder(files.get(at));
+                    restarted = new CatalogBuilder(files.get(currentNumber));
                     retired.clear();
                 }
                 case 1 -> {
@@ -371,19 +374,19 @@
                                 restarted.apply(
                                         new CatalogChange(
                                                 1,
-                                                at + 1,
+                                                currentNumber + 1,
                                                 Map.of("bad", withDeadline(-1)),
                                                 Set.of(),
                                                 Map.of(),
                                                 Set.of())));
                 default -> {
-                    ChangeResult o =
+                    ChangeResult result =
                             restarted.apply(
                                     log.get(
                                             random.nextInt(
-                                                    Math.max(0, at - 3),
-                                                    Math.min(log.size(), at + 4))));
-                    if (o instanceof ChangeResult.Applied applied) {
+                                                    Math.max(0, currentNumber - 3),
+                                                    Math.min(log.size(), currentNumber + 4))));
+                    if (result instanceof ChangeResult.Applied applied) {
                         assertSlotsAreUnique(applied, retired);
                     }
                 }
@@ -398,7 +401,10 @@
         }
     }
 
-    /** No two entries in one slot, and none in one that was retired and not released. */
+    /**
+     * Checks that no two entries share a slot, and that no entry has a slot that was retired but
+     * not released.
+     */
     private static void assertSlotsAreUnique(ChangeResult.Applied applied, Set<Integer> retired) {
         Set<Integer> used = new HashSet<>();
         applied.next()
