--- a/src/main/java/tinroad/changelog/ChangeCodec.java
+++ b/src/main/java/tinroad/changelog/ChangeCodec.java
@@ -33,22 +33,23 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * A change as bytes: a header line that names format, version and CRC-32C of version and body, then
- * the body, one JSON object. Its {@code put} has the form of the settings, and is read by their
- * reader. What is read counts only once the checksum of all bytes is right.
+ * Encodes changes as bytes and decodes them: a header line with the name and the version of the
+ * format and a CRC-32C of version and body, then the body, one JSON object. The {@code put} field
+ * has the form of the settings, and is read by the reader of the settings. What was read is used
+ * only after the checksum of all bytes has been verified.
  */
 final class ChangeCodec {
-    /** The version that is written, and the latest that is read. */
+    /** The version that is written, and the latest one that is read. */
     static final int VERSION = 1;
 
-    /** A longer file is neither written nor read. */
+    /** Maximum length of a file; a longer one is neither written nor read. */
     static final int MAX_BYTES = 32 * 1024 * 1024;
 
     private static final String MAGIC = "tinroad-change";
     private static final Pattern HEADER = Pattern.compile(MAGIC + " (\\d{1,6}) ([0-9a-f]{8})");
     private static final int MAX_HEADER_BYTES = 64;
 
-    // The fields' names in the file; what it calls orgs are tenants.
+    // Names of the fields in the file. The file calls tenants orgs.
     private static final String EPOCH = "epoch";
     private static final String NUMBER = "number";
     private static final String HASH_BEFORE = "before";
@@ -63,7 +64,7 @@
 
     private ChangeCodec() {}
 
-    /** The bytes of a change. */
+    /** Encodes a change. */
     static byte[] write(CatalogChange change) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator((OutputStream) body)) {
@@ -94,7 +95,7 @@
         return file.toByteArray();
     }
 
-    /** Begins with the version, so that a corrupt version is noticed, too. */
+    /** Starts a checksum with the version, so that a corrupt version is detected, too. */
     private static CRC32C checksum(int version) {
         CRC32C crc = new CRC32C();
         crc.update(version);
@@ -111,11 +112,12 @@
     }
 
     /**
-     * Reads the file that is named after this position.
+     * Reads the file of the change at this position.
      *
-     * @throws CorruptChangeException where it does not hold the change of that position
+     * @throws CorruptChangeException if the file does not contain the change of that position
      */
-    static ChangeLogStore.ChangeReadResult read(InputStream in, LogPosition at) throws IOException {
+    static ChangeLogStore.ChangeReadResult read(InputStream in, LogPosition position)
+            throws IOException {
         Matcher header = readHeader(in);
         CheckedInputStream body =
                 new CheckedInputStream(in, checksum(Integer.parseInt(header.group(1))));
@@ -123,18 +125,18 @@
         reader.read(body, null);
         body.transferTo(OutputStream.nullOutputStream());
         if (!String.format("%08x", body.getChecksum().getValue()).equals(header.group(2))) {
-            throw new CorruptChangeException("its checksum does not fit");
+            throw new CorruptChangeException("its checksum does not match");
         }
-        if (!at.equals(new LogPosition(reader.epoch, reader.number))) {
+        if (!position.equals(new LogPosition(reader.epoch, reader.number))) {
             throw new CorruptChangeException(
-                    "it says that it is " + reader.epoch + "-" + reader.number);
+                    "it contains change " + reader.epoch + "-" + reader.number);
         }
         return reader.result();
     }
 
     /**
-     * The change without its entries, with the hashes before and after. Costs the same for any
-     * change, as the checksum is not checked.
+     * Reads the change without its entries, with the hashes before and after. The cost does not
+     * depend on the size of the change, as the checksum is not verified.
      */
     static CatalogChange readHashes(InputStream in) throws IOException {
         readHeader(in);
@@ -161,7 +163,7 @@
         return header;
     }
 
-    /** Collects the fields in whatever order they come. */
+    /** Reads the body, with its fields in any order. */
     private static final class BodyReader implements SiteVisitor {
         private final Map<String, RequestClass> putClasses = new HashMap<>();
         private final Map<String, Tenant> putTenants = new HashMap<>();
@@ -173,14 +175,17 @@
         private String hashBefore = "";
         private String hashAfter = "";
 
-        /** Reads up to and with the field named {@code last}; null: all. */
-        void read(InputStream body, String last) throws IOException {
+        /**
+         * Reads the fields up to and including the one named {@code lastField}, or all if it is
+         * null.
+         */
+        void read(InputStream body, String lastField) throws IOException {
             try (JsonParser in = JSON.createParser(body)) {
                 if (in.nextToken() != JsonToken.START_OBJECT) {
-                    throw new CorruptChangeException("no object");
+                    throw new CorruptChangeException("the body is not an object");
                 }
                 String field = "";
-                while (!field.equals(last) && in.nextToken() == JsonToken.FIELD_NAME) {
+                while (!field.equals(lastField) && in.nextToken() == JsonToken.FIELD_NAME) {
                     field = in.currentName();
                     in.nextToken();
                     readField(in, field);
@@ -189,7 +194,7 @@
                 throw new CorruptChangeException(
                         "it is not JSON at byte "
                                 + e.getLocation().getByteOffset()
-                                + " behind its first line");
+                                + " after its first line");
             }
         }
 
@@ -202,9 +207,9 @@
                 case REMOVED ->
                         each(
                                 in,
-                                table -> {
+                                arrayName -> {
                                     Set<String> names =
-                                            table.equals(REMOVED_CLASSES)
+                                            arrayName.equals(REMOVED_CLASSES)
                                                     ? removedClasses
                                                     : removedTenants;
                                     items(in, i -> names.add(text(in)));
--- a/src/main/java/tinroad/changelog/ChangeConflictException.java
+++ b/src/main/java/tinroad/changelog/ChangeConflictException.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** A change can't be appended to the log: it does not follow the newest, or its number is taken. */
+/**
+ * A change can't be appended to the log, because it does not follow the newest one or its number is
+ * taken.
+ */
 final class ChangeConflictException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/tinroad/changelog/ChangeDescription.java
+++ b/src/main/java/tinroad/changelog/ChangeDescription.java
@@ -5,16 +5,16 @@
 import tinroad.catalog.CatalogChange;
 
 /**
- * What applying a change led to, in one line for operators. Commands print these lines and the
- * admin endpoint shows them: their wording is an interface.
+ * Describes the result of applying a change in one line for operators. Commands print these lines
+ * and the admin endpoint shows them, so their wording is an interface.
  */
 public final class ChangeDescription {
     private ChangeDescription() {}
 
-    /** The line for a change and its result. */
+    /** Returns the line for a change and its result. */
     public static String of(CatalogChange change, ChangeResult result) {
         LogPosition position = new LogPosition(change.epoch(), change.number());
-        // No switch over patterns in Java 17.
+        // Java 17 has no switch over patterns.
         if (result instanceof ChangeResult.Rejected rejected) {
             return rejected(position, rejected.errors());
         } else if (result instanceof ChangeResult.Fenced fenced) {
--- a/src/main/java/tinroad/changelog/ChangeLogException.java
+++ b/src/main/java/tinroad/changelog/ChangeLogException.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Why a change log can't be followed, a type for each cause. The message is the line for operators,
- * which the admin endpoint shows, too.
+ * A change log can't be followed. There is a type for each cause. The message is the line for
+ * operators, which the admin endpoint shows, too.
  */
 abstract class ChangeLogException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Changes that have to come first are not in the log any more. */
+    /** Changes that have to be applied first are no longer in the log. */
     static final class Missing extends ChangeLogException {
         private static final long serialVersionUID = 1L;
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /** A change of an earlier epoch was written after that epoch was over. */
+    /** A change of an earlier epoch was written after a higher epoch had begun. */
     static final class EpochOver extends ChangeLogException {
         private static final long serialVersionUID = 1L;
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The log ends before a change that it is known to have held. */
+    /** The log ends before a change that is known to have been in it. */
     static final class RolledBack extends ChangeLogException {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/tinroad/changelog/ChangeLogFollower.java
+++ b/src/main/java/tinroad/changelog/ChangeLogFollower.java
@@ -11,40 +11,43 @@
 import tinroad.catalog.FullSnapshotDiff;
 
 /**
- * Follows a change log, a change at a time and in order. Where the log can't be followed, the
- * catalog in use stays, and one line says why, once until it changes. A poll that finds nothing
- * costs two system calls: the next name, and whether the folder changed; names are listed only
- * then, and now and again all the same. Used by one thread, which owns the builder, too; blocks.
+ * Follows a change log, applying one change at a time and in order. If the log can't be followed,
+ * the catalog in use stays, and one line says why; it is reported again only when it changes. A
+ * poll without news costs two system calls: it checks the file name of the next change, and whether
+ * the folder has changed. The folder is listed only if it has, and occasionally in any case. Used
+ * by one thread, which also owns the builder. The methods block.
  */
 public final class ChangeLogFollower {
     private final ChangeLogStore store;
     private final String logName;
-    private final PollMemory memory = new PollMemory();
+    private final PollMemory pollMemory = new PollMemory();
 
     /**
-     * What an earlier incarnation had applied, null once it was found: the log may not end before.
+     * The last position that an earlier incarnation had applied: the log must not end before it.
+     * Null once that was checked, or if it is unknown.
      */
-    private LogPosition expected;
+    private LogPosition lastKnownPosition;
 
-    /** The last position of earlier epochs that was there when the current epoch began. */
+    /** The last position of earlier epochs that was in the log when the current epoch began. */
     private LogPosition endOfEarlierEpochs;
 
     private LogPosition newest;
-    private String problem;
+    private String lastProblem;
 
     /**
-     * Follows the log in {@code store}, which lines call {@code logName}.
+     * Creates a follower of the log in {@code store}; lines for operators call it {@code logName}.
      *
-     * @param expected the last position that an earlier incarnation had applied; null: not known
+     * @param lastKnownPosition the last position that an earlier incarnation had applied; null if
+     *     unknown
      */
-    public ChangeLogFollower(ChangeLogStore store, String logName, LogPosition expected) {
+    public ChangeLogFollower(ChangeLogStore store, String logName, LogPosition lastKnownPosition) {
         this.store = store;
         this.logName = logName;
-        this.expected = expected;
+        this.lastKnownPosition = lastKnownPosition;
     }
 
     /**
-     * What one poll led to; both empty: nothing new.
+     * The result of one poll. Both fields are empty if there was nothing new.
      *
      * @param logLine a line for the operators' log
      */
@@ -61,8 +64,8 @@
     }
 
     /**
-     * The same content as the version of the log that it is; unchanged where the log does not know
-     * it, or can't be read.
+     * Returns the catalog with the version that its content has in the log. Returns it unchanged if
+     * the log does not contain its content, or can't be read.
      */
     public Catalog locate(Catalog catalog) {
         try {
@@ -70,24 +73,24 @@
                     .map(position -> catalog.withVersion(position.epoch(), position.number()))
                     .orElse(catalog);
         } catch (IOException e) {
-            // The first poll says so.
+            // The first poll reports this.
             return catalog;
         }
     }
 
-    /** The newest change that the log was seen to hold, if any was seen. */
+    /** The newest change seen in the log, if any. */
     public Optional<LogPosition> newest() {
         return Optional.ofNullable(newest);
     }
 
-    /** Why the log can't be followed; empty where it can. */
+    /** Why the log can't be followed; empty if it can. */
     public Optional<String> lastProblem() {
-        return Optional.ofNullable(problem);
+        return Optional.ofNullable(lastProblem);
     }
 
-    /** Applies the next change to the builder, if it is there and can be applied. */
+    /** Applies the next change to the builder, if there is one and it can be applied. */
     public PollResult poll(CatalogBuilder builder) {
-        memory.pollStarted();
+        pollMemory.pollStarted();
         try {
             return applyNext(builder);
         } catch (ChangeLogException e) {
@@ -100,15 +103,15 @@
     }
 
     private PollResult report(String line) {
-        if (line.equals(problem)) {
+        if (line.equals(lastProblem)) {
             return PollResult.NOTHING;
         }
-        problem = line;
+        lastProblem = line;
         return PollResult.line(line);
     }
 
     private PollResult applyNext(CatalogBuilder builder) throws IOException, ChangeLogException {
-        LogPosition current = position(builder.current());
+        LogPosition current = positionOf(builder.current());
         LogPosition next = current.next();
         Optional<FileStamp> stamp = store.stamp(next);
         if (stamp.isPresent()) {
@@ -119,7 +122,7 @@
                 return apply(builder, higherEpoch, store.stamp(higherEpoch));
             }
         }
-        return memory.shouldList(store.stamp(), current)
+        return pollMemory.shouldList(store.stamp(), current)
                 ? applyFromListing(builder, current)
                 : PollResult.NOTHING;
     }
@@ -132,7 +135,7 @@
                 positions.stream().filter(position -> position.compareTo(current) > 0).findFirst();
         if (following.isPresent()) {
             if (!following.get().follows(current)) {
-                // A listing may miss a file that is created meanwhile, and show a later one.
+                // A listing may miss a file that is created meanwhile, but contain a later one.
                 Optional<FileStamp> next = store.stamp(current.next());
                 if (next.isPresent()) {
                     return apply(builder, current.next(), next);
@@ -142,15 +145,15 @@
             return apply(builder, following.get(), store.stamp(following.get()));
         }
         checkUnchanged(builder.current(), current, positions);
-        expected = null;
-        if (problem != null) {
-            problem = null;
+        lastKnownPosition = null;
+        if (lastProblem != null) {
+            lastProblem = null;
             return PollResult.line(logName + " is followed again from " + current);
         }
         return PollResult.NOTHING;
     }
 
-    /** Checks a log without a later change: it has to be the one that was applied. */
+    /** Checks a log without a later change: it has to be the log whose changes were applied. */
     private void checkUnchanged(Catalog catalog, LogPosition current, List<LogPosition> positions)
             throws IOException, ChangeLogException {
         if (positions.contains(current)
@@ -165,15 +168,17 @@
             }
         }
         LogPosition applied =
-                expected != null && expected.compareTo(current) > 0 ? expected : current;
+                lastKnownPosition != null && lastKnownPosition.compareTo(current) > 0
+                        ? lastKnownPosition
+                        : current;
         if (applied.epoch() > 0 && (newest == null || newest.compareTo(applied) < 0)) {
             throw new ChangeLogException.RolledBack(logName, applied, Optional.ofNullable(newest));
         }
     }
 
     /**
-     * The first change of a higher epoch that follows the content in use, for where the next change
-     * of the current epoch can't be applied.
+     * Returns the first change of a higher epoch that follows the content in use. Called if the
+     * next change of the current epoch can't be applied.
      */
     private Optional<LogPosition> findHigherEpoch(Catalog catalog) throws IOException {
         for (LogPosition position : store.positions()) {
@@ -183,7 +188,7 @@
                         return Optional.of(position);
                     }
                 } catch (CorruptChangeException e) {
-                    // Not this one, then.
+                    // A corrupt change is not the one that is looked for.
                 }
             }
         }
@@ -193,7 +198,7 @@
     private PollResult apply(
             CatalogBuilder builder, LogPosition position, Optional<FileStamp> stamp)
             throws IOException, ChangeLogException {
-        if (!memory.shouldAttempt(position, stamp, builder.current().contentHash())) {
+        if (!pollMemory.shouldAttempt(position, stamp, builder.current().contentHash())) {
             return PollResult.NOTHING;
         }
         ChangeLogStore.ChangeReadResult read;
@@ -202,15 +207,15 @@
         } catch (CorruptChangeException e) {
             throw new ChangeLogException.Corrupt(logName, position, e);
         } catch (NoSuchFileException e) {
-            // Pruned in this moment; the next poll finds what is left.
-            memory.forgetAttempt();
+            // The file was pruned meanwhile; the next poll finds the changes that are left.
+            pollMemory.forgetAttempt();
             return PollResult.NOTHING;
         }
         if (!read.errors().isEmpty()) {
             throw new ChangeLogException.Rejected(position, read.errors().lines());
         }
-        // Read before: once the builder has applied the change, nothing may fail any more.
-        LogPosition endBefore = endOfEpochsBefore(position.epoch(), position(builder.current()));
+        // Read first: once the builder has applied the change, nothing may fail any more.
+        LogPosition endBefore = endOfEpochsBefore(position.epoch(), positionOf(builder.current()));
         ChangeResult result = builder.apply(read.change());
         if (!(result instanceof ChangeResult.Applied applied)) {
             throw new ChangeLogException.Rejected(
@@ -218,11 +223,14 @@
         }
         endOfEarlierEpochs = endBefore;
         newest = newest == null || newest.compareTo(position) < 0 ? position : newest;
-        problem = null;
+        lastProblem = null;
         return PollResult.applied(applied);
     }
 
-    /** What {@link #endOfEarlierEpochs} is once this epoch is in use; null: not known. */
+    /**
+     * Returns the value that {@link #endOfEarlierEpochs} has once this epoch is in use, or null if
+     * it is unknown.
+     */
     private LogPosition endOfEpochsBefore(long epoch, LogPosition current) throws IOException {
         return epoch <= current.epoch()
                 ? endOfEarlierEpochs
@@ -232,29 +240,30 @@
     }
 
     /**
-     * Applies a settings file that was read again. The log leads: a file that differs from the
-     * catalog in use is applied only if the log knows its content as a later version, or while the
-     * log is empty.
+     * Applies a settings file that was read again. The log takes precedence: a file that differs
+     * from the catalog in use is applied only if the log contains its content as a later version,
+     * or while the log is empty.
      */
     public PollResult applyFile(CatalogBuilder builder, FullSnapshotDiff file) {
-        LogPosition current = position(builder.current());
-        CatalogChange asNext = file.change(current.epoch(), current.number() + 1);
+        LogPosition current = positionOf(builder.current());
+        CatalogChange nextChange = file.change(current.epoch(), current.number() + 1);
         try {
-            Optional<LogPosition> known = store.locate(asNext.hashAfter());
-            boolean later = known.filter(found -> found.compareTo(current) > 0).isPresent();
-            if (asNext.size() == 0 && !later) {
+            Optional<LogPosition> located = store.locate(nextChange.hashAfter());
+            boolean later = located.filter(found -> found.compareTo(current) > 0).isPresent();
+            if (nextChange.size() == 0 && !later) {
                 return PollResult.NOTHING;
             }
-            if (known.isEmpty() && !store.positions().isEmpty()) {
+            if (located.isEmpty() && !store.positions().isEmpty()) {
                 return fileRejected(
-                        logName + " knows no change to its content, " + asNext.hashAfter());
+                        logName + " knows no change to its content, " + nextChange.hashAfter());
             }
-            if (known.isPresent() && !later) {
+            if (located.isPresent() && !later) {
                 return fileRejected(
-                        "it is that of " + known.get() + ", and " + current + " serves");
+                        "it is that of " + located.get() + ", and " + current + " serves");
             }
             CatalogChange change =
-                    known.map(found -> file.change(found.epoch(), found.number())).orElse(asNext);
+                    located.map(found -> file.change(found.epoch(), found.number()))
+                            .orElse(nextChange);
             LogPosition endBefore = endOfEpochsBefore(change.epoch(), current);
             ChangeResult result = builder.applyFullSnapshot(change);
             if (!(result instanceof ChangeResult.Applied applied)) {
@@ -271,7 +280,7 @@
         return PollResult.line("settings file not taken: " + reason);
     }
 
-    private static LogPosition position(Catalog catalog) {
+    private static LogPosition positionOf(Catalog catalog) {
         return new LogPosition(catalog.epoch(), catalog.number());
     }
 }
--- a/src/main/java/tinroad/changelog/ChangeLogStore.java
+++ b/src/main/java/tinroad/changelog/ChangeLogStore.java
@@ -21,13 +21,13 @@
 import tinroad.state.DurableFiles;
 
 /**
- * The files of a change log. A change is written to a temporary file, forced to the disk, and
- * linked to its name: a name stands for a complete file or for none, and only the first of two
- * publishers gets it. Guards against two publishers, and against a folder that grows for ever.
- * Blocks; any thread, any process.
+ * Reads and writes the files of a change log. A change is written to a temporary file, forced to
+ * the disk, and linked to its final name. So a file with the final name is always complete, and
+ * only the first of two publishers gets the name. Old changes are deleted, so that the folder does
+ * not grow without bound. The methods block. Can be used by any thread and any process.
  */
 public final class ChangeLogStore {
-    /** Changes that are kept by default: some hours at 2,400 a day. */
+    /** Number of changes retained by default: those of some hours at 2,400 changes per day. */
     public static final int DEFAULT_KEPT_CHANGES = 512;
 
     private static final String TEMPORARY_SUFFIX = ".part";
@@ -35,16 +35,18 @@
     private final Path folder;
     private final int maxChanges;
 
-    /** A log in {@code folder}; an append keeps the newest {@code maxChanges}, at least 1. */
+    /**
+     * Creates a log in {@code folder}. Appending retains the newest {@code maxChanges}, at least 1.
+     */
     public ChangeLogStore(Path folder, int maxChanges) {
         this.folder = folder;
         this.maxChanges = Math.max(1, maxChanges);
     }
 
-    /** A change that was read, with what is invalid in it. */
+    /** A change that was read, and the errors in its entries. */
     public record ChangeReadResult(CatalogChange change, ValidationErrors errors) {}
 
-    /** All positions that there are, in order. */
+    /** Returns the positions of all changes in the log, in order. */
     public List<LogPosition> positions() throws IOException {
         List<LogPosition> found = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
@@ -59,26 +61,29 @@
     }
 
     /**
-     * The change at this position.
+     * Reads the change at this position.
      *
-     * @throws CorruptChangeException where the file holds none
+     * @throws CorruptChangeException if the file does not contain it
      */
-    public ChangeReadResult read(LogPosition at) throws IOException {
-        try (InputStream in = open(at)) {
-            return ChangeCodec.read(in, at);
+    public ChangeReadResult read(LogPosition position) throws IOException {
+        try (InputStream in = open(position)) {
+            return ChangeCodec.read(in, position);
         }
     }
 
-    /** The change at this position without its entries: the content hashes before and after. */
-    CatalogChange readHashes(LogPosition at) throws IOException {
-        try (InputStream in = open(at)) {
+    /**
+     * Reads the change at this position without its entries, but with the content hashes before and
+     * after it.
+     */
+    CatalogChange readHashes(LogPosition position) throws IOException {
+        try (InputStream in = open(position)) {
             return ChangeCodec.readHashes(in);
         }
     }
 
     /**
-     * The latest position at which the content had this hash; empty where no change that is there
-     * leads to it or from it.
+     * Returns the latest position at which the content had this hash. Empty if no change in the log
+     * leads to it or follows it.
      */
     Optional<LogPosition> locate(String hash) throws IOException {
         List<LogPosition> positions = positions();
@@ -93,14 +98,15 @@
                     return Optional.of(new LogPosition(position.epoch(), position.number() - 1));
                 }
             } catch (CorruptChangeException | NoSuchFileException e) {
-                // Reported when it is the next one, or pruned in this moment.
+                // A corrupt change is reported when it is the next one to apply; a missing one was
+                // pruned meanwhile.
             }
         }
         return Optional.empty();
     }
 
-    private InputStream open(LogPosition at) throws IOException {
-        Path file = folder.resolve(at.fileName());
+    private InputStream open(LogPosition position) throws IOException {
+        Path file = folder.resolve(position.fileName());
         if (Files.size(file) > ChangeCodec.MAX_BYTES) {
             throw new CorruptChangeException(
                     "it is longer than " + ChangeCodec.MAX_BYTES + " bytes");
@@ -109,21 +115,21 @@
                 Channels.newInputStream(FileChannel.open(file, StandardOpenOption.READ)));
     }
 
-    /** The stamp of the file of this change; empty where there is none. */
-    Optional<FileStamp> stamp(LogPosition at) throws IOException {
-        return FileStamp.of(folder.resolve(at.fileName()));
+    /** Returns the stamp of the file of this change; empty if it does not exist. */
+    Optional<FileStamp> stamp(LogPosition position) throws IOException {
+        return FileStamp.of(folder.resolve(position.fileName()));
     }
 
-    /** The stamp of the folder; empty where there is none. */
+    /** Returns the stamp of the folder; empty if it does not exist. */
     Optional<FileStamp> stamp() throws IOException {
         return FileStamp.of(folder);
     }
 
     /**
-     * Appends the change that follows the newest one; returns only once it is on the disk.
+     * Appends the change that follows the newest one. Returns only once it is on the disk.
      *
-     * @throws IOException that says why it can't be appended: it does not follow the newest, or
-     *     another publisher took its number
+     * @throws IOException with the reason if the change can't be appended, for example because it
+     *     does not follow the newest one or another publisher took its number
      */
     public void append(CatalogChange change) throws IOException {
         Files.createDirectories(folder);
@@ -146,7 +152,7 @@
             throw new ChangeConflictException(position, "does not follow the newest, " + newest);
         }
         if (position.epoch() > newest.epoch()) {
-            // A higher epoch may follow another content: that is how a log that was corrupted or
+            // A higher epoch may follow another content: this is how a log that was corrupted or
             // rolled back is repaired.
             return;
         }
@@ -177,7 +183,8 @@
                 folder.resolve(position.fileName() + "-" + UUID.randomUUID() + TEMPORARY_SUFFIX);
         try {
             DurableFiles.create(temporary, bytes);
-            // Not a rename, which would replace what another publisher wrote in the same moment.
+            // A link instead of a rename, as a rename would replace a file that another publisher
+            // wrote meanwhile.
             Files.createLink(folder.resolve(position.fileName()), temporary);
         } catch (FileAlreadyExistsException e) {
             throw new ChangeConflictException(
@@ -188,7 +195,7 @@
         DurableFiles.forceFolder(folder);
     }
 
-    /** Deletes what is beyond the newest few, and what killed publishers left incomplete. */
+    /** Deletes all but the newest changes, and the incomplete files that killed publishers left. */
     private void prune() throws IOException {
         List<LogPosition> positions = positions();
         for (LogPosition old : positions.subList(0, Math.max(0, positions.size() - maxChanges))) {
--- a/src/main/java/tinroad/changelog/CorruptChangeException.java
+++ b/src/main/java/tinroad/changelog/CorruptChangeException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * The file of a change is corrupt, or of a later version. The message says why; whoever reads the
- * log adds the position, which the command {@code catalog check} prints beside it.
+ * The file of a change is corrupt, or was written by a later version of the program. The message
+ * says why. The caller adds the position, which the command {@code catalog check} prints beside it.
  */
 public final class CorruptChangeException extends IOException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/tinroad/changelog/FileStamp.java
+++ b/src/main/java/tinroad/changelog/FileStamp.java
@@ -8,9 +8,9 @@
 import java.nio.file.attribute.FileTime;
 import java.util.Optional;
 
-/** What tells whether a name stands for the same file, unchanged, as before. */
+/** The attributes that show whether a name still stands for the same, unchanged file or folder. */
 record FileStamp(FileTime lastModified, long size, String fileKey) {
-    /** The stamp of a file or folder; empty where there is none. */
+    /** Returns the stamp of a file or folder; empty if it does not exist. */
     static Optional<FileStamp> of(Path file) throws IOException {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
--- a/src/main/java/tinroad/changelog/LogPosition.java
+++ b/src/main/java/tinroad/changelog/LogPosition.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * The position of a change in the log, which names its file.
+ * The position of a change in the log. It determines the name of the file of the change.
  *
  * @param epoch of the publisher; a higher one fences all lower ones
- * @param number within the epoch, from 1 on
+ * @param number within the epoch, starting at 1
  */
 public record LogPosition(long epoch, long number) implements Comparable<LogPosition> {
     private static final String PREFIX = "change-";
@@ -16,8 +16,8 @@
             Comparator.comparingLong(LogPosition::epoch).thenComparingLong(LogPosition::number);
 
     /**
-     * The position that a file's name stands for; empty where it is not the name of a change.
-     * Called for each name of a folder: no pattern, for its cost.
+     * Returns the position in the name of a file; empty if it is not the name of a change. Uses no
+     * regular expression because of its cost, as this is called for each name in a folder.
      */
     static Optional<LogPosition> parse(String file) {
         int dash = PREFIX.length() + DIGITS;
@@ -37,7 +37,7 @@
                             Long.parseLong(file, PREFIX.length(), dash, 10),
                             Long.parseLong(file, dash + 1, file.length(), 10)));
         } catch (NumberFormatException e) {
-            // Above any number: not a name that this class gave.
+            // Larger than any number, so this class did not write the name.
             return Optional.empty();
         }
     }
@@ -47,14 +47,14 @@
         return String.format("change-%019d-%019d", epoch, number);
     }
 
-    /** Whether a change at this position can be the one right after {@code other}. */
+    /** Whether a change at this position can directly follow the one at {@code other}. */
     public boolean follows(LogPosition other) {
         return epoch == other.epoch
                 ? number == other.number + 1
                 : epoch > other.epoch && number == 1;
     }
 
-    /** The position after it in the same epoch. */
+    /** The next position in the same epoch. */
     public LogPosition next() {
         return new LogPosition(epoch, number + 1);
     }
@@ -64,7 +64,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** As lines for operators have it: {@code EPOCH-NUMBER}. */
+    /** The position in the form that lines for operators contain: {@code EPOCH-NUMBER}. */
     @Override
     public String toString() {
         return epoch + "-" + number;
--- a/src/main/java/tinroad/changelog/PollMemory.java
+++ b/src/main/java/tinroad/changelog/PollMemory.java
@@ -3,13 +3,14 @@
 import java.util.Optional;
 
 /**
- * What earlier polls have seen, so that a poll where nothing changed neither lists the folder nor
- * tries a rejected change again. Guards against file systems whose times are coarse: now and again
- * both happen all the same.
+ * Remembers what earlier polls have seen, so that a poll without changes neither lists the folder
+ * nor tries a rejected change again. As some file systems have timestamps of a coarse resolution,
+ * which can hide a change, both are done occasionally in any case.
  */
 final class PollMemory {
     /**
-     * Polls after which the folder is listed, and a rejected change is tried again, in any case.
+     * Number of polls after which the folder is listed, and a rejected change is tried again, in
+     * any case.
      */
     static final int POLLS_BETWEEN_RECHECKS = 64;
 
@@ -26,23 +27,23 @@
         polls++;
     }
 
-    /** Whether the folder has to be listed; if so, this listing is remembered. */
+    /** Returns whether the folder has to be listed. If so, the listing is recorded. */
     boolean shouldList(Optional<FileStamp> folder, LogPosition applied) {
         Listing listing = new Listing(folder, applied);
         boolean same = listing.equals(lastListing);
         if (same && listedTwice && !isRecheck()) {
             return false;
         }
-        // Once more after each change: what comes within one tick of the folder's time leaves no
-        // trace in it.
+        // Lists the folder once more after each change: a second change within the resolution of
+        // the timestamp of the folder leaves no trace in it.
         listedTwice = same;
         lastListing = listing;
         return true;
     }
 
     /**
-     * Whether a change has to be tried on the content with this hash; if so, the attempt is
-     * remembered.
+     * Returns whether a change has to be tried on the content with this hash. If so, the attempt is
+     * recorded.
      */
     boolean shouldAttempt(LogPosition position, Optional<FileStamp> file, String contentHash) {
         Attempt attempt = new Attempt(position, file, contentHash);
--- a/src/main/java/tinroad/changelog/package-info.java
+++ b/src/main/java/tinroad/changelog/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The change log: a folder with a file for each change of classes and tenants, written by one
- * publisher and followed by gateways. {@code ChangeLogStore} alone touches files, {@code
- * ChangeLogFollower} decides what a gateway does with what it finds, {@code ChangeDescription}
- * words it for operators. Called off the event loop, by {@code node} and commands; knows no
- * gateway, no clock and no socket.
+ * The change log: a folder with one file for each change of classes and tenants, written by one
+ * publisher and followed by gateways. Only {@code ChangeLogStore} accesses files, {@code
+ * ChangeLogFollower} decides what a gateway does with the changes it finds, and {@code
+ * ChangeDescription} describes the results for operators. Called off the event loop, by {@code
+ * node} and commands. The package depends on no gateway, clock or socket.
  */
 package tinroad.changelog;
--- a/src/main/java/tinroad/gossip/MessageCodec.java
+++ b/src/main/java/tinroad/gossip/MessageCodec.java
@@ -26,7 +26,7 @@
      */
     public static final int MAX_DATAGRAM_BYTES = 1200;
 
-    private static final byte FORMAT = 1;
+    private static final byte FORMAT_VERSION = 1;
     private static final int MAX_TEXT_CHARS = 64;
     private static final CBORFactory CBOR = new CBORFactory();
 
@@ -70,7 +70,7 @@
 
     private byte[] write(Message message, int updateCount) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        body.write(FORMAT);
+        body.write(FORMAT_VERSION);
         try (JsonGenerator cbor = CBOR.createGenerator(body)) {
             cbor.writeStartArray();
             writeHeader(cbor, message);
@@ -154,7 +154,7 @@
         int bodyLength = datagram.length - DatagramAuthenticator.TAG_BYTES;
         if (bodyLength < 2
                 || datagram.length > MAX_DATAGRAM_BYTES
-                || datagram[0] != FORMAT
+                || datagram[0] != FORMAT_VERSION
                 || !authenticator.verify(datagram, bodyLength)) {
             return null;
         }
--- a/src/main/java/tinroad/state/SnapshotStore.java
+++ b/src/main/java/tinroad/state/SnapshotStore.java
@@ -68,7 +68,7 @@
     /** Reads all snapshot files, valid or not, sorted by file name. */
     public List<SnapshotSelector.Candidate> candidates() throws IOException {
         List<SnapshotSelector.Candidate> candidates = new ArrayList<>();
-        for (Path file : list(SNAPSHOT)) {
+        for (Path file : listFiles(SNAPSHOT)) {
             try {
                 candidates.add(
                         new SnapshotSelector.Candidate(file.getFileName().toString(), read(file)));
@@ -87,7 +87,7 @@
                 : SnapshotCodec.read(Files.readAllBytes(file));
     }
 
-    private List<Path> list(Pattern names) throws IOException {
+    private List<Path> listFiles(Pattern names) throws IOException {
         List<Path> found = new ArrayList<>();
         if (Files.isDirectory(folder)) {
             try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
@@ -108,7 +108,7 @@
     public long latestMarkedIncarnation() throws IOException {
         long latest = 0;
         for (Pattern names : List.of(MARKER, SNAPSHOT)) {
-            for (Path file : list(names)) {
+            for (Path file : listFiles(names)) {
                 Matcher name = names.matcher(file.getFileName().toString());
                 if (name.matches()) {
                     latest = Math.max(latest, parseIncarnation(name.group(1)));
@@ -164,9 +164,9 @@
         }
     }
 
-    private void deleteBefore(Pattern names, String first) throws IOException {
-        for (Path file : list(names)) {
-            if (file.getFileName().toString().compareTo(first) < 0) {
+    private void deleteBefore(Pattern names, String firstRetained) throws IOException {
+        for (Path file : listFiles(names)) {
+            if (file.getFileName().toString().compareTo(firstRetained) < 0) {
                 Files.deleteIfExists(file);
             }
         }
@@ -186,7 +186,7 @@
                                 "state-%019d-%019d",
                                 snapshot.incarnation(), snapshot.generation())),
                 SnapshotCodec.write(snapshot));
-        List<Path> snapshots = list(SNAPSHOT);
+        List<Path> snapshots = listFiles(SNAPSHOT);
         for (Path old : snapshots.subList(0, Math.max(0, snapshots.size() - maxSnapshots))) {
             Files.deleteIfExists(old);
         }
--- a/src/test/java/tinroad/changelog/ChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/ChangeLogTest.java
@@ -30,8 +30,8 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * The files of a change log, and what a follower does with whatever it finds: one line, and the
- * last valid catalog stays in use.
+ * Tests the files of a change log, and that a follower, whatever it finds in them, reports one line
+ * and leaves the last valid catalog in use.
  */
 @Timeout(600)
 class ChangeLogTest {
@@ -73,7 +73,7 @@
 
     @Test
     void readsWhatItWroteToTheLastBit() throws IOException {
-        RequestClass odd =
+        RequestClass unusualClass =
                 new RequestClass(
                         0.1,
                         -0.0,
@@ -90,7 +90,7 @@
                         9,
                         Map.of(
                                 "\u20ac\ud83d\ude00\"\\",
-                                odd,
+                                unusualClass,
                                 "b",
                                 new RequestClass(
                                         0, 0, 7, 0, 0, Idempotency.IDEMPOTENT, 0, false, 0)),
@@ -119,7 +119,7 @@
         assertFollowed();
         write(1, 20);
         assertEquals(8, store().positions().size());
-        // Fallen behind: the settings file as it is now brings it up to date.
+        // The reader is too far behind. The current settings file brings it up to date.
         assertEquals(
                 "log: 1-6 is missing, the oldest change after it is 1-18: the settings file as it"
                         + " is now has to be read, by SIGHUP\n",
@@ -146,7 +146,7 @@
         ChangeLogFollower f = new ChangeLogFollower(store(), "log", null);
         assertEquals("", KillLogWrites.follow(f, early));
         assertEquals(writer.current().contentHash(), early.current().contentHash());
-        // And one that fell behind with a content that is in use again.
+        // Also a gateway that is too far behind and whose content is in use again.
         write(1, 9);
         CatalogBuilder late = new CatalogBuilder(writer.current().withVersion(0, 0));
         assertTrue(KillLogWrites.follow(f, late).contains("is missing"));
@@ -156,7 +156,7 @@
         assertEquals("log is followed again from 1-11\n", KillLogWrites.follow(f, late));
     }
 
-    /** A builder's content as a settings file. */
+    /** Returns the content of a builder as a settings file. */
     private FullSnapshotDiff snapshot(CatalogBuilder from) {
         return snapshot(from, reader);
     }
@@ -183,7 +183,7 @@
                         + old.current().contentHash(),
                 follower[0].applyFile(reader, snapshot(old)).logLine().orElseThrow());
         assertEquals("1-3", reader.current().epoch() + "-" + reader.current().number());
-        // A process that starts on a file finds its position in the log.
+        // A process that starts from a file finds its position in the log.
         assertEquals(3, follower[0].locate(writer.current().withVersion(0, 0)).number());
         assertEquals(
                 List.of(1L, 0L),
@@ -224,7 +224,7 @@
         write(1, 2);
         byte[] good = Files.readAllBytes(file(1, 2));
         Files.write(file(1, 2), Arrays.copyOf(good, good.length / 2));
-        // A publisher's incomplete file has another name.
+        // The incomplete file of a publisher has another name.
         Files.write(dir.resolve("log/" + new LogPosition(1, 3).fileName() + "-x.part"), good);
         String line = follow();
         assertTrue(line.startsWith("log: change 1-2 is damaged: it is not JSON at byte "), line);
@@ -246,23 +246,23 @@
         Files.writeString(file(1, 2), "x");
         String line = assertThrows(IOException.class, () -> write(1, 1)).getMessage();
         assertEquals("the newest change, 1-2, is damaged: no change, or cut short", line);
-        // One gateway has the corrupt change, the other has not; the publisher continues from where
-        // the second one is.
+        // One gateway has applied the corrupt change, the other has not. The publisher continues
+        // from the content of the second one.
         ChangeLogFollower second = new ChangeLogFollower(store(), "log", null);
         assertTrue(KillLogWrites.follow(second, behind).contains("1-2 is damaged"));
-        CatalogChange mended = quotas(behind.current(), 2, 1, 3);
-        store().append(mended);
+        CatalogChange repair = quotas(behind.current(), 2, 1, 3);
+        store().append(repair);
         String lines = "";
         for (int i = 0; i < PollMemory.POLLS_BETWEEN_RECHECKS; i++) {
             lines += KillLogWrites.follow(second, behind);
         }
         assertEquals("", lines);
-        assertEquals(mended.hashAfter(), behind.current().contentHash());
+        assertEquals(repair.hashAfter(), behind.current().contentHash());
         assertEquals(Optional.empty(), second.lastProblem());
-        // The first one reports it, and needs the file.
+        // The first gateway reports the change, and needs the settings file.
         assertTrue(follow().startsWith("change 2-1 belongs to another content than"));
         assertEquals(
-                mended.hashAfter(),
+                repair.hashAfter(),
                 follower[0]
                         .applyFile(reader, snapshot(behind))
                         .applied()
@@ -332,7 +332,7 @@
         assertEquals("log was rolled back: 1-3 was taken, and the newest is 1-1\n", follow());
         assertEquals("", follow());
         assertFollowed();
-        // The same, seen by the next incarnation, which knows what this one had applied.
+        // The next incarnation, which knows what this one had applied, reports the same.
         ChangeLogFollower nextIncarnation =
                 new ChangeLogFollower(store(), "log", new LogPosition(1, 3));
         CatalogBuilder restarted = new CatalogBuilder(base());
@@ -359,7 +359,7 @@
         assertEquals(
                 "log: change 1-3 came after its epoch was over: not taken, 2 goes on\n", follow());
         assertFollowed();
-        // It does not block what comes next, of this epoch and of a higher one.
+        // It does not block the next changes, of this epoch and of a higher one.
         write(2, 1);
         write(3, 1);
         follow();
@@ -384,7 +384,7 @@
                                 () -> store().append(quotas(writer.current(), 1, 3, 9)))
                         .getMessage()
                         .contains("does not follow"));
-        // One that bypasses the checks: the reader reports it.
+        // If a publisher bypasses the checks, the reader reports it.
         Files.write(file(1, 2), ChangeCodec.write(quotas(base(), 1, 2, 9)));
         assertTrue(
                 follow().startsWith(
@@ -401,35 +401,35 @@
     void letsOneOfTwoConcurrentPublishersWriteEachChange() throws Exception {
         ChangeLogStore log = new ChangeLogStore(dir.resolve("log"), 1000);
         AtomicInteger written = new AtomicInteger();
-        Thread[] both = new Thread[2];
-        for (int w = 0; w < both.length; w++) {
+        Thread[] publishers = new Thread[2];
+        for (int w = 0; w < publishers.length; w++) {
             int entries = w + 1;
-            both[w] =
+            publishers[w] =
                     new Thread(
                             () -> {
-                                CatalogBuilder mine = new CatalogBuilder(base());
+                                CatalogBuilder own = new CatalogBuilder(base());
                                 ChangeLogFollower f = new ChangeLogFollower(log, "log", null);
                                 for (int tries = 0;
-                                        tries < 1000 && mine.current().number() < 60;
+                                        tries < 1000 && own.current().number() < 60;
                                         tries++) {
                                     try {
                                         log.append(
                                                 quotas(
-                                                        mine.current(),
+                                                        own.current(),
                                                         1,
-                                                        mine.current().number() + 1,
+                                                        own.current().number() + 1,
                                                         entries));
                                         written.incrementAndGet();
                                     } catch (IOException e) {
-                                        // Reported to this one; it continues from what the other
-                                        // one wrote.
+                                        // This publisher is notified, and continues from what the
+                                        // other one wrote.
                                     }
-                                    KillLogWrites.follow(f, mine);
+                                    KillLogWrites.follow(f, own);
                                 }
                             });
-            both[w].start();
+            publishers[w].start();
         }
-        for (Thread w : both) {
+        for (Thread w : publishers) {
             w.join();
         }
         follower[0] = new ChangeLogFollower(log, "log", null);
@@ -443,7 +443,7 @@
     }
 
     @Test
-    void deletesWhatAKilledPublisherLeft() throws IOException {
+    void deletesTheIncompleteFileOfAKilledPublisher() throws IOException {
         write(1, 1);
         Path incomplete =
                 Files.write(
--- a/src/test/java/tinroad/changelog/KillLogWrites.java
+++ b/src/test/java/tinroad/changelog/KillLogWrites.java
@@ -18,18 +18,20 @@
 import tinroad.state.KillWrites;
 
 /**
- * Kills processes while they write a change log: {@code KillLogWrites FOLDER KILLS SEED} from the
- * command line. Damaged counts kills after which a reader that follows all the while had a problem,
- * lost those after which a change reported as written was not there.
+ * Kills processes while they write a change log: {@code KillLogWrites FOLDER KILLS SEED} on the
+ * command line. In the result, damaged counts the kills after which a reader that follows all the
+ * time had a problem, and lost those after which a change that had been reported as written was
+ * missing.
  */
 public final class KillLogWrites {
-    private static final int KEEP = 100_000;
-    private static final int ENTRIES = 20;
+    private static final int MAX_CHANGES = 100_000;
+    private static final int TENANTS_PER_CHANGE = 20;
 
     private KillLogWrites() {}
 
     /**
-     * Writes without end and says what it has written; or, with three arguments, runs a campaign.
+     * With one argument, writes changes forever and reports each written one. With three arguments,
+     * runs a campaign of kills.
      */
     public static void main(String[] args) throws Exception {
         if (args.length == 3) {
@@ -37,7 +39,7 @@
                     campaign(Path.of(args[0]), Integer.parseInt(args[1]), Long.parseLong(args[2])));
             return;
         }
-        ChangeLogStore store = new ChangeLogStore(Path.of(args[0]), KEEP);
+        ChangeLogStore store = new ChangeLogStore(Path.of(args[0]), MAX_CHANGES);
         List<LogPosition> positions =
                 Files.isDirectory(Path.of(args[0])) ? store.positions() : List.of();
         CatalogBuilder builder =
@@ -46,7 +48,7 @@
                                 ? base()
                                 : content(positions.get(positions.size() - 1).number()));
         for (long n = builder.current().number() + 1; ; n++) {
-            CatalogChange c = quotas(builder.current(), 1, n, ENTRIES);
+            CatalogChange c = quotas(builder.current(), 1, n, TENANTS_PER_CHANGE);
             store.append(c);
             builder.apply(c);
             System.out.println(1 + " " + n);
@@ -64,10 +66,11 @@
     }
 
     /**
-     * What the log has led to at this number, without reading it: a file as its publisher has it.
+     * Returns the content that the log has led to at this number, without reading the log, as the
+     * publisher's settings file has it.
      */
     private static Catalog content(long number) {
-        List<String> names = IntStream.range(0, ENTRIES).mapToObj(i -> "t" + i).toList();
+        List<String> names = IntStream.range(0, TENANTS_PER_CHANGE).mapToObj(i -> "t" + i).toList();
         return Catalog.of(
                 1,
                 number,
@@ -77,7 +80,10 @@
                 names.stream().map(name -> new Tenant(number, 0)).toList());
     }
 
-    /** The next change of the content: so many tenants, each with the number as its quota. */
+    /**
+     * Creates the next change of the content: {@code entries} tenants, each with the number of the
+     * change as its quota.
+     */
     static CatalogChange quotas(Catalog now, long epoch, long number, int entries) {
         Map<String, Tenant> put = new HashMap<>();
         for (int i = 0; i < entries; i++) {
@@ -95,10 +101,10 @@
                 now.hashAfter(c));
     }
 
-    /** Applies all that is there; returns the lines for operators. */
+    /** Applies all changes in the log. Returns the lines for operators. */
     static String follow(ChangeLogFollower follower, CatalogBuilder builder) {
         StringBuilder lines = new StringBuilder();
-        // Twice more after the last: the folder is checked then.
+        // Polls twice more after the last change, as only then the folder is checked.
         for (int idle = 0; idle < 2; ) {
             ChangeLogFollower.PollResult result = follower.poll(builder);
             idle = result.applied().isEmpty() ? idle + 1 : 0;
@@ -111,7 +117,7 @@
             throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
         ChangeLogFollower follower =
-                new ChangeLogFollower(new ChangeLogStore(folder, KEEP), "log", null);
+                new ChangeLogFollower(new ChangeLogStore(folder, MAX_CHANGES), "log", null);
         CatalogBuilder builder = new CatalogBuilder(base());
         int damaged = 0;
         int lost = 0;
@@ -125,7 +131,7 @@
             Tenant t =
                     builder.current().number() == 0
                             ? null
-                            : builder.current().tenantEntry("t" + (ENTRIES - 1)).spec();
+                            : builder.current().tenantEntry("t" + (TENANTS_PER_CHANGE - 1)).spec();
             lost +=
                     t != null
                                     && t.quotaPerSecond() == builder.current().number()
@@ -136,7 +142,7 @@
         return "kills " + kills + ", damaged " + damaged + ", lost " + lost;
     }
 
-    /** Follows while it is written. */
+    /** Follows the log while it is written. */
     private static final class Reader extends Thread {
         private final ChangeLogFollower follower;
         private final CatalogBuilder builder;
@@ -154,7 +160,7 @@
             while (!stopped) {
                 ChangeLogFollower.PollResult result = follower.poll(builder);
                 applied |= result.applied().isPresent();
-                // The folder comes with the first change.
+                // The folder does not exist before the first change.
                 problems += result.logLine().isPresent() && applied ? 1 : 0;
                 Thread.onSpinWait();
             }
--- a/src/test/java/tinroad/changelog/StoredChangeLogTest.java
+++ b/src/test/java/tinroad/changelog/StoredChangeLogTest.java
@@ -9,7 +9,7 @@
 import tinroad.config.GatewayConfig;
 import tinroad.config.Site;
 
-/** A change log written by the released program 0.2.0 (commit 8aa3729) is followed to its end. */
+/** Checks that a change log written by release 0.2.0 (commit 8aa3729) is followed to its end. */
 class StoredChangeLogTest {
     private static final Path FILES = Path.of("src/test/resources/stored/0.2.0");
 
