--- a/src/main/java/tinroad/catalog/Catalog.java
+++ b/src/main/java/tinroad/catalog/Catalog.java
@@ -15,11 +15,11 @@
     private final EntryTable<RequestClass, ClassEntry> classes;
     private final EntryTable<Tenant, TenantEntry> tenants;
 
-    /** A class of requests; the overload controller knows it by its slot. */
+    /** A class of requests; the overload controller identifies it by its slot. */
     public record ClassEntry(String name, int slot, RequestClass spec)
             implements CatalogEntry<RequestClass> {}
 
-    /** A tenant; the overload controller knows it by its slot. */
+    /** A tenant; the overload controller identifies it by its slot. */
     public record TenantEntry(String name, int slot, Tenant spec) implements CatalogEntry<Tenant> {}
 
     Catalog(
--- a/src/main/java/tinroad/fleet/MembershipView.java
+++ b/src/main/java/tinroad/fleet/MembershipView.java
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Maximum number of members in a view, whoever sends digests. */
+    /** Maximum number of members in a view; bounds a flood of digests. */
     private static final int MAX_MEMBERS = 2_000;
 
     /** A view without members. */
--- a/src/test/java/tinroad/state/ProvenanceTest.java
+++ b/src/test/java/tinroad/state/ProvenanceTest.java
@@ -48,7 +48,7 @@
                 provenance
                         .valuesToSave(NOW_MILLIS, Map.of("run.a", new Estimate(31, 8)))
                         .get("run.a"));
-        // Saved again later without new samples, it keeps its time.
+        // Saved again later without new samples, the value has the same time as before.
         assertEquals(
                 new LearnedValue(31, 8, NOW_MILLIS - 30_000, 5),
                 provenance
