--- a/src/main/java/tinroad/config/ClassFields.java
+++ b/src/main/java/tinroad/config/ClassFields.java
@@ -9,7 +9,10 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.RequestClass;
 
-/** One class of requests in the settings while its fields come in, in any order. Times in ms. */
+/**
+ * Collects the fields of one class of requests while the settings are read. Fields may come in any
+ * order. Times are in ms.
+ */
 final class ClassFields {
     private String name = "";
     private double objectiveMillis;
@@ -23,17 +26,17 @@
     private ClassFields() {}
 
     /**
-     * Reads the object that the parser stands on.
+     * Reads the object at the parser's current position.
      *
-     * @param unknownWords gets a line for each word that this program does not know
+     * @param unknownValues receives one line for each enumerated value that is not known
      */
-    static ClassFields read(JsonParser in, ValidationErrors unknownWords) throws IOException {
+    static ClassFields read(JsonParser in, ValidationErrors unknownValues) throws IOException {
         ClassFields fields = new ClassFields();
-        each(in, field -> fields.field(field, in, unknownWords));
+        each(in, field -> fields.field(field, in, unknownValues));
         return fields;
     }
 
-    private void field(String field, JsonParser in, ValidationErrors unknownWords)
+    private void field(String field, JsonParser in, ValidationErrors unknownValues)
             throws IOException {
         switch (field) {
             case "name" -> name = text(in);
@@ -43,22 +46,22 @@
             case "gain" -> priorityWeight = number(in, 0);
             case "late_share" -> lateWeightShare = number(in, 0);
             case "key_ttl" -> keyWindowMillis = number(in, 0);
-            case "semantics" -> idempotency = idempotency(text(in), unknownWords);
+            case "semantics" -> idempotency = idempotency(text(in), unknownValues);
             default -> {}
         }
     }
 
-    private Idempotency idempotency(String word, ValidationErrors unknownWords) {
-        return switch (word) {
+    private Idempotency idempotency(String value, ValidationErrors unknownValues) {
+        return switch (value) {
             case "free" -> Idempotency.IDEMPOTENT;
             case "guarded" -> Idempotency.IDEMPOTENT_WITH_KEY;
             case "single_shot" -> Idempotency.NON_IDEMPOTENT;
             default -> {
-                unknownWords.add(
+                unknownValues.add(
                         "class "
                                 + name
                                 + ": semantics is none of free, guarded, single_shot: '"
-                                + word
+                                + value
                                 + "'");
                 yield Idempotency.NON_IDEMPOTENT;
             }
@@ -69,7 +72,9 @@
         return name;
     }
 
-    /** The class as the controller takes it, with what {@code family_info} says of it. */
+    /**
+     * Converts the fields to the controller's type; the arguments come from {@code family_info}.
+     */
     RequestClass toSpec(boolean callsDependency, double degradedWeightShare) {
         return new RequestClass(
                 objectiveMillis,
--- a/src/main/java/tinroad/config/ConfigDiff.java
+++ b/src/main/java/tinroad/config/ConfigDiff.java
@@ -7,8 +7,8 @@
 import tinroad.overload.Controller.Settings;
 
 /**
- * Which parts of a configuration that is read again differ, by the names that they have in the
- * file; without classes and tenants.
+ * Compares two versions of a configuration and names the parts that differ, as they are named in
+ * the file. Classes and tenants are not compared.
  */
 public final class ConfigDiff {
     private static final Map<String, Function<GatewayConfig, Object>> PARTS = new LinkedHashMap<>();
@@ -20,8 +20,8 @@
         PARTS.put("seed", GatewayConfig::seed);
         PARTS.put("stop_ms", GatewayConfig::stopMillis);
         PARTS.put("limits", c -> List.of(c.sockets(), c.memoryMb()));
-        site("goal", Settings::objectiveWeights);
-        site("rules", Settings::rules);
+        addSetting("goal", Settings::objectiveWeights);
+        addSetting("rules", Settings::rules);
         PARTS.put(
                 "settings.family_info",
                 c -> {
@@ -41,23 +41,23 @@
                             settings.resultFreshMillis(),
                             c.site().gaugeNames());
                 });
-        site(
+        addSetting(
                 "caps",
                 settings -> List.of(settings.maxRetryAfterMillis(), settings.sendsRetryAfter()));
-        site("clients", Settings::requestsMarkRetries);
-        site("servers", Settings::servers);
-        site("over_share_worth", Settings::overQuotaWeight);
-        site("step", Settings::clockStepMillis);
-        site("worth_by", Settings::weightByWork);
+        addSetting("clients", Settings::requestsMarkRetries);
+        addSetting("servers", Settings::servers);
+        addSetting("over_share_worth", Settings::overQuotaWeight);
+        addSetting("step", Settings::clockStepMillis);
+        addSetting("worth_by", Settings::weightByWork);
     }
 
     private ConfigDiff() {}
 
-    private static void site(String name, Function<Settings, Object> part) {
+    private static void addSetting(String name, Function<Settings, Object> part) {
         PARTS.put("settings." + name, c -> part.apply(c.site().settings()));
     }
 
-    /** The parts in which {@code after} differs from {@code before}. */
+    /** Returns the names of the parts in which {@code after} differs from {@code before}. */
     public static List<String> between(GatewayConfig before, GatewayConfig after) {
         return PARTS.entrySet().stream()
                 .filter(e -> !e.getValue().apply(before).equals(e.getValue().apply(after)))
--- a/src/main/java/tinroad/config/ConfigFile.java
+++ b/src/main/java/tinroad/config/ConfigFile.java
@@ -7,30 +7,32 @@
 import java.util.List;
 
 /**
- * The configuration's file. Knows from its size, time and inode whether it was written since it was
- * read last: guards a gateway whose engine stays away against reading a large file again every few
- * seconds. Used by one thread at a time.
+ * The configuration file. Detects by size, modification time and inode whether the file was written
+ * since it was last read, so that a gateway whose engine stays unreachable does not read a large
+ * file again every few seconds. Used by one thread at a time.
  */
 public final class ConfigFile implements ConfigSource {
     /**
-     * A file that was written less than this, in ms, before it was read may be written again within
-     * the same tick of its time.
+     * A file modified more recently than this before a read counts as changed at the next check: it
+     * may be written again without a change of its modification time, whose resolution is limited.
      */
-    private static final long SETTLE_MILLIS = 2000;
+    private static final long MIN_TRUSTED_AGE_MILLIS = 2000;
 
     private final Path path;
 
-    /** What the file was when it was read last, or null: not to be trusted. */
+    /**
+     * Identity of the file when it was last read; null if it can't tell whether the file changed.
+     */
     private Object lastReadStamp;
 
-    /** The file at this path. */
+    /** Creates a source that reads the file at this path. */
     public ConfigFile(Path path) {
         this.path = path;
     }
 
     @Override
     public synchronized GatewayConfig read(SiteVisitor visitor) throws ConfigException {
-        lastReadStamp = stamp(System.currentTimeMillis() - SETTLE_MILLIS);
+        lastReadStamp = stamp(System.currentTimeMillis() - MIN_TRUSTED_AGE_MILLIS);
         return GatewayConfig.read(path, visitor);
     }
 
@@ -39,10 +41,10 @@
         return lastReadStamp == null || !lastReadStamp.equals(stamp(Long.MAX_VALUE));
     }
 
-    private Object stamp(long writtenBefore) {
+    private Object stamp(long writtenBeforeMillis) {
         try {
             BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
-            return attributes.lastModifiedTime().toMillis() < writtenBefore
+            return attributes.lastModifiedTime().toMillis() < writtenBeforeMillis
                     ? List.of(
                             attributes.lastModifiedTime(),
                             attributes.size(),
--- a/src/main/java/tinroad/config/ConfigSource.java
+++ b/src/main/java/tinroad/config/ConfigSource.java
@@ -1,12 +1,15 @@
 package tinroad.config;
 
-/** Where the configuration is read from, at the start and at each reload. */
+/** Source of the configuration, which is read at the start and at each reload. */
 @FunctionalInterface
 public interface ConfigSource {
-    /** The configuration as it is now; classes and tenants go to {@code visitor} as they come. */
+    /**
+     * Reads the current configuration; classes and tenants are passed to {@code visitor} one by
+     * one.
+     */
     GatewayConfig read(SiteVisitor visitor) throws ConfigException;
 
-    /** Whether the configuration may have changed since it was read last. */
+    /** Whether the configuration may have changed since it was last read. */
     default boolean changed() {
         return true;
     }
--- a/src/main/java/tinroad/config/FamilyInfo.java
+++ b/src/main/java/tinroad/config/FamilyInfo.java
@@ -16,14 +16,14 @@
 import tinroad.overload.Controller.LoadHint;
 
 /**
- * The settings' part {@code family_info}: what the servers of this kind are and can do. An absent
- * field has its neutral value. Times in ms.
+ * The {@code family_info} part of the settings: properties and capabilities that all servers of one
+ * kind share. An absent field has its neutral value. Times are in ms.
  */
 final class FamilyInfo {
-    /** The word of a choice that offers nothing. */
+    /** Value of an enumerated field for a capability that is absent. */
     private static final String NONE = "none";
 
-    private final ValidationErrors unknownWords;
+    private final ValidationErrors unknownValues;
     private final List<String> gaugeNames = new ArrayList<>();
     private final List<Boolean> classCallsDependency = new ArrayList<>();
     private final List<Double> degradedWeightShares = new ArrayList<>();
@@ -44,15 +44,15 @@
     private double resultFreshMillis;
 
     /**
-     * All values neutral.
+     * Creates an instance in which all values are neutral.
      *
-     * @param unknownWords gets a line for each word that this program does not know
+     * @param unknownValues receives one line for each enumerated value that is not known
      */
-    FamilyInfo(ValidationErrors unknownWords) {
-        this.unknownWords = unknownWords;
+    FamilyInfo(ValidationErrors unknownValues) {
+        this.unknownValues = unknownValues;
     }
 
-    /** Reads the object that the parser stands on. */
+    /** Reads the object at the parser's current position. */
     void read(JsonParser in) throws IOException {
         each(in, name -> field(name, in));
     }
@@ -81,34 +81,34 @@
         }
     }
 
-    private DependencyKind dependencyKind(String field, String word) {
-        return switch (word) {
+    private DependencyKind dependencyKind(String field, String value) {
+        return switch (value) {
             case "common" -> DependencyKind.SHARED;
             case "next_hop" -> DependencyKind.NEXT_HOP;
-            default -> noneOf(field, word, DependencyKind.NONE);
+            default -> noneOrUnknown(field, value, DependencyKind.NONE);
         };
     }
 
-    private LoadHint loadHint(String field, String word) {
-        return switch (word) {
+    private LoadHint loadHint(String field, String value) {
+        return switch (value) {
             case "min_rank" -> LoadHint.MIN_RANK;
             case "tokens" -> LoadHint.TOKENS;
             case "bias" -> LoadHint.BIAS;
-            default -> noneOf(field, word, LoadHint.NONE);
+            default -> noneOrUnknown(field, value, LoadHint.NONE);
         };
     }
 
-    private CancellationMode cancellationMode(String field, String word) {
-        return switch (word) {
+    private CancellationMode cancellationMode(String field, String value) {
+        return switch (value) {
             case "drop" -> CancellationMode.DROP;
             case "pause" -> CancellationMode.PAUSE;
-            default -> noneOf(field, word, CancellationMode.NONE);
+            default -> noneOrUnknown(field, value, CancellationMode.NONE);
         };
     }
 
-    private <T> T noneOf(String field, String word, T none) {
-        if (!word.equals(NONE)) {
-            unknownWords.add(field + " is not known: '" + word + "'");
+    private <T> T noneOrUnknown(String field, String value, T none) {
+        if (!value.equals(NONE)) {
+            unknownValues.add(field + " is not known: '" + value + "'");
         }
         return none;
     }
@@ -118,7 +118,7 @@
         return classIndex < classCallsDependency.size() && classCallsDependency.get(classIndex);
     }
 
-    /** The share of its weight that an answer of this class has without the dependency's call. */
+    /** The share of its weight that a reply of this class has without the dependency call. */
     double degradedWeightShare(int classIndex) {
         return classIndex < degradedWeightShares.size() ? degradedWeightShares.get(classIndex) : 0;
     }
--- a/src/main/java/tinroad/config/GatewayConfig.java
+++ b/src/main/java/tinroad/config/GatewayConfig.java
@@ -22,14 +22,14 @@
  * The configuration of one gateway, read and validated as a whole.
  *
  * @param name the gateway's name in the service registry
- * @param listen where client proxies connect
- * @param control the admin endpoint, or null for none
- * @param engine where the engine listens
- * @param roster where the service registry takes load reports
- * @param seed of all random choices
- * @param stopMillis time from SIGTERM to the kill
- * @param sockets file descriptors that the process may hold
- * @param memoryMb memory that the process may take
+ * @param listen the address on which client proxies connect
+ * @param control the address of the admin endpoint, or null for none
+ * @param engine the address of the engine
+ * @param roster the address at which the service registry accepts load reports
+ * @param seed the seed of all random choices
+ * @param stopMillis the time from SIGTERM until the process is killed
+ * @param sockets the number of file descriptors that the process may have open
+ * @param memoryMb the memory that the process may use
  * @param site the settings of the overload controller, with the names of classes, tenants and
  *     gauges
  */
@@ -54,23 +54,23 @@
     /**
      * Reads a configuration file.
      *
-     * @throws ConfigException with one line for each error; the file's name, and the line and
-     *     column where it is not JSON
+     * @throws ConfigException with one line for each error; for a file that is not JSON, with the
+     *     file's name and the line and column of the error
      */
     public static GatewayConfig read(Path file) throws ConfigException {
         return read(file, null);
     }
 
     /**
-     * The same, and classes and tenants go to {@code visitor} as they come: the lists of {@link
-     * #site()} stay empty, and memory stays flat whatever the file's size. What the visitor took
-     * counts only if this returns.
+     * Reads a configuration file and passes classes and tenants to {@code visitor} one by one. The
+     * lists of {@link #site()} stay empty, so that memory use does not grow with the file's size.
+     * What the visitor received is valid only if this method returns normally.
      */
     public static GatewayConfig read(Path file, SiteVisitor visitor) throws ConfigException {
-        // One open file for both passes: another that takes its name meanwhile is not mixed in.
+        // Both passes read the same open file, even if another file replaces it in between.
         try (FileChannel bytes = FileChannel.open(file, StandardOpenOption.READ)) {
             Fields fields = new Fields(file, visitor);
-            fields.pass(bytes);
+            fields.readFile(bytes);
             return fields.config();
         } catch (NoSuchFileException e) {
             throw new ConfigException(file + ": no such file");
@@ -86,7 +86,7 @@
         }
     }
 
-    /** HOST:PORT with a literal address, as no DNS is available. */
+    /** Parses ADDRESS:PORT; the address has to be a literal, as no DNS is available. */
     private static InetSocketAddress address(String field, String text) throws ConfigException {
         int colon = text.lastIndexOf(':');
         try {
@@ -96,12 +96,12 @@
                 return new InetSocketAddress(host, port);
             }
         } catch (NumberFormatException e) {
-            // Reported below, as any other malformed address.
+            // Reported below like any other malformed address.
         }
         throw new ConfigException("config: " + field + " is no ADDRESS:PORT: '" + text + "'");
     }
 
-    /** The fields of the file while they come in, in any order. */
+    /** Collects the fields of the file while it is read; they may come in any order. */
     private static final class Fields {
         private final Path file;
         private final SiteVisitor visitor;
@@ -122,10 +122,10 @@
             this.visitor = visitor;
         }
 
-        void pass(FileChannel bytes) throws IOException, ConfigException {
-            object(bytes, this::field);
+        void readFile(FileChannel bytes) throws IOException, ConfigException {
+            readObject(bytes, this::field);
             if (settings != null && settings.needsSecondPass()) {
-                object(
+                readObject(
                         bytes.position(0),
                         field -> {
                             if (field.equals("settings")) {
@@ -135,7 +135,7 @@
             }
         }
 
-        private void object(FileChannel bytes, JsonFields.Visitor fields)
+        private void readObject(FileChannel bytes, JsonFields.Visitor fields)
                 throws IOException, ConfigException {
             try (JsonParser parser = JSON.createParser(Channels.newInputStream(bytes))) {
                 in = parser;
@@ -149,10 +149,10 @@
         GatewayConfig config() throws ConfigException {
             if (name.isEmpty() || name.matches(".*\\s.*")) {
                 throw new ConfigException(
-                        "config: name is missing or holds blanks: '" + name + "'");
+                        "config: name is missing or contains whitespace: '" + name + "'");
             }
             if (settings == null || settings.classCount() == 0) {
-                throw new ConfigException("config: settings are missing or name no classes");
+                throw new ConfigException("config: settings are missing or have no classes");
             }
             GatewayConfig config =
                     new GatewayConfig(
@@ -206,7 +206,8 @@
             try {
                 return Long.parseUnsignedLong(seed, 16);
             } catch (NumberFormatException e) {
-                throw new ConfigException("config: seed is no hexadecimal number: '" + seed + "'");
+                throw new ConfigException(
+                        "config: seed is not a hexadecimal number: '" + seed + "'");
             }
         }
     }
--- a/src/main/java/tinroad/config/Interner.java
+++ b/src/main/java/tinroad/config/Interner.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * A pool that replaces equal values by one object, as most quotas and class settings of a large
- * table are equal. Guards memory: entries of a table share its few different values, and the pool
+ * A pool that replaces equal values by one shared object. It saves memory, because most quotas and
+ * class settings of a large table are equal: the entries share a few distinct values. The pool
  * itself is bounded. Used by one thread.
  */
 public final class Interner<T> {
-    /** Bound of the pool; one that is full is emptied before the next value enters. */
+    /** Bound of the pool; a full pool is emptied before the next value is added. */
     static final int MAX_VALUES = 1024;
 
     private final Map<T, T> values = new HashMap<>();
 
-    /** A value that equals this one. */
+    /** Returns the pooled value that equals this one, and adds this one if there is none. */
     public T intern(T value) {
         T existing = values.get(value);
         if (existing != null) {
--- a/src/main/java/tinroad/config/JsonFields.java
+++ b/src/main/java/tinroad/config/JsonFields.java
@@ -4,19 +4,22 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 
-/** Walks JSON with a streaming parser: each value is read where it stands, the rest is skipped. */
+/**
+ * Helpers for reading JSON with a streaming parser: a visitor reads the values that it needs, and
+ * all others are skipped.
+ */
 public final class JsonFields {
     private JsonFields() {}
 
-    /** What to do with one value; the parser stands on its first token. */
+    /** Handles one value; the parser is at the value's first token. */
     @FunctionalInterface
     public interface Visitor {
-        /** Reads the value of {@code name}, or leaves it to be skipped. */
+        /** Reads the value of the field {@code name}; a value that is not read is skipped. */
         void value(String name) throws IOException;
     }
 
     /**
-     * Visits the fields of the object that the parser stands on; anything but an object is skipped.
+     * Visits the fields of the object at the parser's current position. Any other value is skipped.
      */
     public static void each(JsonParser parser, Visitor visitor) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
@@ -31,7 +34,10 @@
         }
     }
 
-    /** Visits the items of the array that the parser stands on, under their index; else skips. */
+    /**
+     * Visits the items of the array at the parser's current position, with their index as the name.
+     * Any other value is skipped.
+     */
     public static void items(JsonParser parser, Visitor visitor) throws IOException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
             parser.skipChildren();
@@ -50,17 +56,17 @@
         }
     }
 
-    /** The number that the parser stands on, or {@code absent}. */
-    public static double number(JsonParser parser, double absent) throws IOException {
-        return parser.currentToken().isNumeric() ? parser.getDoubleValue() : absent;
+    /** Returns the number at the parser's current position, or {@code defaultValue}. */
+    public static double number(JsonParser parser, double defaultValue) throws IOException {
+        return parser.currentToken().isNumeric() ? parser.getDoubleValue() : defaultValue;
     }
 
-    /** The text that the parser stands on, or "". */
+    /** Returns the string at the parser's current position, or "". */
     public static String text(JsonParser parser) throws IOException {
         return parser.currentToken() == JsonToken.VALUE_STRING ? parser.getText() : "";
     }
 
-    /** Whether the parser stands on true. */
+    /** Whether the value at the parser's current position is true. */
     public static boolean flag(JsonParser parser) {
         return parser.currentToken() == JsonToken.VALUE_TRUE;
     }
--- a/src/main/java/tinroad/config/NumberFields.java
+++ b/src/main/java/tinroad/config/NumberFields.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Numeric fields of one JSON object, by name; those of another type count as absent. */
+/** Numeric fields of one JSON object, by name. A field of another type counts as absent. */
 final class NumberFields {
     private final Map<String, Double> values = new HashMap<>();
 
     private NumberFields() {}
 
-    /** Reads the fields with these names of the object that the parser stands on. */
+    /** Reads the fields with these names from the object at the parser's current position. */
     static NumberFields read(JsonParser in, Set<String> names) throws IOException {
         NumberFields fields = new NumberFields();
         each(
@@ -35,8 +35,8 @@
         }
     }
 
-    /** The value of a field, or {@code absent}. */
-    double get(String name, double absent) {
-        return values.getOrDefault(name, absent);
+    /** Returns the value of a field, or {@code defaultValue} if it is absent. */
+    double get(String name, double defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 }
--- a/src/main/java/tinroad/config/SettingsValidator.java
+++ b/src/main/java/tinroad/config/SettingsValidator.java
@@ -3,33 +3,39 @@
 import tinroad.overload.Controller;
 
 /**
- * Validates the settings of a file before the start, and each class and tenant that a change of the
- * catalog puts; adds one line for each error. An absent value or an unknown field name is no error.
- * The bounds on names and on the size of tables guard memory.
+ * Validates the settings of a file before the start, and each class and tenant that a catalog
+ * change puts. Each error adds one line. An absent value or an unknown field name is not an error.
+ * The bounds on names and on the size of tables limit memory use.
  */
 public final class SettingsValidator {
-    /** Classes of requests in one table. */
+    /** Maximum number of request classes in one table. */
     public static final int MAX_CLASSES = 65_536;
 
-    /** Tenants in one table. */
+    /** Maximum number of tenants in one table. */
     public static final int MAX_TENANTS = 131_072;
 
-    /** Bytes of a name in UTF-8. */
+    /** Maximum length of a name in UTF-8. */
     public static final int MAX_NAME_BYTES = 4096;
 
     private static final int MAX_SHOWN_CHARACTERS = 80;
 
+    /** The most bytes that one {@code char} takes in UTF-8. */
+    private static final int MAX_BYTES_PER_CHARACTER = 3;
+
     private SettingsValidator() {}
 
     /**
      * Checks the name of an entry.
      *
-     * @param index the entry's position in {@code list}; below 0 for an entry that a change puts
+     * @param list the name of the table, for messages
+     * @param index the entry's position in {@code list}; negative for an entry that a change puts
      * @param taken whether an earlier entry has the same name
      */
     public static void name(
             String list, int index, String name, boolean taken, ValidationErrors errors) {
-        if (!name.isEmpty() && name.length() <= MAX_NAME_BYTES / 3 && !taken) {
+        if (!name.isEmpty()
+                && name.length() <= MAX_NAME_BYTES / MAX_BYTES_PER_CHARACTER
+                && !taken) {
             return;
         }
         String where = index < 0 ? list : list + "[" + index + "]";
@@ -53,7 +59,7 @@
         return name.codePoints().map(c -> c < 0x80 ? 1 : c < 0x800 ? 2 : c < 0x10000 ? 3 : 4).sum();
     }
 
-    /** A name as lines for operators show it: a long one is cut. */
+    /** Returns a name as messages for operators show it: a long name is truncated. */
     public static String shown(String name) {
         return name.length() <= MAX_SHOWN_CHARACTERS
                 ? name
@@ -95,8 +101,8 @@
         betweenZeroAndOne("org ", name, "share", spec.share(), errors);
     }
 
-    /** Checks the values of everything but the classes and tenants. */
-    static void rest(Controller.Settings settings, ValidationErrors errors) {
+    /** Checks all values except those of classes and tenants. */
+    static void otherSettings(Controller.Settings settings, ValidationErrors errors) {
         Controller.Rules rules = settings.rules();
         atLeast("", "rules", "answer_slack", rules.answerSlackMillis(), 0, errors);
         betweenZeroAndOne("", "rules", "cold_from", rules.coldStartSpeed(), errors);
@@ -145,6 +151,7 @@
         }
     }
 
+    /** Formats a number, without decimals if it is whole. */
     private static String plain(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
--- a/src/main/java/tinroad/config/Site.java
+++ b/src/main/java/tinroad/config/Site.java
@@ -4,15 +4,15 @@
 import tinroad.overload.Controller;
 
 /**
- * The settings as the overload controller takes them, which knows classes, tenants and gauges by
- * index only, and the names at those indexes.
+ * The settings in the form that the overload controller takes, and the names of classes, tenants
+ * and gauges, which the controller knows by index only.
  */
 public record Site(
         Controller.Settings settings,
         List<String> classNames,
         List<String> tenantNames,
         List<String> gaugeNames) {
-    /** The same site with its first classes and tenants only, at most {@code max} of each. */
+    /** Returns this site reduced to its first {@code max} classes and tenants. */
     public Site first(int max) {
         if (classNames.size() <= max && tenantNames.size() <= max) {
             return this;
--- a/src/main/java/tinroad/config/SiteLists.java
+++ b/src/main/java/tinroad/config/SiteLists.java
@@ -8,7 +8,7 @@
 import tinroad.overload.Controller.RequestClass;
 import tinroad.overload.Controller.Tenant;
 
-/** All classes and tenants of the settings, in the order of the file. */
+/** A visitor that collects all classes and tenants of the settings, in the order of the file. */
 final class SiteLists implements SiteVisitor {
     private final List<RequestClass> classes = new ArrayList<>();
     private final List<Tenant> tenants = new ArrayList<>();
@@ -31,7 +31,7 @@
         return knownTenantNames.add(name);
     }
 
-    /** Replaces each class by what {@code completed} makes of the one at its index. */
+    /** Replaces each class by the result of {@code completed} for its index. */
     void completeClasses(IntFunction<RequestClass> completed) {
         for (int i = 0; i < classes.size(); i++) {
             classes.set(i, completed.apply(i));
--- a/src/main/java/tinroad/config/SiteReader.java
+++ b/src/main/java/tinroad/config/SiteReader.java
@@ -16,23 +16,24 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * Reads the settings, the object that the simulator's first message and a gateway's configuration
- * share; the one place that knows its field names. Unknown fields are skipped, absent ones have
- * their neutral value. Classes and tenants become lists, or go to a visitor one by one: then a
- * class that comes before {@code family_info}, which says more of it, needs a second pass over the
- * file. Used by one thread.
+ * Reads the settings: the JSON object that is part of both the simulator's first message and a
+ * gateway's configuration. Only this class knows its top-level field names. Unknown fields are
+ * skipped, and absent ones have their neutral value. Classes and tenants are collected in lists or
+ * passed to a visitor one by one. With a visitor, classes that come before {@code family_info} need
+ * a second pass over the file, because {@code family_info} has further values of each class. Used
+ * by one thread.
  */
 public final class SiteReader {
     private final SiteVisitor visitor;
     private final SiteLists lists = new SiteLists();
     private final Interner<RequestClass> classSpecs = new Interner<>();
     private final Interner<Tenant> tenantSpecs = new Interner<>();
-    private final ValidationErrors unknownWords = new ValidationErrors();
+    private final ValidationErrors unknownValues = new ValidationErrors();
     private final ValidationErrors classNameErrors = new ValidationErrors();
     private final ValidationErrors tenantNameErrors = new ValidationErrors();
     private final ValidationErrors classErrors = new ValidationErrors();
     private final ValidationErrors tenantErrors = new ValidationErrors();
-    private final FamilyInfo familyInfo = new FamilyInfo(unknownWords);
+    private final FamilyInfo familyInfo = new FamilyInfo(unknownValues);
     private boolean familyInfoRead;
     private boolean needsSecondPass;
     private int classCount;
@@ -47,17 +48,17 @@
     private double clockStepMillis;
     private boolean weightByWork;
 
-    /** A reader that collects classes and tenants in the lists of {@link #site()}. */
+    /** Creates a reader that collects classes and tenants in the lists of {@link #site()}. */
     SiteReader() {
         visitor = lists;
     }
 
-    /** A reader that hands classes and tenants to {@code visitor}. */
+    /** Creates a reader that passes classes and tenants to {@code visitor}. */
     SiteReader(SiteVisitor visitor) {
         this.visitor = visitor;
     }
 
-    /** Reads the object that the parser stands on. */
+    /** Reads the object at the parser's current position. */
     public static Site read(JsonParser in) throws IOException {
         SiteReader reader = new SiteReader();
         reader.firstPass(in);
@@ -65,9 +66,10 @@
     }
 
     /**
-     * Hands out classes and tenants of the object that the parser stands on, in one pass.
+     * Reads the object at the parser's current position in one pass, and passes its classes and
+     * tenants to {@code visitor}.
      *
-     * @param errors gets a line for each value that is not valid
+     * @param errors receives one line for each value that is not valid
      */
     public static void read(JsonParser in, SiteVisitor visitor, ValidationErrors errors)
             throws IOException {
@@ -79,7 +81,7 @@
         errors.addAll(reader.errors(reader.site()));
     }
 
-    /** Reads all but classes of which {@code family_info} is not known yet. */
+    /** Reads everything except classes that come before {@code family_info}. */
     void firstPass(JsonParser in) throws IOException {
         each(in, name -> setting(name, in));
     }
@@ -100,25 +102,25 @@
                 });
     }
 
-    /** How many classes were read. */
+    /** The number of classes read. */
     int classCount() {
         return classCount;
     }
 
-    /** What is not valid, in the order of the settings' parts. */
+    /** Returns all validation errors, in the order of the parts of the settings. */
     ValidationErrors errors(Site site) {
         ValidationErrors all = new ValidationErrors();
-        all.addAll(unknownWords);
+        all.addAll(unknownValues);
         all.addAll(classNameErrors);
         all.addAll(tenantNameErrors);
         SettingsValidator.counts(classCount, tenantCount, all);
         all.addAll(classErrors);
         all.addAll(tenantErrors);
-        SettingsValidator.rest(site.settings(), all);
+        SettingsValidator.otherSettings(site.settings(), all);
         return all;
     }
 
-    /** What was read; without classes and tenants where a visitor took them. */
+    /** Returns what was read; without classes and tenants if they were passed to a visitor. */
     Site site() {
         lists.completeClasses(this::withFamilyInfo);
         Settings settings =
@@ -149,7 +151,9 @@
         return new Site(settings, lists.classNames(), lists.tenantNames(), familyInfo.gaugeNames());
     }
 
-    /** The class at this index, with what {@code family_info} said after it was read. */
+    /**
+     * Completes the class at this index with values of a {@code family_info} that came after it.
+     */
     private RequestClass withFamilyInfo(int index) {
         RequestClass spec = lists.requestClass(index);
         boolean callsDependency = familyInfo.callsDependency(index);
@@ -212,7 +216,7 @@
     }
 
     private void requestClass(JsonParser in) throws IOException {
-        ClassFields fields = ClassFields.read(in, unknownWords);
+        ClassFields fields = ClassFields.read(in, unknownValues);
         int index = classCount++;
         RequestClass spec =
                 classSpecs.intern(
--- a/src/main/java/tinroad/config/SiteVisitor.java
+++ b/src/main/java/tinroad/config/SiteVisitor.java
@@ -4,13 +4,13 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * Takes the classes and tenants of the settings one by one, in the order of the file, so that
- * nobody has to hold them all.
+ * Receives the classes and tenants of the settings one by one, in the order of the file, so that
+ * they need not all be in memory at once.
  */
 public interface SiteVisitor {
-    /** A class; false where its name was there before. */
+    /** Receives a class; returns false if an earlier class has the same name. */
     boolean requestClass(String name, RequestClass spec);
 
-    /** A tenant; false where its name was there before. */
+    /** Receives a tenant; returns false if an earlier tenant has the same name. */
     boolean tenant(String name, Tenant spec);
 }
--- a/src/main/java/tinroad/config/SiteWriter.java
+++ b/src/main/java/tinroad/config/SiteWriter.java
@@ -11,19 +11,22 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * Writes classes and tenants in the words of the settings, by name, so that {@link SiteReader}
- * reads the same again.
+ * Writes classes and tenants in the JSON format of the settings, sorted by name, so that {@link
+ * SiteReader} reads the same values back.
  */
 public final class SiteWriter {
     private SiteWriter() {}
 
-    /** Writes an object: what {@code family_info} says of classes comes before them. */
+    /**
+     * Writes an object in which {@code family_info} comes before the classes, so that it can be
+     * read in one pass.
+     */
     public static void write(
             JsonGenerator out, Map<String, RequestClass> classes, Map<String, Tenant> tenants)
             throws IOException {
         Map<String, RequestClass> sorted = new TreeMap<>(classes);
         out.writeStartObject();
-        info(out, sorted.values());
+        familyInfo(out, sorted.values());
         out.writeArrayFieldStart("classes");
         for (Map.Entry<String, RequestClass> entry : sorted.entrySet()) {
             entry(out, entry.getKey(), fields(entry.getValue()));
@@ -38,8 +41,8 @@
     }
 
     /**
-     * What the settings say of a class, but for what {@code family_info} says; what an absent field
-     * stands for is left out.
+     * Returns the fields of a class, without those that {@code family_info} has. A field whose
+     * value is the default is left out.
      */
     public static Map<String, Object> fields(RequestClass spec) {
         Map<String, Object> fields = new LinkedHashMap<>();
@@ -61,7 +64,7 @@
         };
     }
 
-    /** The same of a tenant. */
+    /** Returns the fields of a tenant. A field whose value is the default is left out. */
     public static Map<String, Object> fields(Tenant spec) {
         Map<String, Object> fields = new LinkedHashMap<>();
         number(fields, "quota_per_s", spec.quotaPerSecond());
@@ -85,7 +88,7 @@
         out.writeEndObject();
     }
 
-    private static void info(JsonGenerator out, Collection<RequestClass> classes)
+    private static void familyInfo(JsonGenerator out, Collection<RequestClass> classes)
             throws IOException {
         out.writeObjectFieldStart("family_info");
         if (classes.stream()
@@ -93,8 +96,8 @@
                         spec ->
                                 spec.callsDependency()
                                         || Double.compare(spec.degradedWeightShare(), 0) != 0)) {
-            // Nothing to say; but said before the classes, so that their reader need not wait for
-            // it.
+            // The object is empty but still written: its position before the classes spares their
+            // reader a second pass.
             out.writeEndObject();
             return;
         }
--- a/src/main/java/tinroad/config/TenantFields.java
+++ b/src/main/java/tinroad/config/TenantFields.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import tinroad.overload.Controller.Tenant;
 
-/** One tenant in the settings while its fields come in, in any order. */
+/** Collects the fields of one tenant while the settings are read. Fields may come in any order. */
 final class TenantFields {
     private String name = "";
     private double quotaPerSecond;
@@ -16,7 +16,7 @@
 
     private TenantFields() {}
 
-    /** Reads the object that the parser stands on. */
+    /** Reads the object at the parser's current position. */
     static TenantFields read(JsonParser in) throws IOException {
         TenantFields fields = new TenantFields();
         each(in, field -> fields.field(field, in));
@@ -36,7 +36,7 @@
         return name;
     }
 
-    /** The tenant as the controller takes it. */
+    /** Converts the fields to the controller's type. */
     Tenant toSpec() {
         return new Tenant(quotaPerSecond, share);
     }
--- a/src/main/java/tinroad/config/ValidationErrors.java
+++ b/src/main/java/tinroad/config/ValidationErrors.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /**
- * Validation errors, each a line for operators. Guards against a table with an error in every
- * entry: only the first errors are retained, the others are counted.
+ * A list of validation errors, each one line for operators. It is bounded in case every entry of a
+ * large table has an error: the first errors are retained, and the others are only counted.
  */
 public final class ValidationErrors {
-    /** Errors that are retained; later ones are only counted. */
+    /** Maximum number of errors that are retained; later ones are only counted. */
     public static final int MAX_REPORTED = 100;
 
     private final List<String> lines = new ArrayList<>();
-    private int more;
+    private int omitted;
 
     /** Adds an error. */
     public void add(String line) {
         if (lines.size() < MAX_REPORTED) {
             lines.add(line);
         } else {
-            more++;
+            omitted++;
         }
     }
 
     void addAll(ValidationErrors others) {
         others.lines.forEach(this::add);
-        more += others.more;
+        omitted += others.omitted;
     }
 
     /** Whether there are none. */
@@ -33,11 +33,13 @@
         return lines.isEmpty();
     }
 
-    /** The errors, a line each; if some were only counted, the last line says how many. */
+    /**
+     * Returns the errors, one line each; if some were only counted, a last line has their number.
+     */
     public List<String> lines() {
         List<String> all = new ArrayList<>(lines);
-        if (more > 0) {
-            all.add("and " + more + " more");
+        if (omitted > 0) {
+            all.add("and " + omitted + " more");
         }
         return all;
     }
--- a/src/main/java/tinroad/config/package-info.java
+++ b/src/main/java/tinroad/config/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The platform's configuration and the settings in it, as typed values or as validation errors, a
- * line each; the only parser and the only validation of classes and tenants. Called at the start,
- * at reloads, and by {@code catalog} for changes; may not know what the values are used for.
+ * Reads the platform's configuration and the settings in it, into typed values or into validation
+ * errors of one line each. Classes and tenants are parsed and validated only here. Called at the
+ * start, at reloads, and by {@code catalog} for changes. Must not depend on how the values are
+ * used.
  */
 package tinroad.config;
--- a/src/test/java/tinroad/config/ConfigDiffTest.java
+++ b/src/test/java/tinroad/config/ConfigDiffTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What of a configuration that is read again can't count in place. */
+/** Tests which changes of a configuration are reported as not applicable without a restart. */
 class ConfigDiffTest {
     @TempDir private Path dir;
 
--- a/src/test/java/tinroad/config/ConfigFileTest.java
+++ b/src/test/java/tinroad/config/ConfigFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** When a configuration that is read unasked need not be read. */
+/** Tests when a configuration file is known to be unchanged and need not be read again. */
 class ConfigFileTest {
     private static final FileTime LONG_AGO = FileTime.from(Instant.parse("2020-01-01T00:00:00Z"));
 
@@ -32,13 +32,13 @@
         assertFalse(file.changed());
         Files.writeString(path, text + " ");
         assertTrue(file.changed());
-        // Written a moment ago: it may be written again, and bear the same time.
+        // Written a moment ago: it may be written again with the same modification time.
         file.read(null);
         assertTrue(file.changed());
     }
 
     @Test
-    void anotherFileOfTheSameSizeAndTimeInItsPlaceIsTold() throws Exception {
+    void aReplacementOfTheSameSizeAndTimeIsDetected() throws Exception {
         String text = Files.readString(Path.of("deploy/example.json"));
         Path path = write("config.json", text);
         ConfigFile file = new ConfigFile(path);
--- a/src/test/java/tinroad/config/GatewayConfigTest.java
+++ b/src/test/java/tinroad/config/GatewayConfigTest.java
@@ -17,8 +17,8 @@
 import tinroad.overload.Controller;
 
 /**
- * The configuration, and the settings in it: every value lands where it belongs, the rest is
- * skipped.
+ * Tests reading of the configuration and of the settings in it: every value is assigned to the
+ * right field, unknown fields are skipped, and errors are reported.
  */
 class GatewayConfigTest {
     private static final String TEXT =
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void whatNoSiteCanMeanIsToldALineForEachFault(@TempDir Path dir) throws IOException {
+    void invalidValuesAreReportedOneLineEach(@TempDir Path dir) throws IOException {
         String bad =
                 TEXT.replace("\"deadline\":3700.0", "\"deadline\":0")
                         .replace("\"late_share\":0.2", "\"late_share\":1.5")
@@ -110,7 +110,7 @@
                         .replace("\"fall_multiple\":8.0", "\"fall_multiple\":0.5")
                         .replace("\"cores\":6", "\"cores\":0");
         Path file = Files.writeString(dir.resolve("c.json"), bad);
-        String told =
+        String message =
                 assertThrows(ConfigException.class, () -> GatewayConfig.read(file)).getMessage();
         assertEquals(
                 """
@@ -123,11 +123,11 @@
                 config: settings: rules: fall_multiple has to be 1 at least, not 0.5
                 config: settings: family_info: cores has to be 1 at least, not 0\
                 """,
-                told);
+                message);
     }
 
-    /** Notes what it is handed. */
-    private static final class Notes implements SiteVisitor {
+    /** Records the classes and tenants that it receives. */
+    private static final class Recorder implements SiteVisitor {
         private final Map<String, Controller.RequestClass> classes = new LinkedHashMap<>();
         private final Map<String, Controller.Tenant> tenants = new LinkedHashMap<>();
 
@@ -142,9 +142,12 @@
         }
     }
 
-    /** {@code family_info} says more of classes, by index; it may stand before them or after. */
+    /**
+     * {@code family_info} has further values of classes, by index, and may come before or after
+     * them.
+     */
     @Test
-    void aVisitorIsHandedWhatTheListsHoldWhereverFamilyInfoStands(@TempDir Path dir)
+    void aVisitorReceivesTheSameEntriesWhereverFamilyInfoStands(@TempDir Path dir)
             throws IOException, ConfigException {
         String classes =
                 TEXT.substring(TEXT.indexOf("\"classes\""), TEXT.indexOf("\"family_info\""));
@@ -152,24 +155,26 @@
                 TEXT.replace(classes, "").replace("\"servers\":12", classes + "\"servers\":12");
         for (String text : List.of(TEXT, last)) {
             Path file = Files.writeString(dir.resolve("c.json"), text);
-            GatewayConfig whole = GatewayConfig.read(file);
-            Notes notes = new Notes();
-            GatewayConfig passed = GatewayConfig.read(file, notes);
-            assertEquals(whole.site().classNames(), List.copyOf(notes.classes.keySet()));
-            assertEquals(whole.site().settings().classes(), List.copyOf(notes.classes.values()));
+            GatewayConfig collected = GatewayConfig.read(file);
+            Recorder recorder = new Recorder();
+            GatewayConfig visited = GatewayConfig.read(file, recorder);
+            assertEquals(collected.site().classNames(), List.copyOf(recorder.classes.keySet()));
+            assertEquals(
+                    collected.site().settings().classes(), List.copyOf(recorder.classes.values()));
             assertEquals(
                     new Controller.RequestClass(
                             0, 0, 6000, 0, 0, Controller.Idempotency.NON_IDEMPOTENT, 0, true, 0.5),
-                    notes.classes.get("order"));
-            assertEquals(whole.site().settings().tenants(), List.copyOf(notes.tenants.values()));
-            assertEquals(List.of(), passed.site().settings().classes());
-            assertEquals(whole.site().settings().rules(), passed.site().settings().rules());
-            assertEquals(whole.engine(), passed.engine());
+                    recorder.classes.get("order"));
+            assertEquals(
+                    collected.site().settings().tenants(), List.copyOf(recorder.tenants.values()));
+            assertEquals(List.of(), visited.site().settings().classes());
+            assertEquals(collected.site().settings().rules(), visited.site().settings().rules());
+            assertEquals(collected.engine(), visited.engine());
         }
     }
 
     @Test
-    void aVisitedFileIsCheckedAsAWholeOne(@TempDir Path dir) throws IOException {
+    void aVisitedFileIsValidatedLikeACollectedOne(@TempDir Path dir) throws IOException {
         String bad =
                 TEXT.replace("\"deadline\":3700.0", "\"deadline\":0")
                         .replace("\"name\":\"order\"", "\"name\":\"read\"")
@@ -180,13 +185,15 @@
             assertEquals(
                     assertThrows(ConfigException.class, () -> GatewayConfig.read(file))
                             .getMessage(),
-                    assertThrows(ConfigException.class, () -> GatewayConfig.read(file, new Notes()))
+                    assertThrows(
+                                    ConfigException.class,
+                                    () -> GatewayConfig.read(file, new Recorder()))
                             .getMessage());
         }
     }
 
     @Test
-    void aTableThatIsWrongThroughoutIsToldInAHundredLines(@TempDir Path dir) throws IOException {
+    void errorsOfALargeTableAreReportedInAHundredLines(@TempDir Path dir) throws IOException {
         String orgs =
                 IntStream.range(0, 500)
                         .mapToObj(
@@ -201,19 +208,19 @@
                         dir.resolve("c.json"),
                         TEXT.replace(
                                 "{\"name\":\"acme\",\"quota_per_s\":89.0,\"share\":0.5}", orgs));
-        List<String> told =
+        List<String> lines =
                 assertThrows(ConfigException.class, () -> GatewayConfig.read(file))
                         .getMessage()
                         .lines()
                         .toList();
-        assertEquals(101, told.size());
+        assertEquals(101, lines.size());
         assertEquals(
                 "config: settings: orgs[0]: the name "
                         + "n".repeat(80)
                         + "... (5001 characters) is longer than 4096 bytes",
-                told.get(0));
-        assertEquals("config: settings: org n1: share has to be from 0 to 1, not 7", told.get(2));
-        assertEquals("config: settings: and 401 more", told.get(100));
+                lines.get(0));
+        assertEquals("config: settings: org n1: share has to be from 0 to 1, not 7", lines.get(2));
+        assertEquals("config: settings: and 401 more", lines.get(100));
     }
 
     @Test
