--- a/src/main/java/tinroad/cli/Main.java
+++ b/src/main/java/tinroad/cli/Main.java
@@ -77,7 +77,7 @@
     }
 
     static int reportUnknownCommand(String name, PrintStream err) {
-        String suggestion = SpellingSuggestion.to(name, COMMANDS.keySet());
+        String suggestion = SpellingSuggestion.nearest(name, COMMANDS.keySet());
         err.println(
                 "tinroad: no command '"
                         + name
--- a/src/main/java/tinroad/cli/ProcessLog.java
+++ b/src/main/java/tinroad/cli/ProcessLog.java
@@ -36,7 +36,7 @@
                     settings.json(),
                     settings.level(),
                     settings.levels(),
-                    settings.queue(),
+                    settings.queueCapacity(),
                     (int) settings.flushMillis());
         }
     }
--- a/src/main/java/tinroad/log/BoundedLogQueue.java
+++ b/src/main/java/tinroad/log/BoundedLogQueue.java
@@ -8,15 +8,15 @@
 import ch.qos.logback.classic.spi.LoggingEvent;
 
 /**
- * Lines that wait for the stream, bounded; what found no room is counted, and told once there is
- * room again.
+ * A bounded queue of log lines that are written to the stream in the background. When the queue is
+ * full, further lines are dropped and counted; their number is logged once there is room again.
  */
 final class BoundedLogQueue extends AsyncAppender {
     private long lostLines;
 
     @Override
     protected void append(ILoggingEvent line) {
-        // One place is kept for the line that tells of the lost ones.
+        // One place is reserved for the line that reports the number of lost lines.
         if (getRemainingCapacity() <= 1) {
             lostLines++;
             return;
--- a/src/main/java/tinroad/log/LogBackend.java
+++ b/src/main/java/tinroad/log/LogBackend.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Which of the two back ends writes: the plain one of the platform's {@code run}, which costs
- * neither memory nor time to start, or the one whose format and levels the operator file sets.
- * Chosen once, before the first logger is made.
+ * Selects one of two logging back ends: the plain one, which costs neither memory nor startup time
+ * and is used by the platform's {@code run}, or the configurable one, whose format and levels the
+ * operator file sets. Selected once, before the first logger is created.
  */
 public final class LogBackend {
     private static final String PROVIDER = "slf4j.provider";
@@ -15,23 +15,23 @@
     private LogBackend() {}
 
     /**
-     * Chooses by the arguments of the process: to serve with an operator file wants the one that
-     * can be set.
+     * Selects the back end by the arguments of the process: the configurable one for {@code serve}
+     * with an operator file, the plain one otherwise.
      */
     public static void select(String[] args) {
-        boolean operator =
+        boolean hasOperatorFile =
                 args.length > 0
                         && args[0].equals("serve")
                         && Arrays.stream(args)
                                 .anyMatch(
                                         a -> a.equals("--operator") || a.startsWith("--operator="));
-        System.setProperty(PROVIDER, operator ? CONFIGURABLE : PLAIN);
-        // What the facade says of its own choice is no line of ours.
+        System.setProperty(PROVIDER, hasOperatorFile ? CONFIGURABLE : PLAIN);
+        // Suppresses SLF4J's own message about the selected provider.
         System.setProperty("slf4j.internal.verbosity", "WARN");
     }
 
-    /** Whether lines keep key-values apart from their text. */
-    static boolean keepsKeyValues() {
+    /** Whether the back end writes key-value pairs apart from the text of a line. */
+    static boolean separatesKeyValues() {
         return CONFIGURABLE.equals(System.getProperty(PROVIDER));
     }
 }
--- a/src/main/java/tinroad/log/LogConfigurator.java
+++ b/src/main/java/tinroad/log/LogConfigurator.java
@@ -15,19 +15,24 @@
 import java.util.Map;
 
 /**
- * The log as the operator file sets it: format, levels, and the queue between those who write lines
- * and the stream. Guards the event loop against a reader of standard error that stalls: no line
- * waits for it. Levels and format change in service; no line is lost or told twice by a change.
+ * Configures the log as the operator file sets it: format, levels, and the queue between the
+ * threads that log and the output stream. Because of the queue, a stalled reader of standard error
+ * never blocks the event loop. Levels and format can be changed while the process runs; a change
+ * neither loses nor repeats a line.
  */
 public final class LogConfigurator implements AutoCloseable {
-    /** The text lines of the on-call page, as the plain back end writes them. */
-    private static final String TEXT = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} [%level] %logger - %msg%n";
+    /** Text lines as in {@code docs/on-call.md}, the same as those of the plain back end. */
+    private static final String TEXT_PATTERN =
+            "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} [%level] %logger - %msg%n";
 
     private final LoggerContext context;
     private final OutputStream out;
     private final SwitchableAppender output = new SwitchableAppender();
 
-    /** Takes over the root logger of {@code context}; lines go to {@code out}, which stays open. */
+    /**
+     * Takes over the root logger of {@code context}. Lines are written to {@code out}, which is
+     * never closed.
+     */
     public LogConfigurator(LoggerContext context, OutputStream out) {
         this.context = context;
         this.out = out;
@@ -38,24 +43,30 @@
     }
 
     /**
-     * Writes like this from the next line on.
+     * Applies these settings from the next line on.
      *
-     * @param levels the least level written by single loggers, by name; the others write from
-     *     {@code level} on
-     * @param queue lines that may wait
-     * @param flushMillis time that the waiting lines are given when this format ends
+     * @param json whether each line is a JSON object; otherwise lines are text
+     * @param level the lowest level that loggers write if {@code levels} does not name them
+     * @param levels the lowest level of individual loggers, by name
+     * @param queueCapacity the number of lines that may be queued
+     * @param flushMillis the time for writing the queued lines when these settings are replaced
      */
     public void configure(
-            boolean json, String level, Map<String, String> levels, int queue, int flushMillis) {
+            boolean json,
+            String level,
+            Map<String, String> levels,
+            int queueCapacity,
+            int flushMillis) {
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.toLevel(level));
         context.getLoggerList().stream()
                 .filter(logger -> logger != root)
                 .forEach(logger -> logger.setLevel(null));
-        levels.forEach((name, least) -> context.getLogger(name).setLevel(Level.toLevel(least)));
+        levels.forEach(
+                (name, minLevel) -> context.getLogger(name).setLevel(Level.toLevel(minLevel)));
         OutputStreamAppender<ILoggingEvent> stream = new OutputStreamAppender<>();
         stream.setContext(context);
-        stream.setEncoder(started(json ? new JsonEncoder() : new PatternLayoutEncoder()));
+        stream.setEncoder(startEncoder(json ? new JsonEncoder() : new PatternLayoutEncoder()));
         stream.setOutputStream(
                 new FilterOutputStream(out) {
                     @Override
@@ -66,13 +77,13 @@
 
                     @Override
                     public void close() {
-                        // Guards the stream: the next format writes to it too.
+                        // Left open, because the next configuration writes to the same stream.
                     }
                 });
         stream.start();
         BoundedLogQueue next = new BoundedLogQueue();
         next.setContext(context);
-        next.setQueueSize(queue);
+        next.setQueueSize(queueCapacity);
         next.setNeverBlock(true);
         next.setDiscardingThreshold(0);
         next.setMaxFlushTime(flushMillis);
@@ -81,16 +92,16 @@
         output.switchTo(next);
     }
 
-    private Encoder<ILoggingEvent> started(EncoderBase<ILoggingEvent> encoder) {
+    private Encoder<ILoggingEvent> startEncoder(EncoderBase<ILoggingEvent> encoder) {
         if (encoder instanceof PatternLayoutEncoder text) {
-            text.setPattern(TEXT);
+            text.setPattern(TEXT_PATTERN);
         } else if (encoder instanceof JsonEncoder json) {
             json.setWithSequenceNumber(false);
             json.setWithContext(false);
             json.setWithMarkers(false);
             json.setWithMDC(false);
             json.setWithArguments(false);
-            // The text as it stands in the on-call page, with its values in it.
+            // Writes the formatted text, as in docs/on-call.md, instead of the template.
             json.setWithMessage(false);
             json.setWithFormattedMessage(true);
         }
@@ -99,13 +110,16 @@
         return encoder;
     }
 
-    /** Writes what waits, in the time that it is given, and nothing more. */
+    /** Writes the queued lines within the flush time; later lines are dropped. */
     @Override
     public void close() {
         output.switchTo(null);
     }
 
-    /** Where lines go now. Its lock lets each line through before a change or after it. */
+    /**
+     * Passes lines to the current queue, which can be replaced. Its lock ensures that each line
+     * goes to exactly one queue.
+     */
     private static final class SwitchableAppender extends AppenderBase<ILoggingEvent> {
         private BoundedLogQueue queue;
 
--- a/src/main/java/tinroad/log/LogKeyValues.java
+++ b/src/main/java/tinroad/log/LogKeyValues.java
@@ -3,17 +3,15 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Key-values of a log line: what it names, for those who search by it. The text of the line stays
- * as it is: a back end that only writes text would put them before it, so there they are left out.
+ * Adds key-value pairs to log lines, so that lines can be searched by the things that they name.
+ * The text of a line is unchanged: a back end that only writes text would prepend the pairs to it,
+ * so they are left out there.
  */
 public final class LogKeyValues {
     private LogKeyValues() {}
 
-    /**
-     * The line, with {@code value} under {@code key} where the back end keeps them apart from the
-     * text.
-     */
+    /** Adds {@code value} under {@code key} if the back end writes pairs apart from the text. */
     public static LoggingEventBuilder with(LoggingEventBuilder line, String key, Object value) {
-        return LogBackend.keepsKeyValues() ? line.addKeyValue(key, value) : line;
+        return LogBackend.separatesKeyValues() ? line.addKeyValue(key, value) : line;
     }
 }
--- a/src/main/java/tinroad/log/package-info.java
+++ b/src/main/java/tinroad/log/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How log lines are written: which back end there is, its format and levels, and key-values of a
- * line. Called by {@code cli}, and by whoever writes a line that names something. May not know what
- * the lines are about.
+ * The log output: selection of the back end, its format and levels, and key-value pairs of lines.
+ * Called by {@code cli}, and by any code that adds key-value pairs to a line. Must not depend on
+ * what the lines are about.
  */
 package tinroad.log;
--- a/src/main/java/tinroad/operator/CatalogSettings.java
+++ b/src/main/java/tinroad/operator/CatalogSettings.java
@@ -3,23 +3,20 @@
 import java.nio.file.Path;
 
 /**
- * How classes and tenants change while a gateway runs.
+ * Settings for changes of classes and tenants while a gateway runs.
  *
- * @param onReload those of the configuration count from the moment on at which it is read again;
- *     otherwise at the next start
- * @param log folder of a change log that is followed, or null
- * @param pollMillis time between two polls of it
+ * @param onReload whether classes and tenants of the configuration take effect when it is reloaded;
+ *     otherwise they take effect at the next start
+ * @param log the folder of a change log to follow, or null
+ * @param pollMillis the time between two polls of the change log
  */
 public record CatalogSettings(boolean onReload, Path log, double pollMillis) {
-    /**
-     * What holds without an operator file; {@code defaults.conf} says the same to one that leaves
-     * it out.
-     */
+    /** The settings without an operator file, the same as in {@code defaults.conf}. */
     public static final CatalogSettings DEFAULT = new CatalogSettings(false, null, 250);
 
     /**
-     * Whether classes and tenants of the configuration count when it is read again: where a log is
-     * followed, too.
+     * Whether classes and tenants of the configuration take effect when it is reloaded. This is
+     * also so if a change log is followed.
      */
     public boolean inPlace() {
         return onReload || log != null;
--- a/src/main/java/tinroad/operator/ConfigSources.java
+++ b/src/main/java/tinroad/operator/ConfigSources.java
@@ -32,44 +32,48 @@
 import java.util.Map;
 
 /**
- * The text of an operator file and of what it includes, read and parsed. Guards against what HOCON
- * lets pass: a file that an include does not find, bytes that are no UTF-8, a setting given twice
- * in one file, includes of addresses.
+ * Reads and parses an operator file and the files that it includes. Rejects what HOCON accepts:
+ * includes of missing files, bytes that are not UTF-8, a setting given twice in one file, and
+ * includes of URLs.
  */
 final class ConfigSources {
-    /** A longer file, in bytes, is not read. */
+    /** A longer file is not read. */
     static final int MAX_FILE_BYTES = 256 * 1024;
 
-    /** So many files at most, the first counted. */
+    /** Maximum number of files, including the first. */
     static final int MAX_FILES = 16;
 
-    /** So deep may objects and lists be nested: the parser takes a frame of the stack for each. */
+    /**
+     * Maximum nesting of objects and lists. The bound protects the stack, as the parser recurses
+     * for each level.
+     */
     static final int MAX_NESTING = 64;
 
     /**
-     * Stands for a value while its place in the text is looked for; what a text holds itself is
-     * made longer.
+     * Replaces a value in order to find the value's position in the text. It is repeated until it
+     * does not occur in the text itself.
      */
     private static final String PLACEHOLDER = "mark";
 
     private final List<ValidationError> errors = new ArrayList<>();
     private final Deque<Path> includeStack = new ArrayDeque<>();
-    private final Map<String, List<Integer>> lastLines = new HashMap<>();
+    private final Map<String, List<Integer>> includeLines = new HashMap<>();
     private int fileCount;
 
-    /** What is wrong so far. */
+    /** Returns the errors found so far. */
     List<ValidationError> errors() {
         return errors;
     }
 
-    /** Reads the first file, and with it all others; null where nothing can be made of it. */
+    /** Reads the first file and all that it includes; returns null if it can't be parsed. */
     ConfigObject readRoot(Path file) {
         return parse(file, null, 0);
     }
 
     /**
-     * The file read as {@code file}, on behalf of an include on {@code line} of {@code from}, or of
-     * nobody.
+     * Reads and parses one file.
+     *
+     * @param from the file that includes it, on {@code line}; null for the first file
      */
     private ConfigObject parse(Path file, Path from, int line) {
         String name = file.toString();
@@ -79,7 +83,8 @@
         }
         includeStack.push(file);
         try {
-            // Named here: what the parser makes of a bare name is no file of the operator's.
+            // The origin is named explicitly, as the parser's own description of a bare name is not
+            // the name of the operator's file.
             ConfigObject root =
                     ConfigFactory.parseString(
                                     text,
@@ -108,26 +113,26 @@
         }
     }
 
-    /** What the parser says, with the line that it names. */
+    /** Converts an error of the parser, with the file and line that it names. */
     static ValidationError toError(String name, ConfigException e) {
         int line = e.origin() == null ? 1 : Math.max(1, e.origin().lineNumber());
         String text = e.getMessage();
-        String place = e.origin() == null ? "" : e.origin().description();
+        String origin = e.origin() == null ? "" : e.origin().description();
         text =
-                text.startsWith(place)
-                        ? text.substring(place.length()).replaceFirst("^:\\s*", "")
+                text.startsWith(origin)
+                        ? text.substring(origin.length()).replaceFirst("^:\\s*", "")
                         : text;
-        // The rest is advice for other kinds of files.
+        // The text removed at the end is advice for other kinds of files.
         return new ValidationError(
-                place.isEmpty() ? name : file(place),
+                origin.isEmpty() ? name : file(origin),
                 line,
                 "",
                 text.replaceFirst(" \\(if you intended.*", ""));
     }
 
     /**
-     * The file in a description of an origin, which ends in a line number; of merged ones the
-     * first.
+     * Returns the file name in the description of an origin, without the line number at its end;
+     * for a merge of several origins, the first file name.
      */
     static String file(String description) {
         return description
@@ -137,13 +142,13 @@
     }
 
     private String read(Path file, Path from, int line) {
-        String asked = from == null ? file.toString() : from.toString();
-        int at = Math.max(1, line);
+        String reportedFile = from == null ? file.toString() : from.toString();
+        int reportedLine = Math.max(1, line);
         if (++fileCount > MAX_FILES) {
             errors.add(
                     new ValidationError(
-                            asked,
-                            at,
+                            reportedFile,
+                            reportedLine,
                             "",
                             "more than " + MAX_FILES + " files: do they include each other?"));
             return null;
@@ -159,12 +164,12 @@
                                 "longer than " + MAX_FILE_BYTES / 1024 + " KiB"));
                 return null;
             }
-            return decoded(file.toString(), bytes);
+            return decode(file.toString(), bytes);
         } catch (IOException e) {
             errors.add(
                     new ValidationError(
-                            asked,
-                            at,
+                            reportedFile,
+                            reportedLine,
                             "",
                             (from == null
                                             ? "can't be read: "
@@ -174,7 +179,8 @@
         }
     }
 
-    private String decoded(String name, byte[] bytes) {
+    /** Decodes the text of a file and checks its characters and nesting; null if it is invalid. */
+    private String decode(String name, byte[] bytes) {
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder();
         ByteBuffer in = ByteBuffer.wrap(bytes);
         String text;
@@ -192,7 +198,7 @@
                                     + Integer.toHexString(bytes[in.position()] & 0xff)));
             return null;
         }
-        // A mark of the byte order is no part of the text.
+        // A byte order mark is not part of the text.
         text = text.startsWith("\ufeff") ? text.substring(1) : text;
         int depth = 0;
         for (int i = 0; i < text.length(); i++) {
@@ -220,15 +226,17 @@
         return text;
     }
 
+    /** Returns the number of the line on which {@code before} ends. */
     private static int lineAfter(String before) {
         return 1 + (int) before.chars().filter(c -> c == '\n').count();
     }
 
     /**
-     * Finds settings that a file gives twice. The parser keeps the last and says nothing; but its
-     * document, told to set a value, sets the last and drops those before it: where the text up to
-     * the new value has changed, there was one. Not found: {@code a.b = 1} beside {@code a { b = 1
-     * }}, which are two paths to the document; the last one counts.
+     * Finds settings that a file gives twice. The parser silently uses the last one. Setting a
+     * value in the parsed document, however, replaces the last occurrence and removes earlier ones:
+     * if the text before the new value has changed, there was an earlier occurrence. Not detected:
+     * {@code a.b = 1} together with {@code a { b = 1 }}, which are two different paths for the
+     * document; the last one takes effect.
      */
     private void findDuplicates(
             String name,
@@ -243,12 +251,12 @@
                 findDuplicates(name, text, document, placeholder, inner, path);
             } else if (file(entry.getValue().origin().description()).equals(name)) {
                 String key = ConfigUtil.joinPath(path);
-                String set = document.withValueText(key, placeholder).render();
-                String before = set.substring(0, Math.max(0, set.indexOf(placeholder)));
+                String edited = document.withValueText(key, placeholder).render();
+                String before = edited.substring(0, Math.max(0, edited.indexOf(placeholder)));
                 if (!text.startsWith(before)) {
-                    int same = 0;
-                    while (before.charAt(same) == text.charAt(same)) {
-                        same++;
+                    int commonLength = 0;
+                    while (before.charAt(commonLength) == text.charAt(commonLength)) {
+                        commonLength++;
                     }
                     errors.add(
                             new ValidationError(
@@ -256,7 +264,7 @@
                                     entry.getValue().origin().lineNumber(),
                                     key,
                                     "given twice, first on line "
-                                            + lineAfter(text.substring(0, same))
+                                            + lineAfter(text.substring(0, commonLength))
                                             + ": must be given once"));
                 }
             }
@@ -264,7 +272,7 @@
         }
     }
 
-    /** Finds what an include names, beside the file that it stands in. */
+    /** Resolves includes relative to the file that contains them. */
     private final class Includer
             implements ConfigIncluder,
                     ConfigIncluderFile,
@@ -289,15 +297,15 @@
 
         @Override
         public ConfigObject includeURL(ConfigIncludeContext context, URL what) {
-            return refused(what.toString());
+            return reject(what.toString());
         }
 
         @Override
         public ConfigObject includeResources(ConfigIncludeContext context, String what) {
-            return refused(what);
+            return reject(what);
         }
 
-        private ConfigObject refused(String what) {
+        private ConfigObject reject(String what) {
             Path from = includeStack.peek();
             errors.add(
                     new ValidationError(
@@ -309,16 +317,16 @@
         }
 
         /**
-         * The line of the include: the parser does not say it. Of several of one name, each time
-         * the next.
+         * Returns the line of an include, which the parser does not report. For several includes of
+         * the same name, each call returns the next line.
          */
         private int line(Path from, String what) {
             List<Integer> lines =
-                    lastLines.computeIfAbsent(from + "\n" + what, k -> includes(from, what));
+                    includeLines.computeIfAbsent(from + "\n" + what, k -> findIncludes(from, what));
             return lines.size() > 1 ? lines.remove(0) : lines.isEmpty() ? 1 : lines.get(0);
         }
 
-        private List<Integer> includes(Path from, String what) {
+        private List<Integer> findIncludes(Path from, String what) {
             List<Integer> lines = new ArrayList<>();
             try {
                 List<String> all = Files.readAllLines(from);
@@ -328,7 +336,7 @@
                     }
                 }
             } catch (IOException e) {
-                // Gone since it was read: the first line stands for it.
+                // The file was removed after it was read: the error is reported for line 1.
             }
             return lines;
         }
--- a/src/main/java/tinroad/operator/FleetSettings.java
+++ b/src/main/java/tinroad/operator/FleetSettings.java
@@ -10,28 +10,28 @@
 import java.util.List;
 
 /**
- * How a gateway speaks with the others of its fleet.
+ * Settings for the communication of a gateway with the others of its fleet.
  *
- * @param listen where it hears datagrams; null: it speaks with nobody
- * @param seeds addresses that are known to begin with
- * @param zone that it is in
- * @param keys of the MAC, the first one signs; at least one
+ * @param listen the address on which it receives datagrams; null if it does not communicate
+ * @param seeds addresses of other gateways to contact first
+ * @param zone the gateway's zone
+ * @param keys the MAC keys, at least one; the first key signs what is sent
  */
 public record FleetSettings(
         InetSocketAddress listen, List<String> seeds, String zone, List<byte[]> keys) {
-    /** It speaks with nobody. */
+    /** Settings of a gateway that does not communicate with others. */
     public static final FleetSettings NONE = new FleetSettings(null, List.of(), "", List.of());
 
     private static final int MIN_KEY_BYTES = 16;
     private static final int MAX_KEYS = 2;
 
-    /** Whether it speaks with others. */
+    /** Whether the gateway communicates with others. */
     public boolean enabled() {
         return listen != null;
     }
 
-    /** One or two keys, each a line of Base64. */
-    static List<byte[]> keys(Path file) throws OperatorException {
+    /** Reads one or two keys, each a line of Base64. */
+    static List<byte[]> readKeys(Path file) throws OperatorException {
         List<byte[]> keys = new ArrayList<>();
         List<ValidationError> errors = new ArrayList<>();
         try {
@@ -39,7 +39,7 @@
             for (String text : Files.readAllLines(file, StandardCharsets.US_ASCII)) {
                 line++;
                 if (!text.isBlank() && !text.startsWith("#")) {
-                    byte[] key = decoded(text.strip());
+                    byte[] key = decodeBase64(text.strip());
                     if (key == null || key.length < MIN_KEY_BYTES || keys.size() == MAX_KEYS) {
                         errors.add(
                                 new ValidationError(
@@ -67,7 +67,8 @@
         }
         if (keys.isEmpty() && errors.isEmpty()) {
             errors.add(
-                    new ValidationError(file.toString(), 1, "", "holds no key: a line of Base64"));
+                    new ValidationError(
+                            file.toString(), 1, "", "has no key: must have a line of Base64"));
         }
         if (!errors.isEmpty()) {
             throw new OperatorException(errors);
@@ -75,7 +76,7 @@
         return keys;
     }
 
-    private static byte[] decoded(String text) {
+    private static byte[] decodeBase64(String text) {
         try {
             return Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/tinroad/operator/OperatorConfig.java
+++ b/src/main/java/tinroad/operator/OperatorConfig.java
@@ -9,52 +9,54 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the operators set beyond the platform's configuration, read and checked once. What a file
- * leaves out has the value that the schema gives as its default.
+ * The settings in the operator file, which operators make in addition to the platform's
+ * configuration. They are read and validated once; a setting that is left out has the default value
+ * of {@code defaults.conf}.
  */
 public record OperatorConfig(
         LogSettings log, StateSettings state, FleetSettings fleet, CatalogSettings catalog) {
 
-    /** One that says nothing of the catalog. */
+    /** Creates a configuration with default catalog settings. */
     public OperatorConfig(LogSettings log, StateSettings state, FleetSettings fleet) {
         this(log, state, fleet, CatalogSettings.DEFAULT);
     }
 
     /**
-     * Reads the file; throws with all that is wrong in it. A folder that it names is beside it,
-     * unless it is absolute.
+     * Reads the file. Paths in it are relative to the file's folder, unless they are absolute.
+     *
+     * @throws OperatorException with all errors in the file
      */
     public static OperatorConfig read(Path file) throws OperatorException {
-        Config all = ValidatedFile.read(file, OperatorConfig.class);
-        Config log = all.getConfig("log");
+        Config config = ValidatedFile.read(file, OperatorConfig.class);
+        Config log = config.getConfig("log");
         Map<String, String> levels = new HashMap<>();
         log.getConfig("levels")
                 .root()
                 .forEach((name, level) -> levels.put(name, level.unwrapped().toString()));
-        Config state = all.getConfig("state");
+        Config state = config.getConfig("state");
         return new OperatorConfig(
                 new LogSettings(
                         log.getString("format").equals("json"),
                         log.getString("level"),
                         Map.copyOf(levels),
                         log.getInt("queue"),
-                        ms(log, "flush")),
+                        millis(log, "flush")),
                 new StateSettings(
-                        folder(file, state, "folder"),
-                        folder(file, state, "fence"),
-                        ms(state, "every"),
+                        resolvePath(file, state, "folder"),
+                        resolvePath(file, state, "fence"),
+                        millis(state, "every"),
                         state.getInt("keep"),
-                        ms(state, "oldest"),
-                        ms(state, "half-life")),
-                fleet(file, all.getConfig("fleet")),
-                catalog(file, all.getConfig("catalog")));
+                        millis(state, "oldest"),
+                        millis(state, "half-life")),
+                fleet(file, config.getConfig("fleet")),
+                catalog(file, config.getConfig("catalog")));
     }
 
     private static CatalogSettings catalog(Path file, Config catalog) {
         return new CatalogSettings(
                 catalog.getString("apply").equals("on-reload"),
-                folder(file, catalog, "log"),
-                ms(catalog, "poll"));
+                resolvePath(file, catalog, "log"),
+                millis(catalog, "poll"));
     }
 
     private static FleetSettings fleet(Path file, Config fleet) throws OperatorException {
@@ -62,8 +64,8 @@
         if (listen.isEmpty()) {
             return FleetSettings.NONE;
         }
-        Path keys = folder(file, fleet, "key-file");
-        if (keys == null) {
+        Path keyFile = resolvePath(file, fleet, "key-file");
+        if (keyFile == null) {
             throw new OperatorException(
                     List.of(
                             ValidatedFile.errorAt(
@@ -77,14 +79,14 @@
                         listen.substring(0, colon), Integer.parseInt(listen.substring(colon + 1))),
                 fleet.getStringList("seeds"),
                 fleet.getString("zone"),
-                FleetSettings.keys(keys));
+                FleetSettings.readKeys(keyFile));
     }
 
-    private static double ms(Config config, String key) {
+    private static double millis(Config config, String key) {
         return config.getDuration(key, TimeUnit.NANOSECONDS) / 1e6;
     }
 
-    private static Path folder(Path file, Config config, String key) {
+    private static Path resolvePath(Path file, Config config, String key) {
         String name = config.getString(key);
         return name.isEmpty() ? null : file.toAbsolutePath().resolveSibling(name);
     }
--- a/src/main/java/tinroad/operator/OperatorException.java
+++ b/src/main/java/tinroad/operator/OperatorException.java
@@ -3,21 +3,20 @@
 import java.util.List;
 
 /**
- * An operator file that can't be used; holds everything that is wrong with it, in the order of its
- * lines.
+ * Thrown for an operator file that can't be used, with all its errors in the order of its lines.
  */
 public final class OperatorException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient List<ValidationError> errors;
 
-    /** At least one fault. */
+    /** Creates an exception with these errors, at least one. */
     public OperatorException(List<ValidationError> errors) {
         super(errors.get(0) + (errors.size() > 1 ? " (and " + (errors.size() - 1) + " more)" : ""));
         this.errors = List.copyOf(errors);
     }
 
-    /** What is wrong, at least one. */
+    /** Returns the errors, at least one. */
     public List<ValidationError> errors() {
         return errors;
     }
--- a/src/main/java/tinroad/operator/Quantity.java
+++ b/src/main/java/tinroad/operator/Quantity.java
@@ -16,13 +16,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The schema's word for a duration or a size: {@code "quantity": {"unit": "duration", "least":
- * "1ms", "most": "1h"}}. Its text has a number and a unit, as HOCON writes them. A number alone is
- * refused: nobody can tell what it counts.
+ * A JSON Schema keyword for a duration or a size within bounds: {@code "quantity": {"unit":
+ * "duration", "least": "1ms", "most": "1h"}}. A value is a text of a number and a unit, in HOCON's
+ * format. A number without a unit is rejected, because its unit would have to be guessed.
  */
 final class Quantity extends AbstractKeyword {
     static final String NAME = "quantity";
-    private static final String AT = "q";
+
+    /** Arbitrary key under which HOCON parses a single value. */
+    private static final String VALUE_KEY = "q";
 
     Quantity() {
         super(NAME);
@@ -31,11 +33,11 @@
     @Override
     public KeywordValidator newValidator(
             SchemaLocation location, JsonNode schema, Schema parent, SchemaContext context) {
-        return new Check(this, schema, location, parent, context);
+        return new Validator(this, schema, location, parent, context);
     }
 
-    /** What is allowed, in words. */
-    static String allowed(JsonNode schema) {
+    /** Describes the allowed values, as an error message. */
+    static String describeAllowed(JsonNode schema) {
         boolean size = schema.path("unit").asText().equals("size");
         return "must be a "
                 + (size ? "size, such as 64KiB" : "duration, such as 250ms or 5s")
@@ -45,23 +47,23 @@
                 + schema.path("most").asText();
     }
 
-    /** The amount in ns or bytes; NaN where the text is no such quantity. */
+    /** Parses an amount, in ns or bytes; returns NaN if the text is not such a quantity. */
     private static double amount(String unit, String text) {
         if (!text.matches("[+-]?[0-9.].*[A-Za-z]\\s*")) {
             return Double.NaN;
         }
         try {
-            Config one = ConfigFactory.parseMap(Map.of(AT, text));
+            Config config = ConfigFactory.parseMap(Map.of(VALUE_KEY, text));
             return unit.equals("size")
-                    ? one.getMemorySize(AT).toBytesBigInteger().doubleValue()
-                    : one.getDuration(AT, TimeUnit.NANOSECONDS);
+                    ? config.getMemorySize(VALUE_KEY).toBytesBigInteger().doubleValue()
+                    : config.getDuration(VALUE_KEY, TimeUnit.NANOSECONDS);
         } catch (ConfigException | NumberFormatException e) {
             return Double.NaN;
         }
     }
 
-    private static final class Check extends BaseKeywordValidator {
-        Check(
+    private static final class Validator extends BaseKeywordValidator {
+        Validator(
                 Quantity keyword,
                 JsonNode schema,
                 SchemaLocation location,
@@ -79,7 +81,7 @@
             if (!(amount >= amount(unit, schema.path("least").asText())
                     && amount <= amount(unit, schema.path("most").asText()))) {
                 context.addError(
-                        error().message(allowed(schema))
+                        error().message(describeAllowed(schema))
                                 .instanceLocation(path)
                                 .instanceNode(node)
                                 .evaluationPath(context.getEvaluationPath())
--- a/src/main/java/tinroad/operator/SpellingSuggestion.java
+++ b/src/main/java/tinroad/operator/SpellingSuggestion.java
@@ -3,23 +3,23 @@
 import java.util.Collection;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** What a misspelt name may have meant. */
+/** Suggests a known name for a misspelt one. */
 public final class SpellingSuggestion {
-    /** A name further from a known one than this, in edits, is no misspelling of it. */
-    private static final int FAR = 3;
+    /** Maximum edit distance between a misspelt name and a suggestion. */
+    private static final int MAX_EDITS = 3;
 
     private SpellingSuggestion() {}
 
-    /** The known name nearest to {@code name}, or null where none is near. */
-    public static String to(String name, Collection<String> known) {
-        LevenshteinDistance distance = new LevenshteinDistance(FAR);
+    /** Returns the known name that is most similar to {@code name}, or null if none is similar. */
+    public static String nearest(String name, Collection<String> known) {
+        LevenshteinDistance distance = new LevenshteinDistance(MAX_EDITS);
         String nearest = null;
-        // Guards short names, which are a few edits from every other.
-        int least = Math.min(FAR, Math.max(1, name.length() / 2)) + 1;
+        // Short names allow fewer edits, as they are only a few edits away from every other name.
+        int minEdits = Math.min(MAX_EDITS, Math.max(1, name.length() / 2)) + 1;
         for (String candidate : known) {
             int edits = distance.apply(name, candidate);
-            if (edits >= 0 && edits < least) {
-                least = edits;
+            if (edits >= 0 && edits < minEdits) {
+                minEdits = edits;
                 nearest = candidate;
             }
         }
--- a/src/main/java/tinroad/operator/StateSettings.java
+++ b/src/main/java/tinroad/operator/StateSettings.java
@@ -3,15 +3,15 @@
 import java.nio.file.Path;
 
 /**
- * What of a gateway lasts over a restart, and where.
+ * Settings for the state of a gateway that is stored over restarts.
  *
- * @param folder of this gateway alone; null: nothing lasts
- * @param fence a folder elsewhere that remembers the last life, so that an older copy of {@code
- *     folder} is told; or null
- * @param savePeriodMillis ms between two snapshots
- * @param keptSnapshots snapshots that are kept
- * @param maxAgeMillis ms, the age beyond which nothing is used
- * @param halfLifeMillis ms in which half of what was learned fades
+ * @param folder the folder for the state, used by this gateway alone; null if nothing is stored
+ * @param fence another folder that records the latest incarnation, so that an older copy of {@code
+ *     folder} is detected; or null
+ * @param savePeriodMillis the time between two snapshots
+ * @param keptSnapshots the number of snapshots that are retained
+ * @param maxAgeMillis the age beyond which a stored value is not used
+ * @param halfLifeMillis the half-life of the weight of learned values
  */
 public record StateSettings(
         Path folder,
@@ -20,10 +20,10 @@
         int keptSnapshots,
         double maxAgeMillis,
         double halfLifeMillis) {
-    /** Nothing lasts: what holds without an operator file. */
+    /** Nothing is stored: the settings without an operator file. */
     public static final StateSettings NONE = new StateSettings(null, null, 0, 0, 0, 0);
 
-    /** Whether anything lasts. */
+    /** Whether state is stored. */
     public boolean enabled() {
         return folder != null;
     }
--- a/src/main/java/tinroad/operator/ValidatedFile.java
+++ b/src/main/java/tinroad/operator/ValidatedFile.java
@@ -24,8 +24,8 @@
 import java.util.stream.StreamSupport;
 
 /**
- * Reads one HOCON file of the operators': text to values, values against a JSON Schema, what is
- * left out from defaults. All faults are told at once, each with its file and line.
+ * Reads a HOCON file written by operators: parses it, validates it against a JSON Schema, and fills
+ * in defaults. All errors are reported at once, each with its file and line.
  */
 public final class ValidatedFile {
     private static final String DIALECT = "https://json-schema.org/draft/2020-12/schema";
@@ -39,15 +39,19 @@
     }
 
     /**
-     * The settings in {@code file}. {@code schema.json} and {@code defaults.conf} stand beside the
-     * class {@code at}; the defaults may hold more than the schema lets a file hold.
+     * Reads the settings in {@code file}. {@code schema.json} and {@code defaults.conf} are
+     * resources beside {@code resourceClass}; the defaults may have settings that the schema does
+     * not allow in a file.
      */
-    public static Config read(Path file, Class<?> at) throws OperatorException {
-        return new ValidatedFile(file, schema(at))
-                .read(ConfigFactory.parseResources(at, "defaults.conf"));
+    public static Config read(Path file, Class<?> resourceClass) throws OperatorException {
+        return new ValidatedFile(file, schema(resourceClass))
+                .read(ConfigFactory.parseResources(resourceClass, "defaults.conf"));
     }
 
-    /** A fault of a value that the schema lets pass, where it stands. */
+    /**
+     * Creates an error with the file and line of {@code value}, for a fault that the schema can't
+     * express.
+     */
     public static ValidationError errorAt(ConfigValue value, String key, String text) {
         return new ValidationError(
                 ConfigSources.file(value.origin().description()),
@@ -63,7 +67,7 @@
         if (root != null) {
             try {
                 Config config = root.toConfig().resolve(ConfigResolveOptions.noSystem());
-                check(config.root());
+                validate(config.root());
                 if (errors.isEmpty()) {
                     return config.withFallback(defaults);
                 }
@@ -74,27 +78,30 @@
         throw new OperatorException(errors.stream().distinct().sorted().toList());
     }
 
-    private static Schema schema(Class<?> at) {
+    private static Schema schema(Class<?> resourceClass) {
         Dialect dialect =
                 Dialect.builder(DIALECT, Dialects.getDraft202012()).keyword(new Quantity()).build();
-        InputStream in = at.getResourceAsStream("schema.json");
+        InputStream in = resourceClass.getResourceAsStream("schema.json");
         return SchemaRegistry.withDialect(dialect).getSchema(in, InputFormat.JSON);
     }
 
-    private void check(ConfigObject root) {
+    private void validate(ConfigObject root) {
         JsonNode node = new ObjectMapper().valueToTree(root.unwrapped());
         for (Error error : schema.validate(node)) {
             List<String> path = path(error.getInstanceLocation());
             if (error.getProperty() != null) {
                 path.add(error.getProperty());
             }
-            ConfigValue at = value(root, path);
-            // Not stated: the innermost thing that is.
-            for (int known = path.size() - 1; at == null; known--) {
-                at = value(root, path.subList(0, known));
+            ConfigValue found = valueAt(root, path);
+            // A value that is missing is reported at the innermost existing parent.
+            for (int depth = path.size() - 1; found == null; depth--) {
+                found = valueAt(root, path.subList(0, depth));
             }
             errors.add(
-                    errorAt(at, path.isEmpty() ? "" : ConfigUtil.joinPath(path), text(error, at)));
+                    errorAt(
+                            found,
+                            path.isEmpty() ? "" : ConfigUtil.joinPath(path),
+                            message(error, found)));
         }
     }
 
@@ -106,25 +113,25 @@
         return path;
     }
 
-    private static ConfigValue value(ConfigObject root, List<String> path) {
-        ConfigValue at = root;
+    private static ConfigValue valueAt(ConfigObject root, List<String> path) {
+        ConfigValue value = root;
         for (String name : path) {
-            at =
-                    at instanceof ConfigObject object
+            value =
+                    value instanceof ConfigObject object
                             ? object.get(name)
-                            : at instanceof List<?> list
+                            : value instanceof List<?> list
                                     ? (ConfigValue) list.get(Integer.parseInt(name))
                                     : null;
-            if (at == null) {
+            if (value == null) {
                 return null;
             }
         }
-        return at;
+        return value;
     }
 
-    /** What is wrong, and what is allowed. */
-    private String text(Error error, ConfigValue found) {
-        JsonNode word = error.getSchemaNode();
+    /** Describes an error and what is allowed instead. */
+    private String message(Error error, ConfigValue found) {
+        JsonNode keywordValue = error.getSchemaNode();
         String allowed =
                 switch (error.getKeyword()) {
                     case "additionalProperties" -> null;
@@ -132,32 +139,32 @@
                             "must be one of "
                                     + String.join(
                                             ", ",
-                                            StreamSupport.stream(word.spliterator(), false)
+                                            StreamSupport.stream(keywordValue.spliterator(), false)
                                                     .map(JsonNode::asText)
                                                     .toList());
-                    case "minimum" -> "must be " + word.asText() + " or more";
-                    case "maximum" -> "must be " + word.asText() + " or less";
+                    case "minimum" -> "must be " + keywordValue.asText() + " or more";
+                    case "maximum" -> "must be " + keywordValue.asText() + " or less";
                     case "required" -> "must have " + error.getProperty();
-                    case "minItems" -> "must have " + word.asText() + " or more";
+                    case "minItems" -> "must have " + keywordValue.asText() + " or more";
                     case "type" ->
                             "must be "
-                                    + (word.asText().matches("[aeiou].*") ? "an " : "a ")
-                                    + word.asText();
+                                    + (keywordValue.asText().matches("[aeiou].*") ? "an " : "a ")
+                                    + keywordValue.asText();
                     default -> error.getMessage();
                 };
         return allowed == null
-                ? unknown(error)
+                ? unknownMessage(error)
                 : allowed + "; found " + found.render(ConfigRenderOptions.concise());
     }
 
-    private String unknown(Error error) {
-        // The names stand beside the word that refuses the others.
+    private String unknownMessage(Error error) {
+        // The known names are listed in the schema object that has the failed keyword.
         List<String> known = new ArrayList<>();
         JsonNode parent = schema.getSchemaNode().at(parentPointer(error));
         parent.path("properties").fieldNames().forEachRemaining(known::add);
-        String near = SpellingSuggestion.to(error.getProperty(), known);
+        String suggestion = SpellingSuggestion.nearest(error.getProperty(), known);
         return "unknown"
-                + (near == null ? "" : ": is " + near + " meant?")
+                + (suggestion == null ? "" : ": is " + suggestion + " meant?")
                 + "; known here: "
                 + String.join(", ", known);
     }
--- a/src/main/java/tinroad/operator/ValidationError.java
+++ b/src/main/java/tinroad/operator/ValidationError.java
@@ -3,12 +3,12 @@
 import java.util.Comparator;
 
 /**
- * One thing wrong with an operator file.
+ * One error in an operator file.
  *
- * @param file the file as it was named, or that an include named
- * @param line counted from 1
- * @param key the full path of the setting, or "" where the fault is in no one setting
- * @param text what is wrong, and what is allowed
+ * @param file the file as named by the operator or by an include
+ * @param line the line, counted from 1
+ * @param key the full path of the setting, or "" if the error is not in a single setting
+ * @param text describes the error and what is allowed
  */
 public record ValidationError(String file, int line, String key, String text)
         implements Comparable<ValidationError> {
@@ -23,7 +23,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** {@code FILE:LINE: KEY: TEXT}, on one line. */
+    /** Returns {@code FILE:LINE: KEY: TEXT} on one line. */
     @Override
     public String toString() {
         return file
--- a/src/main/java/tinroad/operator/package-info.java
+++ b/src/main/java/tinroad/operator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operator file: everything that is set and is not the platform's, read from HOCON, checked
- * against a schema, and handed on as typed values. Called by {@code cli}. May not know what the
- * settings are used for, nor open anything but files.
+ * The operator file: all settings that are not the platform's, read from HOCON, validated against a
+ * schema, and returned as typed values. Called by {@code cli}. Must not depend on how the settings
+ * are used, nor open anything but files.
  */
 package tinroad.operator;
--- a/src/test/java/tinroad/cli/ServeTest.java
+++ b/src/test/java/tinroad/cli/ServeTest.java
@@ -474,7 +474,7 @@
                 attach(link, 0);
                 hears(roster);
                 for (OperatorFileErrors.Mistake mistake : OperatorFileErrors.all()) {
-                    mistake.into(operator);
+                    mistake.writeTo(operator);
                     signal(gateway, "HUP");
                     String line =
                             waitFor(
--- a/src/test/java/tinroad/cli/StoredFilesTest.java
+++ b/src/test/java/tinroad/cli/StoredFilesTest.java
@@ -66,7 +66,7 @@
                         operator.log().json(),
                         operator.log().level(),
                         operator.log().levels(),
-                        operator.log().queue(),
+                        operator.log().queueCapacity(),
                         operator.log().flushMillis()));
         assertEquals(
                 List.of(
--- a/src/test/java/tinroad/log/LogConfiguratorTest.java
+++ b/src/test/java/tinroad/log/LogConfiguratorTest.java
@@ -17,10 +17,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.slf4j.Logger;
 
-/** How lines read, and what becomes of them while settings change or nobody reads. */
+/**
+ * Tests the configurator of log lines, and that lines are neither lost nor block while settings
+ * change or the reader stalls.
+ */
 @Timeout(60)
 class LogConfiguratorTest {
-    private static final int FLUSH = 60_000;
+    private static final int FLUSH_MILLIS = 60_000;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final LoggerContext context = new LoggerContext();
 
@@ -32,17 +35,17 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** Without the moment, which is all that differs. */
-    private static String timeless(String text) {
+    /** Replaces the timestamps, which differ between runs. */
+    private static String withoutTimestamps(String text) {
         return text.replaceAll(
                 "(?m)^\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}(Z|[+-]\\d\\d:\\d\\d) ",
                 "AT ");
     }
 
     @Test
-    void aJsonLineCarriesWhatItNames() throws Exception {
-        try (LogConfigurator format = new LogConfigurator(context, out)) {
-            format.configure(true, "info", Map.of(), 64, FLUSH);
+    void aJsonLineHasItsKeyValues() throws Exception {
+        try (LogConfigurator configurator = new LogConfigurator(context, out)) {
+            configurator.configure(true, "info", Map.of(), 64, FLUSH_MILLIS);
             context.getLogger("engine")
                     .atInfo()
                     .addKeyValue("engine", "/127.0.0.1:4400")
@@ -56,24 +59,27 @@
     }
 
     @Test
-    void levelsOfSingleLoggersCountAndAreForgottenWithTheNextSettings() {
-        try (LogConfigurator format = new LogConfigurator(context, out)) {
-            format.configure(false, "warn", Map.of("engine", "debug", "front", "off"), 64, FLUSH);
+    void levelsOfSingleLoggersApplyUntilTheNextConfiguration() {
+        try (LogConfigurator configurator = new LogConfigurator(context, out)) {
+            configurator.configure(
+                    false, "warn", Map.of("engine", "debug", "front", "off"), 64, FLUSH_MILLIS);
             List.of("engine", "front", "server")
                     .forEach(name -> context.getLogger(name).debug("first"));
             context.getLogger("front").error("second");
-            format.configure(false, "warn", Map.of(), 64, FLUSH);
+            configurator.configure(false, "warn", Map.of(), 64, FLUSH_MILLIS);
             context.getLogger("engine").debug("third");
             context.getLogger("front").error("fourth");
         }
-        assertEquals("AT [DEBUG] engine - first\nAT [ERROR] front - fourth\n", timeless(written()));
+        assertEquals(
+                "AT [DEBUG] engine - first\nAT [ERROR] front - fourth\n",
+                withoutTimestamps(written()));
     }
 
     @Test
-    void aChangeLosesNoLineAndTellsNoneTwice() throws Exception {
+    void aChangeNeitherLosesNorRepeatsALine() throws Exception {
         int lines = 2000;
-        try (LogConfigurator format = new LogConfigurator(context, out)) {
-            format.configure(false, "info", Map.of(), 65536, FLUSH);
+        try (LogConfigurator configurator = new LogConfigurator(context, out)) {
+            configurator.configure(false, "info", Map.of(), 65536, FLUSH_MILLIS);
             Thread writer =
                     new Thread(
                             () -> {
@@ -83,7 +89,7 @@
                             });
             writer.start();
             for (int i = 0; i < 40; i++) {
-                format.configure(i % 2 == 0, "info", Map.of(), 65536, FLUSH);
+                configurator.configure(i % 2 == 0, "info", Map.of(), 65536, FLUSH_MILLIS);
             }
             writer.join();
         }
@@ -100,7 +106,7 @@
     }
 
     @Test
-    void aStalledReaderHoldsNobodyUpAndTheLostLinesAreCounted() throws Exception {
+    void aStalledReaderBlocksNobodyAndTheLostLinesAreCounted() throws Exception {
         CountDownLatch reading = new CountDownLatch(1);
         CountDownLatch stalled = new CountDownLatch(1);
         OutputStream stream =
@@ -121,12 +127,12 @@
                         out.write(bytes, from, length);
                     }
                 };
-        try (LogConfigurator format = new LogConfigurator(context, stream)) {
-            format.configure(false, "info", Map.of(), 16, FLUSH);
+        try (LogConfigurator configurator = new LogConfigurator(context, stream)) {
+            configurator.configure(false, "info", Map.of(), 16, FLUSH_MILLIS);
             Logger log = context.getLogger("server");
             log.info("line 0");
             stalled.await();
-            // 15 of these wait; the others find no room, and this thread gets here all the same.
+            // 15 of these lines are queued and the others dropped; this thread must not block.
             for (int i = 1; i <= 100; i++) {
                 log.info("line {}", i);
             }
--- a/src/test/java/tinroad/operator/OperatorConfigTest.java
+++ b/src/test/java/tinroad/operator/OperatorConfigTest.java
@@ -12,11 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an operator file says, and what is said of one that can't be used. */
+/** Tests reading of operator files, and the errors reported for files that can't be used. */
 class OperatorConfigTest {
-    private static final LogSettings DEFAULTS = new LogSettings(false, "info", Map.of(), 1024, 500);
+    private static final LogSettings DEFAULT_LOG =
+            new LogSettings(false, "info", Map.of(), 1024, 500);
 
-    private static final StateSettings NOTHING_LASTS =
+    private static final StateSettings DEFAULT_STATE =
             new StateSettings(null, null, 5000, 3, 3_600_000, 600_000);
     @TempDir private Path dir;
 
@@ -27,10 +28,10 @@
     @Test
     void whatIsLeftOutHasItsDefault() throws Exception {
         assertEquals(
-                new OperatorConfig(DEFAULTS, NOTHING_LASTS, FleetSettings.NONE),
+                new OperatorConfig(DEFAULT_LOG, DEFAULT_STATE, FleetSettings.NONE),
                 OperatorConfig.read(file("log {}")));
         assertEquals(
-                new OperatorConfig(DEFAULTS, NOTHING_LASTS, FleetSettings.NONE),
+                new OperatorConfig(DEFAULT_LOG, DEFAULT_STATE, FleetSettings.NONE),
                 OperatorConfig.read(Path.of("deploy/operator.conf")));
     }
 
@@ -44,7 +45,7 @@
                                 Map.of("engine", "debug", "io.netty", "off"),
                                 64,
                                 1500),
-                        NOTHING_LASTS,
+                        DEFAULT_STATE,
                         FleetSettings.NONE),
                 OperatorConfig.read(
                         file(
@@ -65,7 +66,7 @@
     }
 
     @Test
-    void howTheCatalogChangesIsReadAndWithoutAFileItIsWhatTheDefaultsSay() throws Exception {
+    void catalogSettingsAreReadAndMatchTheDefaultsWithoutAFile() throws Exception {
         assertEquals(CatalogSettings.DEFAULT, OperatorConfig.read(file("log {}")).catalog());
         assertEquals(
                 new CatalogSettings(true, dir.resolve("changes"), 50),
@@ -75,7 +76,7 @@
     }
 
     @Test
-    void keysAreReadFromAFileOfTheirOwnAndItsFaultsToldByLine() throws Exception {
+    void keysAreReadFromTheKeyFileAndItsErrorsReportedByLine() throws Exception {
         Files.writeString(
                 dir.resolve("keys"), "# new\nYW5vdGhlciBzaXh0ZWVuLg==\nc2l4dGVlbiBieXRlcy4uLg==\n");
         String text =
@@ -106,7 +107,7 @@
     }
 
     @Test
-    void anIncludedFileCountsAndMayBeOverridden() throws Exception {
+    void anIncludedFileIsReadAndMayBeOverridden() throws Exception {
         Files.writeString(dir.resolve("base.conf"), "log { level = error, queue = 99 }");
         assertEquals(
                 new LogSettings(false, "warn", Map.of(), 99, 500),
@@ -114,29 +115,29 @@
     }
 
     @Test
-    void eachMistakeIsToldWithFileAndLine() throws Exception {
+    void eachMistakeIsReportedWithFileAndLine() throws Exception {
         List<OperatorFileErrors.Mistake> all = OperatorFileErrors.all();
         assertTrue(all.size() >= 25);
         Path path = dir.resolve("operator.conf");
         for (OperatorFileErrors.Mistake mistake : all) {
-            mistake.into(path);
-            ValidationError fault =
+            mistake.writeTo(path);
+            ValidationError error =
                     assertThrows(
                                     OperatorException.class,
                                     () -> OperatorConfig.read(path),
-                                    mistake.words())
+                                    mistake.expectedText())
                             .errors()
                             .get(0);
             assertEquals(
                     path + ":" + mistake.line(),
-                    fault.file() + ":" + fault.line(),
-                    fault::toString);
-            assertTrue(fault.toString().contains(mistake.words()), fault::toString);
+                    error.file() + ":" + error.line(),
+                    error::toString);
+            assertTrue(error.toString().contains(mistake.expectedText()), error::toString);
         }
     }
 
     @Test
-    void allMistakesOfAFileAreToldAtOnceInItsOrder() throws Exception {
+    void allMistakesOfAFileAreReportedAtOnceInItsOrder() throws Exception {
         Path path =
                 file(
                         "log {\n"
@@ -155,19 +156,19 @@
     }
 
     @Test
-    void aMistakeInAnIncludedFileIsToldWhereItStands() throws Exception {
+    void aMistakeInAnIncludedFileIsReportedWithItsFileAndLine() throws Exception {
         Path base = Files.writeString(dir.resolve("base.conf"), "\n\nlog { level = loud }");
-        ValidationError fault =
+        ValidationError error =
                 assertThrows(
                                 OperatorException.class,
                                 () -> OperatorConfig.read(file("include \"base.conf\"")))
                         .errors()
                         .get(0);
-        assertEquals(base + ":3", fault.file() + ":" + fault.line());
+        assertEquals(base + ":3", error.file() + ":" + error.line());
     }
 
     @Test
-    void anAbsentFileIsOneFault() {
+    void anAbsentFileIsOneError() {
         Path path = dir.resolve("absent.conf");
         assertEquals(
                 List.of(new ValidationError(path.toString(), 1, "", "can't be read: no such file")),
--- a/src/test/java/tinroad/operator/OperatorFileErrors.java
+++ b/src/test/java/tinroad/operator/OperatorFileErrors.java
@@ -7,27 +7,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Operator files with one mistake each: what is written, the line that has to be named, and words
- * of the text.
- */
+/** Operator files with one mistake each, for tests of the reported errors. */
 @SuppressWarnings("ArrayRecordComponent") // Varargs, never compared.
 public final class OperatorFileErrors {
-    /** One of them. */
-    public record Mistake(byte[] file, int line, String words) {
-        Mistake(String file, int line, String words) {
-            this(file.getBytes(StandardCharsets.UTF_8), line, words);
+    /**
+     * An operator file with a mistake.
+     *
+     * @param file the content of the file
+     * @param line the line that the error has to name
+     * @param expectedText text that the error has to contain
+     */
+    public record Mistake(byte[] file, int line, String expectedText) {
+        Mistake(String file, int line, String expectedText) {
+            this(file.getBytes(StandardCharsets.UTF_8), line, expectedText);
         }
 
-        /** Writes it. */
-        public void into(Path path) throws IOException {
+        /** Writes the file. */
+        public void writeTo(Path path) throws IOException {
             Files.write(path, file);
         }
     }
 
     private OperatorFileErrors() {}
 
-    /** All of them. */
+    /** Returns all such files. */
     public static List<Mistake> all() {
         List<Mistake> all =
                 new ArrayList<>(
@@ -183,7 +186,7 @@
                                         "log {}\n" + "# filler\n".repeat(40_000),
                                         1,
                                         "longer than 256 KiB")));
-        // Latin-1: the e with an accent is no UTF-8.
+        // The accented e in Latin-1 is not valid UTF-8.
         all.add(
                 new Mistake(
                         "log {\n # caf\u00e9\n level = info\n}\n"
