--- a/src/main/java/tinroad/simulator/ActionWriter.java
+++ b/src/main/java/tinroad/simulator/ActionWriter.java
@@ -10,8 +10,8 @@
 import tinroad.overload.Controller;
 
 /**
- * Writes the wire's actions, one JSON object a line; {@link #acknowledge} closes a reply and
- * flushes it.
+ * Writes the actions of the simulator's protocol, one JSON object per line. {@link #acknowledge}
+ * ends the reply to a batch and flushes it.
  */
 final class ActionWriter {
     private final JsonGenerator json;
@@ -29,21 +29,21 @@
         json.flush();
     }
 
-    void crash(long server, String text) throws IOException {
-        begin("crash", server);
-        json.writeStringField("reason_text", text);
+    void crash(long serverId, String reason) throws IOException {
+        begin("crash", serverId);
+        json.writeStringField("reason_text", reason);
         end();
     }
 
-    /** The actions of one instance. */
-    Controller.Actions actions(long server) {
-        return new InstanceActions(server);
+    /** Returns the actions of the controller of one server. */
+    Controller.Actions actions(long serverId) {
+        return new InstanceActions(serverId);
     }
 
-    private void begin(String type, long server) throws IOException {
+    private void begin(String type, long serverId) throws IOException {
         json.writeStartObject();
         json.writeStringField("t", type);
-        json.writeNumberField("server_id", server);
+        json.writeNumberField("server_id", serverId);
     }
 
     private void end() throws IOException {
@@ -51,22 +51,23 @@
         json.writeRaw('\n');
     }
 
-    /** What an action writes besides its name and instance. */
-    private interface Body {
+    /** Writes the fields of an action other than its type and server. */
+    private interface FieldWriter {
         void write() throws IOException;
     }
 
+    /** The actions of one controller, written with its server's number. */
     private final class InstanceActions implements Controller.Actions {
-        private final long server;
+        private final long serverId;
 
-        InstanceActions(long server) {
-            this.server = server;
+        InstanceActions(long serverId) {
+            this.serverId = serverId;
         }
 
-        private void write(String type, Body body) {
+        private void write(String type, FieldWriter fields) {
             try {
-                begin(type, server);
-                body.write();
+                begin(type, serverId);
+                fields.write();
                 end();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
--- a/src/main/java/tinroad/simulator/MessageReader.java
+++ b/src/main/java/tinroad/simulator/MessageReader.java
@@ -18,7 +18,10 @@
 import tinroad.overload.Controller;
 import tinroad.overload.Controller.Outcome;
 
-/** Reads the wire's messages, one JSON object a line; unknown fields and settings are skipped. */
+/**
+ * Reads the messages of the simulator's protocol, one JSON object per line. Unknown fields and
+ * settings are skipped.
+ */
 final class MessageReader {
     private static final JsonFactory JSON =
             JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
@@ -50,7 +53,7 @@
         lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     }
 
-    /** Moves to the next message; false at the end of the input. */
+    /** Reads the next message; returns false at the end of the input. */
     boolean nextMessage() throws IOException {
         String line = lines.readLine();
         if (line == null) {
@@ -139,8 +142,9 @@
         return site.settings();
     }
 
-    IOException malformed(String what) {
-        return new IOException("line " + lineNumber + ": " + what);
+    /** Returns an exception that names the current line. */
+    IOException malformed(String reason) {
+        return new IOException("line " + lineNumber + ": " + reason);
     }
 
     private IOException missing(String field) {
@@ -157,8 +161,8 @@
                 : null;
     }
 
-    private static double numberOr(Map<String, Object> fields, String field, double absent) {
-        return fields.get(field) instanceof Number number ? number.doubleValue() : absent;
+    private static double numberOr(Map<String, Object> fields, String field, double defaultValue) {
+        return fields.get(field) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
     private static boolean flag(Map<String, Object> fields, String field) {
@@ -210,7 +214,7 @@
         };
     }
 
-    /** Seeds may use all 64 bits unsigned; the low 64 bits are kept. */
+    /** Reads an integer. A seed may be an unsigned 64-bit number, so the low 64 bits are used. */
     private static Object integer(JsonParser parser) throws IOException {
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? (Object) parser.getBigIntegerValue().longValue()
--- a/src/main/java/tinroad/simulator/SimulatorAdapter.java
+++ b/src/main/java/tinroad/simulator/SimulatorAdapter.java
@@ -10,8 +10,8 @@
 import tinroad.overload.Controller;
 
 /**
- * The message loop: reads a batch, hands each event to its server's controller, and writes one
- * reply.
+ * The message loop of the simulator's protocol: reads a batch of events, passes each event to the
+ * controller of its server, and writes one reply per batch.
  */
 public final class SimulatorAdapter {
     private final Function<Controller.Actions, Controller> factory;
@@ -20,17 +20,22 @@
     private final PrintStream errors;
     private final Map<Long, Controller> controllers = new HashMap<>();
 
-    /** A loop over {@code in}, with a controller of {@code factory} for each instance. */
+    /**
+     * Creates a loop that reads from {@code in} and writes to {@code out}.
+     *
+     * @param factory creates a controller for each server
+     * @param errors receives the stack traces of exceptions in controllers
+     */
     public SimulatorAdapter(
             Function<Controller.Actions, Controller> factory,
             InputStream in,
             OutputStream out,
-            PrintStream err)
+            PrintStream errors)
             throws IOException {
         this.factory = factory;
         this.reader = new MessageReader(in);
         this.writer = new ActionWriter(out);
-        this.errors = err;
+        this.errors = errors;
     }
 
     /** Serves batches until the input ends. */
@@ -57,30 +62,30 @@
     }
 
     private void handleEvent(double nowMillis) throws IOException {
-        long server = reader.integer("server_id");
+        long serverId = reader.integer("server_id");
         switch (reader.type()) {
-            case "begin" -> startController(nowMillis, server);
-            case "stop" -> controllers.remove(server);
+            case "begin" -> startController(nowMillis, serverId);
+            case "stop" -> controllers.remove(serverId);
             case "req", "ended", "needs", "dep_reply", "vanished", "lame_duck", "timeout_fired" -> {
-                Controller controller = controllers.get(server);
+                Controller controller = controllers.get(serverId);
                 if (controller == null) {
                     throw reader.malformed(
-                            reader.type() + " for server_id " + server + ", which has not begun");
+                            reader.type() + " for server_id " + serverId + ", which has not begun");
                 }
-                runGuarded(server, toControllerCall(controller, nowMillis));
+                runGuarded(serverId, toControllerCall(controller, nowMillis));
             }
             default -> throw reader.malformed("unknown event " + reader.type());
         }
     }
 
-    private void startController(double nowMillis, long server) throws IOException {
+    private void startController(double nowMillis, long serverId) throws IOException {
         Controller.Settings settings = reader.settings();
         long seed = reader.integer("init_seed");
         runGuarded(
-                server,
+                serverId,
                 () -> {
-                    Controller controller = factory.apply(writer.actions(server));
-                    controllers.put(server, controller);
+                    Controller controller = factory.apply(writer.actions(serverId));
+                    controllers.put(serverId, controller);
                     controller.start(nowMillis, seed, settings);
                 });
     }
@@ -124,13 +129,13 @@
         };
     }
 
-    /** A failure of the decision code becomes the wire's crash action; it is never swallowed. */
-    private void runGuarded(long server, Runnable call) throws IOException {
+    /** Calls the controller. An exception in it is never swallowed: it becomes a crash action. */
+    private void runGuarded(long serverId, Runnable call) throws IOException {
         try {
             call.run();
         } catch (RuntimeException e) {
             e.printStackTrace(errors);
-            writer.crash(server, e.toString());
+            writer.crash(serverId, e.toString());
         }
     }
 }
--- a/src/test/java/tinroad/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/tinroad/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,10 @@
 import tinroad.overload.Controller;
 import tinroad.overload.OverloadController;
 
-/** The adapter: lines in, exact lines out; bad input; instances apart and together. */
+/**
+ * Tests the adapter's protocol: exact output lines, malformed input, and controllers of several
+ * servers that do not affect each other.
+ */
 class SimulatorAdapterTest {
     private static final String CONF =
             "{\"classes\":[{\"objective\":1000.0,\"deadline\":4000.0,\"gain\":1.0,"
@@ -54,7 +57,7 @@
                 + "{\"t\":\"eob\"}\n";
     }
 
-    private String play(Function<Controller.Actions, Controller> factory, String input)
+    private String runAdapter(Function<Controller.Actions, Controller> factory, String input)
             throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(
@@ -69,7 +72,8 @@
     @Test
     void anEmptyBatchIsAcknowledged() throws IOException {
         assertEquals(
-                "{\"t\":\"ack\",\"turn\":1}\n", play(OverloadController::new, batch(1, 8412.25)));
+                "{\"t\":\"ack\",\"turn\":1}\n",
+                runAdapter(OverloadController::new, batch(1, 8412.25)));
     }
 
     @Test
@@ -90,12 +94,12 @@
                         "{\"t\":\"ack\",\"turn\":1}",
                         "{\"t\":\"ack\",\"turn\":2}",
                         ""),
-                play(OverloadController::new, input));
+                runAdapter(OverloadController::new, input));
     }
 
     @Test
-    void everyActionHasItsWireForm() throws IOException {
-        Function<Controller.Actions, Controller> all =
+    void everyActionIsWrittenInItsWireFormat() throws IOException {
+        Function<Controller.Actions, Controller> callsEveryAction =
                 actions ->
                         (Controller)
                                 Proxy.newProxyInstance(
@@ -139,13 +143,13 @@
                         "{\"t\":\"trace\",\"server_id\":1,\"reason_text\":\"two \\\"servers\\\"\"}",
                         "{\"t\":\"ack\",\"turn\":1}",
                         ""),
-                play(all, batch(1, 1, begin(1))));
+                runAdapter(callsEveryAction, batch(1, 1, begin(1))));
     }
 
     @Test
     void aServerMayStopAndBeginAgainInOneBatch() throws IOException {
         String out =
-                play(
+                runAdapter(
                         OverloadController::new,
                         batch(1, 1000, begin(3), req(3, "0a"))
                                 + batch(2, 1100, "{\"t\":\"stop\",\"server_id\":3}", begin(3)));
@@ -155,7 +159,7 @@
     @Test
     void instancesShareNothing() throws IOException {
         String together =
-                play(
+                runAdapter(
                         OverloadController::new,
                         batch(1, 1000, begin(3), begin(4))
                                 + batch(
@@ -166,44 +170,49 @@
                                         req(3, "0c"),
                                         req(3, "0d")));
         String alone =
-                play(
+                runAdapter(
                         OverloadController::new,
                         batch(1, 1000, begin(3))
                                 + batch(2, 1010, req(3, "0a"), req(3, "0c"), req(3, "0d")));
-        List<String> mine = together.lines().filter(l -> l.contains("\"server_id\":3")).toList();
-        assertEquals(alone.lines().filter(l -> l.contains("server_id")).toList(), mine);
+        List<String> ofServer3 =
+                together.lines().filter(l -> l.contains("\"server_id\":3")).toList();
+        assertEquals(alone.lines().filter(l -> l.contains("server_id")).toList(), ofServer3);
     }
 
     @Test
-    void badInputEndsWithTheLineAndTheReason() throws IOException {
-        bad("line 1: not JSON", "no json\n");
-        bad("line 1: not a JSON object", "[1]\n");
-        bad("line 1: expected mark, found eob", "{\"t\":\"eob\"}\n");
-        bad("line 2: unknown event shout", batch(1, 1, "{\"t\":\"shout\",\"server_id\":1}"));
-        bad("line 2: req for server_id 9, which has not begun", batch(1, 1, req(9, "0a")));
-        bad(
+    void malformedInputFailsWithTheLineAndTheReason() throws IOException {
+        assertRejected("line 1: not JSON", "no json\n");
+        assertRejected("line 1: not a JSON object", "[1]\n");
+        assertRejected("line 1: expected mark, found eob", "{\"t\":\"eob\"}\n");
+        assertRejected(
+                "line 2: unknown event shout", batch(1, 1, "{\"t\":\"shout\",\"server_id\":1}"));
+        assertRejected(
+                "line 2: req for server_id 9, which has not begun", batch(1, 1, req(9, "0a")));
+        assertRejected(
                 "line 3: missing or malformed field held_kb in req",
                 batch(1, 1, begin(1), "{\"t\":\"req\",\"server_id\":1,\"txn\":\"0a\",\"qos\":0}"));
-        bad("line 1: input ended inside a batch", "{\"t\":\"mark\",\"moment\":1.0,\"turn\":1}\n");
+        assertRejected(
+                "line 1: input ended inside a batch",
+                "{\"t\":\"mark\",\"moment\":1.0,\"turn\":1}\n");
     }
 
-    private void bad(String reason, String input) throws IOException {
+    private void assertRejected(String reason, String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        SimulatorAdapter drill =
+        SimulatorAdapter adapter =
                 new SimulatorAdapter(
                         OverloadController::new,
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         out,
                         System.err);
-        String text = assertThrows(IOException.class, drill::run).getMessage();
+        String text = assertThrows(IOException.class, adapter::run).getMessage();
         assertTrue(text.startsWith(reason) && text.lines().count() == 1, text);
         assertTrue(!out.toString(StandardCharsets.UTF_8).contains("ack"));
     }
 
     @Test
-    void anExceptionInTheModuleBecomesACrash() throws IOException {
+    void anExceptionInAControllerBecomesACrash() throws IOException {
         String out =
-                play(
+                runAdapter(
                         actions -> {
                             throw new IllegalStateException("index out of range");
                         },
