--- a/src/main/java/tinroad/cli/AdminClient.java
+++ b/src/main/java/tinroad/cli/AdminClient.java
@@ -10,26 +10,30 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** Calls the admin endpoint of a running gateway. */
+/** Client for the admin endpoint of a running gateway. */
 final class AdminClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
-    /** Takes the body of a successful response. */
+    /** Handles the body of a successful response. */
     interface ResponseReader {
-        void read(JsonNode answer) throws IOException;
+        void read(JsonNode body) throws IOException;
     }
 
     private AdminClient() {}
 
     /**
-     * Gets {@code path} and reports failures in one line.
+     * Requests {@code path}; a failure is reported in one line.
      *
-     * @param control the endpoint, ADDRESS:PORT
-     * @param what names the thing asked for, in the line that reports a failure
+     * @param control the address of the admin endpoint, ADDRESS:PORT
+     * @param subject names what is requested, for the line that reports a failure
      * @return the exit status
      */
     static int get(
-            String control, String path, String what, PrintStream errors, ResponseReader reader) {
+            String control,
+            String path,
+            String subject,
+            PrintStream errors,
+            ResponseReader reader) {
         try {
             HttpRequest request =
                     HttpRequest.newBuilder(URI.create("http://" + control + path))
@@ -42,17 +46,17 @@
                             .build()
                             .send(request, HttpResponse.BodyHandlers.ofByteArray());
             if (response.statusCode() != 200) {
-                throw new IOException("status " + response.statusCode() + ", no " + what);
+                throw new IOException("status " + response.statusCode() + ", no " + subject);
             }
             reader.read(new ObjectMapper().readTree(response.body()));
             return Command.SUCCESS;
         } catch (IllegalArgumentException e) {
-            errors.println("tinroad: --control is no ADDRESS:PORT: '" + control + "'");
+            errors.println("tinroad: --control is not an ADDRESS:PORT: '" + control + "'");
             return Command.USAGE_ERROR;
         } catch (IOException e) {
             errors.println(
                     "tinroad: no "
-                            + what
+                            + subject
                             + " from "
                             + control
                             + ": "
--- a/src/main/java/tinroad/cli/CatalogCommand.java
+++ b/src/main/java/tinroad/cli/CatalogCommand.java
@@ -23,23 +23,23 @@
 import tinroad.config.GatewayConfig;
 
 /**
- * {@code catalog}: classes and tenants of configuration files, what differs between two, and the
- * log of their changes.
+ * The command {@code catalog}: shows, compares and checks the classes and tenants of configuration
+ * files, and publishes changes to a change log.
  */
 public final class CatalogCommand extends Command {
-    /** What to do, by the word typed, and the paths that it takes. */
+    /** The actions, named as on the command line, and the paths that they take. */
     enum Action {
         SHOW(1, "FILE"),
         DIFF(2, "OLD NEW"),
         CHECK(1, "FILE or FOLDER"),
         PUBLISH(3, "OLD NEW FOLDER");
 
-        private final int paths;
-        private final String names;
+        private final int pathCount;
+        private final String pathNames;
 
-        Action(int paths, String names) {
-            this.paths = paths;
-            this.names = names;
+        Action(int pathCount, String pathNames) {
+            this.pathCount = pathCount;
+            this.pathNames = pathNames;
         }
     }
 
@@ -48,9 +48,10 @@
             metaVar = "show|diff|check|publish",
             required = true,
             usage =
-                    "show FILE: what is in a configuration; diff OLD NEW: what would change; check"
-                        + " FILE or FOLDER: whether it can be used; publish OLD NEW FOLDER: write"
-                        + " what differs as the next change of a log")
+                    "show FILE: summarize a configuration; diff OLD NEW: list the differences;"
+                        + " check FILE or FOLDER: validate a configuration or a change log; publish"
+                        + " OLD NEW FOLDER: write the differences as the next change of a change"
+                        + " log")
     private Action action;
 
     @Argument(
@@ -67,36 +68,39 @@
             name = "--epoch",
             metaVar = "N",
             usage =
-                    "publish: the publisher's epoch, 1 or above (default: that of the newest"
-                            + " change); a higher one ends the earlier ones")
+                    "publish: the publisher's epoch, 1 or more (default: that of the newest"
+                            + " change); a higher epoch ends the lower ones")
     private Long epoch;
 
     @Option(
             name = "--keep",
             metaVar = "N",
-            usage = "publish: newest changes that stay in the folder")
-    private int keep = ChangeLogStore.DEFAULT_KEPT_CHANGES;
+            usage = "publish: how many of the newest changes stay in the folder")
+    private int retainedChanges = ChangeLogStore.DEFAULT_KEPT_CHANGES;
 
     @Override
     About about() {
         return new About(
-                "shows, compares and checks routes and tenants of configuration files, and"
+                "shows, compares and checks classes and tenants of configuration files, and"
                         + " publishes changes",
                 "tinroad catalog publish config.old.json config.json /var/lib/tinroad/changes",
-                "0  done; all can be used",
-                "1  a file can't be read or used, or the change was refused, a line for each fault",
+                "0  done; all files can be used",
+                "1  a file can't be read or used, or the change was refused; one line per error",
                 "2  wrong arguments");
     }
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
-        if (paths.size() != action.paths || (epoch != null && epoch < 1) || keep < 1) {
+        if (paths.size() != action.pathCount
+                || (epoch != null && epoch < 1)
+                || retainedChanges < 1) {
             err.println(
                     "tinroad: catalog "
                             + action.name().toLowerCase(Locale.ROOT)
                             + " takes "
-                            + action.names
-                            + ", and numbers from 1 on ('tinroad help catalog' tells more)");
+                            + action.pathNames
+                            + "; --epoch and --keep must be 1 or more (see 'tinroad help"
+                            + " catalog')");
             return USAGE_ERROR;
         }
         try {
@@ -113,7 +117,7 @@
             }
             return SUCCESS;
         } catch (ConfigException e) {
-            e.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
+            e.getMessage().lines().forEach(error -> err.println("tinroad: " + error));
         } catch (NoSuchFileException e) {
             err.println("tinroad: " + e.getMessage() + ": no such file or folder");
         } catch (IOException e) {
@@ -133,12 +137,16 @@
                 config.site().settings().tenants());
     }
 
-    /** What leads from a version to a file, which is read as a stream. */
-    private static CatalogChange change(Catalog from, String file, LogPosition as)
+    /**
+     * Returns the change from a catalog to the content of a file, which is read as a stream.
+     *
+     * @param position the position of the change in a change log
+     */
+    private static CatalogChange change(Catalog from, String file, LogPosition position)
             throws ConfigException {
         FullSnapshotDiff diff = new FullSnapshotDiff(from);
         GatewayConfig.read(Path.of(file), diff);
-        return diff.change(as.epoch(), as.number());
+        return diff.change(position.epoch(), position.number());
     }
 
     private void show(PrintStream out) throws ConfigException, IOException {
@@ -171,14 +179,15 @@
     }
 
     private int checkLog(PrintStream out) throws IOException {
-        ChangeLogCheck check = ChangeLogCheck.of(new ChangeLogStore(Path.of(paths.get(0)), keep));
+        ChangeLogCheck check =
+                ChangeLogCheck.of(new ChangeLogStore(Path.of(paths.get(0)), retainedChanges));
         output.print(ChangeLogCheck.COLUMNS, check.rows(), out);
-        return check.good() ? SUCCESS : FAILURE;
+        return check.allGood() ? SUCCESS : FAILURE;
     }
 
     private void publish(PrintStream out) throws ConfigException, IOException {
         Path folder = Path.of(paths.get(2));
-        ChangeLogStore log = new ChangeLogStore(folder, keep);
+        ChangeLogStore log = new ChangeLogStore(folder, retainedChanges);
         List<LogPosition> existing = Files.isDirectory(folder) ? log.positions() : List.of();
         LogPosition newest =
                 existing.isEmpty()
@@ -194,7 +203,7 @@
             out.println("nothing differs: no change written");
             return;
         }
-        // Applied as a gateway would: a change that it would reject is not written.
+        // Applied as a gateway applies it: a change that a gateway would reject is not written.
         ChangeResult result = new CatalogBuilder(old).apply(change);
         if (result instanceof ChangeResult.Rejected rejected) {
             throw new ConfigException(String.join("\n", rejected.errors()));
--- a/src/main/java/tinroad/cli/CatalogDiff.java
+++ b/src/main/java/tinroad/cli/CatalogDiff.java
@@ -15,7 +15,7 @@
 import tinroad.config.SiteWriter;
 import tinroad.overload.Controller.RequestClass;
 
-/** What a change does to a catalog, as rows to print: one for each class and tenant. */
+/** The effect of a change on a catalog, as rows to print: one for each changed class or tenant. */
 final class CatalogDiff {
     /** The columns of {@link #rows}. */
     static final List<String> COLUMNS = List.of("entry", "name", "change", "from", "to");
@@ -24,7 +24,7 @@
 
     private final List<List<Object>> rows = new ArrayList<>();
 
-    /** The difference that {@code change} makes to {@code before}. */
+    /** Computes the difference that {@code change} makes to {@code before}. */
     CatalogDiff(Catalog before, CatalogChange change) {
         addRows(
                 "class",
@@ -40,25 +40,25 @@
                 SiteWriter::fields);
     }
 
-    /** The rows; of very many the first, and how many more there are. */
+    /** Returns the rows; if there are too many, the first ones and the number of the others. */
     List<List<Object>> rows() {
-        int more = rows.size() - MAX_ROWS;
-        if (more <= 0) {
+        int omitted = rows.size() - MAX_ROWS;
+        if (omitted <= 0) {
             return rows;
         }
         List<List<Object>> first = new ArrayList<>(rows.subList(0, MAX_ROWS));
-        first.add(List.of("", "and " + more + " more", "", "", ""));
+        first.add(List.of("", "and " + omitted + " more", "", "", ""));
         return first;
     }
 
     private <S> void addRows(
-            String word,
+            String entryKind,
             Map<String, S> put,
             Set<String> removed,
             Function<String, ? extends CatalogEntry<S>> entryBefore,
             Function<S, Map<String, Object>> toFields) {
         for (String name : new TreeSet<>(removed)) {
-            rows.add(List.of(word, SettingsValidator.shown(name), "removed", "", ""));
+            rows.add(List.of(entryKind, SettingsValidator.shown(name), "removed", "", ""));
         }
         new TreeMap<>(put)
                 .forEach(
@@ -69,7 +69,7 @@
                             Map<String, Object> to = toFields.apply(spec);
                             rows.add(
                                     List.of(
-                                            word,
+                                            entryKind,
                                             SettingsValidator.shown(name),
                                             before == null ? "new" : "changed",
                                             differing(from, to),
@@ -84,10 +84,10 @@
         return fields;
     }
 
-    /** The fields of {@code one} that {@code other} has not, or has with another value. */
+    /** Formats the fields of {@code one} that are absent from {@code other} or differ there. */
     private static String differing(Map<String, Object> one, Map<String, Object> other) {
-        Map<String, Object> rest = new LinkedHashMap<>(one);
-        rest.entrySet().removeIf(field -> field.getValue().equals(other.get(field.getKey())));
-        return rest.toString().replaceAll("^.|.$", "");
+        Map<String, Object> difference = new LinkedHashMap<>(one);
+        difference.entrySet().removeIf(field -> field.getValue().equals(other.get(field.getKey())));
+        return difference.toString().replaceAll("^.|.$", "");
     }
 }
--- a/src/main/java/tinroad/cli/ChangeLogCheck.java
+++ b/src/main/java/tinroad/cli/ChangeLogCheck.java
@@ -8,8 +8,8 @@
 import tinroad.changelog.LogPosition;
 
 /**
- * Checks each change of a log by itself, and whether it follows the one before: by its position and
- * by the hash of the content that it leads on from.
+ * Checks each change of a change log by itself, and whether it follows the previous change: by its
+ * position, and by the hash of the content that it applies to.
  */
 final class ChangeLogCheck {
     /** The columns of {@link #rows}. */
@@ -18,11 +18,11 @@
     private static final String GOOD = "good";
 
     private final List<List<Object>> rows = new ArrayList<>();
-    private boolean good = true;
+    private boolean allGood = true;
     private LogPosition previous;
 
-    /** The content after the previous change; null where it is not known. */
-    private String content;
+    /** Hash of the content after the last change read; null if it is not known. */
+    private String contentHash;
 
     private ChangeLogCheck() {}
 
@@ -35,14 +35,14 @@
         return check;
     }
 
-    /** A row for each change. */
+    /** Returns one row for each change. */
     List<List<Object>> rows() {
         return rows;
     }
 
     /** Whether every change can be used. */
-    boolean good() {
-        return good;
+    boolean allGood() {
+        return allGood;
     }
 
     private void add(ChangeLogStore log, LogPosition position) {
@@ -52,14 +52,19 @@
             ChangeLogStore.ChangeReadResult result = log.read(position);
             size = result.change().size();
             verdict = verdict(position, result);
-            content = result.change().hashAfter();
+            contentHash = result.change().hashAfter();
         } catch (IOException e) {
             verdict = "damaged: " + e.getMessage();
-            content = null;
+            contentHash = null;
         }
-        good &= verdict.startsWith(GOOD);
+        allGood &= verdict.startsWith(GOOD);
         previous = position;
-        rows.add(List.of(position.toString(), verdict, size, content == null ? "" : content));
+        rows.add(
+                List.of(
+                        position.toString(),
+                        verdict,
+                        size,
+                        contentHash == null ? "" : contentHash));
     }
 
     private String verdict(LogPosition position, ChangeLogStore.ChangeReadResult result) {
@@ -70,7 +75,7 @@
         if (previous != null && !position.follows(previous)) {
             return "does not follow " + previous;
         }
-        if (content == null || content.equals(change.hashBefore())) {
+        if (contentHash == null || contentHash.equals(change.hashBefore())) {
             return GOOD;
         }
         if (position.epoch() > previous.epoch()) {
@@ -81,6 +86,6 @@
                 + ", and "
                 + previous
                 + " led to "
-                + content;
+                + contentHash;
     }
 }
--- a/src/main/java/tinroad/cli/CheckCommand.java
+++ b/src/main/java/tinroad/cli/CheckCommand.java
@@ -12,30 +12,29 @@
 import tinroad.operator.StateSettings;
 
 /**
- * {@code check}: reads configuration and operator file and says whether a gateway could start with
- * them.
+ * The command {@code check}: reads the configuration and the operator file and checks whether a
+ * gateway could start with them.
  */
 public final class CheckCommand extends GatewayCommand {
-    @Option(name = "--start", usage = "also start a gateway with them, and let it leave at once")
+    @Option(name = "--start", usage = "also start a gateway with them and shut it down at once")
     private boolean start;
 
     @Override
     About about() {
         return new About(
-                "reads configuration and operator file and says whether a gateway could start with"
-                        + " them",
+                "checks whether a gateway could start with a configuration and an operator file",
                 "tinroad check --config deploy/example.json --operator deploy/operator.conf",
-                "0  it could",
+                "0  a gateway could start",
                 "1  the configuration can't be used, or the start failed",
-                "2  wrong arguments, or faults in the operator file, a line for each");
+                "2  wrong arguments, or errors in the operator file, one line each");
     }
 
     @Override
     void run(ConfigFile source, GatewayConfig config, OperatorConfig operator, PrintStream out)
             throws IOException, InterruptedException {
         if (start) {
-            // Guards a gateway that serves there: a second process would take its engine and half
-            // of its clients.
+            // Protects a gateway that already serves there: a second process would take over its
+            // engine and half of its clients.
             if (FastCgiFrontend.isAddressTaken(config.listen(), false)) {
                 throw new IOException(
                         "can't listen on " + config.listen() + ": another process does");
--- a/src/main/java/tinroad/cli/ClassArchive.java
+++ b/src/main/java/tinroad/cli/ClassArchive.java
@@ -7,9 +7,10 @@
 import java.util.Arrays;
 
 /**
- * Whether this process runs from the class-data archive that its command line names. The virtual
- * machine silently ignores an archive that it can't use, such as one of a jar whose time has
- * changed; proc(5) shows whether it is mapped. Guards against starts that are slow unnoticed.
+ * Checks whether this process uses the class-data sharing archive that its command line names. The
+ * virtual machine silently ignores an archive that it can't use, such as one made from a jar whose
+ * modification time has changed; proc(5) shows whether the archive is mapped. Without this check, a
+ * slow start would go unnoticed.
  */
 final class ClassArchive {
     private static final Path ARGUMENTS = Path.of("/proc/self/cmdline");
@@ -19,12 +20,12 @@
     private ClassArchive() {}
 
     /**
-     * Why the archive is not used; null where it is, where none is named, and where the system does
-     * not tell.
+     * Returns why the archive is not used; null if it is used, if none is named, or if the system
+     * does not provide the information.
      */
-    static String unused() {
+    static String reasonUnused() {
         try {
-            return unused(
+            return reasonUnused(
                     Files.readString(ARGUMENTS, StandardCharsets.ISO_8859_1),
                     Files.readString(MAPPED, StandardCharsets.ISO_8859_1));
         } catch (IOException e) {
@@ -32,7 +33,7 @@
         }
     }
 
-    private static String unused(String arguments, String mapped) {
+    private static String reasonUnused(String arguments, String mapped) {
         String archive =
                 Arrays.stream(arguments.split("\0"))
                         .filter(argument -> argument.startsWith(OPTION))
--- a/src/main/java/tinroad/cli/Command.java
+++ b/src/main/java/tinroad/cli/Command.java
@@ -4,31 +4,31 @@
 import java.io.PrintStream;
 import org.kohsuke.args4j.Option;
 
-/** A command of the command line: the parser sets its options, which are annotated fields. */
+/** Base class of commands. The parser sets a command's options, which are annotated fields. */
 abstract class Command {
-    /** Exit status: done. */
+    /** Exit status: success. */
     static final int SUCCESS = 0;
 
-    /** Exit status: could not start, or could not read its input. */
+    /** Exit status: the command could not start or could not read its input. */
     static final int FAILURE = 1;
 
-    /** Exit status: wrong arguments, or an operator file with errors. */
+    /** Exit status: wrong arguments or an operator file with errors. */
     static final int USAGE_ERROR = 2;
 
     @Option(name = "--help", aliases = "-h", help = true, usage = "show this text")
     private boolean help;
 
     /**
-     * What {@code help} prints of a command.
+     * The description of a command that {@code help} prints.
      *
      * @param summary one line, without the command's name
-     * @param example a full command line
-     * @param statuses exit statuses, each with its meaning
+     * @param example a complete command line
+     * @param statuses the exit statuses, each with its meaning
      */
     @SuppressWarnings("ArrayRecordComponent") // Written as varargs, never compared.
     record About(String summary, String example, String... statuses) {}
 
-    /** What {@code help} prints. */
+    /** Returns the description that {@code help} prints. */
     abstract About about();
 
     /** Runs the command and returns the exit status. */
--- a/src/main/java/tinroad/cli/CompletionCommand.java
+++ b/src/main/java/tinroad/cli/CompletionCommand.java
@@ -4,9 +4,9 @@
 import java.io.PrintStream;
 import org.kohsuke.args4j.Argument;
 
-/** {@code completion}: prints a script that has a shell complete the command line. */
+/** The command {@code completion}: prints a script for command-line completion in a shell. */
 public final class CompletionCommand extends Command {
-    /** The shells. */
+    /** The supported shells. */
     public enum Shell {
         BASH,
         ZSH
@@ -18,7 +18,7 @@
     @Override
     About about() {
         return new About(
-                "prints a script that completes command lines",
+                "prints a script for command-line completion in a shell",
                 "eval \"$(tinroad completion bash)\"",
                 "0  printed",
                 "2  wrong arguments");
--- a/src/main/java/tinroad/cli/GatewayCommand.java
+++ b/src/main/java/tinroad/cli/GatewayCommand.java
@@ -12,23 +12,20 @@
 import tinroad.operator.OperatorException;
 
 /**
- * A command that needs a gateway's configuration and operator file: finds and reads them, and
- * prints one line for each error in them.
+ * Base class of commands that need a gateway's configuration and operator file. It finds and reads
+ * them, and prints one line for each error in them.
  */
 abstract class GatewayCommand extends Command {
-    private static final String VARIABLE = "GW_CONFIG";
+    private static final String CONFIG_VARIABLE = "GW_CONFIG";
 
     @Option(
             name = "--config",
             metaVar = "FILE",
-            usage = "the platform's configuration (default: what GW_CONFIG names)")
-    private String file;
+            usage = "the platform's configuration file (default: the file that GW_CONFIG names)")
+    private String configPath;
 
-    @Option(
-            name = "--operator",
-            metaVar = "FILE",
-            usage = "what the operators set beside it (default: none)")
-    private String operator;
+    @Option(name = "--operator", metaVar = "FILE", usage = "the operator file (default: none)")
+    private String operatorPath;
 
     @Override
     final int run(InputStream in, PrintStream out, PrintStream err) {
@@ -38,10 +35,10 @@
             run(source, source.read(null), operatorConfig, out);
             return SUCCESS;
         } catch (OperatorException e) {
-            e.errors().forEach(fault -> err.println("tinroad: " + fault));
+            e.errors().forEach(error -> err.println("tinroad: " + error));
             return USAGE_ERROR;
         } catch (ConfigException e) {
-            e.getMessage().lines().forEach(fault -> err.println("tinroad: " + fault));
+            e.getMessage().lines().forEach(error -> err.println("tinroad: " + error));
         } catch (IOException e) {
             err.println("tinroad: " + e.getMessage());
         } catch (InterruptedException e) {
@@ -53,23 +50,25 @@
     /**
      * Runs the command.
      *
-     * @param operator null if no operator file is named
+     * @param source the file of the configuration, for reading it again
+     * @param operator the operator file's settings; null if no operator file is named
      */
     abstract void run(
             ConfigFile source, GatewayConfig config, OperatorConfig operator, PrintStream out)
             throws IOException, InterruptedException;
 
-    /** The file that {@code --config} or GW_CONFIG names. */
+    /** Returns the file that {@code --config} or GW_CONFIG names. */
     final ConfigFile configFile() throws ConfigException {
-        String path = file != null ? file : System.getenv(VARIABLE);
+        String path = configPath != null ? configPath : System.getenv(CONFIG_VARIABLE);
         if (path == null || path.isEmpty()) {
-            throw new ConfigException("no configuration: give --config FILE or set " + VARIABLE);
+            throw new ConfigException(
+                    "no configuration: give --config FILE or set " + CONFIG_VARIABLE);
         }
         return new ConfigFile(Path.of(path));
     }
 
     /** Reads the operator file; null if none is named. */
     final OperatorConfig readOperator() throws OperatorException {
-        return operator == null ? null : OperatorConfig.read(Path.of(operator));
+        return operatorPath == null ? null : OperatorConfig.read(Path.of(operatorPath));
     }
 }
--- a/src/main/java/tinroad/cli/HangupSignal.java
+++ b/src/main/java/tinroad/cli/HangupSignal.java
@@ -3,12 +3,12 @@
 import org.jline.utils.Signals;
 
 /**
- * SIGHUP of this process, taken over from the virtual machine, which would end on it. One that
- * comes during the start, before there is anything to reload, is kept and counts once there is. Any
- * thread.
+ * The handler of SIGHUP in this process. It replaces the virtual machine's handling, which ends the
+ * process. A signal that arrives during the start, before there is anything to reload, stays
+ * pending until there is. Thread-safe.
  */
 final class HangupSignal {
-    /** What a signal does; null as long as there is nothing to reload. */
+    /** The action on a signal; null as long as there is nothing to reload. */
     private static Runnable reload;
 
     private static boolean pending;
@@ -16,19 +16,19 @@
 
     private HangupSignal() {}
 
-    /** To be called first of all in a process that serves; a second call changes nothing. */
+    /** Installs the handler. Called first in a process that serves; a second call has no effect. */
     static synchronized void takeOver() {
         if (!takenOver) {
             takenOver = Signals.register("HUP", HangupSignal::received) != null;
         }
     }
 
-    /** Whether the signal can be handled here: else it ends this process. */
+    /** Whether the handler is installed; otherwise the signal ends this process. */
     static synchronized boolean isTakenOver() {
         return takenOver;
     }
 
-    /** Sets what each signal does from now on, and does it now where one has come before. */
+    /** Sets the action on each signal, and runs it now if a signal is pending. */
     static synchronized void onReceived(Runnable newReload) {
         reload = newReload;
         if (pending) {
--- a/src/main/java/tinroad/cli/HelpCommand.java
+++ b/src/main/java/tinroad/cli/HelpCommand.java
@@ -4,17 +4,17 @@
 import java.io.PrintStream;
 import org.kohsuke.args4j.Argument;
 
-/** {@code help}: what there is, or what one command does. */
+/** The command {@code help}: lists the commands or describes one of them. */
 public final class HelpCommand extends Command {
-    @Argument(metaVar = "COMMAND", usage = "the command to tell of; without it, all of them")
+    @Argument(metaVar = "COMMAND", usage = "the command to describe (default: all of them)")
     private String name;
 
     @Override
     About about() {
         return new About(
-                "tells what the commands do, and their options",
+                "describes the commands and their options",
                 "tinroad help serve",
-                "0  told",
+                "0  printed",
                 "2  no such command");
     }
 
--- a/src/main/java/tinroad/cli/IgnoredSignals.java
+++ b/src/main/java/tinroad/cli/IgnoredSignals.java
@@ -6,11 +6,11 @@
 import java.nio.file.Path;
 
 /**
- * Which signals this process ignores. The virtual machine keeps some signals ignored that were
- * ignored when it started, without notice; the line {@code SigIgn} of proc(5) shows them.
+ * Detects signals that this process ignores. Some signals that were ignored when the virtual
+ * machine started stay ignored, without notice; the line {@code SigIgn} of proc(5) shows them.
  */
 final class IgnoredSignals {
-    /** Number of SIGHUP. */
+    /** The number of SIGHUP. */
     static final int HUP = 1;
 
     private static final Path STATUS = Path.of("/proc/self/status");
@@ -19,7 +19,10 @@
 
     private IgnoredSignals() {}
 
-    /** Whether the signal with this number is ignored; false if the system does not say. */
+    /**
+     * Whether the signal with this number is ignored; false if the system does not provide the
+     * information.
+     */
     static boolean isIgnored(int number) {
         try {
             return Files.readAllLines(STATUS, StandardCharsets.ISO_8859_1).stream()
--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -37,12 +37,12 @@
 import tinroad.simulation.MembersSweep;
 
 /**
- * {@code lab}: plays a fleet of real gateways with faults between them, and judges what became of
+ * The command {@code lab}: runs a fleet of real gateways under faults, and checks the outcome of
  * every request.
  */
 public final class LabCommand extends Command {
-    /** What to do, by the word typed. */
-    enum Act {
+    /** The actions, named as on the command line. */
+    enum Action {
         RUN,
         MODEL,
         MEMBERS,
@@ -53,84 +53,91 @@
         SOAK
     }
 
-    private static final String SCRIPTS = "lab";
+    private static final String SCRIPTS_FOLDER = "lab";
 
-    /** What the names of scripts of the scale run begin with. */
-    private static final String SWEEPS = "scale-";
+    /** Prefix of the names of scripts for {@code lab scale}. */
+    private static final String SCALE_SCRIPT_PREFIX = "scale-";
 
-    private static final String NONE = "none";
-    private static final double[] LOSSES = {0, 0.05, 0.2, 0.4};
-    private static final String ENDING = ".conf";
+    /** Value of {@code --operator} for no operator file. */
+    private static final String NO_OPERATOR_FILE = "none";
+
+    /** Shares of datagrams lost, for the table of {@code lab members}. */
+    private static final double[] MEMBERS_LOSSES = {0, 0.05, 0.2, 0.4};
+
+    private static final String SCRIPT_EXTENSION = ".conf";
 
     @Argument(
             index = 0,
             metaVar = "run|model|members|compare|scale|list|capacity|soak",
             required = true,
             usage =
-                    "play a script with processes, or on virtual time; a table of the membership on"
-                        + " virtual time; compare two programs; play a sweep of hollow gateways"
-                        + " beside real ones; list the scripts that ship; write a capacity page's"
-                        + " tables from its results; play drawn fleets in which every gateway ends")
-    private Act act;
+                    "run: a script with real processes; model: a script on virtual time; members: a"
+                        + " table of the membership's costs on virtual time; compare: two programs;"
+                        + " scale: a sweep of hollow gateways beside real ones; list: the scripts"
+                        + " that ship; capacity: write a capacity page's tables from its results;"
+                        + " soak: random fleets in which every gateway ends")
+    private Action action;
 
     @Argument(
             index = 1,
             metaVar = "SCRIPT",
-            usage = "a file, or the name of a script that ships; capacity: the page")
+            usage = "a file, or the name of a script that ships; capacity: the page's file")
     private String script;
 
-    @Option(name = "--seed", usage = "decides all that is random")
+    @Option(name = "--seed", usage = "the seed of all random choices")
     private long seed = 1;
 
     @Option(
             name = "--seeds",
             metaVar = "A..B",
             usage =
-                    "compare, soak: the seeds, from A to B (default: 1..5); model: one line of"
-                            + " figures for each of them")
+                    "compare, soak, members: the seeds, from A to B (default: 1..5); model: prints"
+                            + " one line of figures for each seed")
     private String seeds;
 
     @Option(
             name = "--jar",
             metaVar = "FILE",
             usage =
-                    "the gateways' program (default: this one); compare: given twice; scale: may"
-                            + " be, an earlier and a later one in the same fleet")
+                    "the gateways' program (default: this one); compare: given twice; scale: may be"
+                            + " given twice, an earlier and a later program in the same fleet")
     private List<String> jars = new ArrayList<>();
 
     @Option(
             name = "--operator",
             metaVar = "FILE",
             usage =
-                    "the gateways' operator file (default: none); compare: given twice, none stands"
-                            + " for none; scale: once for each --jar")
+                    "the gateways' operator file (default: none); compare: given twice, where none"
+                            + " means no file; scale: once for each --jar")
     private List<String> operators = new ArrayList<>();
 
     @Option(
             name = "--remembers",
             usage =
-                    "model: what a gateway learned lasts over restarts, as the script has its"
+                    "model: stored state lasts over restarts, as the script treats the gateways'"
                             + " folders")
-    private boolean remembers;
+    private boolean statePersists;
 
     @Option(
             name = "--check",
-            usage = "capacity: write nothing, and say what of the page is out of step")
+            usage = "capacity: write nothing, and list what is out of step in the page")
     private boolean check;
 
     @Option(
             name = "--size",
             metaVar = "N",
-            usage = "members: how many, may be given several times (default: 10, 30, 100)")
+            usage =
+                    "members: the number of members, may be given several times (default: 10, 30,"
+                            + " 100)")
     private List<Integer> sizes = new ArrayList<>();
 
     @Option(
             name = "--out",
             metaVar = "DIR",
             usage =
-                    "where results, charts and the gateways' folders are left, of compare each"
-                            + " run's (default: nowhere)")
-    private String folder;
+                    "where to leave results, charts and the gateways' folders; compare: those of"
+                            + " each run (default: nowhere)")
+    private String resultsFolder;
 
     @Option(name = "--output", usage = "table or json")
     private Output output = Output.TABLE;
@@ -138,18 +145,18 @@
     @Override
     About about() {
         return new About(
-                "plays a fleet of real gateways with faults between them",
+                "runs a fleet of real gateways under faults",
                 "tinroad lab run first --seed 3 --out found/first",
-                "0  rules kept",
-                "1  a rule broken, the fleet did not start, a size was not carried, or a page out"
-                        + " of step",
-                "2  wrong arguments, or a script with faults, a line for each");
+                "0  no rule was broken",
+                "1  a rule was broken, the fleet did not start, a size was not carried, or a page"
+                        + " is out of step",
+                "2  wrong arguments, or a script with errors, one line each");
     }
 
     @Override
     int run(InputStream in, PrintStream out, PrintStream err) {
         try {
-            return switch (act) {
+            return switch (action) {
                 case LIST -> list(out);
                 case RUN -> play(out, err);
                 case MODEL -> model(out);
@@ -160,7 +167,7 @@
                 case SOAK -> soak(out);
             };
         } catch (OperatorException e) {
-            e.errors().forEach(fault -> err.println("tinroad: " + fault));
+            e.errors().forEach(error -> err.println("tinroad: " + error));
             return USAGE_ERROR;
         } catch (IllegalArgumentException e) {
             err.println("tinroad: " + e.getMessage());
@@ -175,25 +182,26 @@
 
     private int list(PrintStream out) throws IOException, OperatorException {
         List<List<Object>> rows = new ArrayList<>();
-        try (Stream<Path> files = Files.list(Path.of(SCRIPTS))) {
-            for (Path file : files.filter(f -> f.toString().endsWith(ENDING)).sorted().toList()) {
-                if (file.getFileName().toString().startsWith(SWEEPS)) {
-                    Scale s = ScaleReader.read(file);
+        try (Stream<Path> files = Files.list(Path.of(SCRIPTS_FOLDER))) {
+            for (Path file :
+                    files.filter(f -> f.toString().endsWith(SCRIPT_EXTENSION)).sorted().toList()) {
+                if (file.getFileName().toString().startsWith(SCALE_SCRIPT_PREFIX)) {
+                    Scale scaleScript = ScaleReader.read(file);
                     rows.add(
                             List.of(
-                                    file.getFileName().toString().replace(ENDING, ""),
-                                    s.held().gateways(),
-                                    s.sizes().size() * s.seconds() / 1000,
-                                    s.title()));
+                                    file.getFileName().toString().replace(SCRIPT_EXTENSION, ""),
+                                    scaleScript.held().gateways(),
+                                    scaleScript.sizes().size() * scaleScript.seconds() / 1000,
+                                    scaleScript.title()));
                     continue;
                 }
-                Script s = ScriptReader.read(file);
+                Script labScript = ScriptReader.read(file);
                 rows.add(
                         List.of(
-                                file.getFileName().toString().replace(ENDING, ""),
-                                s.fleet().gateways(),
-                                s.length() / 1000,
-                                s.title()));
+                                file.getFileName().toString().replace(SCRIPT_EXTENSION, ""),
+                                labScript.fleet().gateways(),
+                                labScript.length() / 1000,
+                                labScript.title()));
             }
         }
         output.print(List.of("script", "gateways", "seconds", "title"), rows, out);
@@ -208,14 +216,15 @@
         if (script == null) {
             throw new IllegalArgumentException(
                     "lab "
-                            + act.name().toLowerCase(Locale.ROOT)
-                            + " needs a SCRIPT ('tinroad help lab' tells more)");
+                            + action.name().toLowerCase(Locale.ROOT)
+                            + " needs a SCRIPT (see 'tinroad help lab')");
         }
-        Path shipped = Path.of(SCRIPTS, script + ENDING);
+        Path shipped = Path.of(SCRIPTS_FOLDER, script + SCRIPT_EXTENSION);
         return !script.contains("/") && Files.exists(shipped) ? shipped : Path.of(script);
     }
 
-    private static String self() {
+    /** Returns the path of the running program. */
+    private static String ownJar() {
         try {
             return Path.of(
                             LabCommand.class
@@ -225,63 +234,72 @@
                                     .toURI())
                     .toString();
         } catch (URISyntaxException e) {
-            // Can't happen: it is the address of a file.
+            // Can't happen: the location is the URL of a file.
             throw new IllegalStateException(e);
         }
     }
 
     private String jar(int program) {
-        return jars.isEmpty() ? self() : jars.get(program);
+        return jars.isEmpty() ? ownJar() : jars.get(program);
     }
 
     private Path operator(int program) {
-        String file = program < operators.size() ? operators.get(program) : NONE;
-        if (!file.equals(NONE) && !Files.isReadable(Path.of(file))) {
+        String file = program < operators.size() ? operators.get(program) : NO_OPERATOR_FILE;
+        if (!file.equals(NO_OPERATOR_FILE) && !Files.isReadable(Path.of(file))) {
             throw new IllegalArgumentException("--operator " + file + ": can't be read");
         }
-        return file.equals(NONE) ? null : Path.of(file);
+        return file.equals(NO_OPERATOR_FILE) ? null : Path.of(file);
     }
 
-    private Report once(Script played, long number, int program, Path left, PrintStream progress)
+    /**
+     * Runs a script once with real processes.
+     *
+     * @param program the index of the program in {@code --jar} and {@code --operator}
+     * @param runFolder where to leave the results; null to leave none
+     * @param progress receives progress messages; may be null
+     */
+    private Report runOnce(
+            Script labScript, long runSeed, int program, Path runFolder, PrintStream progress)
             throws IOException, InterruptedException {
-        Path work = left == null ? Files.createTempDirectory("tinroad-lab") : left;
+        Path workFolder = runFolder == null ? Files.createTempDirectory("tinroad-lab") : runFolder;
         try (Lab lab =
                 new Lab(
-                        Plan.of(played, number),
+                        Plan.of(labScript, runSeed),
                         new Lab.Options(
                                 jar(program),
-                                work,
+                                workFolder,
                                 operator(program),
                                 progress,
                                 World.Mutant.NONE))) {
             Report report = new Report(lab.play());
-            if (left != null) {
-                report.write(left);
+            if (runFolder != null) {
+                report.write(runFolder);
             }
             return report;
         } finally {
-            if (left == null) {
-                Lab.delete(work);
+            if (runFolder == null) {
+                Lab.delete(workFolder);
             }
         }
     }
 
-    /** This program's own gateways on virtual time, in this process. */
+    /** Runs a script with this program's own gateways on virtual time, in this process. */
     private int model(PrintStream out) throws IOException, OperatorException {
         if (seeds != null) {
-            Script played = script();
-            long broken = 0;
-            for (long number : range()) {
+            Script labScript = script();
+            long brokenRules = 0;
+            for (long runSeed : seedRange()) {
                 Report report =
-                        new Report(new FleetModel(Plan.of(played, number), remembers).play());
+                        new Report(
+                                new FleetModel(Plan.of(labScript, runSeed), statePersists).play());
                 out.println(report.line());
-                broken += report.broken().size();
+                brokenRules += report.broken().size();
             }
-            return broken == 0 ? SUCCESS : FAILURE;
+            return brokenRules == 0 ? SUCCESS : FAILURE;
         }
-        Report report = new Report(new FleetModel(Plan.of(script(), seed), remembers).play());
-        if (folder != null) {
-            report.write(Path.of(folder));
+        Report report = new Report(new FleetModel(Plan.of(script(), seed), statePersists).play());
+        if (resultsFolder != null) {
+            report.write(Path.of(resultsFolder));
         }
         print(report, out);
         out.println(report.fates());
@@ -289,42 +307,51 @@
     }
 
     /**
-     * What the membership costs and finds, against size and loss; beside it the rules without the
-     * additions.
+     * Prints the costs and detection times of the membership by size and loss, compared with plain
+     * SWIM without its extensions.
      */
     private int members(PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
         for (int size : sizes.isEmpty() ? List.of(10, 30, 100) : sizes) {
-            for (double loss : LOSSES) {
+            for (double loss : MEMBERS_LOSSES) {
                 rows.add(
                         MembersSweep.row(
-                                "lifeguard", MembershipConfig.DEFAULT, size, loss, range()));
+                                "lifeguard", MembershipConfig.DEFAULT, size, loss, seedRange()));
                 rows.add(
-                        MembersSweep.row("plain", MembershipConfig.SWIM_2002, size, loss, range()));
+                        MembersSweep.row(
+                                "plain", MembershipConfig.SWIM_2002, size, loss, seedRange()));
             }
         }
         output.print(MembersSweep.NAMES, rows, out);
         return SUCCESS;
     }
 
-    /** Writes or checks the tables of a page; what is out of step is a line each. */
+    /**
+     * Writes or checks the tables of a capacity page; each part that is out of step is one line.
+     */
     private int capacity(PrintStream err) throws IOException, OperatorException {
         if (script == null) {
             throw new IllegalArgumentException(
-                    "lab capacity needs a PAGE ('tinroad help lab' tells more)");
+                    "lab capacity needs a PAGE (see 'tinroad help lab')");
         }
         if (!check) {
             CapacityPage.write(Path.of(script));
             return SUCCESS;
         }
-        List<ValidationError> found = CapacityPage.check(Path.of(script));
-        found.forEach(fault -> err.println("tinroad: " + fault));
-        return found.isEmpty() ? SUCCESS : FAILURE;
+        List<ValidationError> errors = CapacityPage.check(Path.of(script));
+        errors.forEach(error -> err.println("tinroad: " + error));
+        return errors.isEmpty() ? SUCCESS : FAILURE;
     }
 
     private int play(PrintStream out, PrintStream err)
             throws IOException, InterruptedException, OperatorException {
-        Report report = once(script(), seed, 0, folder == null ? null : Path.of(folder), err);
+        Report report =
+                runOnce(
+                        script(),
+                        seed,
+                        0,
+                        resultsFolder == null ? null : Path.of(resultsFolder),
+                        err);
         print(report, out);
         if (!(boolean) report.figures().get("counts")) {
             err.println(
@@ -335,38 +362,41 @@
         report.broken().stream()
                 .limit(5)
                 .forEach(
-                        b -> {
-                            err.println("broken: " + b.rule() + ": " + b.what());
-                            b.way().forEach(err::println);
+                        violation -> {
+                            err.println("broken: " + violation.rule() + ": " + violation.what());
+                            violation.way().forEach(err::println);
                         });
         out.println(report.fates());
         return report.broken().isEmpty() ? SUCCESS : FAILURE;
     }
 
-    /** A row for each seed; the folders of runs that are not kept stay with --out. */
+    /**
+     * Prints a line for each seed. With {@code --out}, the folders of runs that did not pass are
+     * left.
+     */
     private int soak(PrintStream out) throws IOException, InterruptedException {
-        long broken = 0;
-        for (long number : range()) {
-            Path left =
-                    folder == null
+        long brokenRuns = 0;
+        for (long runSeed : seedRange()) {
+            Path runFolder =
+                    resultsFolder == null
                             ? Files.createTempDirectory("tinroad-soak")
-                            : Path.of(folder, "seed-" + number);
-            SoakRun run = SoakRun.play(number, jar(0), left);
+                            : Path.of(resultsFolder, "seed-" + runSeed);
+            SoakRun run = SoakRun.play(runSeed, jar(0), runFolder);
             SoakVerdict.Outcome outcome = run.verdict().outcome();
             out.printf(
                     Locale.ROOT,
                     "seed %d: %s, lab late by %.0f ms, %d requests%n",
-                    number,
+                    runSeed,
                     outcome.name().toLowerCase(Locale.ROOT),
                     run.verdict().lateMillis(),
                     run.requests());
             run.verdict().faults().forEach(fault -> out.println("  " + fault));
-            broken += outcome == SoakVerdict.Outcome.BROKEN ? 1 : 0;
-            if (folder == null || outcome == SoakVerdict.Outcome.KEPT) {
-                Lab.delete(left);
+            brokenRuns += outcome == SoakVerdict.Outcome.BROKEN ? 1 : 0;
+            if (resultsFolder == null || outcome == SoakVerdict.Outcome.KEPT) {
+                Lab.delete(runFolder);
             }
         }
-        return broken == 0 ? SUCCESS : FAILURE;
+        return brokenRuns == 0 ? SUCCESS : FAILURE;
     }
 
     private void print(Report report, PrintStream out) {
@@ -385,7 +415,7 @@
                 : value.toString();
     }
 
-    private long[] range() {
+    private long[] seedRange() {
         String text = seeds == null ? "1..5" : seeds;
         if (!text.matches("\\d{1,6}\\.\\.\\d{1,6}")) {
             throw new IllegalArgumentException("--seeds must be A..B; found " + text);
@@ -398,27 +428,30 @@
         return LongStream.rangeClosed(first, last).toArray();
     }
 
-    /** A sweep; with --out its points, fits and charts are added to those in the folder. */
+    /**
+     * Runs a sweep. With {@code --out}, its points, fits and charts are added to those in the
+     * folder.
+     */
     private int scale(PrintStream out, PrintStream err)
             throws IOException, InterruptedException, OperatorException {
-        Scale played = ScaleReader.read(scriptFile());
-        List<String> programs = jars.isEmpty() ? List.of(self()) : jars;
-        Path work = Files.createTempDirectory("tinroad-scale");
+        Scale scaleScript = ScaleReader.read(scriptFile());
+        List<String> programs = jars.isEmpty() ? List.of(ownJar()) : jars;
+        Path workFolder = Files.createTempDirectory("tinroad-scale");
         try {
             Sweep sweep =
                     new ScaleRun(
-                                    played,
+                                    scaleScript,
                                     new ScaleRun.Options(
-                                            self(),
+                                            ownJar(),
                                             programs,
                                             IntStream.range(0, programs.size())
                                                     .mapToObj(this::operator)
                                                     .toList(),
-                                            work,
+                                            workFolder,
                                             err))
                             .play();
-            if (folder != null) {
-                sweep.write(Path.of(folder));
+            if (resultsFolder != null) {
+                sweep.write(Path.of(resultsFolder));
             }
             if (output == Output.JSON) {
                 sweep.json().forEach(out::println);
@@ -430,7 +463,7 @@
             }
             return sweep.refused() ? FAILURE : SUCCESS;
         } finally {
-            Lab.delete(work);
+            Lab.delete(workFolder);
         }
     }
 
@@ -439,31 +472,31 @@
         if (jars.size() != 2) {
             throw new IllegalArgumentException("compare needs --jar twice");
         }
-        Script played = script();
+        Script labScript = script();
         Comparison comparison = new Comparison();
-        long broken = 0;
-        for (long number : range()) {
-            Map<String, Report> both = new LinkedHashMap<>();
+        long brokenRules = 0;
+        for (long runSeed : seedRange()) {
+            Map<String, Report> reports = new LinkedHashMap<>();
             for (int program = 0; program < jars.size(); program++) {
                 Report report =
-                        once(
-                                played,
-                                number,
+                        runOnce(
+                                labScript,
+                                runSeed,
                                 program,
-                                folder == null
+                                resultsFolder == null
                                         ? null
                                         : Path.of(
-                                                folder,
+                                                resultsFolder,
                                                 "seed-"
-                                                        + number
+                                                        + runSeed
                                                         + "-"
                                                         + (program == 0 ? "first" : "second")),
                                 null);
-                broken += report.broken().size();
-                both.put(both.isEmpty() ? "a" : "b", report);
+                brokenRules += report.broken().size();
+                reports.put(reports.isEmpty() ? "a" : "b", report);
                 err.println(
                         "seed "
-                                + number
+                                + runSeed
                                 + ", "
                                 + jars.get(program)
                                 + ": "
@@ -472,12 +505,12 @@
                                         ? ""
                                         : "; late: does not count"));
             }
-            comparison.add(both.get("a"), both.get("b"));
+            comparison.add(reports.get("a"), reports.get("b"));
         }
         output.print(
                 List.of("figure", "first", "second", "low", "high", "pairs", "verdict"),
                 comparison.rows(),
                 out);
-        return broken == 0 ? SUCCESS : FAILURE;
+        return brokenRules == 0 ? SUCCESS : FAILURE;
     }
 }
--- a/src/main/java/tinroad/cli/Main.java
+++ b/src/main/java/tinroad/cli/Main.java
@@ -16,7 +16,7 @@
 public final class Main {
     private static final String SERVE = "serve";
 
-    /** All commands by the word typed, in the order of {@code help}. */
+    /** All commands by name, in the order in which {@code help} lists them. */
     static final Map<String, Supplier<Command>> COMMANDS = new LinkedHashMap<>();
 
     static {
@@ -46,7 +46,7 @@
 
     static int run(String[] args, InputStream in, PrintStream out, PrintStream err) {
         if (args.length == 0) {
-            err.println("tinroad: no command" + commands());
+            err.println("tinroad: no command" + listCommands());
             return Command.USAGE_ERROR;
         }
         if (args[0].equals("--help") || args[0].equals("-h")) {
@@ -64,9 +64,9 @@
             err.println(
                     "tinroad: "
                             + e.getMessage().replaceAll("\\s+", " ")
-                            + " ('tinroad help "
+                            + " (see 'tinroad help "
                             + args[0]
-                            + "' tells more)");
+                            + "')");
             return Command.USAGE_ERROR;
         }
         if (command.helpRequested()) {
@@ -83,11 +83,11 @@
                         + name
                         + "'"
                         + (suggestion == null ? "" : ": is '" + suggestion + "' meant?")
-                        + commands());
+                        + listCommands());
         return Command.USAGE_ERROR;
     }
 
-    private static String commands() {
+    private static String listCommands() {
         return " (commands: " + String.join(", ", COMMANDS.keySet()) + ")";
     }
 }
--- a/src/main/java/tinroad/cli/MembersCommand.java
+++ b/src/main/java/tinroad/cli/MembersCommand.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/** {@code members}: prints the fleet as a running gateway sees it, from its admin endpoint. */
+/** The command {@code members}: prints the fleet as known to a running gateway. */
 public final class MembersCommand extends Command {
     @Option(
             name = "--control",
             metaVar = "ADDRESS:PORT",
             required = true,
-            usage = "the gateway's operators' door")
+            usage = "the gateway's admin endpoint")
     private String control;
 
     @Option(name = "--output", usage = "table or json")
@@ -23,10 +23,10 @@
     @Override
     About about() {
         return new About(
-                "asks a running gateway whom it knows of its fleet",
+                "prints the members of the fleet that a running gateway knows",
                 "tinroad members --control 127.0.0.1:10250",
                 "0  printed",
-                "1  no answer, or it speaks with no others",
+                "1  no answer, or the gateway does not communicate with others",
                 "2  wrong arguments");
     }
 
@@ -37,12 +37,12 @@
                 "/api/members",
                 "members",
                 err,
-                (JsonNode answer) -> {
-                    if (!answer.path("members").isArray()) {
-                        throw new IOException(answer.isMissingNode() ? "not JSON" : "no members");
+                (JsonNode body) -> {
+                    if (!body.path("members").isArray()) {
+                        throw new IOException(body.isMissingNode() ? "not JSON" : "no members");
                     }
                     List<List<Object>> rows = new ArrayList<>();
-                    answer.path("members")
+                    body.path("members")
                             .forEach(
                                     member ->
                                             rows.add(
--- a/src/main/java/tinroad/cli/MetricsCommand.java
+++ b/src/main/java/tinroad/cli/MetricsCommand.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/** {@code figures}: prints metrics of a running gateway, from its admin endpoint. */
+/** The command {@code figures}: prints metrics of a running gateway, from its admin endpoint. */
 public final class MetricsCommand extends Command {
     @Option(
             name = "--control",
             metaVar = "ADDRESS:PORT",
             required = true,
-            usage = "the gateway's operators' door")
+            usage = "the gateway's admin endpoint")
     private String control;
 
-    /** What to print, by the word typed, and the path where it is. */
+    /** The topics, named as on the command line, and their paths at the admin endpoint. */
     enum Topic {
         ANSWERS("/api/telemetry"),
         RECOVERY("/api/recovery"),
@@ -33,8 +33,9 @@
     @Option(
             name = "--of",
             usage =
-                    "answers: what it has done so far; recovery: how it comes back, and what it"
-                            + " remembers; settings: which classes and tenants are in force")
+                    "answers: numbers of replies by class and result; recovery: the state of"
+                            + " recovery and the restored values; settings: the version of classes"
+                            + " and tenants in force")
     private Topic topic = Topic.ANSWERS;
 
     @Option(name = "--output", usage = "table or json")
@@ -43,10 +44,10 @@
     @Override
     About about() {
         return new About(
-                "asks a running gateway what it has done so far",
+                "prints metrics of a running gateway",
                 "tinroad figures --control 127.0.0.1:10250 --output json",
                 "0  printed",
-                "1  no answer, or no figures",
+                "1  no answer, or an answer without metrics",
                 "2  wrong arguments");
     }
 
@@ -59,16 +60,17 @@
                 err,
                 metrics -> {
                     if (metrics.path(topic == Topic.RECOVERY ? "phase" : "hash").isTextual()) {
-                        values(metrics, out);
+                        printValues(metrics, out);
                     } else if (metrics.path("success").isObject()) {
-                        answers(metrics, out);
+                        printReplies(metrics, out);
                     } else {
                         throw new IOException("no figures");
                     }
                 });
     }
 
-    private void answers(JsonNode metrics, PrintStream out) {
+    /** Prints the numbers of replies of each class, by result. */
+    private void printReplies(JsonNode metrics, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
         metrics.get("success")
                 .fieldNames()
@@ -83,11 +85,8 @@
         output.print(List.of("class", "success", "busy", "failure"), rows, out);
     }
 
-    /**
-     * Each value by its name; of recovery, the values restored from an earlier incarnation come
-     * last.
-     */
-    private void values(JsonNode metrics, PrintStream out) {
+    /** Prints each value with its name; values restored from an earlier incarnation come last. */
+    private void printValues(JsonNode metrics, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
         metrics.properties()
                 .forEach(
--- a/src/main/java/tinroad/cli/Output.java
+++ b/src/main/java/tinroad/cli/Output.java
@@ -12,28 +12,28 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** How a command prints rows. */
+/** The formats in which a command prints rows. */
 public enum Output {
-    /** Columns, for people. */
+    /** A table of aligned columns, for people. */
     TABLE,
-    /** An array of objects, for programs. */
+    /** A JSON array of objects, for programs. */
     JSON;
 
-    /** Prints rows of texts and numbers under these names; an absent value is null. */
-    void print(List<String> names, List<List<Object>> rows, PrintStream out) {
-        out.println(this == TABLE ? table(names, rows) : json(names, rows));
+    /** Prints rows of texts and numbers under these column names; an absent value is null. */
+    void print(List<String> columnNames, List<List<Object>> rows, PrintStream out) {
+        out.println(this == TABLE ? table(columnNames, rows) : json(columnNames, rows));
     }
 
-    private static String table(List<String> names, List<List<Object>> rows) {
-        Column[] columns = new Column[names.size()];
+    private static String table(List<String> columnNames, List<List<Object>> rows) {
+        Column[] columns = new Column[columnNames.size()];
         for (int i = 0; i < columns.length; i++) {
-            columns[i] = column(names.get(i), i, rows);
+            columns[i] = column(columnNames.get(i), i, rows);
         }
-        Object[][] cells = rows.stream().map(Output::texts).toArray(Object[][]::new);
+        Object[][] cells = rows.stream().map(Output::cellTexts).toArray(Object[][]::new);
         return AsciiTable.getTable(AsciiTable.NO_BORDERS, columns, cells).stripTrailing();
     }
 
-    /** Columns that hold a number are aligned to the right. */
+    /** Returns a column's format: a column that has numbers is aligned to the right. */
     private static Column column(String name, int index, List<List<Object>> rows) {
         boolean numeric = rows.stream().anyMatch(row -> row.get(index) instanceof Number);
         return new Column()
@@ -42,19 +42,19 @@
                 .dataAlign(numeric ? HorizontalAlign.RIGHT : HorizontalAlign.LEFT);
     }
 
-    private static Object[] texts(List<Object> row) {
+    private static Object[] cellTexts(List<Object> row) {
         return row.stream().map(value -> value == null ? "-" : value.toString()).toArray();
     }
 
-    private static String json(List<String> names, List<List<Object>> rows) {
+    private static String json(List<String> columnNames, List<List<Object>> rows) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json =
                 new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
             json.writeStartArray();
             for (List<Object> row : rows) {
                 json.writeStartObject();
-                for (int i : IntStream.range(0, names.size()).toArray()) {
-                    json.writeFieldName(names.get(i));
+                for (int i : IntStream.range(0, columnNames.size()).toArray()) {
+                    json.writeFieldName(columnNames.get(i));
                     Object value = row.get(i);
                     if (value instanceof Long || value instanceof Integer) {
                         json.writeNumber(((Number) value).longValue());
@@ -68,7 +68,7 @@
             }
             json.writeEndArray();
         } catch (IOException e) {
-            // Can't happen: the text is memory.
+            // Can't happen: the writer is in memory.
             throw new UncheckedIOException(e);
         }
         return text.toString();
--- a/src/main/java/tinroad/cli/ProcessLog.java
+++ b/src/main/java/tinroad/cli/ProcessLog.java
@@ -7,8 +7,8 @@
 import tinroad.operator.OperatorConfig;
 
 /**
- * The log output of this process as the operator file configures it; without one it stays as the
- * command line has it.
+ * The log output of this process, as configured by the operator file. Without an operator file, the
+ * output of the plain back end is left as it is.
  */
 final class ProcessLog {
     private final LogConfigurator configurator;
@@ -18,7 +18,7 @@
     }
 
     static ProcessLog of(OperatorConfig operator) {
-        // The plain back end, as in a test that runs commands, has nothing to configure.
+        // The plain back end, which tests that run commands use, has nothing to configure.
         if (operator == null || !(LoggerFactory.getILoggerFactory() instanceof LoggerContext)) {
             return new ProcessLog(null);
         }
--- a/src/main/java/tinroad/cli/ServeCommand.java
+++ b/src/main/java/tinroad/cli/ServeCommand.java
@@ -14,18 +14,18 @@
 import tinroad.operator.OperatorException;
 import tinroad.operator.StateSettings;
 
-/** {@code serve}: one gateway, until SIGTERM. SIGHUP reloads its files. */
+/** The command {@code serve}: runs one gateway until SIGTERM. SIGHUP reloads its files. */
 public final class ServeCommand extends GatewayCommand {
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
     @Override
     About about() {
         return new About(
-                "serves as one gateway until SIGTERM; SIGHUP has it read its files again",
+                "runs a gateway until SIGTERM; SIGHUP reloads its files",
                 "tinroad serve --config deploy/example.json --operator deploy/operator.conf",
-                "0  left when it was told to",
+                "0  shut down as requested",
                 "1  could not start",
-                "2  wrong arguments, or faults in the operator file, a line for each");
+                "2  wrong arguments, or errors in the operator file, one line each");
     }
 
     @Override
@@ -39,7 +39,7 @@
                         operator == null ? StateSettings.NONE : operator.state(),
                         operator == null ? FleetSettings.NONE : operator.fleet(),
                         operator == null ? CatalogSettings.DEFAULT : operator.catalog())) {
-            // First: without handlers the virtual machine ends on these signals.
+            // Done first, because the virtual machine ends on these signals without handlers.
             if (!shutDownOnSigterm(node, processLog)) {
                 return;
             }
@@ -52,12 +52,12 @@
                         "SIGHUP is ignored, as this process was started so: the configuration is"
                                 + " read again only while the engine is gone");
             }
-            String unused = ClassArchive.unused();
-            if (unused != null) {
+            String reasonUnused = ClassArchive.reasonUnused();
+            if (reasonUnused != null) {
                 LOG.warn(
                         "started without the archive of classes: {}; deploy/share-classes.sh makes"
                                 + " it anew",
-                        unused);
+                        reasonUnused);
             }
             node.warmUpJit();
             if (node.start().isPresent()) {
@@ -68,7 +68,10 @@
         }
     }
 
-    /** Shuts the gateway down gracefully on SIGTERM; false if the process is already ending. */
+    /**
+     * Registers a graceful shutdown of the gateway on SIGTERM; returns false if the process is
+     * already ending.
+     */
     private static boolean shutDownOnSigterm(GatewayNode node, ProcessLog processLog) {
         try {
             Runtime.getRuntime()
@@ -81,20 +84,20 @@
                                     "leave"));
             return true;
         } catch (IllegalStateException e) {
-            // Nothing listens yet, so there is nothing to drain.
+            // The gateway does not listen yet, so there is nothing to drain.
             return false;
         }
     }
 
     /**
-     * Reloads both files. A file that is missing, half written or not valid is reported, and the
-     * last good one stays in force.
+     * Reloads both files. If a file is missing, partly written or invalid, this is logged, and its
+     * last valid content stays in force.
      */
     private synchronized void reload(GatewayNode node, ConfigFile source, ProcessLog processLog) {
         try {
             node.reload(source);
         } catch (ConfigException e) {
-            e.getMessage().lines().forEach(fault -> LOG.warn("configuration kept: {}", fault));
+            e.getMessage().lines().forEach(error -> LOG.warn("configuration kept: {}", error));
         }
         try {
             OperatorConfig operator = readOperator();
--- a/src/main/java/tinroad/cli/SimulatorCommand.java
+++ b/src/main/java/tinroad/cli/SimulatorCommand.java
@@ -6,14 +6,17 @@
 import tinroad.overload.OverloadController;
 import tinroad.simulator.SimulatorAdapter;
 
-/** {@code wirehost}: runs controllers for the simulator, on standard input and output. */
+/**
+ * The command {@code wirehost}: runs overload controllers for the simulator, on standard input and
+ * output.
+ */
 public final class SimulatorCommand extends Command {
     @Override
     About about() {
         return new About(
-                "hosts the decision module for the simulator, on standard input and output",
+                "runs overload controllers for the simulator, on standard input and output",
                 "tinroad wirehost",
-                "0  the input ended where it may",
+                "0  the input ended between two batches",
                 "1  the input could not be read");
     }
 
--- a/src/main/java/tinroad/cli/StateCommand.java
+++ b/src/main/java/tinroad/cli/StateCommand.java
@@ -15,9 +15,9 @@
 import tinroad.state.SnapshotSelector;
 import tinroad.state.SnapshotStore;
 
-/** {@code state}: shows or checks the snapshots in a state folder; reads only. */
+/** The command {@code state}: shows or checks the snapshots in a state folder; only reads. */
 public final class StateCommand extends Command {
-    /** What to do, by the word typed. */
+    /** The actions, named as on the command line. */
     enum Action {
         SHOW,
         VERIFY
@@ -27,10 +27,10 @@
             index = 0,
             metaVar = "show|verify",
             required = true,
-            usage = "show what the latest snapshot holds, or check all of them")
+            usage = "show the content of the latest snapshot, or check all snapshots")
     private Action action;
 
-    @Argument(index = 1, metaVar = "FOLDER", required = true, usage = "the folder of state")
+    @Argument(index = 1, metaVar = "FOLDER", required = true, usage = "the state folder")
     private String folder;
 
     @Option(name = "--output", usage = "table or json")
@@ -39,7 +39,7 @@
     @Override
     About about() {
         return new About(
-                "shows or checks what lasts of a gateway in a folder",
+                "shows or checks the snapshots of a gateway in a state folder",
                 "tinroad state show /var/lib/tinroad/n3",
                 "0  every file can be used",
                 "1  a file is damaged or of a later version, or there is none",
@@ -54,17 +54,19 @@
             return FAILURE;
         }
         try {
-            List<SnapshotSelector.Candidate> found = new SnapshotStore(path, null, 1).candidates();
-            if (found.isEmpty()) {
+            List<SnapshotSelector.Candidate> candidates =
+                    new SnapshotStore(path, null, 1).candidates();
+            if (candidates.isEmpty()) {
                 err.println("tinroad: " + folder + ": no state");
                 return FAILURE;
             }
             if (action == Action.VERIFY) {
-                verify(found, out);
+                verify(candidates, out);
             } else {
-                show(found, out);
+                show(candidates, out);
             }
-            return found.stream().allMatch(candidate -> candidate.readResult().usable().isPresent())
+            return candidates.stream()
+                            .allMatch(candidate -> candidate.readResult().usable().isPresent())
                     ? SUCCESS
                     : FAILURE;
         } catch (IOException e) {
@@ -73,10 +75,10 @@
         }
     }
 
-    private void verify(List<SnapshotSelector.Candidate> found, PrintStream out) {
+    private void verify(List<SnapshotSelector.Candidate> candidates, PrintStream out) {
         List<List<Object>> rows = new ArrayList<>();
-        for (SnapshotSelector.Candidate candidate : found) {
-            // No switch over patterns in Java 17.
+        for (SnapshotSelector.Candidate candidate : candidates) {
+            // Java 17 has no pattern matching for switch.
             if (candidate.readResult() instanceof SnapshotReadResult.Rejected rejected) {
                 rows.add(List.of(candidate.file(), rejected.description(), "", 0, 0, 0));
             } else if (candidate.readResult() instanceof SnapshotReadResult.Usable usable) {
@@ -94,10 +96,16 @@
         output.print(List.of("file", "is", "gateway", "life", "values", "ran"), rows, out);
     }
 
-    private void show(List<SnapshotSelector.Candidate> found, PrintStream out) {
+    private void show(List<SnapshotSelector.Candidate> candidates, PrintStream out) {
         double nowMillis = System.currentTimeMillis();
         Snapshot snapshot =
-                SnapshotSelector.select(found, name(found), nowMillis, Double.MAX_VALUE, 0, 0)
+                SnapshotSelector.select(
+                                candidates,
+                                gatewayName(candidates),
+                                nowMillis,
+                                Double.MAX_VALUE,
+                                0,
+                                0)
                         .snapshot()
                         .orElse(null);
         List<List<Object>> rows = new ArrayList<>();
@@ -126,8 +134,9 @@
         output.print(List.of("what", "value", "weight", "age_s", "life"), rows, out);
     }
 
-    private static String name(List<SnapshotSelector.Candidate> found) {
-        return found.stream()
+    /** Returns the gateway's name in the last usable snapshot, or "". */
+    private static String gatewayName(List<SnapshotSelector.Candidate> candidates) {
+        return candidates.stream()
                 .flatMap(candidate -> candidate.readResult().usable().stream())
                 .map(Snapshot::name)
                 .reduce("", (a, b) -> b);
--- a/src/main/java/tinroad/cli/Usage.java
+++ b/src/main/java/tinroad/cli/Usage.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.NamedOptionDef;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Help texts and completion scripts, made from what the parser knows of the commands. */
+/** Help texts and completion scripts, generated from the commands' annotations. */
 final class Usage {
     private static final int WIDTH_COLUMNS = 110;
 
@@ -20,39 +20,40 @@
                 ParserProperties.defaults().withShowDefaults(true).withUsageWidth(WIDTH_COLUMNS));
     }
 
-    /** All commands. */
+    /** Prints a list of all commands. */
     static void printOverview(PrintStream out) {
         out.println("usage: tinroad COMMAND [OPTIONS]\n\ncommands:");
         Main.COMMANDS.forEach(
-                (name, make) -> out.printf("  %-12s %s%n", name, make.get().about().summary()));
+                (name, factory) ->
+                        out.printf("  %-12s %s%n", name, factory.get().about().summary()));
         out.println(
                 """
 
-                'tinroad help COMMAND' or 'tinroad COMMAND --help' tells of one.
+                'tinroad help COMMAND' or 'tinroad COMMAND --help' describes one command.
 
                 example:
                   tinroad check --config deploy/example.json
 
                 exit status:
                   0  done
-                  1  could not start, or not read its input
-                  2  wrong arguments, or an operator file with faults\
+                  1  could not start, or could not read its input
+                  2  wrong arguments, or an operator file with errors\
                 """);
     }
 
-    /** One command. */
+    /** Prints the description and the options of one command. */
     static void printCommand(String name, PrintStream out) {
         Command command = Main.COMMANDS.get(name).get();
         Command.About about = command.about();
         CmdLineParser parser = parser(command);
-        StringWriter line = new StringWriter();
-        parser.printSingleLineUsage(line, null);
+        StringWriter usageLine = new StringWriter();
+        parser.printSingleLineUsage(usageLine, null);
         StringWriter options = new StringWriter();
         parser.printUsage(options, null);
         out.println(
                 "usage: tinroad "
                         + name
-                        + line
+                        + usageLine
                         + "\n\n"
                         + about.summary()
                         + "\n\noptions:\n"
@@ -72,12 +73,12 @@
                 .toList();
     }
 
-    /** A script that completes command lines in {@code shell}: bash or zsh. */
+    /** Returns a script for command-line completion in {@code shell}, which is bash or zsh. */
     static String completion(String shell) {
-        String names = String.join(" ", Main.COMMANDS.keySet());
+        String commands = String.join(" ", Main.COMMANDS.keySet());
         String cases =
                 Main.COMMANDS.keySet().stream()
-                        .map(name -> "    " + name + ") words=\"" + words(name, names) + "\" ;;")
+                        .map(name -> "    " + name + ") words=\"" + words(name, commands) + "\" ;;")
                         .collect(Collectors.joining("\n"));
         String bash =
                 """
@@ -100,21 +101,22 @@
                 }
                 complete -F _tinroad tinroad
                 """
-                        .formatted(names, cases);
+                        .formatted(commands, cases);
         return shell.equals("zsh")
                 ? "#compdef tinroad\nautoload -U +X bashcompinit && bashcompinit\n" + bash
                 : bash;
     }
 
-    private static String words(String name, String names) {
-        String own = String.join(" ", options(name));
+    /** Returns the words that may follow the name of a command. */
+    private static String words(String name, String commands) {
+        String ownOptions = String.join(" ", options(name));
         return switch (name) {
-            case "help" -> names + " " + own;
-            case "state" -> "show verify " + own;
-            case "catalog" -> "show diff check publish " + own;
-            case "lab" -> "run compare scale capacity list " + own;
-            case "completion" -> "bash zsh " + own;
-            default -> own;
+            case "help" -> commands + " " + ownOptions;
+            case "state" -> "show verify " + ownOptions;
+            case "catalog" -> "show diff check publish " + ownOptions;
+            case "lab" -> "run compare scale capacity list " + ownOptions;
+            case "completion" -> "bash zsh " + ownOptions;
+            default -> ownOptions;
         };
     }
 }
--- a/src/main/java/tinroad/cli/VersionCommand.java
+++ b/src/main/java/tinroad/cli/VersionCommand.java
@@ -3,7 +3,7 @@
 import java.io.InputStream;
 import java.io.PrintStream;
 
-/** {@code version}: prints the program's name and version. */
+/** The command {@code version}: prints the program's name and version. */
 public final class VersionCommand extends Command {
     @Override
     About about() {
--- a/src/main/java/tinroad/config/GatewayConfig.java
+++ b/src/main/java/tinroad/config/GatewayConfig.java
@@ -98,7 +98,7 @@
         } catch (NumberFormatException e) {
             // Reported below like any other malformed address.
         }
-        throw new ConfigException("config: " + field + " is no ADDRESS:PORT: '" + text + "'");
+        throw new ConfigException("config: " + field + " is not an ADDRESS:PORT: '" + text + "'");
     }
 
     /** Collects the fields of the file while it is read; they may come in any order. */
--- a/src/main/java/tinroad/operator/FleetSettings.java
+++ b/src/main/java/tinroad/operator/FleetSettings.java
@@ -67,8 +67,7 @@
         }
         if (keys.isEmpty() && errors.isEmpty()) {
             errors.add(
-                    new ValidationError(
-                            file.toString(), 1, "", "has no key: must have a line of Base64"));
+                    new ValidationError(file.toString(), 1, "", "holds no key: a line of Base64"));
         }
         if (!errors.isEmpty()) {
             throw new OperatorException(errors);
--- a/src/test/java/tinroad/cli/ClassArchiveTest.java
+++ b/src/test/java/tinroad/cli/ClassArchiveTest.java
@@ -29,14 +29,15 @@
 import tinroad.Program;
 
 /**
- * The platform's {@code run}, word for word, in a folder with the archive of classes as {@code
- * build} leaves it, and with worse ones.
+ * Starts the gateway with the exact {@code run} command of {@code deploy/balancer.toml}, in a
+ * folder with the class archive that {@code build} makes, and with missing, outdated and damaged
+ * archives.
  */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ClassArchiveTest {
     private static final String NOT_THERE =
             "started without the archive of classes: target/tinroad.jsa is not there;";
-    private static final String REFUSED =
+    private static final String UNUSABLE =
             "started without the archive of classes: target/tinroad.jsa is not of this jar";
     private static final Path JAVA = Path.of(System.getProperty("java.home"), "bin");
 
@@ -45,7 +46,7 @@
     private Path archive;
 
     @BeforeEach
-    void aFolderAsBuildLeavesItButForTheArchive() throws IOException {
+    void createFolderAsBuildDoesWithoutTheArchive() throws IOException {
         jar = Files.createDirectories(dir.resolve("target")).resolve("tinroad.jar");
         archive = dir.resolve("target/tinroad.jsa");
         Files.createDirectories(dir.resolve("deploy"));
@@ -73,23 +74,23 @@
         }
     }
 
-    private Process start(Path javas, String... command) throws IOException {
+    private Process start(Path javaFolder, String... command) throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder(command).directory(dir.toFile()).redirectErrorStream(true);
-        builder.environment().put("PATH", javas + File.pathSeparator + System.getenv("PATH"));
+        builder.environment().put("PATH", javaFolder + File.pathSeparator + System.getenv("PATH"));
         builder.environment().put("GW_CONFIG", "deploy/example.json");
         builder.environment().put("TMPDIR", dir.toString());
         return builder.start();
     }
 
-    private int shareClasses(Path javas) throws IOException, InterruptedException {
-        Process script = start(javas, "sh", "deploy/share-classes.sh");
+    private int shareClasses(Path javaFolder) throws IOException, InterruptedException {
+        Process script = start(javaFolder, "sh", "deploy/share-classes.sh");
         script.getInputStream().transferTo(OutputStream.nullOutputStream());
         return script.waitFor();
     }
 
-    /** What {@code run} says of the archive until it listens. */
-    private List<String> saidOfTheArchive() throws IOException, InterruptedException {
+    /** Returns the lines of the logger {@code server} that {@code run} writes before it listens. */
+    private List<String> serverLinesOfRun() throws IOException, InterruptedException {
         String line =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                         .filter(set -> set.startsWith("run = "))
@@ -98,42 +99,43 @@
         Process gateway =
                 start(JAVA, "sh", "-c", line.substring("run = \"".length(), line.length() - 1));
         try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8)) {
-            List<String> said =
+            List<String> lines =
                     log.lines().takeWhile(text -> !text.contains("listening on")).toList();
-            assertTrue(gateway.isAlive(), "it serves: " + said);
-            return said.stream().filter(text -> text.contains("server - ")).toList();
+            assertTrue(gateway.isAlive(), "it serves: " + lines);
+            return lines.stream().filter(text -> text.contains("server - ")).toList();
         } finally {
             gateway.destroyForcibly().waitFor();
         }
     }
 
-    private static void saysOneLine(String expected, List<String> said) {
-        assertEquals(1, said.size(), said.toString());
-        assertTrue(said.get(0).contains(expected), said.toString());
+    private static void assertOneLine(String expected, List<String> lines) {
+        assertEquals(1, lines.size(), lines.toString());
+        assertTrue(lines.get(0).contains(expected), lines.toString());
     }
 
     @Test
-    void startsFromTheArchiveAndSaysInOneLineWhenItCannot() throws Exception {
-        saysOneLine(NOT_THERE, saidOfTheArchive());
+    void startsFromTheArchiveAndLogsOneLineIfItCannot() throws Exception {
+        assertOneLine(NOT_THERE, serverLinesOfRun());
         assertEquals(0, shareClasses(JAVA));
-        assertEquals(List.of(), saidOfTheArchive());
-        // What a copy of the folder without times does.
+        assertEquals(List.of(), serverLinesOfRun());
+        // A copy of the folder that does not preserve modification times has the same effect.
         Files.setLastModifiedTime(
                 jar, FileTime.fromMillis(Files.getLastModifiedTime(jar).toMillis() + 60_000));
-        saysOneLine(REFUSED, saidOfTheArchive());
+        assertOneLine(UNUSABLE, serverLinesOfRun());
         Files.delete(archive);
         Files.createFile(archive);
-        saysOneLine(REFUSED, saidOfTheArchive());
+        assertOneLine(UNUSABLE, serverLinesOfRun());
     }
 
     /**
-     * A start ends on such an archive, as the virtual machine maps it without reading it through.
+     * The virtual machine maps an archive without reading all of it, so a start with a damaged
+     * archive would crash.
      */
     @Test
-    void anArchiveDamagedWhileItIsWrittenIsNotLeft() throws Exception {
-        Path javas = Files.createDirectory(dir.resolve("javas"));
+    void anArchiveDamagedWhileItIsWrittenIsRemoved() throws Exception {
+        Path javaFolder = Files.createDirectory(dir.resolve("javas"));
         Files.writeString(
-                javas.resolve("java"),
+                javaFolder.resolve("java"),
                 "#!/bin/sh\n"
                         + JAVA.resolve("java")
                         + " \"$@\" || exit\n"
@@ -142,9 +144,9 @@
                         + "dd if=/dev/zero of=\"$f\" bs=4096 seek=100 count=100 conv=notrunc;;"
                         + " esac; done\n");
         Files.setPosixFilePermissions(
-                javas.resolve("java"), PosixFilePermissions.fromString("rwx------"));
-        assertNotEquals(0, shareClasses(javas));
+                javaFolder.resolve("java"), PosixFilePermissions.fromString("rwx------"));
+        assertNotEquals(0, shareClasses(javaFolder));
         assertFalse(Files.exists(archive));
-        saysOneLine(NOT_THERE, saidOfTheArchive());
+        assertOneLine(NOT_THERE, serverLinesOfRun());
     }
 }
--- a/src/test/java/tinroad/cli/ConnectionRaceHarness.java
+++ b/src/test/java/tinroad/cli/ConnectionRaceHarness.java
@@ -33,42 +33,45 @@
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
 
-/** The program as a process of its own, between an engine, a roster and callers on real sockets. */
+/**
+ * Base class of tests that run the program as a separate process, with an engine, a service
+ * registry and callers on real sockets.
+ */
 abstract class ConnectionRaceHarness {
-    static final int HUNG_MS = 60_000;
+    static final int TIMEOUT_MILLIS = 60_000;
     static final Pattern JOB = Pattern.compile("\"job\":\"([0-9a-f]{16})\"");
     static final Pattern REF = Pattern.compile("\"ref\":\"([^\"]*)\"");
 
     @TempDir Path dir;
     ServerSocket engine;
-    DatagramSocket roster;
+    DatagramSocket registry;
     Process gateway;
     final List<Socket> callers = new ArrayList<>();
-    final List<Socket> links = new ArrayList<>();
+    final List<Socket> engineLinks = new ArrayList<>();
 
-    /** Runs that the engine was told of, in order. */
-    final BlockingQueue<String> runs = new LinkedBlockingQueue<>();
+    /** The jobs of the runs that the engine received, in order. */
+    final BlockingQueue<String> receivedJobs = new LinkedBlockingQueue<>();
 
     final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    volatile boolean runsEnd = true;
+    volatile boolean completesRuns = true;
 
-    /** So many links are still greeted. */
-    final Semaphore hellos = new Semaphore(100);
+    /** The number of further ATTACH messages that the engine answers with HELLO. */
+    final Semaphore helloPermits = new Semaphore(100);
 
-    volatile Socket link;
-    int notices;
+    volatile Socket currentLink;
+    int doneCount;
 
     @BeforeEach
     void open() throws IOException {
         engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        roster = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        roster.setSoTimeout(HUNG_MS);
+        registry = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+        registry.setSoTimeout(TIMEOUT_MILLIS);
         thread(
                 () -> {
                     while (true) {
                         Socket next = engine.accept();
-                        synchronized (links) {
-                            links.add(next);
+                        synchronized (engineLinks) {
+                            engineLinks.add(next);
                         }
                         thread(() -> serve(next));
                     }
@@ -81,12 +84,12 @@
             gateway.destroyForcibly().waitFor();
         }
         engine.close();
-        roster.close();
+        registry.close();
         for (Socket socket : callers) {
             socket.close();
         }
-        synchronized (links) {
-            for (Socket socket : links) {
+        synchronized (engineLinks) {
+            for (Socket socket : engineLinks) {
                 socket.close();
             }
         }
@@ -96,7 +99,7 @@
         void run() throws Exception;
     }
 
-    /** Runs until it fails, as all do once their sockets are closed. */
+    /** Runs work in a thread until it throws an exception, such as when its socket is closed. */
     static void thread(Work work) {
         Thread thread =
                 new Thread(
@@ -104,14 +107,14 @@
                             try {
                                 work.run();
                             } catch (Exception e) {
-                                // The end of the test, or of the process.
+                                // The test or the process has ended.
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    synchronized void tell(Socket to, String line) throws IOException {
+    synchronized void send(Socket to, String line) throws IOException {
         to.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
@@ -121,13 +124,13 @@
                         new InputStreamReader(on.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             if (line.contains("\"ATTACH\"")) {
-                link = on;
-                hellos.acquireUninterruptibly();
-                tell(on, "{\"type\":\"HELLO\",\"state\":\"seasoned\",\"took\":900000}");
+                currentLink = on;
+                helloPermits.acquireUninterruptibly();
+                send(on, "{\"type\":\"HELLO\",\"state\":\"seasoned\",\"took\":900000}");
             } else if (line.contains("\"STAT\"")) {
                 Matcher ref = REF.matcher(line);
                 assertTrue(ref.find());
-                tell(
+                send(
                         on,
                         "{\"type\":\"STATS\",\"ref\":\""
                                 + ref.group(1)
@@ -135,8 +138,8 @@
             } else if (line.contains("\"RUN\"")) {
                 Matcher job = JOB.matcher(line);
                 assertTrue(job.find());
-                runs.add(job.group(1));
-                if (runsEnd) {
+                receivedJobs.add(job.group(1));
+                if (completesRuns) {
                     done(on, job.group(1));
                 }
             }
@@ -144,54 +147,59 @@
     }
 
     void done(String job) throws IOException {
-        done(link, job);
+        done(currentLink, job);
     }
 
     private synchronized void done(Socket on, String job) throws IOException {
-        tell(
+        send(
                 on,
                 "{\"type\":\"DONE\",\"n\":"
-                        + ++notices
+                        + ++doneCount
                         + ",\"job\":\""
                         + job
                         + "\",\"state\":\"done\",\"took\":3,\"data\":\"b2s=\"}");
     }
 
-    /** What is changed of the example's configuration, and what follows it on the command line. */
-    UnaryOperator<String> configured = text -> text;
+    /** Changes the text of the example configuration before it is written. */
+    UnaryOperator<String> editConfig = text -> text;
 
-    List<String> more = List.of();
+    /** Further arguments on the command line. */
+    List<String> extraArguments = List.of();
 
-    /** Writes the configuration that the next start, or the next hangup, finds. */
+    /** Writes the configuration for the next start or SIGHUP. */
     Path configure(int sockets, int stopMs) throws IOException {
         String text =
                 Files.readString(Path.of("deploy/example.json"))
                         .replace(":4400", ":" + engine.getLocalPort())
-                        .replace(":8761", ":" + roster.getLocalPort())
+                        .replace(":8761", ":" + registry.getLocalPort())
                         .replace("\"sockets\": 1024", "\"sockets\": " + sockets)
                         .replace("\"stop_ms\": 500", "\"stop_ms\": " + stopMs)
                         .replace("\"engine\"", "\"control\": \"127.0.0.1:0\", \"engine\"");
-        return Files.writeString(dir.resolve("config.json"), configured.apply(text));
+        return Files.writeString(dir.resolve("config.json"), editConfig.apply(text));
     }
 
     /**
-     * Starts the program, perhaps by another, and returns where it listens once its health is good.
+     * Starts the program, waits until its health is good, and returns the address on which it
+     * listens.
+     *
+     * @param launcher the command that starts the program; empty to start it directly
      */
-    InetSocketAddress start(int sockets, int stopMs, String... by) throws Exception {
-        InetSocketAddress at = listens(sockets, stopMs, by);
-        logged("health good");
-        return at;
+    InetSocketAddress start(int sockets, int stopMs, String... launcher) throws Exception {
+        InetSocketAddress address = startListening(sockets, stopMs, launcher);
+        awaitLog("health good");
+        return address;
     }
 
-    InetSocketAddress listens(int sockets, int stopMs, String... by) throws Exception {
-        launch(sockets, stopMs, by);
-        return listening();
+    /** Starts the program and returns the address on which it listens, once it does. */
+    InetSocketAddress startListening(int sockets, int stopMs, String... launcher) throws Exception {
+        launch(sockets, stopMs, launcher);
+        return awaitListening();
     }
 
-    /** Starts the program and waits for nothing. */
-    void launch(int sockets, int stopMs, String... by) throws Exception {
+    /** Starts the program without waiting. */
+    void launch(int sockets, int stopMs, String... launcher) throws Exception {
         Path file = configure(sockets, stopMs);
-        List<String> command = new ArrayList<>(List.of(by));
+        List<String> command = new ArrayList<>(List.of(launcher));
         command.addAll(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -201,7 +209,7 @@
                         "serve",
                         "--config",
                         file.toString()));
-        command.addAll(more);
+        command.addAll(extraArguments);
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("TMPDIR", dir.toString());
         gateway = builder.start();
@@ -214,19 +222,20 @@
                 });
     }
 
-    /** Where it listens, once it does. */
-    InetSocketAddress listening() throws InterruptedException {
-        String listening = logged("listening on ");
-        Matcher port = Pattern.compile("listening on \\S*:(\\d+) as").matcher(listening);
-        assertTrue(port.find(), listening);
+    /** Waits until the program listens and returns the address. */
+    InetSocketAddress awaitListening() throws InterruptedException {
+        String line = awaitLog("listening on ");
+        Matcher port = Pattern.compile("listening on \\S*:(\\d+) as").matcher(line);
+        assertTrue(port.find(), line);
         return new InetSocketAddress("127.0.0.1", Integer.parseInt(port.group(1)));
     }
 
-    String logged(String part) throws InterruptedException {
+    /** Waits for a log line that contains {@code part} and returns it. */
+    String awaitLog(String part) throws InterruptedException {
         List<String> before = new ArrayList<>();
-        for (String line = log.poll(HUNG_MS, TimeUnit.MILLISECONDS);
+        for (String line = log.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 line != null;
-                line = log.poll(HUNG_MS, TimeUnit.MILLISECONDS)) {
+                line = log.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             before.add(line);
             if (line.contains(part)) {
                 return line;
@@ -243,8 +252,8 @@
                         .waitFor());
     }
 
-    /** Waits for the process to stand still, as the system tells. */
-    void standsStill() throws Exception {
+    /** Stops the process with SIGSTOP and waits until the system reports it as stopped. */
+    void stopProcess() throws Exception {
         signal("STOP");
         Path state = Path.of("/proc", Long.toString(gateway.pid()), "status");
         while (Files.readAllLines(state).stream().noneMatch(line -> line.startsWith("State:\tT"))) {
@@ -255,8 +264,8 @@
     Socket connect(InetSocketAddress to, String from) throws IOException {
         Socket caller = new Socket();
         caller.bind(new InetSocketAddress(from, 0));
-        caller.connect(to, HUNG_MS);
-        caller.setSoTimeout(HUNG_MS);
+        caller.connect(to, TIMEOUT_MILLIS);
+        caller.setSoTimeout(TIMEOUT_MILLIS);
         callers.add(caller);
         return caller;
     }
@@ -310,10 +319,10 @@
     }
 
     /**
-     * The first line of the one answer that comes; fails where the connection ends before it is
-     * whole.
+     * Reads one response and returns its first line; fails if the connection ends before the
+     * response is complete.
      */
-    static String answer(Socket caller) throws IOException {
+    static String readResponseStatus(Socket caller) throws IOException {
         DataInputStream in = new DataInputStream(caller.getInputStream());
         StringBuilder text = new StringBuilder();
         while (true) {
@@ -332,16 +341,16 @@
         }
     }
 
-    String ask(Socket caller, int n) throws IOException {
-        return ask(caller, n, "order-status", "acme");
+    String exchange(Socket caller, int n) throws IOException {
+        return exchange(caller, n, "order-status", "acme");
     }
 
-    String ask(Socket caller, int n, String kind, String owner) throws IOException {
+    String exchange(Socket caller, int n, String kind, String owner) throws IOException {
         caller.getOutputStream().write(request(n, kind, owner, null));
-        return answer(caller);
+        return readResponseStatus(caller);
     }
 
-    static void isAnswered(String status) {
+    static void assertAnswered(String status) {
         assertTrue(
                 status.equals("Status: 200 OK") || status.equals("Status: 503 Service Unavailable"),
                 status);
--- a/src/test/java/tinroad/cli/ConnectionRaceTest.java
+++ b/src/test/java/tinroad/cli/ConnectionRaceTest.java
@@ -21,70 +21,77 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The program as a process of its own, between an engine, a roster and callers on real sockets, at
- * the moments in which something ends. SIGSTOP is the barrier: while the process stands still, the
- * system takes in connections, bytes and signals.
+ * Tests races at the end of connections and processes, with the program as a separate process.
+ * SIGSTOP serves as a barrier: while the process is stopped, the system queues connections, bytes
+ * and signals for it.
  */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ConnectionRaceTest extends ConnectionRaceHarness {
     /**
-     * What comes on a resting connection, on a new one, and in halves, while the notice to leave is
-     * already there.
+     * Requests arrive on an idle connection, on a new connection and in two parts, while SIGTERM is
+     * already pending.
      */
     @Test
     void whatArrivesInTheInstantOfTheNoticeIsAnsweredAndTheProcessEnds() throws Exception {
-        InetSocketAddress at = start(1024, 2000);
-        Socket resting = connect(at, "127.0.0.1");
-        Socket half = connect(at, "127.0.0.1");
-        assertEquals("Status: 200 OK", ask(resting, 1));
+        InetSocketAddress address = start(1024, 2000);
+        Socket idle = connect(address, "127.0.0.1");
+        Socket partial = connect(address, "127.0.0.1");
+        assertEquals("Status: 200 OK", exchange(idle, 1));
         byte[] request = request(2, "new-order");
-        half.getOutputStream().write(request, 0, 40);
-        standsStill();
-        resting.getOutputStream().write(request(3, "new-order"));
-        half.getOutputStream().write(request, 40, request.length - 40);
-        Socket late = connect(at, "127.0.0.1");
-        late.getOutputStream().write(request(4, "new-order"));
+        partial.getOutputStream().write(request, 0, 40);
+        stopProcess();
+        idle.getOutputStream().write(request(3, "new-order"));
+        partial.getOutputStream().write(request, 40, request.length - 40);
+        Socket fresh = connect(address, "127.0.0.1");
+        fresh.getOutputStream().write(request(4, "new-order"));
         signal("TERM");
         signal("CONT");
-        for (Socket caller : List.of(resting, half, late)) {
-            isAnswered(answer(caller));
+        for (Socket caller : List.of(idle, partial, fresh)) {
+            assertAnswered(readResponseStatus(caller));
         }
-        for (Socket caller : List.of(resting, half, late)) {
-            assertEquals(-1, caller.getInputStream().read(), "one answer, then the end");
+        for (Socket caller : List.of(idle, partial, fresh)) {
+            assertEquals(
+                    -1,
+                    caller.getInputStream().read(),
+                    "one response, then the end of the connection");
         }
-        assertTrue(gateway.waitFor(HUNG_MS, TimeUnit.MILLISECONDS));
-        logged("drained");
-        assertEquals(runs.size(), runs.stream().distinct().count(), "nothing runs twice");
+        assertTrue(gateway.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        awaitLog("drained");
+        assertEquals(
+                receivedJobs.size(),
+                receivedJobs.stream().distinct().count(),
+                "nothing runs twice");
     }
 
     /**
-     * A process that was killed and starts again: nobody hears that it takes work before it does.
+     * A process that was killed and starts again must not be reported to the service registry
+     * before it can serve requests.
      */
     @Test
-    void aProcessThatIsStartedAgainIsOnTheListOnlyOnceItServes() throws Exception {
+    void aRestartedProcessIsReportedToTheRegistryOnlyOnceItServes() throws Exception {
         DatagramPacket report = new DatagramPacket(new byte[64], 64);
-        for (int life = 0; life < 2; life++) {
-            hellos.drainPermits();
-            InetSocketAddress at = listens(1024, 1000);
+        for (int incarnation = 0; incarnation < 2; incarnation++) {
+            helloPermits.drainPermits();
+            InetSocketAddress address = startListening(1024, 1000);
             assertEquals(
                     "Status: 503 Service Unavailable",
-                    ask(connect(at, "127.0.0.1"), 1),
-                    "its engine is not up");
+                    exchange(connect(address, "127.0.0.1"), 1),
+                    "its engine is not attached");
             assertThrows(
                     SocketTimeoutException.class,
-                    () -> hears(report, 1),
-                    "and nobody is told to come");
-            hellos.release(100);
-            hears(report, HUNG_MS);
+                    () -> receiveReport(report, 1),
+                    "no load report before the engine is attached");
+            helloPermits.release(100);
+            receiveReport(report, TIMEOUT_MILLIS);
             assertEquals(
                     "HERE n3 on",
                     new String(report.getData(), 0, report.getLength(), StandardCharsets.US_ASCII));
-            assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 2));
+            assertEquals("Status: 200 OK", exchange(connect(address, "127.0.0.1"), 2));
             gateway.destroyForcibly().waitFor();
-            // What the dead process sent is heard out.
+            // Discards the reports that the killed process sent.
             while (true) {
                 try {
-                    hears(report, 1);
+                    receiveReport(report, 1);
                 } catch (SocketTimeoutException e) {
                     break;
                 }
@@ -92,109 +99,114 @@
         }
     }
 
-    private void hears(DatagramPacket report, int within) throws IOException {
-        roster.setSoTimeout(within);
-        roster.receive(report);
+    private void receiveReport(DatagramPacket report, int timeoutMillis) throws IOException {
+        registry.setSoTimeout(timeoutMillis);
+        registry.receive(report);
     }
 
     /**
-     * The grace is counted from the notice, which this process may hear late: its last tenth is not
-     * used.
+     * The drain grace is counted from the shutdown notice, which this process may receive late, so
+     * the last tenth of the grace is not used.
      */
     @Test
-    void nothingRunsThatCameSoLateInTheGraceThatANoticeHeardLateWouldBreakIt() throws Exception {
-        double grace = 2500;
-        InetSocketAddress at = start(1024, 8000);
-        Socket known = connect(at, "127.0.0.1");
-        assertEquals("Status: 200 OK", ask(known, 1));
-        long noticed = System.nanoTime();
+    void nothingRunsThatArrivesInTheLastTenthOfTheDrainGrace() throws Exception {
+        double graceMillis = 2500;
+        InetSocketAddress address = start(1024, 8000);
+        Socket known = connect(address, "127.0.0.1");
+        assertEquals("Status: 200 OK", exchange(known, 1));
+        long noticedNanos = System.nanoTime();
         signal("TERM");
-        logged("draining");
+        awaitLog("draining");
         int n = 2;
-        assertEquals("Status: 200 OK", ask(known, n++), "in the grace it serves on");
-        // Callers go on asking; how long a stretch this takes here only makes what comes after it
+        assertEquals("Status: 200 OK", exchange(known, n++), "it serves during the grace");
+        // Requests continue meanwhile. If this loop takes longer, the request after it only comes
         // later.
-        while (System.nanoTime() - noticed < 0.92 * grace * 1e6) {
-            isAnswered(ask(known, n++));
+        while (System.nanoTime() - noticedNanos < 0.92 * graceMillis * 1e6) {
+            assertAnswered(exchange(known, n++));
         }
-        runs.clear();
-        assertEquals("Status: 503 Service Unavailable", ask(known, n));
-        assertTrue(runs.isEmpty());
+        receivedJobs.clear();
+        assertEquals("Status: 503 Service Unavailable", exchange(known, n));
+        assertTrue(receivedJobs.isEmpty());
     }
 
     /**
-     * Idle callers from many addresses hold all descriptors, with the roster gone and the engine's
-     * link lost in the middle of it.
+     * Idle callers from many addresses use up all descriptors, while the service registry is
+     * unreachable and the engine's link is lost. Requests that were read are still answered, and
+     * the engine's link and known callers still get descriptors.
      */
     @Test
-    void whileIdleCallersHoldAllDescriptorsWhatWasReadIsAnsweredAndLinksAndKnownCallersHaveTheirs()
-            throws Exception {
+    void idleCallersThatUseAllDescriptorsDoNotBlockTheEngineLinkOrKnownCallers() throws Exception {
         int sockets = 200;
-        InetSocketAddress at =
+        InetSocketAddress address =
                 start(sockets, 1000, "sh", "-c", "ulimit -n " + sockets + "; exec \"$@\"", "sh");
-        int rosterPort = roster.getLocalPort();
-        roster.close();
-        Socket known = connect(at, "127.0.0.1");
-        assertEquals("Status: 200 OK", ask(known, 1));
-        runsEnd = false;
-        Socket owed = connect(at, "127.0.0.1");
-        owed.getOutputStream().write(request(2, "new-order"));
-        assertEquals(String.format("%016x", 1), runs.poll(HUNG_MS, TimeUnit.MILLISECONDS));
-        assertEquals(String.format("%016x", 2), runs.poll(HUNG_MS, TimeUnit.MILLISECONDS));
+        int rosterPort = registry.getLocalPort();
+        registry.close();
+        Socket known = connect(address, "127.0.0.1");
+        assertEquals("Status: 200 OK", exchange(known, 1));
+        completesRuns = false;
+        Socket pending = connect(address, "127.0.0.1");
+        pending.getOutputStream().write(request(2, "new-order"));
+        assertEquals(
+                String.format("%016x", 1),
+                receivedJobs.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        assertEquals(
+                String.format("%016x", 2),
+                receivedJobs.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         for (int i = 0; i < 2 * sockets; i++) {
-            connect(at, "127.0.0." + (2 + i % 50));
+            connect(address, "127.0.0." + (2 + i % 50));
         }
-        logged("connection table full");
-        // The engine's link needs a new descriptor, and gets one.
-        link.close();
-        logged("engine attached again");
-        runsEnd = true;
+        awaitLog("connection table full");
+        // The engine's link needs a new descriptor and has to get one.
+        currentLink.close();
+        awaitLog("engine attached again");
+        completesRuns = true;
         done(String.format("%016x", 2));
-        assertEquals("Status: 200 OK", answer(owed));
+        assertEquals("Status: 200 OK", readResponseStatus(pending));
         for (int i = 0; i < 3; i++) {
-            assertEquals("Status: 200 OK", ask(known, 3 + i));
+            assertEquals("Status: 200 OK", exchange(known, 3 + i));
             assertEquals(
                     "Status: 200 OK",
-                    ask(connect(at, "127.0.0.1"), 10 + i),
+                    exchange(connect(address, "127.0.0.1"), 10 + i),
                     "a new connection of a known caller");
         }
-        // Discovery is back, and hears at once.
-        roster = new DatagramSocket(rosterPort, InetAddress.getLoopbackAddress());
-        roster.setSoTimeout(HUNG_MS);
+        // The registry is back and receives a report at once.
+        registry = new DatagramSocket(rosterPort, InetAddress.getLoopbackAddress());
+        registry.setSoTimeout(TIMEOUT_MILLIS);
         DatagramPacket report = new DatagramPacket(new byte[64], 64);
-        roster.receive(report);
+        registry.receive(report);
         assertEquals(
                 "HERE n3 on",
                 new String(report.getData(), 0, report.getLength(), StandardCharsets.US_ASCII));
-        // The idle ones go by themselves, and accepting goes on.
-        assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.77"), 20));
+        // The idle connections are closed after a while, and new ones are accepted again.
+        assertEquals("Status: 200 OK", exchange(connect(address, "127.0.0.77"), 20));
         signal("TERM");
-        assertTrue(gateway.waitFor(HUNG_MS, TimeUnit.MILLISECONDS));
+        assertTrue(gateway.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** One byte at a time, each way: served like any other, and nobody waits for it. */
+    /** A slow caller is served and does not delay others. */
     @Test
     void aCallerThatWritesAndReadsOneByteAtATimeIsServedBesideOthers() throws Exception {
-        InetSocketAddress at = start(300, 1000);
-        Socket known = connect(at, "127.0.0.1");
-        Socket slow = connect(at, "127.0.0.2");
+        InetSocketAddress address = start(300, 1000);
+        Socket known = connect(address, "127.0.0.1");
+        Socket slow = connect(address, "127.0.0.2");
         slow.setTcpNoDelay(true);
         slow.setReceiveBufferSize(1);
         byte[] request = request(1, "order-status");
         for (int i = 0; i < request.length; i++) {
             slow.getOutputStream().write(request, i, 1);
             if (i % 50 == 0) {
-                assertEquals("Status: 200 OK", ask(known, 100 + i));
+                assertEquals("Status: 200 OK", exchange(known, 100 + i));
             }
         }
         ByteArrayOutputStream read = new ByteArrayOutputStream();
-        // Until END_REQUEST, the one record of type 3, is whole: eight bytes of head and eight of
-        // body.
+        // Reads until END_REQUEST, the only record of type 3, is complete: eight bytes of header
+        // and
+        // eight of body.
         while (!endsRequest(read.toByteArray())) {
             read.write(slow.getInputStream().readNBytes(1));
         }
         assertTrue(read.toString(StandardCharsets.ISO_8859_1).contains("Status: 200 OK"));
-        assertEquals("Status: 200 OK", ask(known, 2));
+        assertEquals("Status: 200 OK", exchange(known, 2));
     }
 
     private static boolean endsRequest(byte[] read) {
@@ -203,18 +215,18 @@
     }
 
     /**
-     * A flood of half requests, one byte at a time, and of garbage: nobody else waits, and each
-     * gets an end.
+     * Many callers send incomplete requests or garbage. Other callers must not be delayed, and each
+     * bad connection must be closed.
      */
     @Test
-    void floodsOfHalfRequestsAndOfGarbageCostNobodyElseAnything() throws Exception {
-        InetSocketAddress at = start(300, 1000);
-        Socket known = connect(at, "127.0.0.1");
-        assertEquals("Status: 200 OK", ask(known, 1));
+    void floodsOfIncompleteRequestsAndOfGarbageDoNotAffectOtherCallers() throws Exception {
+        InetSocketAddress address = start(300, 1000);
+        Socket known = connect(address, "127.0.0.1");
+        assertEquals("Status: 200 OK", exchange(known, 1));
         byte[] request = request(2, "new-order");
         List<Socket> bad = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Socket caller = connect(at, "127.0.0." + (2 + i));
+            Socket caller = connect(address, "127.0.0." + (2 + i));
             caller.getOutputStream()
                     .write(
                             i % 2 == 0 ? request : new byte[4096],
@@ -222,7 +234,7 @@
                             i % 2 == 0 ? request.length - 1 - i : 4096);
             bad.add(caller);
             if (i % 10 == 0) {
-                assertEquals("Status: 200 OK", ask(known, 100 + i));
+                assertEquals("Status: 200 OK", exchange(known, 100 + i));
             }
         }
         for (Socket caller : bad) {
@@ -231,14 +243,14 @@
                 byte[] all = in.readAllBytes();
                 assertTrue(!new String(all, StandardCharsets.ISO_8859_1).contains("200 OK"));
             } catch (SocketTimeoutException e) {
-                throw new AssertionError("no end for a bad caller", e);
+                throw new AssertionError("a bad caller's connection was not closed", e);
             } catch (IOException e) {
-                // Reset: an end, too, for what no client proxy sends.
+                // A reset is acceptable, too, for bytes that no client proxy sends.
             }
         }
-        assertEquals("Status: 200 OK", ask(known, 200));
+        assertEquals("Status: 200 OK", exchange(known, 200));
         assertTrue(
-                runs.stream().noneMatch(String.format("%016x", 2)::equals),
-                "half a request never runs");
+                receivedJobs.stream().noneMatch(String.format("%016x", 2)::equals),
+                "an incomplete request never runs");
     }
 }
--- a/src/test/java/tinroad/cli/FollowedLogTest.java
+++ b/src/test/java/tinroad/cli/FollowedLogTest.java
@@ -39,8 +39,8 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * A process that follows a change log, killed, restarted, taken over, and the log damaged and put
- * back meanwhile.
+ * Tests a process that follows a change log: while changes are published, after a kill, a restart
+ * and a takeover, and after the log was damaged or rolled back.
  */
 @Timeout(value = 900, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FollowedLogTest extends ConnectionRaceHarness {
@@ -51,24 +51,25 @@
     private String control;
 
     @BeforeEach
-    void followsALog() throws IOException {
+    void followAChangeLog() throws IOException {
         changeLog = Files.createDirectory(dir.resolve("changes"));
-        control = SettingsInPlaceTest.free();
-        operator("");
-        configured = text -> text.replace("127.0.0.1:0\", \"engine", control + "\", \"engine");
+        control = SettingsInPlaceTest.freeAddress();
+        writeOperatorFile("");
+        editConfig = text -> text.replace("127.0.0.1:0\", \"engine", control + "\", \"engine");
     }
 
-    private void operator(String more) throws IOException {
-        super.more =
+    private void writeOperatorFile(String furtherSettings) throws IOException {
+        super.extraArguments =
                 List.of(
                         "--operator",
                         Files.writeString(
                                         dir.resolve("operator.conf"),
-                                        "catalog { log = changes, poll = 20ms }\n" + more)
+                                        "catalog { log = changes, poll = 20ms }\n"
+                                                + furtherSettings)
                                 .toString());
     }
 
-    /** Writes one change after the other, and knows what each leads to. */
+    /** Publishes consecutive changes and computes the content hash after each. */
     private static final class Publisher {
         private final ChangeLogStore folder;
         private final CatalogBuilder editor;
@@ -90,27 +91,27 @@
         String publish(
                 Map<String, RequestClass> put, Set<String> removed, Map<String, Tenant> tenants)
                 throws IOException {
-            Catalog now = editor.current();
-            CatalogChange bare =
+            Catalog current = editor.current();
+            CatalogChange withoutHashes =
                     new CatalogChange(
                             1,
-                            now.epoch() == 0 ? 1 : now.number() + 1,
+                            current.epoch() == 0 ? 1 : current.number() + 1,
                             put,
                             removed,
                             tenants,
                             Set.of());
-            CatalogChange whole =
+            CatalogChange complete =
                     new CatalogChange(
                             1,
-                            bare.number(),
+                            withoutHashes.number(),
                             put,
                             removed,
                             tenants,
                             Set.of(),
-                            now.contentHash(),
-                            now.hashAfter(bare));
-            folder.append(whole);
-            assertTrue(editor.apply(whole) instanceof CatalogBuilder.ChangeResult.Applied);
+                            current.contentHash(),
+                            current.hashAfter(withoutHashes));
+            folder.append(complete);
+            assertTrue(editor.apply(complete) instanceof CatalogBuilder.ChangeResult.Applied);
             return editor.current().contentHash();
         }
     }
@@ -121,60 +122,62 @@
         return all;
     }
 
-    private void reaches(String door, String hash) throws Exception {
-        while (!SettingsInPlaceTest.value(SettingsInPlaceTest.settings(door), "hash")
+    private void awaitHash(String admin, String hash) throws Exception {
+        while (!SettingsInPlaceTest.value(SettingsInPlaceTest.settings(admin), "hash")
                 .equals(hash)) {
             Thread.sleep(10);
         }
     }
 
     @Test
-    void whatIsPublishedCountsWithoutASignalAndARestartCatchesUp() throws Exception {
-        InetSocketAddress at = start(1024, 4000);
+    void publishedChangesApplyWithoutASignalAndARestartCatchesUp() throws Exception {
+        InetSocketAddress address = start(1024, 4000);
         Publisher publisher = new Publisher(changeLog, dir.resolve("config.json"));
-        reaches(
+        awaitHash(
                 control,
                 publisher.publish(Map.of("pay", PAY), Set.of("new-order"), tenants(3000, 5)));
         assertEquals(
                 "1", SettingsInPlaceTest.value(SettingsInPlaceTest.settings(control), "number"));
-        assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 1, "pay", "org2999"));
         assertEquals(
-                "Status: 400 Bad Request", ask(connect(at, "127.0.0.1"), 2, "new-order", "acme"));
+                "Status: 200 OK", exchange(connect(address, "127.0.0.1"), 1, "pay", "org2999"));
+        assertEquals(
+                "Status: 400 Bad Request",
+                exchange(connect(address, "127.0.0.1"), 2, "new-order", "acme"));
         for (int i = 0; i < 40; i++) {
             publisher.publish(Map.of(), Set.of(), tenants(1 + i, i));
         }
         String newest = publisher.publish(Map.of(), Set.of(), Map.of("last", new Tenant(1, 0)));
-        reaches(control, newest);
+        awaitHash(control, newest);
         gateway.destroyForcibly().waitFor();
         start(1024, 4000);
-        reaches(control, newest);
+        awaitHash(control, newest);
         assertEquals(
                 "42", SettingsInPlaceTest.value(SettingsInPlaceTest.settings(control), "number"));
     }
 
     @Test
-    void aDamagedChangeIsToldOnceAndOnceItIsWholeTheLogGoesOn() throws Exception {
+    void aDamagedChangeIsReportedOnceAndOnceItIsCompleteTheLogIsFollowed() throws Exception {
         start(1024, 4000);
         Publisher publisher = new Publisher(changeLog, dir.resolve("config.json"));
         String first = publisher.publish(Map.of("pay", PAY), Set.of(), Map.of());
-        reaches(control, first);
+        awaitHash(control, first);
         Path aside = Files.createDirectory(dir.resolve("aside"));
         Publisher other = new Publisher(aside, dir.resolve("config.json"));
         other.publish(Map.of("pay", PAY), Set.of(), Map.of());
         String second = other.publish(Map.of(), Set.of("new-order"), Map.of());
-        Path whole = newest(aside);
-        byte[] bytes = Files.readAllBytes(whole);
-        Path cut = changeLog.resolve(whole.getFileName());
+        Path completeFile = newest(aside);
+        byte[] bytes = Files.readAllBytes(completeFile);
+        Path cut = changeLog.resolve(completeFile.getFileName());
         Files.write(cut, Arrays.copyOf(bytes, bytes.length / 2));
-        String told = logged("change 1-2 is damaged");
-        assertTrue(told.contains("[WARN] catalog - change log "), told);
+        String line = awaitLog("change 1-2 is damaged");
+        assertTrue(line.contains("[WARN] catalog - change log "), line);
         assertEquals(
                 first, SettingsInPlaceTest.value(SettingsInPlaceTest.settings(control), "hash"));
         assertTrue(
                 SettingsInPlaceTest.value(SettingsInPlaceTest.settings(control), "refusal")
                         .contains("change 1-2 is damaged"));
         Files.write(cut, bytes);
-        reaches(control, second);
+        awaitHash(control, second);
     }
 
     private static Path newest(Path folder) throws IOException {
@@ -183,24 +186,26 @@
         }
     }
 
-    /** Its state remembers what it had: it does not go back in silence. */
+    /**
+     * The stored state has the position reached, so that a rollback is reported after a restart.
+     */
     @Test
-    void aLogThatWasRolledBackWhileItWasDownIsTold() throws Exception {
-        operator("state { folder = kept, every = 100ms }");
+    void aRollbackOfTheLogWhileTheProcessWasDownIsReported() throws Exception {
+        writeOperatorFile("state { folder = kept, every = 100ms }");
         start(1024, 4000);
         Publisher publisher = new Publisher(changeLog, dir.resolve("config.json"));
         String first = publisher.publish(Map.of("pay", PAY), Set.of(), Map.of());
-        Path kept = newest(changeLog);
-        reaches(control, publisher.publish(Map.of(), Set.of("new-order"), Map.of()));
+        Path remaining = newest(changeLog);
+        awaitHash(control, publisher.publish(Map.of(), Set.of("new-order"), Map.of()));
         signal("TERM");
         assertEquals(128 + 15, gateway.waitFor());
         try (Stream<Path> all = Files.list(changeLog)) {
-            for (Path file : all.filter(p -> !p.equals(kept)).toList()) {
+            for (Path file : all.filter(p -> !p.equals(remaining)).toList()) {
                 Files.delete(file);
             }
         }
         start(1024, 4000);
-        reaches(control, first);
+        awaitHash(control, first);
         while (!SettingsInPlaceTest.value(SettingsInPlaceTest.settings(control), "refusal")
                 .endsWith("was rolled back: 1-2 was taken, and the newest is 1-1")) {
             Thread.sleep(10);
@@ -209,26 +214,28 @@
 
     @Test
     void aProcessThatTakesOverFollowsTheSameLog() throws Exception {
-        InetSocketAddress at = start(1024, 4000);
+        InetSocketAddress address = start(1024, 4000);
         Publisher publisher = new Publisher(changeLog, dir.resolve("config.json"));
-        String own = control;
+        String firstControl = control;
         Process first = gateway;
         publisher.publish(Map.of("pay", PAY), Set.of("new-order"), tenants(2000, 5));
-        control = SettingsInPlaceTest.free();
-        configured =
-                configured.andThen(
+        control = SettingsInPlaceTest.freeAddress();
+        editConfig =
+                editConfig.andThen(
                                 text ->
                                         text.replace(
                                                 "\"listen\": \"127.0.0.1:0\"",
-                                                "\"listen\": \"127.0.0.1:" + at.getPort() + "\""))
+                                                "\"listen\": \"127.0.0.1:"
+                                                        + address.getPort()
+                                                        + "\""))
                         ::apply;
         try {
-            listens(1024, 4000);
+            startListening(1024, 4000);
             String newest = publisher.publish(Map.of(), Set.of(), tenants(2000, 6));
-            reaches(own, newest);
-            reaches(control, newest);
+            awaitHash(firstControl, newest);
+            awaitHash(control, newest);
             assertEquals(
-                    SettingsInPlaceTest.value(SettingsInPlaceTest.settings(own), "number"),
+                    SettingsInPlaceTest.value(SettingsInPlaceTest.settings(firstControl), "number"),
                     SettingsInPlaceTest.value(SettingsInPlaceTest.settings(control), "number"));
         } finally {
             first.destroyForcibly().waitFor();
@@ -236,11 +243,11 @@
     }
 
     /**
-     * Each life applies the whole log anew and is killed on the way; none tells of harm, and the
-     * last one is where the log is.
+     * Each incarnation applies the whole log again and is killed meanwhile. None may report damage,
+     * and the last one has to reach the newest change of the log.
      */
     @Test
-    void killedFiftyTimesWhileApplyingItEndsWhereTheLogIs() throws Exception {
+    void afterFiftyKillsWhileApplyingTheLogItReachesTheNewestChange() throws Exception {
         Path file = configure(1024, 4000);
         Publisher publisher = new Publisher(changeLog, file);
         String hash = null;
@@ -248,26 +255,27 @@
             hash = publisher.publish(Map.of(), Set.of(), tenants(500 + i, i));
         }
         String newest = hash;
-        ExecutorService chains = Executors.newFixedThreadPool(4);
+        ExecutorService executor = Executors.newFixedThreadPool(4);
         try {
             List<Future<Void>> all =
                     IntStream.range(0, 5)
                             .mapToObj(
                                     chain ->
-                                            chains.submit(
+                                            executor.submit(
                                                     (Callable<Void>)
                                                             () -> {
                                                                 Random random = new Random(chain);
-                                                                for (int life = 1;
-                                                                        life <= 10;
-                                                                        life++) {
-                                                                    live(
+                                                                for (int incarnation = 1;
+                                                                        incarnation <= 10;
+                                                                        incarnation++) {
+                                                                    runUntilKilled(
                                                                             chain,
-                                                                            life,
+                                                                            incarnation,
                                                                             random.nextInt(400),
                                                                             null);
                                                                 }
-                                                                live(chain, 11, -1, newest);
+                                                                runUntilKilled(
+                                                                        chain, 11, -1, newest);
                                                                 return null;
                                                             }))
                             .toList();
@@ -275,23 +283,27 @@
                 chain.get();
             }
         } finally {
-            chains.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
     /**
-     * A process that is killed so many ms after it listens; below 0: once it is at {@code newest}.
+     * Starts a process and kills it.
+     *
+     * @param killAfterMillis when to kill it, after it listens; not used if {@code newest} is given
+     * @param newest the content hash that it has to reach before it is killed; or null
      */
-    private void live(int chain, int life, int after, String newest) throws Exception {
-        Path own = Files.createDirectories(dir.resolve("chain" + chain));
-        String door = SettingsInPlaceTest.free();
+    private void runUntilKilled(int chain, int incarnation, int killAfterMillis, String newest)
+            throws Exception {
+        Path folder = Files.createDirectories(dir.resolve("chain" + chain));
+        String admin = SettingsInPlaceTest.freeAddress();
         Path file =
                 Files.writeString(
-                        own.resolve("config.json"),
-                        Files.readString(dir.resolve("config.json")).replace(control, door));
-        Path operator =
+                        folder.resolve("config.json"),
+                        Files.readString(dir.resolve("config.json")).replace(control, admin));
+        Path operatorFile =
                 Files.writeString(
-                        own.resolve("operator.conf"),
+                        folder.resolve("operator.conf"),
                         "catalog { log = \""
                                 + changeLog
                                 + "\", poll = 10ms }\n"
@@ -309,9 +321,9 @@
                                 "--config",
                                 file.toString(),
                                 "--operator",
-                                operator.toString())
+                                operatorFile.toString())
                         .redirectErrorStream(true);
-        builder.environment().put("TMPDIR", own.toString());
+        builder.environment().put("TMPDIR", folder.toString());
         Process process = builder.start();
         try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
             StringBuilder all = new StringBuilder();
@@ -320,13 +332,15 @@
                     line = lines.readLine()) {
                 all.append(line).append('\n');
             }
-            assertTrue(all.toString().contains("incarnation " + life + " started "), all::toString);
+            assertTrue(
+                    all.toString().contains("incarnation " + incarnation + " started "),
+                    all::toString);
             if (newest == null) {
-                Thread.sleep(after);
+                Thread.sleep(killAfterMillis);
             } else {
-                reaches(door, newest);
+                awaitHash(admin, newest);
             }
-            // By the system: the virtual machine's own call closes what the process has written.
+            // Killed with kill(1), because Process.destroy closes the stream of its output.
             assertEquals(
                     0,
                     new ProcessBuilder("kill", "-KILL", Long.toString(process.pid()))
--- a/src/test/java/tinroad/cli/MainTest.java
+++ b/src/test/java/tinroad/cli/MainTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: what each command prints, and one plain line for what is wrong. */
+/** Tests the command line: the output of each command, and one line for each error. */
 class MainTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -32,7 +32,7 @@
                 new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
-    private void failsInOneLine(int status, String part, String... args) {
+    private void assertFailsInOneLine(int status, String part, String... args) {
         err.reset();
         assertEquals(status, run("", args));
         String text = err.toString(StandardCharsets.UTF_8);
@@ -40,25 +40,27 @@
     }
 
     @Test
-    void whatIsNoCommandIsToldInOneLine() {
-        failsInOneLine(2, "commands: serve");
-        failsInOneLine(2, "no command 'srve': is 'serve' meant?", "srve");
-        failsInOneLine(2, "no command 'chek'", "help", "chek");
-        failsInOneLine(2, "--output", "figures", "--control", "127.0.0.1:1", "--output", "xml");
-        failsInOneLine(2, "drill", "drill");
-        failsInOneLine(2, "--nonsense", "serve", "--nonsense");
+    void anUnknownCommandOrOptionIsReportedInOneLine() {
+        assertFailsInOneLine(2, "commands: serve");
+        assertFailsInOneLine(2, "no command 'srve': is 'serve' meant?", "srve");
+        assertFailsInOneLine(2, "no command 'chek'", "help", "chek");
+        assertFailsInOneLine(
+                2, "--output", "figures", "--control", "127.0.0.1:1", "--output", "xml");
+        assertFailsInOneLine(2, "drill", "drill");
+        assertFailsInOneLine(2, "--nonsense", "serve", "--nonsense");
     }
 
     @Test
-    void aConfigurationThatCantBeUsedIsToldInOneLine(@TempDir Path dir) throws IOException {
-        failsInOneLine(1, "no such file", "serve", "--config", dir.resolve("absent").toString());
-        failsInOneLine(1, "not JSON", "serve", "--config", file(dir, "{\"name\":"));
-        failsInOneLine(1, "name is missing", "serve", "--config", file(dir, "{}"));
-        failsInOneLine(
+    void anInvalidConfigurationIsReportedInOneLine(@TempDir Path dir) throws IOException {
+        assertFailsInOneLine(
+                1, "no such file", "serve", "--config", dir.resolve("absent").toString());
+        assertFailsInOneLine(1, "not JSON", "serve", "--config", file(dir, "{\"name\":"));
+        assertFailsInOneLine(1, "name is missing", "serve", "--config", file(dir, "{}"));
+        assertFailsInOneLine(
                 1, "settings are missing", "check", "--config", file(dir, "{\"name\":\"n3\"}"));
-        failsInOneLine(
+        assertFailsInOneLine(
                 1,
-                "listen is no ADDRESS:PORT",
+                "listen is not an ADDRESS:PORT",
                 "check",
                 "--config",
                 file(
@@ -67,7 +69,7 @@
     }
 
     @Test
-    void eachFaultOfAnOperatorFileIsALineAndTheStatusIsTwo(@TempDir Path dir) throws IOException {
+    void eachErrorInAnOperatorFileIsALineAndTheStatusIsTwo(@TempDir Path dir) throws IOException {
         Path operator =
                 Files.writeString(
                         dir.resolve("operator.conf"), "log { level = loud }\nextra = 1\n");
@@ -104,9 +106,9 @@
     }
 
     @Test
-    void aCapacityPageIsWrittenOrCheckedAndItsFaultsAreToldALineEach(@TempDir Path dir)
+    void aCapacityPageIsWrittenOrCheckedAndItsErrorsAreReportedOneLineEach(@TempDir Path dir)
             throws IOException {
-        failsInOneLine(2, "lab capacity needs a PAGE", "lab", "capacity");
+        assertFailsInOneLine(2, "lab capacity needs a PAGE", "lab", "capacity");
         String conf =
                 "target = [ { name = gateways, size = 1300, text = gateways } ]\n"
                         + "rows = [ { id = a, table = t, what = a, unit = \"\", figure = \"2 *"
@@ -127,7 +129,7 @@
                                         .map(name -> "<!-- table " + name + " -->\n<!-- end -->\n")
                                         .reduce("", String::concat));
         Path page = Files.writeString(dir.resolve("PAGE.md"), bare);
-        failsInOneLine(
+        assertFailsInOneLine(
                 1,
                 page + ":2: out of step with the results",
                 "lab",
@@ -140,7 +142,7 @@
         assertEquals(0, run("", "lab", "capacity", "--check", page.toString()));
         Files.writeString(
                 dir.resolve("capacity.conf"), conf.replace("2 * gateways", "2 * engines"));
-        failsInOneLine(
+        assertFailsInOneLine(
                 2,
                 dir.resolve("capacity.conf") + ":2: figure: names engines",
                 "lab",
@@ -149,7 +151,7 @@
     }
 
     @Test
-    void helpTellsOfEveryCommandOnStandardOutput() {
+    void helpDescribesEveryCommandOnStandardOutput() {
         assertEquals(0, run("", "--help"));
         String all = out.toString(StandardCharsets.UTF_8);
         for (String name : Main.COMMANDS.keySet()) {
@@ -192,7 +194,7 @@
     }
 
     @Test
-    void figuresArePrintedAsATableAndAsJson() throws IOException {
+    void metricsArePrintedAsATableAndAsJson() throws IOException {
         byte[] recovery =
                 ("{\"phase\":\"ramping\",\"since_ms\":70,\"shown_per_s\":null,\"remembered\":[{\"what\":\"run.read\",\"value\":24.5,"
                      + "\"age_ms\":61000,\"life\":3}]}")
@@ -200,31 +202,32 @@
         byte[] body =
                 "{\"success\":{\"new-order\":7},\"busy\":{\"new-order\":2},\"failure\":{\"new-order\":0}}"
                         .getBytes(StandardCharsets.US_ASCII);
-        HttpServer door =
+        HttpServer adminServer =
                 HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        door.createContext(
+        adminServer.createContext(
                 "/api/telemetry",
                 call -> {
                     call.sendResponseHeaders(200, body.length);
                     call.getResponseBody().write(body);
                     call.close();
                 });
-        door.createContext(
+        adminServer.createContext(
                 "/api/recovery",
                 call -> {
                     call.sendResponseHeaders(200, recovery.length);
                     call.getResponseBody().write(recovery);
                     call.close();
                 });
-        door.start();
-        String at = "127.0.0.1:" + door.getAddress().getPort();
+        adminServer.start();
+        String address = "127.0.0.1:" + adminServer.getAddress().getPort();
         try {
-            assertEquals(0, run("", "figures", "--control", at, "--output", "json"), err::toString);
+            assertEquals(
+                    0, run("", "figures", "--control", address, "--output", "json"), err::toString);
             assertTrue(
                     out.toString(StandardCharsets.UTF_8).contains("\"success\" : 7,"),
                     out::toString);
             out.reset();
-            assertEquals(0, run("", "figures", "--control", at));
+            assertEquals(0, run("", "figures", "--control", address));
             assertTrue(
                     out.toString(StandardCharsets.UTF_8)
                             .lines()
@@ -233,7 +236,7 @@
                             .matches(" new-order +7 +2 +0 *"),
                     out::toString);
             out.reset();
-            assertEquals(0, run("", "figures", "--control", at, "--of", "recovery"));
+            assertEquals(0, run("", "figures", "--control", address, "--of", "recovery"));
             assertEquals(
                     List.of(
                             " phase ramping",
@@ -246,9 +249,9 @@
                             .map(l -> l.stripTrailing().replaceAll(" +", " "))
                             .toList());
         } finally {
-            door.stop(0);
+            adminServer.stop(0);
         }
-        failsInOneLine(1, "no figures from " + at, "figures", "--control", at);
+        assertFailsInOneLine(1, "no figures from " + address, "figures", "--control", address);
     }
 
     private static String file(Path dir, String text) throws IOException {
@@ -265,19 +268,19 @@
     }
 
     @Test
-    void aCheckStartsNothingBesideAGatewayThatServesThere(@TempDir Path dir) throws IOException {
+    void aCheckDoesNotStartBesideAGatewayThatServesThere(@TempDir Path dir) throws IOException {
         try (ServerSocket serving = new ServerSocket()) {
             serving.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             serving.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             String config =
                     Files.readString(Path.of("deploy/example.json"))
                             .replace("127.0.0.1:0", "127.0.0.1:" + serving.getLocalPort());
-            failsInOneLine(
+            assertFailsInOneLine(
                     1, "another process does", "check", "--start", "--config", file(dir, config));
         }
     }
 
-    private List<String> says(int status, String... args) {
+    private List<String> outputLines(int status, String... args) {
         out.reset();
         assertEquals(status, run("", args), err::toString);
         return out.toString(StandardCharsets.UTF_8)
@@ -297,12 +300,12 @@
                                         .replace("\"name\": \"new-order\"", "\"name\": \"order\""))
                         .toString();
         String log = dir.resolve("log").toString();
-        List<String> shown = says(0, "catalog", "show", one);
+        List<String> shown = outputLines(0, "catalog", "show", one);
         assertEquals(List.of("what value", "classes 2", "orgs 1"), shown.subList(0, 3));
         String content = shown.get(3).substring("content ".length());
         assertEquals(
                 List.of("ok: 2 classes, 1 orgs, content " + content),
-                says(0, "catalog", "check", one));
+                outputLines(0, "catalog", "check", one));
         assertEquals(
                 List.of(
                         "entry name change from to",
@@ -311,34 +314,35 @@
                                 + " late_share=0.2,",
                         "semantics=single_shot, class_calls=false, degraded_worth=0.0",
                         "org acme changed quota_per_s=89.0 quota_per_s=90.5"),
-                says(0, "catalog", "diff", one, two));
+                outputLines(0, "catalog", "diff", one, two));
         assertTrue(
-                String.join("", says(0, "catalog", "diff", one, two, "--output", "json"))
+                String.join("", outputLines(0, "catalog", "diff", one, two, "--output", "json"))
                         .contains("\"change\" : \"changed\""));
         assertTrue(
-                says(0, "catalog", "publish", one, two, log)
+                outputLines(0, "catalog", "publish", one, two, log)
                         .get(0)
                         .startsWith("change 1-1 written: 3 entries, content "));
         assertEquals(
                 List.of("nothing differs: no change written"),
-                says(0, "catalog", "publish", two, two, log));
+                outputLines(0, "catalog", "publish", two, two, log));
         assertEquals(
                 List.of("change 1-2 written: 3 entries, content " + content),
-                says(0, "catalog", "publish", two, one, log));
+                outputLines(0, "catalog", "publish", two, one, log));
         assertEquals(
                 List.of("change 2-1"),
-                says(0, "catalog", "publish", one, two, log, "--epoch", "2").stream()
+                outputLines(0, "catalog", "publish", one, two, log, "--epoch", "2").stream()
                         .map(l -> l.substring(0, 10))
                         .toList());
         assertEquals(
                 List.of("1-1 good 3", "1-2 good 3 " + content, "2-1 good 3"),
-                says(0, "catalog", "check", log).stream()
+                outputLines(0, "catalog", "check", log).stream()
                         .skip(1)
                         .map(l -> l.contains(content) ? l : l.substring(0, 10))
                         .toList());
 
-        failsInOneLine(1, "leads on from content " + content, "catalog", "publish", one, two, log);
-        failsInOneLine(
+        assertFailsInOneLine(
+                1, "leads on from content " + content, "catalog", "publish", one, two, log);
+        assertFailsInOneLine(
                 1,
                 "its epoch is over, 2 goes on",
                 "catalog",
@@ -348,9 +352,10 @@
                 log,
                 "--epoch",
                 "1");
-        failsInOneLine(1, "no such file", "catalog", "show", dir.resolve("absent").toString());
-        failsInOneLine(2, "catalog diff takes OLD NEW", "catalog", "diff", one);
-        failsInOneLine(
+        assertFailsInOneLine(
+                1, "no such file", "catalog", "show", dir.resolve("absent").toString());
+        assertFailsInOneLine(2, "catalog diff takes OLD NEW", "catalog", "diff", one);
+        assertFailsInOneLine(
                 1,
                 "class order: deadline has to be above 0, not 0",
                 "catalog",
@@ -364,7 +369,8 @@
         Path first = dir.resolve("log/change-0000000000000000001-0000000000000000001");
         Files.writeString(first, "x");
         assertEquals(
-                "1-1 damaged: no change, or cut short 0", says(1, "catalog", "check", log).get(1));
+                "1-1 damaged: no change, or cut short 0",
+                outputLines(1, "catalog", "check", log).get(1));
     }
 
     @Test
--- a/src/test/java/tinroad/cli/ServeTest.java
+++ b/src/test/java/tinroad/cli/ServeTest.java
@@ -32,19 +32,19 @@
 import tinroad.Program;
 import tinroad.operator.OperatorFileErrors;
 
-/** {@code serve} as a process of its own, and the signals that reach it. */
+/** Tests {@code serve} as a separate process: signals, reloads, takeover and stored state. */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ServeTest {
-    private static final int HUNG_MS = 60_000;
+    private static final int TIMEOUT_MILLIS = 60_000;
 
-    /** BEGIN_REQUEST, PARAMS with SCRIPT_NAME=/healthz, and the ends of both streams. */
+    /** BEGIN_REQUEST, PARAMS with SCRIPT_NAME=/healthz, and the end records of both streams. */
     private static final String HEALTH_CHECK =
             "\1\1\0\1\0\10\0\0\0\1\1\0\0\0\0\0\1\4\0\1\0\25\0\0\13\10SCRIPT_NAME/healthz"
                     + "\1\4\0\1\0\0\0\0\1\5\0\1\0\0\0\0";
 
     /**
-     * All that is written where the virtual machine gets SIGTERM between two phases of its own
-     * initialization, before it loads any class of the program: its thread for signals begins the
+     * The complete output if the virtual machine receives SIGTERM between two phases of its own
+     * initialization, before it loads any class of the program: its signal thread begins the
      * shutdown, and the main thread then finds a later phase than its own. See docs/on-call.md.
      */
     private static final String ENDED_IN_VM_INITIALIZATION =
@@ -53,13 +53,15 @@
                     + "\tat jdk\\.internal\\.misc\\.VM\\.initLevel\\(java\\.base@[^()\n]+\\)\n"
                     + "\tat java\\.lang\\.System\\.initPhase\\1\\(java\\.base@[^()\n]+\\)\n\n?";
 
-    private static Process serve(Path file, Path shared, String... more) throws IOException {
-        return serve(List.of(), file, shared, more);
+    private static Process serve(Path file, Path tmpFolder, String... extraArguments)
+            throws IOException {
+        return serve(List.of(), file, tmpFolder, extraArguments);
     }
 
-    private static Process serve(List<String> by, Path file, Path shared, String... more)
+    private static Process serve(
+            List<String> launcher, Path file, Path tmpFolder, String... extraArguments)
             throws IOException {
-        List<String> command = new ArrayList<>(by);
+        List<String> command = new ArrayList<>(launcher);
         command.addAll(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -69,34 +71,34 @@
                         "serve",
                         "--config",
                         file.toString()));
-        command.addAll(List.of(more));
+        command.addAll(List.of(extraArguments));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-        builder.environment().put("TMPDIR", shared.toString());
+        builder.environment().put("TMPDIR", tmpFolder.toString());
         return builder.start();
     }
 
-    private static void write(Path file, ServerSocket engine, DatagramSocket roster)
+    private static void write(Path file, ServerSocket engine, DatagramSocket registry)
             throws IOException {
         Files.writeString(
                 file,
                 Files.readString(Path.of("deploy/example.json"))
                         .replace(":4400", ":" + engine.getLocalPort())
-                        .replace(":8761", ":" + roster.getLocalPort()));
+                        .replace(":8761", ":" + registry.getLocalPort()));
     }
 
     private static ServerSocket engine() throws IOException {
         ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        engine.setSoTimeout(HUNG_MS);
+        engine.setSoTimeout(TIMEOUT_MILLIS);
         return engine;
     }
 
-    private static DatagramSocket roster() throws IOException {
-        DatagramSocket roster = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        roster.setSoTimeout(HUNG_MS);
-        return roster;
+    private static DatagramSocket registry() throws IOException {
+        DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+        registry.setSoTimeout(TIMEOUT_MILLIS);
+        return registry;
     }
 
-    private static void end(ServerSocket engine) throws IOException {
+    private static void stopListening(ServerSocket engine) throws IOException {
         engine.close();
     }
 
@@ -114,9 +116,9 @@
                                 .getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void hears(DatagramSocket roster) throws IOException {
+    private static void receiveReport(DatagramSocket registry) throws IOException {
         DatagramPacket report = new DatagramPacket(new byte[64], 64);
-        roster.receive(report);
+        registry.receive(report);
         assertEquals(
                 "HERE n3 on",
                 new String(report.getData(), 0, report.getLength(), StandardCharsets.US_ASCII));
@@ -142,24 +144,24 @@
     }
 
     @Test
-    void aHangupMovesItToTheNewAddressesAndNothingElseEndsIt(@TempDir Path dir) throws Exception {
+    void aHangupMovesItToTheNewAddressesAndDoesNotEndIt(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("config.json");
         try (ServerSocket engine = engine();
                 ServerSocket nextEngine = engine();
-                DatagramSocket roster = roster();
-                DatagramSocket nextRoster = roster()) {
-            write(file, engine, roster);
+                DatagramSocket registry = registry();
+                DatagramSocket nextRegistry = registry()) {
+            write(file, engine, registry);
             Process gateway = serve(file, dir);
             try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8);
                     Socket link = engine.accept()) {
                 attach(link, 0);
-                hears(roster);
+                receiveReport(registry);
                 Files.writeString(file, "{");
                 signal(gateway, "HUP");
                 waitFor(log, "configuration kept: ");
-                write(file, nextEngine, nextRoster);
+                write(file, nextEngine, nextRegistry);
                 signal(gateway, "HUP");
-                hears(nextRoster);
+                receiveReport(nextRegistry);
                 try (Socket nextLink = nextEngine.accept()) {
                     attach(nextLink, 1);
                     waitFor(log, "engine attached again");
@@ -175,7 +177,7 @@
         }
     }
 
-    /** Guards against a reload signal during the start that ends the process. */
+    /** A SIGHUP during the start must not end the process. */
     @Test
     void aHangupDuringTheStartIsKeptUntilThereIsAGatewayToReload(@TempDir Path dir)
             throws Exception {
@@ -183,15 +185,15 @@
         Path pipe = dir.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (ServerSocket engine = engine();
-                DatagramSocket roster = roster()) {
-            write(configured, engine, roster);
+                DatagramSocket registry = registry()) {
+            write(configured, engine, registry);
             Process gateway = serve(pipe, dir);
             try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8)) {
-                // Open for writing once the gateway has opened it to read: the start waits there.
+                // This blocks until the gateway opens the pipe for reading; its start waits there.
                 try (OutputStream out = Files.newOutputStream(pipe)) {
                     signal(gateway, "HUP");
                     Files.copy(configured, out);
-                    // What is read again is a plain file.
+                    // The reload then reads a regular file.
                     Files.move(configured, pipe, StandardCopyOption.REPLACE_EXISTING);
                 }
                 waitFor(log, "configuration read again");
@@ -205,11 +207,12 @@
         }
     }
 
-    private static Process remembers(
-            Path dir, int n, ServerSocket engine, DatagramSocket roster, String folder)
+    /** Starts a gateway that stores its state in {@code folder}. */
+    private static Process serveWithState(
+            Path dir, int n, ServerSocket engine, DatagramSocket registry, String folder)
             throws IOException {
         Path file = dir.resolve("config" + n + ".json");
-        write(file, engine, roster);
+        write(file, engine, registry);
         Path operator =
                 Files.writeString(
                         dir.resolve("operator" + n + ".conf"),
@@ -222,16 +225,16 @@
     }
 
     /**
-     * Two processes of one name on one folder: the older one is stopped, wakes, and has nothing to
-     * say any more.
+     * Two processes of one name use the same state folder. The older one is stopped with SIGSTOP
+     * while the newer one starts; once it continues, it must not write any more.
      */
     @Test
-    void anOlderProcessThatWakesWritesNoMore(@TempDir Path dir) throws Exception {
+    void anOlderProcessThatContinuesWritesNoMore(@TempDir Path dir) throws Exception {
         Path folder = dir.resolve("state");
         try (ServerSocket engine = engine();
                 ServerSocket nextEngine = engine();
-                DatagramSocket roster = roster()) {
-            Process older = remembers(dir, 1, engine, roster, "state");
+                DatagramSocket registry = registry()) {
+            Process older = serveWithState(dir, 1, engine, registry, "state");
             Process newer = null;
             try (BufferedReader log = older.inputReader(StandardCharsets.UTF_8)) {
                 waitFor(log, "incarnation 1 started without stored state");
@@ -239,7 +242,7 @@
                     attach(link, 0);
                     waitForFile(folder, "state-0000000000000000001-");
                     signal(older, "STOP");
-                    newer = remembers(dir, 2, nextEngine, roster, "state");
+                    newer = serveWithState(dir, 2, nextEngine, registry, "state");
                     try (BufferedReader newLog = newer.inputReader(StandardCharsets.UTF_8);
                             Socket nextLink = nextEngine.accept()) {
                         waitFor(newLog, "incarnation 2 started from incarnation 1");
@@ -263,8 +266,8 @@
     }
 
     /**
-     * A whole one: what is half written has a name of its own, and may stay so where its process is
-     * stopped.
+     * Waits for a completely written file. A partly written one has another name, and may stay if
+     * its process is stopped.
      */
     private static void waitForFile(Path folder, String start) throws Exception {
         while (true) {
@@ -279,45 +282,45 @@
     }
 
     @Test
-    void aFolderThatCanNotBeUsedCostsALineAndTheGatewayServes(@TempDir Path dir) throws Exception {
+    void anUnusableStateFolderIsLoggedAndTheGatewayServes(@TempDir Path dir) throws Exception {
         Files.writeString(dir.resolve("state"), "a file, and no folder");
         try (ServerSocket engine = engine();
-                DatagramSocket roster = roster()) {
-            Process gateway = remembers(dir, 1, engine, roster, "state");
+                DatagramSocket registry = registry()) {
+            Process gateway = serveWithState(dir, 1, engine, registry, "state");
             try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8);
                     Socket link = engine.accept()) {
                 waitFor(log, "state folder can't be used, nothing is persisted: ");
                 attach(link, 0);
-                hears(roster);
+                receiveReport(registry);
             } finally {
                 gateway.destroyForcibly();
             }
         }
     }
 
-    /** Started where SIGHUP is ignored, as under nohup: the virtual machine leaves it so. */
+    /** If SIGHUP is ignored at the start, as under nohup, the virtual machine leaves it ignored. */
     @Test
-    void whereHangupsAreIgnoredItSaysSoAndReadsItsFileAgainOnceTheEngineIsGone(@TempDir Path dir)
+    void ifHangupsAreIgnoredItLogsThatAndReadsItsFileAgainOnceTheEngineIsGone(@TempDir Path dir)
             throws Exception {
         Path file = dir.resolve("config.json");
         try (ServerSocket engine = engine();
                 ServerSocket nextEngine = engine();
-                DatagramSocket roster = roster();
-                DatagramSocket nextRoster = roster()) {
-            write(file, engine, roster);
+                DatagramSocket registry = registry();
+                DatagramSocket nextRegistry = registry()) {
+            write(file, engine, registry);
             Process gateway =
                     serve(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"), file, dir);
             try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8)) {
                 waitFor(log, "SIGHUP is ignored");
                 try (Socket link = engine.accept()) {
                     attach(link, 0);
-                    hears(roster);
-                    write(file, nextEngine, nextRoster);
+                    receiveReport(registry);
+                    write(file, nextEngine, nextRegistry);
                     signal(gateway, "HUP");
-                    end(engine);
+                    stopListening(engine);
                 }
                 waitFor(log, "engine unreachable: configuration changed without a reload signal");
-                hears(nextRoster);
+                receiveReport(nextRegistry);
                 try (Socket nextLink = nextEngine.accept()) {
                     attach(nextLink, 1);
                     waitFor(log, "engine attached again");
@@ -329,10 +332,10 @@
     }
 
     /**
-     * A gateway's start that is told to leave {@code after} ms on, or, where that is negative, once
-     * it listens.
+     * Starts a gateway, sends SIGTERM {@code noticeAfterMillis} later, or once it listens if that
+     * is negative, and returns its log and the response to a health check.
      */
-    private static String noticedStart(Path dir, int n, int after) throws Exception {
+    private static String startWithNotice(Path dir, int n, int noticeAfterMillis) throws Exception {
         InetAddress address = InetAddress.getByName("127.0.9." + (1 + n));
         Path file = dir.resolve("config" + n + ".json");
         int port;
@@ -345,20 +348,20 @@
                         .replace("127.0.0.1:0", address.getHostAddress() + ":" + port)
                         .replace("\"stop_ms\": 500", "\"stop_ms\": 1500"));
         Process gateway = serve(file, Files.createDirectory(dir.resolve("tmp" + n)));
-        AtomicReference<String> answer = new AtomicReference<>("no connection");
+        AtomicReference<String> response = new AtomicReference<>("no connection");
         Thread caller =
                 new Thread(
                         () -> {
-                            while (gateway.isAlive() && answer.get().equals("no connection")) {
-                                try (Socket asks = new Socket(address, port)) {
-                                    answer.set("");
-                                    asks.getOutputStream()
+                            while (gateway.isAlive() && response.get().equals("no connection")) {
+                                try (Socket socket = new Socket(address, port)) {
+                                    response.set("");
+                                    socket.getOutputStream()
                                             .write(
                                                     HEALTH_CHECK.getBytes(
                                                             StandardCharsets.ISO_8859_1));
-                                    answer.set(
+                                    response.set(
                                             new String(
-                                                    asks.getInputStream().readNBytes(17),
+                                                    socket.getInputStream().readNBytes(17),
                                                     StandardCharsets.ISO_8859_1));
                                 } catch (IOException e) {
                                     Thread.onSpinWait();
@@ -368,13 +371,13 @@
         caller.start();
         StringBuilder all = new StringBuilder();
         try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8)) {
-            if (after >= 0) {
-                Thread.sleep(after);
+            if (noticeAfterMillis >= 0) {
+                Thread.sleep(noticeAfterMillis);
                 signal(gateway, "TERM");
             }
             for (String line = log.readLine(); line != null; line = log.readLine()) {
                 all.append(line).append('\n');
-                if (after < 0 && line.contains("listening on")) {
+                if (noticeAfterMillis < 0 && line.contains("listening on")) {
                     signal(gateway, "TERM");
                 }
             }
@@ -382,12 +385,12 @@
             assertTrue(
                     status == 128 + 15
                             || (status == 1 && all.toString().matches(ENDED_IN_VM_INITIALIZATION)),
-                    () -> "noticed " + after + ", status " + status + ": " + all);
+                    () -> "noticed " + noticeAfterMillis + ", status " + status + ": " + all);
             caller.join();
         } finally {
             gateway.destroyForcibly();
         }
-        return all + answer.get();
+        return all + response.get();
     }
 
     @Test
@@ -395,20 +398,20 @@
             throws Exception {
         ExecutorService starts = Executors.newFixedThreadPool(4);
         try {
-            List<Future<String>> lives = new ArrayList<>();
+            List<Future<String>> outputs = new ArrayList<>();
             for (int n = 0; n < 24; n++) {
                 int number = n;
-                lives.add(
+                outputs.add(
                         starts.submit(
                                 () ->
-                                        noticedStart(
+                                        startWithNotice(
                                                 dir, number, number % 2 == 0 ? -1 : 60 * number)));
             }
-            for (Future<String> life : lives) {
-                String all = life.get();
+            for (Future<String> output : outputs) {
+                String all = output.get();
                 assertFalse(all.contains("Exception"), all);
-                // Before the virtual machine runs any of the program, the system's own way: it
-                // ends, and says nothing.
+                // Before the virtual machine runs any code of the program, SIGTERM has the system's
+                // default effect: the process ends without output.
                 assertTrue(
                         all.equals("no connection")
                                 || all.matches(ENDED_IN_VM_INITIALIZATION + "no connection")
@@ -423,9 +426,9 @@
         }
     }
 
-    /** All that a process writes from its start to its end, without the moments and the port. */
-    private static String life(Path dir, String... more) throws Exception {
-        Process gateway = serve(Path.of("deploy/example.json"), dir, more);
+    /** Returns the complete output of a process, without timestamps, durations and the port. */
+    private static String outputOfAProcess(Path dir, String... extraArguments) throws Exception {
+        Process gateway = serve(Path.of("deploy/example.json"), dir, extraArguments);
         StringBuilder all = new StringBuilder();
         try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8)) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
@@ -448,31 +451,31 @@
     }
 
     @Test
-    void withAnOperatorFileTheTextLinesAreThoseOfThePlainBackEndToTheByte(@TempDir Path dir)
+    void withAnOperatorFileTheTextLinesAreIdenticalToThoseOfThePlainBackEnd(@TempDir Path dir)
             throws Exception {
-        String plain = life(dir);
+        String plain = outputOfAProcess(dir);
         assertTrue(
                 plain.startsWith(
                         "AT [INFO] server - listening on /127.0.0.1:PORT as n3\n"
                             + "AT [INFO] gateway - draining: 0 requests in flight, N ms left\n"),
                 plain);
-        assertEquals(plain, life(dir, "--operator", "deploy/operator.conf"));
+        assertEquals(plain, outputOfAProcess(dir, "--operator", "deploy/operator.conf"));
     }
 
     @Test
-    void aHangupWithABadOperatorFileKeepsTheLastGoodOneAndSaysWhy(@TempDir Path dir)
+    void aHangupWithABadOperatorFileKeepsTheLastGoodOneAndLogsWhy(@TempDir Path dir)
             throws Exception {
         Path file = dir.resolve("config.json");
         Path operator = dir.resolve("operator.conf");
         try (ServerSocket engine = engine();
-                DatagramSocket roster = roster()) {
-            write(file, engine, roster);
+                DatagramSocket registry = registry()) {
+            write(file, engine, registry);
             Files.writeString(operator, "log { format = json }");
             Process gateway = serve(file, dir, "--operator", operator.toString());
             try (BufferedReader log = gateway.inputReader(StandardCharsets.UTF_8);
                     Socket link = engine.accept()) {
                 attach(link, 0);
-                hears(roster);
+                receiveReport(registry);
                 for (OperatorFileErrors.Mistake mistake : OperatorFileErrors.all()) {
                     mistake.writeTo(operator);
                     signal(gateway, "HUP");
@@ -504,22 +507,22 @@
     }
 
     @Test
-    void aSecondProcessTakesOverAndTheFirstLeavesWithoutAWordToTheRoster(@TempDir Path dir)
+    void aSecondProcessTakesOverAndTheFirstReportsNoFailureToTheRegistry(@TempDir Path dir)
             throws Exception {
         Path file = dir.resolve("config.json");
         try (ServerSocket engine = engine();
                 ServerSocket nextEngine = engine();
-                DatagramSocket roster = roster();
-                DatagramSocket nextRoster = roster()) {
-            write(file, engine, roster);
+                DatagramSocket registry = registry();
+                DatagramSocket nextRegistry = registry()) {
+            write(file, engine, registry);
             Process first = serve(file, dir);
             Process second = null;
             try (BufferedReader log = first.inputReader(StandardCharsets.UTF_8);
                     Socket link = engine.accept()) {
                 String listening = waitFor(log, "listening on ");
                 attach(link, 0);
-                hears(roster);
-                write(file, nextEngine, nextRoster);
+                receiveReport(registry);
+                write(file, nextEngine, nextRegistry);
                 Files.writeString(
                         file,
                         Files.readString(file)
@@ -533,20 +536,20 @@
                     waitFor(nextLog, "another process listens on ");
                     waitFor(nextLog, "connection limits halved");
                     attach(nextLink, 0);
-                    hears(nextRoster);
+                    receiveReport(nextRegistry);
                     waitFor(nextLog, "listening on ");
                     signal(first, "TERM");
                     waitFor(log, "replaced by another process");
                     waitFor(log, "drained");
                     assertEquals(128 + 15, first.waitFor());
                     waitFor(nextLog, "connection limits restored: no other process");
-                    // Its reports were all good ones, to the last.
-                    roster.setSoTimeout(1);
+                    // All its reports, up to the last one, were good.
+                    registry.setSoTimeout(1);
                     assertThrows(
                             SocketTimeoutException.class,
                             () -> {
                                 while (true) {
-                                    hears(roster);
+                                    receiveReport(registry);
                                 }
                             });
                     assertTrue(second.isAlive());
