--- a/src/test/java/tinroad/cli/SettingsInPlaceTest.java
+++ b/src/test/java/tinroad/cli/SettingsInPlaceTest.java
@@ -34,8 +34,8 @@
 import tinroad.config.Site;
 
 /**
- * Classes and tenants that change while a process serves, on real sockets; what the file says is
- * told by the hash of its content.
+ * Tests changes of classes and tenants while a process serves, on real sockets. The settings in
+ * force are compared with the file by content hash.
  */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SettingsInPlaceTest extends ConnectionRaceHarness {
@@ -55,30 +55,31 @@
 
     @BeforeEach
     void appliesOnReload() throws IOException {
-        control = free();
-        more =
+        control = freeAddress();
+        extraArguments =
                 List.of(
                         "--operator",
                         Files.writeString(
                                         dir.resolve("operator.conf"),
                                         "catalog { apply = on-reload }")
                                 .toString());
-        configured =
+        editConfig =
                 text ->
                         text.replace(ORDER, classes)
                                 .replace(ACME, tenants)
                                 .replace("127.0.0.1:0\", \"engine", control + "\", \"engine");
     }
 
-    static String free() throws IOException {
+    /** Returns an address with a free port. */
+    static String freeAddress() throws IOException {
         try (ServerSocket port = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return "127.0.0.1:" + port.getLocalPort();
         }
     }
 
     /**
-     * Rewrites the file with these classes, beside order-status, and tenants, and has the process
-     * read it.
+     * Rewrites the file with these classes, in addition to order-status, and these tenants, and
+     * sends SIGHUP.
      */
     private void hangUp(String newClasses, String newTenants) throws Exception {
         classes = newClasses;
@@ -87,13 +88,13 @@
         signal("HUP");
     }
 
-    static JsonNode settings(String door) throws IOException {
+    static JsonNode settings(String admin) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int status =
                 Main.run(
                         new String[] {
-                            "figures", "--of", "settings", "--control", door, "--output", "json"
+                            "figures", "--of", "settings", "--control", admin, "--output", "json"
                         },
                         InputStream.nullInputStream(),
                         new PrintStream(out, true, StandardCharsets.UTF_8),
@@ -111,11 +112,11 @@
         throw new AssertionError("no " + name + " in " + settings);
     }
 
-    private String inForce(String name) throws IOException {
+    private String valueInForce(String name) throws IOException {
         return value(settings(control), name);
     }
 
-    /** How many it has read: those that wait, and those that were turned away at once. */
+    /** Returns the number of requests read: those in flight and those already answered. */
     private long requestsRead() throws Exception {
         HttpRequest call =
                 HttpRequest.newBuilder(URI.create("http://" + control + "/api/telemetry")).build();
@@ -131,8 +132,8 @@
                         .sum();
     }
 
-    /** Of the file as it is now, as a start would read it. */
-    private String hashOfTheFile() throws ConfigException {
+    /** Returns the content hash of the current file, as a start would read it. */
+    private String contentHashOfFile() throws ConfigException {
         Site site = GatewayConfig.read(dir.resolve("config.json")).site();
         return Catalog.of(
                         0,
@@ -144,7 +145,7 @@
                 .contentHash();
     }
 
-    private static String orgs(int from, int to, String quota) {
+    private static String tenantTable(int from, int to, String quota) {
         return IntStream.range(from, to)
                         .mapToObj(
                                 i ->
@@ -158,7 +159,7 @@
                 + ACME;
     }
 
-    private static String kinds(int n, String deadline) {
+    private static String classTable(int n, String deadline) {
         return ORDER
                 + IntStream.range(0, n)
                         .mapToObj(
@@ -173,174 +174,183 @@
     }
 
     @Test
-    void whatRunsUnderARemovedClassEndsAndANewClassOfANewTenantIsServed() throws Exception {
-        InetSocketAddress at = start(1024, 4000);
-        runsEnd = false;
-        Socket running = connect(at, "127.0.0.1");
+    void aRunOfARemovedClassEndsAndANewClassOfANewTenantIsServed() throws Exception {
+        InetSocketAddress address = start(1024, 4000);
+        completesRuns = false;
+        Socket running = connect(address, "127.0.0.1");
         running.getOutputStream().write(request(1, "new-order"));
-        assertEquals(String.format("%016x", 1), runs.poll(HUNG_MS, TimeUnit.MILLISECONDS));
+        assertEquals(
+                String.format("%016x", 1),
+                receivedJobs.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         hangUp(PAY, "{\"name\": \"globex\", \"quota_per_s\": 50, \"share\": 1}");
         assertTrue(
-                logged("settings in force: ")
+                awaitLog("settings in force: ")
                         .endsWith("epoch 0, number 1, 2 classes and 2 tenants changed"));
-        assertEquals(hashOfTheFile(), inForce("hash"));
-        assertEquals("1", inForce("number"));
-        assertEquals("0", inForce("lag"));
-        Socket caller = connect(at, "127.0.0.1");
-        assertEquals("Status: 400 Bad Request", ask(caller, 2, "new-order", "globex"));
-        assertEquals("Status: 400 Bad Request", ask(caller, 3, "order-status", "acme"));
-        runsEnd = true;
-        assertEquals("Status: 200 OK", ask(caller, 4, "order-status", "globex"));
+        assertEquals(contentHashOfFile(), valueInForce("hash"));
+        assertEquals("1", valueInForce("number"));
+        assertEquals("0", valueInForce("lag"));
+        Socket caller = connect(address, "127.0.0.1");
+        assertEquals("Status: 400 Bad Request", exchange(caller, 2, "new-order", "globex"));
+        assertEquals("Status: 400 Bad Request", exchange(caller, 3, "order-status", "acme"));
+        completesRuns = true;
+        assertEquals("Status: 200 OK", exchange(caller, 4, "order-status", "globex"));
         caller.getOutputStream().write(request(5, "pay", "globex", TOKEN));
-        assertEquals("Status: 200 OK", answer(caller));
+        assertEquals("Status: 200 OK", readResponseStatus(caller));
         done(String.format("%016x", 1));
-        assertEquals("Status: 200 OK", answer(running));
-        assertEquals(3, 1 + runs.size());
+        assertEquals("Status: 200 OK", readResponseStatus(running));
+        assertEquals(3, 1 + receivedJobs.size());
     }
 
     @Test
-    void whatWaitsUnderARemovedClassIsAnsweredAndNothingRunsTwice() throws Exception {
-        InetSocketAddress at = start(1024, 4000);
-        runsEnd = false;
+    void queuedRequestsOfARemovedClassAreAnsweredAndNothingRunsTwice() throws Exception {
+        InetSocketAddress address = start(1024, 4000);
+        completesRuns = false;
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            waiting.add(connect(at, "127.0.0.1"));
+            waiting.add(connect(address, "127.0.0.1"));
             waiting.get(i).getOutputStream().write(request(i + 1, "new-order"));
         }
-        String first = runs.poll(HUNG_MS, TimeUnit.MILLISECONDS);
+        String first = receivedJobs.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         while (requestsRead() < waiting.size()) {
             Thread.sleep(10);
         }
         hangUp(PAY, ACME);
-        logged("settings in force: ");
-        runsEnd = true;
+        awaitLog("settings in force: ");
+        completesRuns = true;
         done(first);
-        for (String job = runs.poll(); job != null; job = runs.poll()) {
+        for (String job = receivedJobs.poll(); job != null; job = receivedJobs.poll()) {
             done(job);
         }
         int served = 0;
         for (Socket caller : waiting) {
-            String status = answer(caller);
-            isAnswered(status);
+            String status = readResponseStatus(caller);
+            assertAnswered(status);
             served += status.equals("Status: 200 OK") ? 1 : 0;
         }
         assertTrue(served > 0);
-        assertEquals("Status: 400 Bad Request", ask(waiting.get(0), 100, "new-order", "acme"));
-        assertEquals("Status: 200 OK", ask(waiting.get(0), 101, "order-status", "acme"));
+        assertEquals("Status: 400 Bad Request", exchange(waiting.get(0), 100, "new-order", "acme"));
+        assertEquals("Status: 200 OK", exchange(waiting.get(0), 101, "order-status", "acme"));
     }
 
     @Test
-    void whatIsKeptForRepeatsOfARemovedClassNeverRunsAgain() throws Exception {
+    void aDuplicateRequestOfARemovedClassNeverRunsAgain() throws Exception {
         classes = PAY;
-        InetSocketAddress at = start(1024, 4000);
-        Socket caller = connect(at, "127.0.0.1");
+        InetSocketAddress address = start(1024, 4000);
+        Socket caller = connect(address, "127.0.0.1");
         caller.getOutputStream().write(request(1, "pay", "acme", TOKEN));
-        assertEquals("Status: 200 OK", answer(caller));
+        assertEquals("Status: 200 OK", readResponseStatus(caller));
         hangUp(ORDER, ACME);
-        logged("settings in force: ");
+        awaitLog("settings in force: ");
         caller.getOutputStream().write(request(2, "pay", "acme", TOKEN));
-        // Not one that tells that nothing ran.
-        assertEquals("Status: 500 Internal Server Error", answer(caller));
+        // The status must not be one that means that nothing ran.
+        assertEquals("Status: 500 Internal Server Error", readResponseStatus(caller));
         caller.getOutputStream().write(request(3, "pay", "acme", TOKEN.replace('0', '1')));
-        assertEquals("Status: 400 Bad Request", answer(caller));
+        assertEquals("Status: 400 Bad Request", readResponseStatus(caller));
         hangUp(PAY, ACME);
-        logged("settings in force: ");
+        awaitLog("settings in force: ");
         caller.getOutputStream().write(request(4, "pay", "acme", TOKEN));
-        assertEquals("Status: 200 OK", answer(caller));
-        assertEquals(1, runs.size());
+        assertEquals("Status: 200 OK", readResponseStatus(caller));
+        assertEquals(1, receivedJobs.size());
     }
 
     @Test
-    void aBadFileKeepsTheLastGoodOneWholeAndIsTold() throws Exception {
-        InetSocketAddress at = start(1024, 4000);
-        hangUp(PAY, orgs(0, 5, "7"));
-        logged("settings in force: epoch 0, number 1, ");
-        String good = inForce("hash");
-        assertEquals("-", inForce("refusal"));
+    void anInvalidFileIsReportedAndTheLastValidOneStaysInForce() throws Exception {
+        InetSocketAddress address = start(1024, 4000);
+        hangUp(PAY, tenantTable(0, 5, "7"));
+        awaitLog("settings in force: epoch 0, number 1, ");
+        String good = valueInForce("hash");
+        assertEquals("-", valueInForce("refusal"));
         hangUp(
                 ORDER,
-                orgs(0, 10_000, "7")
+                tenantTable(0, 10_000, "7")
                         .replace(
                                 "\"org4711\", \"quota_per_s\": 7",
                                 "\"org4711\", \"quota_per_s\": -7"));
-        String told = logged("configuration kept: ");
+        String line = awaitLog("configuration kept: ");
         assertTrue(
-                told.endsWith(
+                line.endsWith(
                         "configuration kept: config: settings: org org4711: quota_per_s has to be 0"
                                 + " at least, not -7"),
-                told);
-        assertEquals(good, inForce("hash"));
+                line);
+        assertEquals(good, valueInForce("hash"));
         assertEquals(
                 "config: settings: org org4711: quota_per_s has to be 0 at least, not -7",
-                inForce("refusal"));
+                valueInForce("refusal"));
         assertEquals(
-                "Status: 400 Bad Request", ask(connect(at, "127.0.0.1"), 1, "new-order", "acme"));
+                "Status: 400 Bad Request",
+                exchange(connect(address, "127.0.0.1"), 1, "new-order", "acme"));
         Files.writeString(
                 dir.resolve("config.json"),
                 "{\"name\": \"n3\", \"settings\": {\"classes\": [" + ORDER);
         signal("HUP");
-        logged("configuration kept: ");
-        assertEquals(good, inForce("hash"));
+        awaitLog("configuration kept: ");
+        assertEquals(good, valueInForce("hash"));
         hangUp(ORDER, ACME);
-        logged("settings in force: epoch 0, number 2, ");
-        assertEquals(hashOfTheFile(), inForce("hash"));
-        assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 2, "new-order", "acme"));
+        awaitLog("settings in force: epoch 0, number 2, ");
+        assertEquals(contentHashOfFile(), valueInForce("hash"));
+        assertEquals(
+                "Status: 200 OK", exchange(connect(address, "127.0.0.1"), 2, "new-order", "acme"));
     }
 
     @Test
-    void onePartInAHundredAndAllOfATableChangeAtOnceAndTheOldOneComesBack() throws Exception {
-        classes = kinds(2000, "500");
-        tenants = orgs(0, 5000, "7");
-        InetSocketAddress at = start(1024, 4000);
-        String first = inForce("hash");
-        hangUp(kinds(2000, "500"), orgs(0, 50, "8").replace(ACME, "") + orgs(50, 5000, "7"));
-        logged("settings in force: epoch 0, number 1, 0 classes and 50 tenants changed");
-        assertEquals(hashOfTheFile(), inForce("hash"));
-        hangUp(kinds(1, "900"), ACME);
-        logged("settings in force: epoch 0, number 2, 2000 classes and 5000 tenants changed");
+    void onePercentAndAllOfATableCanChangeAtOnceAndBeRestored() throws Exception {
+        classes = classTable(2000, "500");
+        tenants = tenantTable(0, 5000, "7");
+        InetSocketAddress address = start(1024, 4000);
+        String first = valueInForce("hash");
+        hangUp(
+                classTable(2000, "500"),
+                tenantTable(0, 50, "8").replace(ACME, "") + tenantTable(50, 5000, "7"));
+        awaitLog("settings in force: epoch 0, number 1, 0 classes and 50 tenants changed");
+        assertEquals(contentHashOfFile(), valueInForce("hash"));
+        hangUp(classTable(1, "900"), ACME);
+        awaitLog("settings in force: epoch 0, number 2, 2000 classes and 5000 tenants changed");
         assertEquals(
-                "Status: 400 Bad Request", ask(connect(at, "127.0.0.1"), 1, "kind1999", "acme"));
-        assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 2, "kind0", "acme"));
-        hangUp(kinds(2000, "500"), orgs(0, 5000, "7"));
-        logged("settings in force: epoch 0, number 3, 2000 classes and 5000 tenants changed");
-        assertEquals(first, inForce("hash"));
-        assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 3, "kind1999", "org4999"));
+                "Status: 400 Bad Request",
+                exchange(connect(address, "127.0.0.1"), 1, "kind1999", "acme"));
+        assertEquals("Status: 200 OK", exchange(connect(address, "127.0.0.1"), 2, "kind0", "acme"));
+        hangUp(classTable(2000, "500"), tenantTable(0, 5000, "7"));
+        awaitLog("settings in force: epoch 0, number 3, 2000 classes and 5000 tenants changed");
+        assertEquals(first, valueInForce("hash"));
+        assertEquals(
+                "Status: 200 OK",
+                exchange(connect(address, "127.0.0.1"), 3, "kind1999", "org4999"));
     }
 
     @Test
-    void aChangeDuringTheDrainCountsAndTheProcessEnds() throws Exception {
-        InetSocketAddress at = start(1024, 4000);
-        runsEnd = false;
-        Socket running = connect(at, "127.0.0.1");
+    void aChangeDuringTheDrainTakesEffectAndTheProcessEnds() throws Exception {
+        InetSocketAddress address = start(1024, 4000);
+        completesRuns = false;
+        Socket running = connect(address, "127.0.0.1");
         running.getOutputStream().write(request(1, "new-order"));
-        runs.poll(HUNG_MS, TimeUnit.MILLISECONDS);
+        receivedJobs.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         signal("TERM");
-        logged("draining: ");
+        awaitLog("draining: ");
         hangUp(PAY, ACME);
-        logged("settings in force: ");
+        awaitLog("settings in force: ");
         done(String.format("%016x", 1));
-        assertEquals("Status: 200 OK", answer(running));
-        logged("drained");
+        assertEquals("Status: 200 OK", readResponseStatus(running));
+        awaitLog("drained");
         assertEquals(128 + 15, gateway.waitFor());
     }
 
     @Test
-    void aChangeWhileTheEngineIsAwayIsWhatTheModuleBeginsWith() throws Exception {
-        hellos.drainPermits();
-        InetSocketAddress at = listens(1024, 4000);
-        hangUp(PAY, orgs(0, 300, "7"));
-        logged("settings in force: epoch 0, number 1, 2 classes and 300 tenants changed");
-        hellos.release(100);
-        logged("health good");
-        Socket caller = connect(at, "127.0.0.1");
+    void aChangeWhileTheEngineIsAwayIsInForceWhenTheControllerStarts() throws Exception {
+        helloPermits.drainPermits();
+        InetSocketAddress address = startListening(1024, 4000);
+        hangUp(PAY, tenantTable(0, 300, "7"));
+        awaitLog("settings in force: epoch 0, number 1, 2 classes and 300 tenants changed");
+        helloPermits.release(100);
+        awaitLog("health good");
+        Socket caller = connect(address, "127.0.0.1");
         caller.getOutputStream().write(request(1, "pay", "org299", TOKEN));
-        assertEquals("Status: 200 OK", answer(caller));
-        assertEquals("Status: 400 Bad Request", ask(caller, 2, "new-order", "acme"));
+        assertEquals("Status: 200 OK", readResponseStatus(caller));
+        assertEquals("Status: 400 Bad Request", exchange(caller, 2, "new-order", "acme"));
     }
 
     @Test
-    void aChangeDuringTheRehearsalCountsFromTheFirstRequestOn() throws Exception {
-        more =
+    void aChangeDuringTheWarmUpIsInForceFromTheFirstRequestOn() throws Exception {
+        extraArguments =
                 List.of(
                         "--operator",
                         Files.writeString(
@@ -349,79 +359,85 @@
                                                 + "log.levels { server = debug }")
                                 .toString());
         launch(1024, 4000);
-        logged("server - JIT warm-up started");
-        hangUp(PAY, orgs(0, 300, "7"));
-        InetSocketAddress at = listening();
-        logged("health good");
-        while (!inForce("hash").equals(hashOfTheFile())) {
+        awaitLog("server - JIT warm-up started");
+        hangUp(PAY, tenantTable(0, 300, "7"));
+        InetSocketAddress address = awaitListening();
+        awaitLog("health good");
+        while (!valueInForce("hash").equals(contentHashOfFile())) {
             Thread.sleep(10);
         }
-        Socket caller = connect(at, "127.0.0.1");
+        Socket caller = connect(address, "127.0.0.1");
         caller.getOutputStream().write(request(1, "pay", "org299", TOKEN));
-        assertEquals("Status: 200 OK", answer(caller));
-        assertEquals("Status: 400 Bad Request", ask(caller, 2, "new-order", "acme"));
+        assertEquals("Status: 200 OK", readResponseStatus(caller));
+        assertEquals("Status: 400 Bad Request", exchange(caller, 2, "new-order", "acme"));
     }
 
     @Test
-    void whatCanNotChangeInPlaceIsToldInOneLine() throws Exception {
+    void changesThatNeedARestartAreReportedInOneLine() throws Exception {
         start(1024, 4000);
-        configured =
-                configured.andThen(
+        editConfig =
+                editConfig.andThen(
                                 text ->
                                         text.replace("\"stop_ms\": 4000", "\"stop_ms\": 4001")
                                                 .replace("\"servers\": 12", "\"servers\": 13"))
                         ::apply;
         hangUp(PAY, ACME);
-        logged("takes effect at the next start: stop_ms, settings.servers");
+        awaitLog("takes effect at the next start: stop_ms, settings.servers");
     }
 
     @Test
-    void withoutAWordOfTheOperatorsClassesAndTenantsWaitForTheNextStart() throws Exception {
-        more = List.of();
-        InetSocketAddress at = start(1024, 4000);
-        String before = inForce("hash");
+    void withoutAnOperatorFileClassesAndTenantsChangeAtTheNextStart() throws Exception {
+        extraArguments = List.of();
+        InetSocketAddress address = start(1024, 4000);
+        String before = valueInForce("hash");
         hangUp(PAY, ACME);
-        logged("takes effect at the next start: settings.classes and settings.orgs: 2 differ");
-        logged("configuration read again: engine ");
-        assertEquals(before, inForce("hash"));
-        assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 1, "new-order", "acme"));
+        awaitLog("takes effect at the next start: settings.classes and settings.orgs: 2 differ");
+        awaitLog("configuration read again: engine ");
+        assertEquals(before, valueInForce("hash"));
+        assertEquals(
+                "Status: 200 OK", exchange(connect(address, "127.0.0.1"), 1, "new-order", "acme"));
     }
 
     @Test
     void aProcessThatTakesOverAgreesWithTheOneThatServedAndBothFollowTheFile() throws Exception {
-        InetSocketAddress at = start(1024, 4000);
-        hangUp(PAY, orgs(0, 1000, "7"));
-        logged("settings in force: epoch 0, number 1, ");
-        String own = control;
+        InetSocketAddress address = start(1024, 4000);
+        hangUp(PAY, tenantTable(0, 1000, "7"));
+        awaitLog("settings in force: epoch 0, number 1, ");
+        String firstControl = control;
         Process first = gateway;
-        control = free();
-        configured =
-                configured.andThen(
+        control = freeAddress();
+        editConfig =
+                editConfig.andThen(
                                 text ->
                                         text.replace(
                                                 "\"listen\": \"127.0.0.1:0\"",
-                                                "\"listen\": \"127.0.0.1:" + at.getPort() + "\""))
+                                                "\"listen\": \"127.0.0.1:"
+                                                        + address.getPort()
+                                                        + "\""))
                         ::apply;
         try {
-            listens(1024, 4000);
-            assertEquals(value(settings(own), "hash"), inForce("hash"));
+            startListening(1024, 4000);
+            assertEquals(value(settings(firstControl), "hash"), valueInForce("hash"));
             Process second = gateway;
-            hangUp(kinds(500, "700"), orgs(500, 2000, "7"));
-            logged("settings in force: ");
+            hangUp(classTable(500, "700"), tenantTable(500, 2000, "7"));
+            awaitLog("settings in force: ");
             gateway = first;
             signal("HUP");
-            logged("settings in force: ");
+            awaitLog("settings in force: ");
             gateway = second;
-            assertEquals(hashOfTheFile(), value(settings(own), "hash"));
-            assertEquals(hashOfTheFile(), inForce("hash"));
-            assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 1, "kind499", "org1999"));
+            assertEquals(contentHashOfFile(), value(settings(firstControl), "hash"));
+            assertEquals(contentHashOfFile(), valueInForce("hash"));
+            assertEquals(
+                    "Status: 200 OK",
+                    exchange(connect(address, "127.0.0.1"), 1, "kind499", "org1999"));
             gateway = first;
             signal("TERM");
-            logged("replaced by another process");
-            logged("drained");
+            awaitLog("replaced by another process");
+            awaitLog("drained");
             assertEquals(128 + 15, first.waitFor());
             gateway = second;
-            assertEquals("Status: 200 OK", ask(connect(at, "127.0.0.1"), 2, "kind0", "acme"));
+            assertEquals(
+                    "Status: 200 OK", exchange(connect(address, "127.0.0.1"), 2, "kind0", "acme"));
         } finally {
             first.destroyForcibly();
         }
--- a/src/test/java/tinroad/cli/StoredFilesTest.java
+++ b/src/test/java/tinroad/cli/StoredFilesTest.java
@@ -19,8 +19,8 @@
 import tinroad.operator.OperatorConfig;
 
 /**
- * Files written by the released program 0.2.0 (commit 8aa3729) are still read, with the same
- * result. The expected outputs were printed by that program.
+ * Tests that files written by release 0.2.0 (commit 8aa3729) are still read with the same result.
+ * The expected outputs were printed by that release.
  */
 class StoredFilesTest {
     private static final Path FILES = Path.of("src/test/resources/stored/0.2.0");
@@ -104,7 +104,7 @@
                         operator.catalog().pollMillis()));
     }
 
-    /** What a command prints; it has to end with status 0 and complain of nothing. */
+    /** Runs a command, which has to end with status 0 and without errors; returns its output. */
     private static String run(String... words) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -119,7 +119,7 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** Ages depend on when the test runs. */
+    /** Removes ages, which depend on when the test runs. */
     private static String withoutAges(String json) {
         return json.lines()
                 .filter(line -> !line.contains("\"age_s\""))
