--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -16,14 +16,15 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Judges a run of all tests against KNOWN-RED.txt, the list of tests that fail for a known fault that is not mended yet. Passes over just
- * these. An entry is one line: {@code Class#method | command and seed | what was seen | issue N}. Guards against a list that hides anything else: a line out of form, too many, a test that is not there, a red one beside
- * them, a class that left no report as its process ended.
+ * Compares a run of all tests with KNOWN-RED.txt, the list of tests that fail because of a known fault that is not fixed yet. Only
+ * failures of these tests are ignored. An entry is one line: {@code Class#method | command and seed | what was seen | issue N}. The
+ * list must not hide anything else, so these are errors: a malformed line, too many lines, a listed test that did not run, a failed test
+ * that is not listed, and a class without a report because its test process exited.
  *
- *     java .ci/KnownRed.java KNOWN-RED.txt                                        the list's form alone
- *     java .ci/KnownRed.java KNOWN-RED.txt target/surefire-reports src/test/java  all of it
+ *     java .ci/KnownRed.java KNOWN-RED.txt                                        checks only the format of the list
+ *     java .ci/KnownRed.java KNOWN-RED.txt target/surefire-reports src/test/java  checks everything
  *
- * Exit status: 0 nothing red but what is listed, 1 something else is wrong, a line for each.
+ * Exit status: 0 if no test failed except listed ones, 1 if there are errors, each printed as one line.
  */
 final class KnownRed {
     private static final int MAX_ENTRIES = 3;
@@ -34,30 +35,30 @@
     private enum Outcome { PASSED, SKIPPED, FAILED }
 
     private final List<String> faults = new ArrayList<>();
-    /** The listed tests, each with its whole line. */
-    private final Map<String, String> listed = new LinkedHashMap<>();
-    /** Every test that ran, by package, class and method; the worst outcome of a method that ran more than once. */
-    private final Map<String, Outcome> ran = new LinkedHashMap<>();
+    /** The listed tests, each with its complete line. */
+    private final Map<String, String> entries = new LinkedHashMap<>();
+    /** The outcome of every test that ran, by package, class and method; the worst one if a method ran more than once. */
+    private final Map<String, Outcome> outcomes = new LinkedHashMap<>();
 
     public static void main(String[] args) throws IOException {
-        KnownRed known = new KnownRed();
-        known.list(Path.of(args[0]));
+        KnownRed run = new KnownRed();
+        run.readList(Path.of(args[0]));
         if (args.length == 3) {
-            known.reports(Path.of(args[1]), Path.of(args[2]));
-            known.judge();
+            run.readReports(Path.of(args[1]), Path.of(args[2]));
+            run.compare();
         }
-        known.faults.forEach(fault -> System.out.println("known red: FAULT: " + fault));
-        System.exit(known.faults.isEmpty() ? 0 : 1);
+        run.faults.forEach(fault -> System.out.println("known red: FAULT: " + fault));
+        System.exit(run.faults.isEmpty() ? 0 : 1);
     }
 
-    private void list(Path file) throws IOException {
+    private void readList(Path file) throws IOException {
         List<String> lines = Files.readAllLines(file);
         for (String line : lines) {
-            Matcher form = ENTRY.matcher(line);
-            if (!form.matches()) {
+            Matcher matcher = ENTRY.matcher(line);
+            if (!matcher.matches()) {
                 faults.add("a line out of form (" + FORM + "): '" + line + "'");
-            } else if (listed.put(form.group(1), line) != null) {
-                faults.add("listed twice: " + form.group(1));
+            } else if (entries.put(matcher.group(1), line) != null) {
+                faults.add("listed twice: " + matcher.group(1));
             }
         }
         if (lines.size() > MAX_ENTRIES) {
@@ -65,7 +66,7 @@
         }
     }
 
-    private void reports(Path folder, Path sources) throws IOException {
+    private void readReports(Path folder, Path sources) throws IOException {
         TreeSet<Path> files = new TreeSet<>();
         if (Files.isDirectory(folder)) {
             try (Stream<Path> all = Files.list(folder)) {
@@ -74,7 +75,7 @@
         }
         for (Path file : files) {
             try (InputStream in = Files.newInputStream(file)) {
-                read(in);
+                readReport(in);
             } catch (XMLStreamException e) {
                 faults.add("a report that can't be read: " + file.getFileName());
             }
@@ -87,7 +88,7 @@
         }
     }
 
-    private void read(InputStream in) throws XMLStreamException {
+    private void readReport(InputStream in) throws XMLStreamException {
         XMLInputFactory factory = XMLInputFactory.newFactory();
         factory.setProperty(XMLInputFactory.SUPPORT_DTD, false);
         XMLStreamReader report = factory.createXMLStreamReader(in);
@@ -97,37 +98,37 @@
                 continue;
             }
             switch (report.getLocalName()) {
-                // What a class's own set-up fails at has no name; arguments and the number of a repetition follow a method's.
-                case "testcase" -> note(test = report.getAttributeValue(null, "classname") + "#"
+                // The name is empty if the set-up of a class failed. Arguments and the number of a repetition follow a method's name.
+                case "testcase" -> addOutcome(test = report.getAttributeValue(null, "classname") + "#"
                         + report.getAttributeValue(null, "name").replaceAll("[^\\w$].*", ""), Outcome.PASSED);
-                case "failure", "error" -> note(test, Outcome.FAILED);
-                case "skipped" -> note(test, Outcome.SKIPPED);
+                case "failure", "error" -> addOutcome(test, Outcome.FAILED);
+                case "skipped" -> addOutcome(test, Outcome.SKIPPED);
                 default -> { }
             }
         }
     }
 
-    private void note(String test, Outcome outcome) {
-        ran.merge(test, outcome, (one, other) -> one.compareTo(other) > 0 ? one : other);
+    private void addOutcome(String test, Outcome outcome) {
+        outcomes.merge(test, outcome, (one, other) -> one.compareTo(other) > 0 ? one : other);
     }
 
-    private void judge() {
-        List<String> passedOver = new ArrayList<>();
-        listed.forEach((name, line) -> {
-            List<String> meant = ran.keySet().stream().filter(test -> test.equals(name) || test.endsWith("." + name)).toList();
-            if (meant.size() != 1) {
-                faults.add((meant.isEmpty() ? "no such test ran: " : "more than one test is meant: ") + name);
+    private void compare() {
+        List<String> ignored = new ArrayList<>();
+        entries.forEach((name, line) -> {
+            List<String> matches = outcomes.keySet().stream().filter(test -> test.equals(name) || test.endsWith("." + name)).toList();
+            if (matches.size() != 1) {
+                faults.add((matches.isEmpty() ? "no such test ran: " : "more than one test is meant: ") + name);
                 return;
             }
-            switch (ran.get(meant.get(0))) {
+            switch (outcomes.get(matches.get(0))) {
                 case FAILED -> System.out.println("known red: passed over: " + line);
                 case PASSED -> System.out.println("known red: PASSES, take it off the list: " + line);
                 default -> faults.add("skipped, not failed: " + name);
             }
-            passedOver.addAll(meant);
+            ignored.addAll(matches);
         });
-        ran.forEach((test, outcome) -> {
-            if (outcome == Outcome.FAILED && !passedOver.contains(test)) {
+        outcomes.forEach((test, outcome) -> {
+            if (outcome == Outcome.FAILED && !ignored.contains(test)) {
                 faults.add("red and not listed: " + test);
             }
         });
--- a/deploy/share-classes.sh
+++ b/deploy/share-classes.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Leaves target/tinroad.jsa: the classes that a start of `run` loads, as the virtual machine keeps them, so that the next start need
-# not read, check and lay them out again. Called by `build`; without the archive `run` starts all the same, only later.
-# A start maps the archive without reading it through, and a damaged one ends it: so it comes under its name whole and verified, or not.
+# Creates target/tinroad.jsa, the class-data sharing archive of the classes that `run` loads at its start, so that a start need not
+# read, verify and lay out these classes again. Called by `build`. Without the archive `run` starts, too, but takes longer.
+# A start maps the archive without reading all of it, and a damaged one ends the process, so the archive gets its final name only once it
+# is complete and verified.
 set -eu
 cd "$(dirname "$0")/.."
 flags=$(sed -n 's/^run = "exec java \(.*\) -jar .*"$/\1/p' deploy/balancer.toml | sed 's/ -XX:SharedArchiveFile=[^ ]*//; s/ -Xshare:auto//')
--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -64,7 +64,8 @@
     /** Shares of datagrams lost, for the table of {@code lab members}. */
     private static final double[] MEMBERS_LOSSES = {0, 0.05, 0.2, 0.4};
 
-    private static final String SCRIPT_EXTENSION = ".conf";
+    /** File name suffix of scripts. */
+    private static final String SUFFIX = ".conf";
 
     @Argument(
             index = 0,
@@ -93,7 +94,7 @@
             usage =
                     "compare, soak, members: the seeds, from A to B (default: 1..5); model: prints"
                             + " one line of figures for each seed")
-    private String seeds;
+    private String seedRange;
 
     @Option(
             name = "--jar",
@@ -116,7 +117,7 @@
             usage =
                     "model: stored state lasts over restarts, as the script treats the gateways'"
                             + " folders")
-    private boolean statePersists;
+    private boolean storesState;
 
     @Option(
             name = "--check",
@@ -126,9 +127,7 @@
     @Option(
             name = "--size",
             metaVar = "N",
-            usage =
-                    "members: the number of members, may be given several times (default: 10, 30,"
-                            + " 100)")
+            usage = "members: a size, may be given several times (default: 10, 30, 100)")
     private List<Integer> sizes = new ArrayList<>();
 
     @Option(
@@ -137,7 +136,7 @@
             usage =
                     "where to leave results, charts and the gateways' folders; compare: those of"
                             + " each run (default: nowhere)")
-    private String resultsFolder;
+    private String outFolder;
 
     @Option(name = "--output", usage = "table or json")
     private Output output = Output.TABLE;
@@ -183,13 +182,12 @@
     private int list(PrintStream out) throws IOException, OperatorException {
         List<List<Object>> rows = new ArrayList<>();
         try (Stream<Path> files = Files.list(Path.of(SCRIPTS_FOLDER))) {
-            for (Path file :
-                    files.filter(f -> f.toString().endsWith(SCRIPT_EXTENSION)).sorted().toList()) {
+            for (Path file : files.filter(f -> f.toString().endsWith(SUFFIX)).sorted().toList()) {
                 if (file.getFileName().toString().startsWith(SCALE_SCRIPT_PREFIX)) {
                     Scale scaleScript = ScaleReader.read(file);
                     rows.add(
                             List.of(
-                                    file.getFileName().toString().replace(SCRIPT_EXTENSION, ""),
+                                    file.getFileName().toString().replace(SUFFIX, ""),
                                     scaleScript.held().gateways(),
                                     scaleScript.sizes().size() * scaleScript.seconds() / 1000,
                                     scaleScript.title()));
@@ -198,7 +196,7 @@
                 Script labScript = ScriptReader.read(file);
                 rows.add(
                         List.of(
-                                file.getFileName().toString().replace(SCRIPT_EXTENSION, ""),
+                                file.getFileName().toString().replace(SUFFIX, ""),
                                 labScript.fleet().gateways(),
                                 labScript.length() / 1000,
                                 labScript.title()));
@@ -219,7 +217,7 @@
                             + action.name().toLowerCase(Locale.ROOT)
                             + " needs a SCRIPT (see 'tinroad help lab')");
         }
-        Path shipped = Path.of(SCRIPTS_FOLDER, script + SCRIPT_EXTENSION);
+        Path shipped = Path.of(SCRIPTS_FOLDER, script + SUFFIX);
         return !script.contains("/") && Files.exists(shipped) ? shipped : Path.of(script);
     }
 
@@ -251,13 +249,7 @@
         return file.equals(NO_OPERATOR_FILE) ? null : Path.of(file);
     }
 
-    /**
-     * Runs a script once with real processes.
-     *
-     * @param program the index of the program in {@code --jar} and {@code --operator}
-     * @param runFolder where to leave the results; null to leave none
-     * @param progress receives progress messages; may be null
-     */
+    /** Runs a script once with real processes; leaves results in {@code runFolder} unless null. */
     private Report runOnce(
             Script labScript, long runSeed, int program, Path runFolder, PrintStream progress)
             throws IOException, InterruptedException {
@@ -285,21 +277,20 @@
 
     /** Runs a script with this program's own gateways on virtual time, in this process. */
     private int model(PrintStream out) throws IOException, OperatorException {
-        if (seeds != null) {
+        if (seedRange != null) {
             Script labScript = script();
             long brokenRules = 0;
-            for (long runSeed : seedRange()) {
+            for (long runSeed : seeds()) {
                 Report report =
-                        new Report(
-                                new FleetModel(Plan.of(labScript, runSeed), statePersists).play());
+                        new Report(new FleetModel(Plan.of(labScript, runSeed), storesState).play());
                 out.println(report.line());
                 brokenRules += report.broken().size();
             }
             return brokenRules == 0 ? SUCCESS : FAILURE;
         }
-        Report report = new Report(new FleetModel(Plan.of(script(), seed), statePersists).play());
-        if (resultsFolder != null) {
-            report.write(Path.of(resultsFolder));
+        Report report = new Report(new FleetModel(Plan.of(script(), seed), storesState).play());
+        if (outFolder != null) {
+            report.write(Path.of(outFolder));
         }
         print(report, out);
         out.println(report.fates());
@@ -316,19 +307,16 @@
             for (double loss : MEMBERS_LOSSES) {
                 rows.add(
                         MembersSweep.row(
-                                "lifeguard", MembershipConfig.DEFAULT, size, loss, seedRange()));
+                                "lifeguard", MembershipConfig.DEFAULT, size, loss, seeds()));
                 rows.add(
-                        MembersSweep.row(
-                                "plain", MembershipConfig.SWIM_2002, size, loss, seedRange()));
+                        MembersSweep.row("plain", MembershipConfig.SWIM_2002, size, loss, seeds()));
             }
         }
         output.print(MembersSweep.NAMES, rows, out);
         return SUCCESS;
     }
 
-    /**
-     * Writes or checks the tables of a capacity page; each part that is out of step is one line.
-     */
+    /** Writes or checks the tables of a page; prints one line for each part out of step. */
     private int capacity(PrintStream err) throws IOException, OperatorException {
         if (script == null) {
             throw new IllegalArgumentException(
@@ -346,12 +334,7 @@
     private int play(PrintStream out, PrintStream err)
             throws IOException, InterruptedException, OperatorException {
         Report report =
-                runOnce(
-                        script(),
-                        seed,
-                        0,
-                        resultsFolder == null ? null : Path.of(resultsFolder),
-                        err);
+                runOnce(script(), seed, 0, outFolder == null ? null : Path.of(outFolder), err);
         print(report, out);
         if (!(boolean) report.figures().get("counts")) {
             err.println(
@@ -370,17 +353,14 @@
         return report.broken().isEmpty() ? SUCCESS : FAILURE;
     }
 
-    /**
-     * Prints a line for each seed. With {@code --out}, the folders of runs that did not pass are
-     * left.
-     */
+    /** Prints a line for each seed; with --out, the folders of runs that did not pass are left. */
     private int soak(PrintStream out) throws IOException, InterruptedException {
         long brokenRuns = 0;
-        for (long runSeed : seedRange()) {
+        for (long runSeed : seeds()) {
             Path runFolder =
-                    resultsFolder == null
+                    outFolder == null
                             ? Files.createTempDirectory("tinroad-soak")
-                            : Path.of(resultsFolder, "seed-" + runSeed);
+                            : Path.of(outFolder, "seed-" + runSeed);
             SoakRun run = SoakRun.play(runSeed, jar(0), runFolder);
             SoakVerdict.Outcome outcome = run.verdict().outcome();
             out.printf(
@@ -392,7 +372,7 @@
                     run.requests());
             run.verdict().faults().forEach(fault -> out.println("  " + fault));
             brokenRuns += outcome == SoakVerdict.Outcome.BROKEN ? 1 : 0;
-            if (resultsFolder == null || outcome == SoakVerdict.Outcome.KEPT) {
+            if (outFolder == null || outcome == SoakVerdict.Outcome.KEPT) {
                 Lab.delete(runFolder);
             }
         }
@@ -415,8 +395,8 @@
                 : value.toString();
     }
 
-    private long[] seedRange() {
-        String text = seeds == null ? "1..5" : seeds;
+    private long[] seeds() {
+        String text = seedRange == null ? "1..5" : seedRange;
         if (!text.matches("\\d{1,6}\\.\\.\\d{1,6}")) {
             throw new IllegalArgumentException("--seeds must be A..B; found " + text);
         }
@@ -428,10 +408,7 @@
         return LongStream.rangeClosed(first, last).toArray();
     }
 
-    /**
-     * Runs a sweep. With {@code --out}, its points, fits and charts are added to those in the
-     * folder.
-     */
+    /** Runs a sweep; with --out, its points, fits and charts are added to those in the folder. */
     private int scale(PrintStream out, PrintStream err)
             throws IOException, InterruptedException, OperatorException {
         Scale scaleScript = ScaleReader.read(scriptFile());
@@ -450,8 +427,8 @@
                                             workFolder,
                                             err))
                             .play();
-            if (resultsFolder != null) {
-                sweep.write(Path.of(resultsFolder));
+            if (outFolder != null) {
+                sweep.write(Path.of(outFolder));
             }
             if (output == Output.JSON) {
                 sweep.json().forEach(out::println);
@@ -475,7 +452,7 @@
         Script labScript = script();
         Comparison comparison = new Comparison();
         long brokenRules = 0;
-        for (long runSeed : seedRange()) {
+        for (long runSeed : seeds()) {
             Map<String, Report> reports = new LinkedHashMap<>();
             for (int program = 0; program < jars.size(); program++) {
                 Report report =
@@ -483,10 +460,10 @@
                                 labScript,
                                 runSeed,
                                 program,
-                                resultsFolder == null
+                                outFolder == null
                                         ? null
                                         : Path.of(
-                                                resultsFolder,
+                                                outFolder,
                                                 "seed-"
                                                         + runSeed
                                                         + "-"
--- a/src/main/java/tinroad/cli/ProcessLog.java
+++ b/src/main/java/tinroad/cli/ProcessLog.java
@@ -8,7 +8,7 @@
 
 /**
  * The log output of this process, as configured by the operator file. Without an operator file, the
- * output of the plain back end is left as it is.
+ * output stays as the command line of the process sets it.
  */
 final class ProcessLog {
     private final LogConfigurator configurator;
--- a/src/main/java/tinroad/operator/ConfigSources.java
+++ b/src/main/java/tinroad/operator/ConfigSources.java
@@ -284,35 +284,36 @@
         }
 
         @Override
-        public ConfigObject include(ConfigIncludeContext context, String what) {
+        public ConfigObject include(ConfigIncludeContext context, String included) {
             Path from = includeStack.peek();
-            ConfigObject found = parse(from.resolveSibling(what), from, line(from, what));
+            ConfigObject found =
+                    parse(from.resolveSibling(included), from, lineOfInclude(from, included));
             return found == null ? ConfigFactory.empty().root() : found;
         }
 
         @Override
-        public ConfigObject includeFile(ConfigIncludeContext context, File what) {
-            return include(context, what.getPath());
+        public ConfigObject includeFile(ConfigIncludeContext context, File included) {
+            return include(context, included.getPath());
         }
 
         @Override
-        public ConfigObject includeURL(ConfigIncludeContext context, URL what) {
-            return reject(what.toString());
+        public ConfigObject includeURL(ConfigIncludeContext context, URL included) {
+            return reject(included.toString());
         }
 
         @Override
-        public ConfigObject includeResources(ConfigIncludeContext context, String what) {
-            return reject(what);
+        public ConfigObject includeResources(ConfigIncludeContext context, String included) {
+            return reject(included);
         }
 
-        private ConfigObject reject(String what) {
+        private ConfigObject reject(String included) {
             Path from = includeStack.peek();
             errors.add(
                     new ValidationError(
                             from.toString(),
-                            line(from, what),
+                            lineOfInclude(from, included),
                             "",
-                            "include of " + what + ": must be a file"));
+                            "include of " + included + ": must be a file"));
             return ConfigFactory.empty().root();
         }
 
@@ -320,18 +321,19 @@
          * Returns the line of an include, which the parser does not report. For several includes of
          * the same name, each call returns the next line.
          */
-        private int line(Path from, String what) {
+        private int lineOfInclude(Path from, String included) {
             List<Integer> lines =
-                    includeLines.computeIfAbsent(from + "\n" + what, k -> findIncludes(from, what));
+                    includeLines.computeIfAbsent(
+                            from + "\n" + included, k -> findIncludes(from, included));
             return lines.size() > 1 ? lines.remove(0) : lines.isEmpty() ? 1 : lines.get(0);
         }
 
-        private List<Integer> findIncludes(Path from, String what) {
+        private List<Integer> findIncludes(Path from, String included) {
             List<Integer> lines = new ArrayList<>();
             try {
                 List<String> all = Files.readAllLines(from);
                 for (int i = 0; i < all.size(); i++) {
-                    if (all.get(i).contains("include") && all.get(i).contains(what)) {
+                    if (all.get(i).contains("include") && all.get(i).contains(included)) {
                         lines.add(i + 1);
                     }
                 }
--- a/src/main/java/tinroad/operator/StateSettings.java
+++ b/src/main/java/tinroad/operator/StateSettings.java
@@ -10,7 +10,7 @@
  *     folder} is detected; or null
  * @param savePeriodMillis the time between two snapshots
  * @param keptSnapshots the number of snapshots that are retained
- * @param maxAgeMillis the age beyond which a stored value is not used
+ * @param maxAgeMillis the age beyond which no stored state is used
  * @param halfLifeMillis the half-life of the weight of learned values
  */
 public record StateSettings(
--- a/src/test/java/tinroad/Cuts.java
+++ b/src/test/java/tinroad/Cuts.java
@@ -7,13 +7,16 @@
 import java.util.Arrays;
 import java.util.Random;
 
-/** Feeds bytes to a channel as the network may: cut anywhere, in pieces that a seed decides. */
+/**
+ * Helpers for tests of channels. Bytes are fed as the network may deliver them: in pieces of random
+ * size, which a seed determines.
+ */
 public final class Cuts {
     private Cuts() {}
 
     /**
-     * Writes all bytes to the channel's inbound side, in random pieces, most of them small; until
-     * it is closed.
+     * Writes all bytes to the channel's inbound side in random pieces, most of them small. Stops if
+     * the channel is closed.
      */
     public static void feed(EmbeddedChannel channel, byte[] bytes, long seed) {
         Random random = new Random(seed);
@@ -25,7 +28,7 @@
         }
     }
 
-    /** All that the channel sent so far. */
+    /** Returns all bytes that the channel has sent and that were not yet read. */
     public static byte[] sent(EmbeddedChannel channel) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
@@ -36,7 +39,7 @@
         return all.toByteArray();
     }
 
-    /** The parts one after the other. */
+    /** Concatenates the parts. */
     public static byte[] join(byte[]... parts) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         Arrays.stream(parts).forEach(all::writeBytes);
--- a/src/test/java/tinroad/KnownRedTest.java
+++ b/src/test/java/tinroad/KnownRedTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What CI passes over, and what it never does: {@code .ci/KnownRed.java} as a process of its own,
- * on reports made up here.
+ * Tests which failures CI ignores: runs {@code .ci/KnownRed.java} as a separate process on
+ * generated test reports.
  */
 class KnownRedTest {
-    private static final String RED =
+    private static final String LISTED_FAILURE =
             "ATest#red | mvn verify, seed 3 | the clock goes back | issue 7";
 
     @TempDir Path dir;
 
     @BeforeEach
-    void twoClassesOneRed() throws IOException {
+    void createReportsOfTwoClassesWithOneFailure() throws IOException {
         Files.createDirectories(dir.resolve("reports"));
         Files.createDirectories(dir.resolve("src/a"));
         report(
@@ -56,14 +56,14 @@
                         + "</testsuite>");
     }
 
-    /** What it says of this list, its exit status first. */
-    private List<String> judged(String... lines) throws IOException, InterruptedException {
+    /** Runs the program with these lines as the list; returns its exit status and its output. */
+    private List<String> resultOfList(String... lines) throws IOException, InterruptedException {
         Path list = Files.write(dir.resolve("KNOWN-RED.txt"), List.of(lines));
-        return said(
+        return run(
                 list.toString(), dir.resolve("reports").toString(), dir.resolve("src").toString());
     }
 
-    private static List<String> said(String... arguments) throws IOException, InterruptedException {
+    private static List<String> run(String... arguments) throws IOException, InterruptedException {
         List<String> command =
                 Stream.concat(
                                 Stream.of(
@@ -72,18 +72,20 @@
                                         ".ci/KnownRed.java"),
                                 Stream.of(arguments))
                         .toList();
-        Process judge = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String out = new String(judge.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return Stream.concat(Stream.of(Integer.toString(judge.waitFor())), out.lines()).toList();
+        Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+        String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return Stream.concat(Stream.of(Integer.toString(process.waitFor())), out.lines()).toList();
     }
 
     @Test
-    void passesOverTheListedRedAloneAndPrintsIt() throws Exception {
-        assertEquals(List.of("0", "known red: passed over: " + RED), judged(RED));
+    void ignoresOnlyTheListedFailureAndPrintsIt() throws Exception {
+        assertEquals(
+                List.of("0", "known red: passed over: " + LISTED_FAILURE),
+                resultOfList(LISTED_FAILURE));
     }
 
     @Test
-    void failsOnEveryOtherRed() throws Exception {
+    void failsOnEveryOtherFailure() throws Exception {
         report(
                 "a.BTest",
                 test("a.BTest", "green(Path)[1]", ""),
@@ -92,26 +94,26 @@
         assertEquals(
                 List.of(
                         "1",
-                        "known red: passed over: " + RED,
+                        "known red: passed over: " + LISTED_FAILURE,
                         "known red: FAULT: red and not listed: a.BTest#green",
                         "known red: FAULT: red and not listed: a.BTest#"),
-                judged(RED));
-        assertEquals("1", judged().get(0));
+                resultOfList(LISTED_FAILURE));
+        assertEquals("1", resultOfList().get(0));
     }
 
     @Test
-    void saysWhenAListedTestPasses() throws Exception {
+    void reportsAListedTestThatPasses() throws Exception {
         String passes = "BTest#green | mvn verify, seed 3 | the clock goes back | issue 7";
         assertEquals(
                 List.of(
                         "0",
-                        "known red: passed over: " + RED,
+                        "known red: passed over: " + LISTED_FAILURE,
                         "known red: PASSES, take it off the list: " + passes),
-                judged(RED, passes));
+                resultOfList(LISTED_FAILURE, passes));
     }
 
     @Test
-    void failsOnAListedTestThatIsNotThereOrSkippedOrNotOne() throws Exception {
+    void failsOnAListedTestThatIsMissingOrSkippedOrAmbiguous() throws Exception {
         report("a.BTest", test("a.BTest", "green", "<skipped/>"));
         Files.createDirectories(dir.resolve("src/b"));
         report("b.ATest", test("b.ATest", "red", ""));
@@ -122,14 +124,14 @@
                         "known red: FAULT: skipped, not failed: BTest#green",
                         "known red: FAULT: more than one test is meant: ATest#red",
                         "known red: FAULT: red and not listed: a.ATest#red"),
-                judged(
+                resultOfList(
                         "ATest#gone | mvn verify | left | issue 7",
                         "BTest#green | mvn verify | left | issue 7",
-                        RED));
+                        LISTED_FAILURE));
     }
 
     @Test
-    void failsOnAListOutOfForm() throws Exception {
+    void failsOnAMalformedList() throws Exception {
         String form = "Class#method | command and seed | what was seen | issue N";
         List<String> malformed =
                 List.of(
@@ -150,24 +152,24 @@
         expected.add("known red: FAULT: listed twice: ATest#red");
         expected.add("known red: FAULT: 7 lines, 3 at most");
         List<String> lines = new ArrayList<>(malformed);
-        lines.addAll(List.of(RED, RED));
-        assertEquals(expected, said(Files.write(dir.resolve("KNOWN-RED.txt"), lines).toString()));
+        lines.addAll(List.of(LISTED_FAILURE, LISTED_FAILURE));
+        assertEquals(expected, run(Files.write(dir.resolve("KNOWN-RED.txt"), lines).toString()));
     }
 
     /**
-     * A process of tests that ended by itself writes no report of the class in hand, nor of those
-     * after it.
+     * A test process that exits early writes no report of the class that it was running, nor of
+     * those after it.
      */
     @Test
-    void failsOnAClassThatLeftNoReport() throws Exception {
+    void failsOnAClassWithoutAReport() throws Exception {
         Files.writeString(dir.resolve("src/a/CTest.java"), "");
         Files.writeString(dir.resolve("reports/TEST-a.BTest.xml"), "<testsuite><testcase");
         assertEquals(
                 List.of(
                         "1",
-                        "known red: passed over: " + RED,
+                        "known red: passed over: " + LISTED_FAILURE,
                         "known red: FAULT: a report that can't be read: TEST-a.BTest.xml",
                         "known red: FAULT: no report of a.CTest"),
-                judged(RED));
+                resultOfList(LISTED_FAILURE));
     }
 }
--- a/src/test/java/tinroad/LayersTest.java
+++ b/src/test/java/tinroad/LayersTest.java
@@ -12,9 +12,12 @@
 import com.tngtech.archunit.library.Architectures;
 import org.junit.jupiter.api.Test;
 
-/** The layers of docs/architecture.md: who may know what. */
+/** Checks the dependencies between the layers of docs/architecture.md. */
 class LayersTest {
-    /** Packages of decisions and state: they know no clock, wire, file, socket or thread. */
+    /**
+     * Packages of decisions and state, which must not depend on clocks, wire formats, files,
+     * sockets or threads.
+     */
     private static final String[] DECISIONS = {
         "tinroad.overload..",
         "tinroad.route..",
@@ -31,7 +34,7 @@
                     .importPackages("tinroad");
 
     @Test
-    void arrowsGoDownOnly() {
+    void layersDependOnlyOnLayersBelow() {
         Architectures.layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .withOptionalLayers(true)
@@ -89,7 +92,7 @@
     }
 
     @Test
-    void decisionsKnowNoClockWireFileSocketOrThread() {
+    void decisionsDoNotDependOnClocksWireFormatsFilesSocketsOrThreads() {
         noClasses()
                 .that()
                 .resideInAnyPackage(DECISIONS)
@@ -121,7 +124,7 @@
     }
 
     @Test
-    void theModuleKnowsNothingOfThisProgram() {
+    void theOverloadPackageDependsOnNoOtherPackageOfTheProgram() {
         classes()
                 .that()
                 .resideInAPackage("tinroad.overload..")
@@ -137,7 +140,7 @@
     }
 
     @Test
-    void coreKnowsNoProtocolAndNoSocket() {
+    void coreDoesNotDependOnProtocolsOrSockets() {
         noClasses()
                 .that()
                 .resideInAPackage("tinroad.core..")
@@ -153,7 +156,7 @@
     }
 
     @Test
-    void theEdgesDoNotKnowEachOther() {
+    void edgesDoNotDependOnEachOther() {
         for (String edge :
                 new String[] {
                     "fastcgi", "engine", "upstream", "admin", "discovery", "simulator", "gossip"
--- a/src/test/java/tinroad/Program.java
+++ b/src/test/java/tinroad/Program.java
@@ -4,9 +4,12 @@
 import java.util.Arrays;
 import java.util.stream.Collectors;
 
-/** The program as tests start it in processes of its own. */
+/** The program, for tests that start it in separate processes. */
 public final class Program {
-    /** Without the tests' own classes, and so without their settings of the log. */
+    /**
+     * The class path of the program. It leaves out the classes of the tests, and with them their
+     * logging configuration.
+     */
     public static final String CLASS_PATH =
             Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                     .filter(entry -> !entry.contains("test-classes"))
--- a/src/test/java/tinroad/cli/ClassArchiveTest.java
+++ b/src/test/java/tinroad/cli/ClassArchiveTest.java
@@ -129,7 +129,7 @@
 
     /**
      * The virtual machine maps an archive without reading all of it, so a start with a damaged
-     * archive would crash.
+     * archive ends the process.
      */
     @Test
     void anArchiveDamagedWhileItIsWrittenIsRemoved() throws Exception {
