--- a/src/main/java/tinroad/node/CatalogUpdater.java
+++ b/src/main/java/tinroad/node/CatalogUpdater.java
@@ -26,51 +26,55 @@
 import tinroad.core.Gateway;
 
 /**
- * Applies catalog versions, from the configuration file or from a change log, to a gateway that
- * serves. Reading, validating and comparing happen on one thread of its own, "catalog", whatever
- * the source; the event loop receives only the differences. One version is handed over at a time:
- * the next one waits until it is in force, which bounds what is pending.
+ * Applies catalog versions, read from the configuration file or from a change log, to a running
+ * gateway. Whatever the source, reading, validating and comparing happen on a thread of their own
+ * named "catalog"; the event loop receives only the differences. The gateway receives one version
+ * at a time: the next one waits until this one is in force, so the amount of pending work is
+ * bounded.
  *
- * <p>The way of a changed quota: {@link #apply} or a poll of the change log reads and validates it
- * here; the gateway stages the differences in slices and commits them at one instant ({@code
- * core.CatalogRollout}); from that commit on the controller uses the new quota, and "settings in
- * force" is logged (at debug level while a change log is followed).
+ * <p>How a changed quota takes effect: {@link #apply} or a poll of the change log reads and
+ * validates it here. The gateway stages the differences in slices and commits them all at one
+ * instant ({@code core.CatalogRollout}). From that commit on the controller uses the new quota, and
+ * "settings in force" is logged (at debug level while a change log is followed).
  */
 final class CatalogUpdater implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("catalog");
     private static final String THREAD_NAME = "catalog";
 
     private final Gateway gateway;
-    private final Executor loop;
+    private final Executor eventLoop;
 
-    /** Used on the catalog thread only. */
+    /** Accessed on the catalog thread only. */
     private final CatalogBuilder builder;
 
-    /** Null where no change log is followed. */
+    /** Null if no change log is followed. */
     private final ChangeLogFollower follower;
 
-    private final ScheduledThreadPoolExecutor thread;
+    private final ScheduledThreadPoolExecutor executor;
 
     /**
      * The outcome of reading the configuration again.
      *
-     * @param pendingEntries how many classes and tenants differ and apply at the next start only
-     * @param applied whether its classes and tenants change something now
+     * @param config the configuration that was read
+     * @param pendingEntries number of classes and tenants that differ but take effect only at the
+     *     next start
+     * @param applied whether its classes and tenants are being applied to the running gateway
      */
     record Reload(GatewayConfig config, int pendingEntries, boolean applied) {}
 
     /**
-     * Updates of {@code gateway}, which still has its {@code startCatalog}; {@code follower} is
-     * null where no change log is followed.
+     * Creates an updater for {@code gateway}, whose catalog must still be {@code startCatalog}.
+     *
+     * @param follower reads the change log; null if none is followed
      */
     CatalogUpdater(
-            Gateway gateway, Catalog startCatalog, Executor loop, ChangeLogFollower follower) {
+            Gateway gateway, Catalog startCatalog, Executor eventLoop, ChangeLogFollower follower) {
         this.gateway = gateway;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.follower = follower;
         builder = new CatalogBuilder(startCatalog);
-        thread = new ScheduledThreadPoolExecutor(1, CatalogUpdater::newThread);
-        loop.execute(
+        executor = new ScheduledThreadPoolExecutor(1, CatalogUpdater::newThread);
+        eventLoop.execute(
                 () ->
                         gateway.onSlotsFree(
                                 slots -> releaseSlots(slots, builder::releaseClassSlot),
@@ -83,33 +87,34 @@
         return thread;
     }
 
-    /** Polls the change log now, and again {@code pollMillis} after each poll. */
+    /** Polls the change log now, and again {@code pollMillis} after the end of each poll. */
     void follow(double pollMillis) {
-        // Ends with the thread; a poll catches its own failures.
+        // The future is not needed: polling ends with the executor, and poll() handles its own
+        // exceptions.
         ScheduledFuture<?> unused =
-                thread.scheduleWithFixedDelay(
+                executor.scheduleWithFixedDelay(
                         this::poll, 0, Math.max(1, (long) pollMillis), TimeUnit.MILLISECONDS);
     }
 
     private void poll() {
         try {
-            boolean more = true;
-            while (more) {
+            boolean mayHaveMore = true;
+            while (mayHaveMore) {
                 ChangeLogFollower.PollResult result = follower.poll(builder);
                 if (follower.lastProblem().isPresent()) {
                     reportProblem(result.logLine().orElse(null));
                 } else {
                     result.logLine().ifPresent(line -> LOG.info("{}", line));
                 }
-                more = result.applied().isPresent() && activate(result.applied().get());
+                mayHaveMore = result.applied().isPresent() && activate(result.applied().get());
             }
         } catch (RuntimeException e) {
-            // Guards the polls to come, which an exception would end.
+            // Without this catch the executor would cancel all later polls.
             LOG.error("can't follow the change log", e);
         }
     }
 
-    /** Logs the problem and has the gateway show it; nothing for null. */
+    /** Logs the problem and has the gateway report it to operators; does nothing for null. */
     private void reportProblem(String line) {
         if (line != null) {
             LOG.warn("{}", line);
@@ -119,24 +124,25 @@
 
     private void releaseSlots(int[] slots, IntConsumer release) {
         try {
-            thread.execute(
+            executor.execute(
                     () -> {
                         for (int slot : slots) {
                             release.accept(slot);
                         }
                     });
         } catch (RejectedExecutionException e) {
-            // The process ends: no slot is allocated any more.
+            // The process is about to end, so no slot will be allocated again.
         }
     }
 
     /**
-     * Reads the configuration and compares it with the last version that was built; blocks.
+     * Reads the configuration and compares it with the last version that was built, without
+     * applying anything; blocks.
      *
      * @throws ConfigException if it is invalid, or the process is about to end
      */
     Reload read(ConfigSource source) throws ConfigException {
-        return onThread(
+        return callOnCatalogThread(
                 () -> {
                     FullSnapshotDiff diff = new FullSnapshotDiff(builder.current());
                     GatewayConfig config = source.read(diff);
@@ -145,14 +151,15 @@
     }
 
     /**
-     * Reads the configuration and has the gateway change to its classes and tenants; blocks until
-     * they are validated, not until they are in force.
+     * Reads the configuration and begins to apply its classes and tenants to the gateway; blocks
+     * until they are validated, not until they are in force.
      *
-     * @param requested whether somebody waits for the reason if they don't apply
+     * @param requested whether an operator requested this reload, so that the reason is reported if
+     *     a change log rejects the classes and tenants
      * @throws ConfigException if it is invalid, or the process is about to end
      */
     Reload apply(ConfigSource source, boolean requested) throws ConfigException {
-        return onThread(
+        return callOnCatalogThread(
                 () -> {
                     FullSnapshotDiff diff = new FullSnapshotDiff(builder.current());
                     GatewayConfig config = source.read(diff);
@@ -162,17 +169,18 @@
                         reportProblem(requested ? result.logLine().orElse(null) : null);
                         applied = result.applied().orElse(null);
                     } else {
-                        applied = build(changeFrom(diff));
+                        applied = buildVersion(changeFrom(diff));
                     }
                     if (applied != null) {
-                        thread.execute(() -> activate(applied));
+                        executor.execute(() -> activate(applied));
                     }
                     return new Reload(config, 0, applied != null);
                 });
     }
 
-    /** Null where nothing differs. */
-    private CatalogBuilder.ChangeResult.Applied build(CatalogChange change) throws ConfigException {
+    /** Builds the next version from a change; null if the change is empty. */
+    private CatalogBuilder.ChangeResult.Applied buildVersion(CatalogChange change)
+            throws ConfigException {
         if (change.size() == 0) {
             return null;
         }
@@ -191,9 +199,9 @@
         return diff.change(base.epoch(), base.number() + 1);
     }
 
-    private <T> T onThread(Callable<T> task) throws ConfigException {
+    private <T> T callOnCatalogThread(Callable<T> task) throws ConfigException {
         try {
-            return thread.submit(task).get();
+            return executor.submit(task).get();
         } catch (ExecutionException e) {
             if (e.getCause() instanceof ConfigException invalid) {
                 reportRejection(invalid.getMessage());
@@ -208,16 +216,16 @@
         }
     }
 
-    /** Hands the gateway a version and waits until it is in force; false where it never is. */
+    /** Hands the gateway a version and waits until it is in force; false if it never will be. */
     private boolean activate(CatalogBuilder.ChangeResult.Applied applied) {
         Catalog next = applied.next();
         CatalogDelta delta = applied.delta();
         CompletableFuture<Boolean> activated = new CompletableFuture<>();
         try {
-            int unapplied = unappliedAfter(next);
-            loop.execute(
+            int unappliedChanges = unappliedAfter(next);
+            eventLoop.execute(
                     () -> {
-                        gateway.setUnappliedChanges(unapplied);
+                        gateway.setUnappliedChanges(unappliedChanges);
                         gateway.applyChange(next, delta, activated::complete);
                     });
             boolean inForce = activated.get();
@@ -240,7 +248,7 @@
         }
     }
 
-    /** How many versions beyond this one the change log was seen to have. */
+    /** How many versions the change log has beyond {@code next}, as far as it has been read. */
     private int unappliedAfter(Catalog next) {
         LogPosition newest = follower == null ? null : follower.newest().orElse(null);
         boolean sameEpoch = newest != null && newest.epoch() == next.epoch();
@@ -250,11 +258,11 @@
     }
 
     private void reportRejection(String text) {
-        loop.execute(() -> gateway.changeRejected(text));
+        eventLoop.execute(() -> gateway.changeRejected(text));
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/tinroad/node/ConfigReloader.java
+++ b/src/main/java/tinroad/node/ConfigReloader.java
@@ -19,76 +19,77 @@
 import tinroad.recovery.ConfigReloadBackoff;
 
 /**
- * Reload of the configuration while the gateway serves: on a signal, and on its own while the
- * engine is unreachable. Addresses apply at once, classes and tenants as set by {@link
- * CatalogSettings}, everything else at the next start.
+ * Reloads the configuration while the gateway serves: when a signal requests it, and without a
+ * request while the engine is unreachable. Changed addresses take effect at once, changed classes
+ * and tenants as {@link CatalogSettings} determines, and everything else at the next start.
  *
- * <p>Called on the thread of the signal and on the thread that waits for the end, both of which it
- * blocks while it reads; what changes is handed to the event loop.
+ * <p>Called on the signal's thread and on the thread that waits for the end of the node. It blocks
+ * either of them while it reads, and hands the changes to the event loop.
  */
 final class ConfigReloader implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
-    /** What this process started with. */
-    private final GatewayConfig running;
+    /** The configuration that this process started with. */
+    private final GatewayConfig startConfig;
 
     private final Clock clock;
     private final CatalogSettings catalogSettings;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final EngineLink engine;
     private final LoadReporter reporter;
     private final ConfigReloadBackoff backoff;
     private final Supplier<CatalogUpdater> newUpdater;
 
     /**
-     * Created at the first reload, or to follow a change log: a gateway that does neither has no
-     * thread for it. Null before.
+     * Created at the first reload or when a change log is followed, so that a gateway that does
+     * neither needs no thread for it; null until then.
      */
     private CatalogUpdater updater;
 
-    /** The addresses by the configuration that was read last. */
+    /** Address of the engine in the configuration that was read last. */
     private volatile InetSocketAddress engineAddress;
 
+    /** Address of the service registry in the configuration that was read last. */
     private volatile InetSocketAddress registryAddress;
 
     ConfigReloader(
-            GatewayConfig running,
+            GatewayConfig startConfig,
             Clock clock,
             CatalogSettings catalogSettings,
-            EventLoop loop,
+            EventLoop eventLoop,
             EngineLink engine,
             LoadReporter reporter,
             Supplier<CatalogUpdater> newUpdater) {
-        this.running = running;
+        this.startConfig = startConfig;
         this.clock = clock;
         this.catalogSettings = catalogSettings;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.engine = engine;
         this.reporter = reporter;
         this.newUpdater = newUpdater;
-        backoff = new ConfigReloadBackoff(running.name(), running.seed());
-        engineAddress = running.engine();
-        registryAddress = running.roster();
+        backoff = new ConfigReloadBackoff(startConfig.name(), startConfig.seed());
+        engineAddress = startConfig.engine();
+        registryAddress = startConfig.roster();
     }
 
-    /** Begins to follow the change log. */
+    /** Starts polling the change log for new versions. */
     void followChangeLog() {
         updater().follow(catalogSettings.pollMillis());
     }
 
     /**
-     * Reads the configuration because somebody requested it, and applies it.
+     * Reads the configuration because an operator requested it, and applies it.
      *
-     * @throws ConfigException if it is invalid: then the one in force stays
+     * @throws ConfigException if it is invalid; the configuration in force then stays
      */
     void reload(ConfigSource source) throws ConfigException {
         apply(read(source, true));
     }
 
     /**
-     * Reads the configuration, paced by a backoff, while the engine is unreachable and the file has
-     * changed. Guards against a signal that never arrived: the engine may be at another address by
-     * now.
+     * Reads the configuration, paced by a backoff, if the engine is unreachable and the file has
+     * changed. The engine may have moved to another address, and the signal that requests a reload
+     * may never have arrived.
      */
     void reloadWhileEngineIsUnreachable(ConfigSource source) {
         if (!backoff.due(clock.nowMillis(), engine.engineReachable()) || !source.changed()) {
@@ -96,15 +97,16 @@
         }
         try {
             CatalogUpdater.Reload next = read(source, false);
-            boolean moved =
+            boolean addressesChanged =
                     !(next.config().engine().equals(engineAddress)
                             && next.config().roster().equals(registryAddress));
-            if (moved || next.applied()) {
+            if (addressesChanged || next.applied()) {
                 LOG.info("engine unreachable: configuration changed without a reload signal");
                 apply(next);
             }
         } catch (ConfigException e) {
-            // Reported when a reload is requested; until then what is in force stays.
+            // An invalid file is reported when a reload is requested; the configuration in force
+            // stays.
         }
     }
 
@@ -117,17 +119,17 @@
 
     private void apply(CatalogUpdater.Reload reload) {
         GatewayConfig next = reload.config();
-        List<String> pending = new ArrayList<>(ConfigDiff.between(running, next));
+        List<String> pendingDifferences = new ArrayList<>(ConfigDiff.between(startConfig, next));
         if (reload.pendingEntries() > 0) {
-            pending.add(
+            pendingDifferences.add(
                     "settings.classes and settings.orgs: " + reload.pendingEntries() + " differ");
         }
-        if (!pending.isEmpty()) {
-            LOG.info("takes effect at the next start: {}", String.join(", ", pending));
+        if (!pendingDifferences.isEmpty()) {
+            LOG.info("takes effect at the next start: {}", String.join(", ", pendingDifferences));
         }
         engineAddress = next.engine();
         registryAddress = next.roster();
-        loop.execute(
+        eventLoop.execute(
                 () -> {
                     LogKeyValues.with(
                                     LogKeyValues.with(LOG.atInfo(), "engine", next.engine()),
--- a/src/main/java/tinroad/node/GatewayNode.java
+++ b/src/main/java/tinroad/node/GatewayNode.java
@@ -37,15 +37,19 @@
 import tinroad.recovery.RestoredState;
 
 /**
- * The parts of one gateway put together on one event loop, from start to graceful shutdown.
+ * A complete gateway: assembles the parts on one event loop and runs them from start to graceful
+ * shutdown.
  *
- * <p>That event loop owns all state of the parts. Beside it run the caller's threads, which only
- * block and hand work to the loop: one starts the node and waits for its end, one brings the
- * shutdown notice, one requests reloads; and the catalog thread of {@link CatalogUpdater}.
+ * <p>The event loop owns all state of the parts. The caller's threads only block and hand work to
+ * the loop: one starts the node and waits for its end, one delivers the shutdown notice, and one
+ * requests reloads. {@link CatalogUpdater} adds a thread of its own, the catalog thread.
  */
 public final class GatewayNode implements AutoCloseable {
-    /** How often it is checked whether another process shares the address, in ms. */
-    private static final long WATCH_PERIOD_MILLIS = 250;
+    /**
+     * Period at which {@link #awaitEnd} checks whether another process shares the address, and
+     * whether the configuration must be read again.
+     */
+    private static final long PERIODIC_CHECK_MILLIS = 250;
 
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
@@ -57,10 +61,10 @@
 
     private final GatewayConfig config;
     private final Clock clock = Clock.anchored();
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final Timers timers = new LoopTimers(loop);
+    private final EventLoop eventLoop = eventLoopGroup.next();
+    private final Timers timers = new LoopTimers(eventLoop);
     private final EngineLink engine;
     private final Gateway gateway;
     private final FastCgiFrontend frontend;
@@ -70,57 +74,67 @@
     private final double savePeriodMillis;
     private final FleetSettings fleetSettings;
 
-    /** Null where the gateway is not a member of a fleet. */
+    /** Null if the gateway is not a member of a fleet. */
     private final UdpTransport gossip;
 
     private final boolean followsChangeLog;
     private final ConfigReloader reloader;
     private final NodeShutdown shutdown;
 
-    /** Decides between listener and shutdown notice: whichever comes first keeps the other out. */
+    /**
+     * Decides the race between opening the listener and a shutdown notice: whichever comes first
+     * prevents the other.
+     */
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
-    private final CountDownLatch healthy = new CountDownLatch(1);
+    private final CountDownLatch becameHealthy = new CountDownLatch(1);
 
-    /** Whether another process shares the connection limits; on the thread that waits. */
+    /**
+     * Whether another process shares the connection limits; accessed only on the thread that starts
+     * the node and waits for its end.
+     */
     private boolean limitsShared;
 
     /**
-     * A gateway whose catalog changes as by {@link CatalogSettings#DEFAULT}; see the other
+     * Creates a gateway with {@link CatalogSettings#DEFAULT}; otherwise the same as the other
      * constructor.
      */
     public GatewayNode(
             GatewayConfig config,
             String directory,
-            StateSettings state,
+            StateSettings stateSettings,
             FleetSettings fleetSettings) {
-        this(config, directory, state, fleetSettings, CatalogSettings.DEFAULT);
+        this(config, directory, stateSettings, fleetSettings, CatalogSettings.DEFAULT);
     }
 
     /**
-     * Puts the parts together and reads the stored state, which blocks.
+     * Assembles the parts and reads the stored state; blocks while it reads.
      *
-     * @param directory where processes of the same gateway find each other; null or empty if there
-     *     is none
+     * @param directory directory in which the processes of one gateway find each other; null or
+     *     empty if there is none
      */
     public GatewayNode(
             GatewayConfig config,
             String directory,
-            StateSettings state,
+            StateSettings stateSettings,
             FleetSettings fleetSettings,
             CatalogSettings catalogSettings) {
         this.config = config;
         this.fleetSettings = fleetSettings;
         Site site = config.site();
         persistence =
-                state.enabled()
-                        ? StatePersistence.open(state, config.name(), clock.nowMillis())
+                stateSettings.enabled()
+                        ? StatePersistence.open(stateSettings, config.name(), clock.nowMillis())
                         : StatePersistence.DISABLED;
-        savePeriodMillis = state.savePeriodMillis();
+        savePeriodMillis = stateSettings.savePeriodMillis();
         handover = new ListenerHandover(directory, config.name());
         engine =
                 new EngineLink(
-                        loop, config.engine(), site.gaugeNames(), config.name(), config.seed());
+                        eventLoop,
+                        config.engine(),
+                        site.gaugeNames(),
+                        config.name(),
+                        config.seed());
         ChangeLogFollower follower = newFollower(catalogSettings, persistence.restoredState());
         followsChangeLog = follower != null;
         Catalog startCatalog = startCatalog(site, follower);
@@ -135,7 +149,7 @@
                         OverloadController::new,
                         LoggerFactory.getLogger("gateway"));
         frontend = new FastCgiFrontend(clock, gateway, config.sockets(), config.memoryMb());
-        reporter = new LoadReporter(loop, config.roster(), config.name(), config.seed());
+        reporter = new LoadReporter(eventLoop, config.roster(), config.name(), config.seed());
         gateway.addFrontend(frontend);
         gossip = fleetSettings.enabled() ? newGossip() : null;
         reloader =
@@ -143,23 +157,23 @@
                         config,
                         clock,
                         catalogSettings,
-                        loop,
+                        eventLoop,
                         engine,
                         reporter,
-                        () -> new CatalogUpdater(gateway, startCatalog, loop, follower));
+                        () -> new CatalogUpdater(gateway, startCatalog, eventLoop, follower));
         shutdown =
                 new NodeShutdown(
-                        config, clock, loop, gateway, frontend, reporter, gossip, persistence);
+                        config, clock, eventLoop, gateway, frontend, reporter, gossip, persistence);
         gateway.onHealth(this::onHealth);
-        if (state.enabled()) {
+        if (stateSettings.enabled()) {
             gateway.restoreFrom(persistence.restoredState());
             timers.after(savePeriodMillis, this::save);
         }
     }
 
     /**
-     * The follower of the change log, from the stored state's position on; null where no log is
-     * followed.
+     * Creates the follower of the change log, which continues at the position in the restored
+     * state; null if no change log is followed.
      */
     private static ChangeLogFollower newFollower(CatalogSettings settings, RestoredState restored) {
         if (settings.log() == null) {
@@ -187,11 +201,12 @@
 
     private UdpTransport newGossip() {
         return new UdpTransport(
-                loop, fleetSettings.listen(), fleetSettings.keys(), clock::nowMillis);
+                eventLoop, fleetSettings.listen(), fleetSettings.keys(), clock::nowMillis);
     }
 
     private void save() {
-        // First: guards the snapshots to come against one that fails.
+        // Schedules the next save before this one, so that later saves happen even if this one
+        // fails.
         timers.after(savePeriodMillis, this::save);
         persistence.save(gateway);
     }
@@ -199,43 +214,46 @@
     private void onHealth(boolean good) {
         reporter.report(good);
         if (good) {
-            healthy.countDown();
+            becameHealthy.countDown();
         }
     }
 
     /**
-     * Has the JIT compiler see the hot paths before any client does; blocks until then.
+     * Sends synthetic requests through the hot paths, so that the JIT compiler compiles them before
+     * any client connects; blocks meanwhile.
      *
      * @throws InterruptedException if the caller is interrupted meanwhile
      */
     public void warmUpJit() throws InterruptedException {
         LOG.debug("JIT warm-up started");
-        // A failed warm-up costs nothing but the first requests' time: the gateway starts anyway.
-        Future<Integer> unused = loop.submit(() -> new JitWarmup(config.site()).play()).await();
+        // The result is ignored: after a failed warm-up only the first requests are slower, so the
+        // gateway starts anyway.
+        Future<Integer> unused = eventLoop.submit(() -> new JitWarmup(config.site()).run()).await();
     }
 
     /**
-     * Listens, and begins to connect to the engine; blocks until it listens. Where another process
-     * already listens on the address, that is once the engine is reachable and health is good.
+     * Opens the listener and starts connecting to the engine; blocks until the gateway listens. If
+     * another process already listens on the address, this one connects first and listens only once
+     * the engine is reachable and health is good.
      *
-     * @return the address that it listens on; empty if the shutdown notice came first: then it
-     *     never listens
+     * @return the address that the gateway listens on; empty if the shutdown notice came first, in
+     *     which case it never listens
      * @throws IOException if it can't listen on an address
      * @throws InterruptedException if the caller is interrupted meanwhile
      */
     public Optional<InetSocketAddress> start() throws IOException, InterruptedException {
         if (config.control() != null) {
-            AdminServer admin =
+            AdminServer adminServer =
                     new AdminServer(
                             gateway,
                             () -> Optional.ofNullable(gossip).map(UdpTransport::membership));
-            awaitBound(admin.listen(loop, config.control()), config.control());
+            awaitBound(adminServer.listen(eventLoop, config.control()), config.control());
         }
         if (followsChangeLog) {
             reloader.followChangeLog();
         }
-        boolean besideAnother = isServedByAnotherProcess();
-        if (besideAnother) {
+        boolean sharesAddress = anotherProcessSharesAddress();
+        if (sharesAddress) {
             LogKeyValues.with(LOG.atInfo(), "listen", config.listen())
                     .log(
                             "another process listens on {}: listening beside it once the engine is"
@@ -243,32 +261,35 @@
                             config.listen());
             shareLimits(true);
             connect();
-            healthy.await();
+            becameHealthy.await();
         }
         Optional<InetSocketAddress> bound = listen();
-        if (bound.isPresent() && !besideAnother) {
+        if (bound.isPresent() && !sharesAddress) {
             connect();
         }
         return bound;
     }
 
     /**
-     * Whether another process listens that lets this one listen beside it. Guards the requests that
-     * come while a new version starts: until it admits requests, all go to the old one.
+     * Whether another process listens on the address and shares it (SO_REUSEPORT). While a new
+     * version of the program starts, all requests must go to the old process until the new one
+     * admits requests.
      */
-    private boolean isServedByAnotherProcess() throws IOException {
+    private boolean anotherProcessSharesAddress() throws IOException {
         return FastCgiFrontend.isAddressTaken(config.listen(), false)
                 && !FastCgiFrontend.isAddressTaken(config.listen(), true);
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // Wrong: both futures are awaited here.
+    @SuppressWarnings("FutureReturnValueIgnored") // False positive: both futures are awaited here.
     private Optional<InetSocketAddress> listen() throws IOException, InterruptedException {
-        // On the loop, as the shutdown is: whichever comes first, the other sees all of it.
+        // Runs on the event loop, as the shutdown does, so that whichever of the two comes second
+        // sees everything that the first one did.
         Future<ChannelFuture> listen =
-                loop.submit(
+                eventLoop
+                        .submit(
                                 () ->
                                         phase.compareAndSet(Phase.STARTING, Phase.LISTENING)
-                                                ? frontend.listen(loop, config.listen())
+                                                ? frontend.listen(eventLoop, config.listen())
                                                 : null)
                         .await();
         if (listen.getNow() == null) {
@@ -277,7 +298,7 @@
         ChannelFuture bound = listen.getNow();
         awaitBound(bound, config.listen());
         handover.recordListening();
-        loop.execute(gateway::markListening);
+        eventLoop.execute(gateway::markListening);
         InetSocketAddress address = (InetSocketAddress) bound.channel().localAddress();
         LogKeyValues.with(
                         LogKeyValues.with(LOG.atInfo(), "listen", address), "member", config.name())
@@ -293,7 +314,7 @@
     }
 
     private void connect() {
-        loop.execute(
+        eventLoop.execute(
                 () -> {
                     reporter.start();
                     engine.start(gateway);
@@ -303,10 +324,13 @@
                 });
     }
 
-    /** The incarnation is the stored state's, or, without state, the time of the start. */
+    /**
+     * Joins the fleet with the incarnation from the stored state, or, without stored state, with
+     * the start time as the incarnation.
+     */
     private void joinFleet() {
-        long stored = persistence.restoredState().incarnation();
-        long incarnation = stored > 0 ? stored : (long) clock.nowMillis();
+        long restoredIncarnation = persistence.restoredState().incarnation();
+        long incarnation = restoredIncarnation > 0 ? restoredIncarnation : (long) clock.nowMillis();
         ChannelFuture unused =
                 gossip.start(
                                 config.name(),
@@ -327,27 +351,27 @@
     }
 
     /**
-     * Reads the configuration again and applies its addresses of engine and service registry, and
-     * its classes and tenants where these are to change in place; everything else in it applies at
-     * the next start. Blocks while it reads; any thread.
+     * Reads the configuration again and applies the addresses of the engine and the service
+     * registry, and the classes and tenants if they are set to change in place; everything else
+     * takes effect at the next start. Blocks while it reads; may be called on any thread.
      *
-     * @throws ConfigException if it is invalid: then the one in force stays
+     * @throws ConfigException if it is invalid; the configuration in force then stays
      */
     public void reload(ConfigSource source) throws ConfigException {
         reloader.reload(source);
     }
 
     /**
-     * Graceful shutdown: answers every request that was read, then ends. Blocks its caller, the
-     * thread that the notice arrives on, until then, at most until the process is killed anyway. A
-     * process that was replaced ends as soon as it is empty, and the gateway stays in the service
-     * registry.
+     * Shuts the gateway down gracefully: answers every request that was read, then ends. Blocks its
+     * caller, the thread on which the notice arrives, until then, but no longer than until the
+     * process would be killed anyway. A process that was replaced ends as soon as it has no request
+     * and no connection left, and the gateway stays in the service registry.
      */
     public void shutDownGracefully() {
         double noticedAtMillis = shutdown.noticedAtMillis();
         if (phase.compareAndSet(Phase.STARTING, Phase.SHUTTING_DOWN)) {
-            // Guards against a wait for the warm-up, or for the engine: no client has sent
-            // anything yet.
+            // No client has sent anything yet, so there is no need to wait for the warm-up or the
+            // engine.
             shutdown.endBeforeListening();
             return;
         }
@@ -357,8 +381,9 @@
     }
 
     /**
-     * Blocks until the end. Meanwhile it checks whether another process shares the connection
-     * limits, and, while the engine is unreachable, whether the configuration has changed.
+     * Blocks until the gateway has ended. Meanwhile it checks whether another process shares the
+     * connection limits, and, while the engine is unreachable, whether the configuration has
+     * changed.
      *
      * @throws InterruptedException if the caller is interrupted meanwhile
      */
@@ -368,20 +393,20 @@
                 shareLimits(handover.isShared());
                 reloader.reloadWhileEngineIsUnreachable(source);
             } catch (RuntimeException e) {
-                // Guards the process: with this thread it would end, whatever is still in flight.
+                // The process would end together with this thread, even with requests in flight.
                 LOG.error("periodic check failed", e);
             }
-        } while (!shutdown.awaitEnd(WATCH_PERIOD_MILLIS));
+        } while (!shutdown.awaitEnd(PERIODIC_CHECK_MILLIS));
     }
 
-    private void shareLimits(boolean withAnother) {
-        if (withAnother != limitsShared) {
-            limitsShared = withAnother;
+    private void shareLimits(boolean shared) {
+        if (shared != limitsShared) {
+            limitsShared = shared;
             LOG.info(
-                    withAnother
+                    shared
                             ? "connection limits halved: another process shares them"
                             : "connection limits restored: no other process");
-            loop.execute(() -> frontend.shareDescriptors(withAnother));
+            eventLoop.execute(() -> frontend.shareDescriptors(shared));
         }
     }
 
@@ -390,7 +415,8 @@
         persistence.close();
         reloader.close();
         handover.close();
-        // Knowingly dropped: the process ends, and nothing waits for the loop's thread.
-        Future<?> unused = group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        // The future is not needed: the process ends, and nothing waits for the event loop's
+        // thread.
+        Future<?> unused = eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/tinroad/node/JitWarmup.java
+++ b/src/main/java/tinroad/node/JitWarmup.java
@@ -20,37 +20,44 @@
 import tinroad.overload.OverloadController;
 
 /**
- * Synthetic requests that run through a gateway of their own, which is discarded, before the real
- * one listens. Guards the first seconds of service: the virtual machine compiles what it has seen
- * often, and on a fraction of a core that work would keep clients waiting. Opens no socket, and
- * writes no log line. Runs on the event loop, on virtual time.
+ * Warms up the JIT compiler: sends synthetic requests through a separate gateway, which is
+ * discarded afterwards, before the real one listens. The virtual machine compiles code that runs
+ * often; without the warm-up that would happen in the first seconds of service, where clients would
+ * wait for it on a fraction of a core. Opens no socket and writes no log line. Runs on the event
+ * loop, in virtual time.
  */
 final class JitWarmup {
-    /** In each step as many requests come as the fake engine completes, but for its pauses. */
+    /**
+     * Number of simulated steps. In each of them as many requests arrive as the fake engine
+     * completes, except while it pauses.
+     */
     private static final int STEPS = 300;
 
     private static final double STEP_MILLIS = 5;
     private static final int REQUESTS_PER_STEP = 2;
 
-    /** So many steps of every hundred the engine completes nothing: requests are queued. */
+    /** Steps out of every hundred in which the engine completes nothing, so that requests queue. */
     private static final int PAUSED_STEPS_PER_HUNDRED = 8;
 
     private static final int CONNECTIONS = 8;
 
     /**
-     * Bounds the classes and tenants of a large site that are used: what the virtual machine sees
-     * does not grow with the rest.
+     * Upper bound of the classes and of the tenants that are used of a large site: more of them
+     * would not make the virtual machine compile more code.
      */
-    static final int MAX_SAMPLE = 64;
+    static final int MAX_SAMPLED_ENTRIES = 64;
 
     private static final int STEPS_PER_ADMIN_CALL = 10;
     private static final String ADMIN_CALL = "GET /api/telemetry HTTP/1.1\r\nHost: x\r\n\r\n";
     private static final String RESULT_BASE64 = "cmVzdWx0".repeat(60);
 
-    /** Position of the request's id or the tag in a command, if it is split at the quotes. */
-    private static final int ID_WORD = 7;
+    /**
+     * Index of the request's id (in RUN) or of the reference (in STAT) after a command is split at
+     * its quotes.
+     */
+    private static final int ID_PART_INDEX = 7;
 
-    // Records of FastCGI, version 1.
+    // Version and record types of FastCGI 1.0.
     private static final int FCGI_VERSION = 1;
     private static final int FCGI_BEGIN_REQUEST = 1;
     private static final int FCGI_PARAMS = 4;
@@ -59,26 +66,26 @@
     private static final int BODY_BYTES = 500;
 
     private final Site site;
-    private final ArrayDeque<Runnable> timers = new ArrayDeque<>();
-    private final ArrayDeque<String> running = new ArrayDeque<>();
-    private final List<EmbeddedChannel> clients = new ArrayList<>();
+    private final ArrayDeque<Runnable> pendingTimers = new ArrayDeque<>();
+    private final ArrayDeque<String> runningIds = new ArrayDeque<>();
+    private final List<EmbeddedChannel> clientChannels = new ArrayList<>();
     private final FastCgiFrontend frontend;
     private final AdminServer admin;
-    private final EmbeddedChannel engine;
+    private final EmbeddedChannel engineChannel;
     private double nowMillis;
-    private int sent;
-    private int answered;
-    private int events;
+    private int sentCount;
+    private int answeredCount;
+    private int completionCount;
 
     JitWarmup(Site fullSite) {
-        site = fullSite.first(MAX_SAMPLE);
+        site = fullSite.first(MAX_SAMPLED_ENTRIES);
         EngineLink link = new EngineLink(null, null, site.gaugeNames(), "", 0);
         Gateway gateway =
                 new Gateway(
                         site,
                         1,
                         () -> nowMillis,
-                        (ms, task) -> timers.add(task),
+                        (ms, task) -> pendingTimers.add(task),
                         link,
                         OverloadController::new,
                         NOPLogger.NOP_LOGGER);
@@ -87,48 +94,51 @@
         gateway.addFrontend(frontend);
         admin = new AdminServer(gateway);
         link.setListener(gateway);
-        engine = new EmbeddedChannel(link.handlers());
+        engineChannel = new EmbeddedChannel(link.handlers());
         for (int i = 0; i < CONNECTIONS; i++) {
-            clients.add(new EmbeddedChannel(frontend.handlers()));
+            clientChannels.add(new EmbeddedChannel(frontend.handlers()));
         }
     }
 
-    /** Runs all steps; returns how many of the requests were answered. */
-    int play() {
+    /** Runs all steps and returns the number of responses. */
+    int run() {
         sendEvent("{\"type\":\"HELLO\",\"state\":\"seasoned\",\"took\":1}\n");
         for (int step = 0; step < STEPS; step++) {
             nowMillis += STEP_MILLIS;
             for (int i = 0; i < REQUESTS_PER_STEP; i++) {
-                clients.get(sent % CONNECTIONS).writeInbound(nextRequest());
+                clientChannels.get(sentCount % CONNECTIONS).writeInbound(nextRequest());
             }
             readCommands();
             if (step % 100 >= PAUSED_STEPS_PER_HUNDRED) {
                 completeRuns();
             }
-            for (int due = timers.size(); due > 0; due--) {
-                timers.remove().run();
+            for (int due = pendingTimers.size(); due > 0; due--) {
+                pendingTimers.remove().run();
             }
             readCommands();
             frontend.pass();
-            clients.forEach(this::readResponses);
+            clientChannels.forEach(this::readResponses);
             if (step % STEPS_PER_ADMIN_CALL == 0) {
                 callAdmin();
             }
         }
-        return answered;
+        return answeredCount;
     }
 
     private void completeRuns() {
-        for (int i = 0; i < REQUESTS_PER_STEP && !running.isEmpty(); i++) {
+        for (int i = 0; i < REQUESTS_PER_STEP && !runningIds.isEmpty(); i++) {
             sendEvent(
                     String.format(
                             "{\"type\":\"DONE\",\"n\":%d,\"job\":\"%s\",\"state\":\"done\","
                                     + "\"took\":9.5,\"data\":\"%s\"}\n",
-                            ++events, running.remove(), RESULT_BASE64));
+                            ++completionCount, runningIds.remove(), RESULT_BASE64));
         }
     }
 
-    /** An operator's call: the first real one must be answered within a second, too. */
+    /**
+     * Calls the admin endpoint once, as an operator would: the first real call must be answered
+     * within a second, too.
+     */
     private void callAdmin() {
         EmbeddedChannel operator = new EmbeddedChannel(admin.handlers());
         operator.writeInbound(Unpooled.copiedBuffer(ADMIN_CALL, StandardCharsets.US_ASCII));
@@ -136,22 +146,24 @@
     }
 
     private void sendEvent(String line) {
-        engine.writeInbound(Unpooled.copiedBuffer(line, StandardCharsets.US_ASCII));
+        engineChannel.writeInbound(Unpooled.copiedBuffer(line, StandardCharsets.US_ASCII));
     }
 
-    /** Reads what the gateway wrote to its engine. */
+    /** Reads the commands that the gateway wrote to its engine, and answers STAT at once. */
     private void readCommands() {
-        for (ByteBuf line = engine.readOutbound(); line != null; line = engine.readOutbound()) {
+        for (ByteBuf line = engineChannel.readOutbound();
+                line != null;
+                line = engineChannel.readOutbound()) {
             String command = line.toString(StandardCharsets.US_ASCII);
             line.release();
-            String[] words = command.split("\"", -1);
+            String[] parts = command.split("\"", -1);
             if (command.contains("\"RUN\"")) {
-                running.add(words[ID_WORD]);
+                runningIds.add(parts[ID_PART_INDEX]);
             } else if (command.contains("\"STAT\"")) {
                 sendEvent(
                         String.format(
                                 "{\"type\":\"STATS\",\"ref\":\"%s\",\"gauges\":[0.9,3,0.4,9]}\n",
-                                words[ID_WORD]));
+                                parts[ID_PART_INDEX]));
             }
         }
     }
@@ -160,14 +172,14 @@
         for (ByteBuf response = client.readOutbound();
                 response != null;
                 response = client.readOutbound()) {
-            answered++;
+            answeredCount++;
             response.release();
         }
     }
 
-    /** All records of one request. */
+    /** Returns all FastCGI records of the next request. */
     private ByteBuf nextRequest() {
-        int number = 1 + sent / CONNECTIONS;
+        int number = 1 + sentCount / CONNECTIONS;
         ByteBuf params = Unpooled.buffer();
         nextParams()
                 .forEach(
@@ -190,20 +202,21 @@
 
     private Map<String, String> nextParams() {
         List<String> tenants = site.tenantNames();
-        int index = sent++;
+        int index = sentCount++;
         int requestClass = index % site.classNames().size();
         Map<String, String> params = new LinkedHashMap<>();
         params.put("REQUEST_METHOD", "POST");
         params.put("SCRIPT_NAME", "/v1/" + site.classNames().get(requestClass));
-        params.put("HTTP_REQ_ID", String.format("%016x", sent));
+        params.put("HTTP_REQ_ID", String.format("%016x", sentCount));
         params.put("HTTP_REQ_TIME", Long.toString((long) nowMillis));
-        params.put("HTTP_REQ_FROM", Integer.toString(sent % CONNECTIONS));
-        params.put("HTTP_REQ_OWNER", tenants.isEmpty() ? "" : tenants.get(sent % tenants.size()));
+        params.put("HTTP_REQ_FROM", Integer.toString(sentCount % CONNECTIONS));
+        params.put(
+                "HTTP_REQ_OWNER", tenants.isEmpty() ? "" : tenants.get(sentCount % tenants.size()));
         params.put("HTTP_REQ_KB", "24.5");
-        params.put("HTTP_REQ_RANK", "0." + sent % 10);
+        params.put("HTTP_REQ_RANK", "0." + sentCount % 10);
         if (site.settings().classes().get(requestClass).idempotency()
                 == Controller.Idempotency.IDEMPOTENT_WITH_KEY) {
-            params.put("HTTP_REQ_TOKEN", String.format("%032x", sent));
+            params.put("HTTP_REQ_TOKEN", String.format("%032x", sentCount));
         }
         return params;
     }
--- a/src/main/java/tinroad/node/ListenerHandover.java
+++ b/src/main/java/tinroad/node/ListenerHandover.java
@@ -11,14 +11,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How two processes of one gateway that listen on one address (SO_REUSEPORT) know of each other: by
- * two files in a directory that they share. One names the process that began to listen last; a
- * process that finds another's name there has been replaced. The other is locked by the older
- * process; the system releases the lock however that process ends.
+ * Lets two processes of one gateway that listen on the same address (SO_REUSEPORT) detect each
+ * other, by two files in a shared directory. The first file holds the id of the process that
+ * started to listen last; a process that finds another id there has been replaced. The second file
+ * is locked by the older process; the operating system releases the lock however that process ends.
  *
  * <p>{@link #recordListening} is called on the thread that starts the node, {@link #isShared} on
- * the one that waits for its end, {@link #isReplaced} on any; none on the event loop, as all touch
- * files.
+ * the thread that waits for its end, and {@link #isReplaced} on any thread. All of them access
+ * files, so none is called on the event loop.
  */
 final class ListenerHandover implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("server");
@@ -26,22 +26,24 @@
     private static final String LATEST_SUFFIX = ".latest";
     private static final String LOCK_SUFFIX = ".lock";
 
-    /** Holds the id of the process that began to listen last; null without a directory. */
+    /** Holds the id of the process that started to listen last; null without a directory. */
     private final Path latestFile;
 
+    /** Locked by the older of two processes; null without a directory. */
     private final Path lockFile;
 
     private final String processId = UUID.randomUUID().toString();
 
-    /** Open while this process has the lock. */
+    /** Open while this process holds the lock, otherwise null. */
     private FileChannel lockChannel;
 
     private volatile boolean listening;
 
     /**
-     * Where the processes of gateway {@code name} find each other.
+     * Creates the handover of the processes of gateway {@code name}.
      *
-     * @param directory null or empty where there is none: then this process counts as alone
+     * @param directory directory in which they find each other; null or empty if there is none, in
+     *     which case this process counts as the only one
      */
     ListenerHandover(String directory, String name) {
         boolean hasDirectory = directory != null && !directory.isEmpty();
@@ -49,7 +51,7 @@
         lockFile = hasDirectory ? Path.of(directory, FILE_PREFIX + name + LOCK_SUFFIX) : null;
     }
 
-    /** Names this process as the last that began to listen. */
+    /** Records this process as the one that started to listen last. */
     void recordListening() {
         listening = true;
         if (latestFile != null) {
@@ -61,26 +63,29 @@
         }
     }
 
-    /** Whether another process began to listen after this one. */
+    /** Whether another process started to listen after this one. */
     boolean isReplaced() {
         try {
-            // Guards a process whose shutdown notice comes after it listens and before its name is
-            // written: the process named there is older.
+            // Until this process has recorded itself, the file names an older process. A shutdown
+            // notice that arrives in that time must not count as a replacement.
             return listening
                     && latestFile != null
                     && !Files.readString(latestFile).equals(processId);
         } catch (IOException e) {
-            // A successor would have written the file: there is none.
+            // A successor would have written the file, so there is none.
             return false;
         }
     }
 
-    /** Whether two processes serve: this one was replaced, or the one before it still runs. */
+    /** Whether two processes serve: this one was replaced, or its predecessor still runs. */
     boolean isShared() {
         return isReplaced() || !isOldest();
     }
 
-    /** Whether no older process is left; from then on younger ones see this one. */
+    /**
+     * Whether no older process is left. If so, this process holds the lock, by which younger ones
+     * detect it.
+     */
     private boolean isOldest() {
         if (lockFile == null || lockChannel != null) {
             return true;
@@ -95,7 +100,7 @@
             }
             return lockChannel != null;
         } catch (IOException e) {
-            // Nothing is known of other processes: it serves as one that is alone.
+            // Other processes can't be detected, so this one serves as if it were the only one.
             return true;
         }
     }
@@ -104,7 +109,7 @@
         try {
             return channel.tryLock() != null;
         } catch (OverlappingFileLockException e) {
-            // Another gateway object in this process has it, as in tests.
+            // Another gateway object in this process holds the lock, as happens in tests.
             return false;
         }
     }
--- a/src/main/java/tinroad/node/NodeShutdown.java
+++ b/src/main/java/tinroad/node/NodeShutdown.java
@@ -14,64 +14,69 @@
 import tinroad.gossip.UdpTransport;
 
 /**
- * Graceful shutdown of one gateway: when admission closes, when connections are closed, and when
- * the process may end. {@link #begin} is called on the thread that the shutdown notice arrives on,
- * the waits block their caller; everything else runs on the event loop.
+ * Shuts one gateway down gracefully: decides when admission closes, when connections are closed,
+ * and when the process may end. {@link #begin} is called on the thread on which the shutdown notice
+ * arrives, and the methods that wait block their caller; everything else runs on the event loop.
  *
- * <p>The log lines, in their order:
+ * <p>The log lines, in the order in which they appear:
  *
  * <ul>
- *   <li>"shutdown notice received before listening": no client could connect; nothing else follows.
- *   <li>"replaced by another process": a later process listens; this one does not wait for its exit
+ *   <li>"shutdown notice received before listening": no client could connect, so nothing else
+ *       follows.
+ *   <li>"replaced by another process": a newer process listens; this one does not wait for its exit
  *       time, and sends no more load reports.
  *   <li>"draining: N requests in flight, N ms left" (logger "gateway"): the notice is being
- *       handled; the ms are those until the exit time, which lies before the kill by the exit
- *       margin.
- *   <li>"controller: draining, shutdown in N ms" (logger "gateway"): the overload controller knows
- *       it too; it comes late or never if the engine has not been attached yet.
- *   <li>"drained": every request is answered and every connection closed, at the exit time or, if
- *       replaced, before; the state is saved and the process ends. If this line is missing, the
- *       time until the kill ran out with requests or connections left.
+ *       handled. The ms are the time left until the exit time, which is the exit margin before the
+ *       kill.
+ *   <li>"controller: draining, shutdown in N ms" (logger "gateway"): the overload controller was
+ *       notified too. This line comes late or never if the engine has not been attached yet.
+ *   <li>"drained": every request is answered and every connection is closed, at the exit time or,
+ *       if the process was replaced, before it; the state is saved and the process ends. If this
+ *       line is missing, the process was killed with requests or connections left.
  * </ul>
  */
 final class NodeShutdown {
     /**
-     * Lower bound of the exit margin: the last part of the time until the kill, in which clients
-     * take the last responses and the process ends.
+     * Lower bound of the exit margin, the last part of the time until the kill, in which clients
+     * read the last responses and the process ends.
      */
     private static final double MIN_EXIT_MARGIN_MILLIS = 200;
 
-    /** The exit margin as a fraction of the time between notice and kill. */
+    /** Exit margin as a fraction of the time between notice and kill. */
     private static final double EXIT_MARGIN_FRACTION = 0.1;
 
     /**
-     * Fraction of the grace period for which a notice may have been on its way from the system to
-     * the thread that handles it.
+     * Assumed delay of a notice, from the operating system to the thread that handles it, as a
+     * fraction of the grace period.
      */
     private static final double NOTICE_DELAY_FRACTION = 0.1;
 
     /**
-     * Upper bound of the exit margin and of the assumed delay of a notice: how late a process can
-     * be does not grow with the time that it is given.
+     * Upper bound of the exit margin and of the assumed delay of a notice. How late a process runs
+     * does not depend on how much time it is given, so both stop growing here.
      */
     private static final double MAX_MARGIN_MILLIS = 500;
 
-    /** How long before the end no new connection is accepted any more, and idle ones are closed. */
+    /**
+     * Time before the exit time at which the listener closes, and from which on idle connections
+     * are closed.
+     */
     private static final double CLOSE_LEAD_MILLIS = 250;
 
+    /** Period of the check whether all requests are answered and all connections closed. */
     private static final double EMPTY_POLL_MILLIS = 10;
 
     private static final Logger LOG = LoggerFactory.getLogger("server");
 
     private final GatewayConfig config;
     private final Clock clock;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Timers timers;
     private final Gateway gateway;
     private final FastCgiFrontend frontend;
     private final LoadReporter reporter;
 
-    /** Null where the gateway is not a member of a fleet. */
+    /** Null if the gateway is not a member of a fleet. */
     private final UdpTransport gossip;
 
     private final StatePersistence persistence;
@@ -80,7 +85,7 @@
     NodeShutdown(
             GatewayConfig config,
             Clock clock,
-            EventLoop loop,
+            EventLoop eventLoop,
             Gateway gateway,
             FastCgiFrontend frontend,
             LoadReporter reporter,
@@ -88,8 +93,8 @@
             StatePersistence persistence) {
         this.config = config;
         this.clock = clock;
-        this.loop = loop;
-        this.timers = new LoopTimers(loop);
+        this.eventLoop = eventLoop;
+        this.timers = new LoopTimers(eventLoop);
         this.gateway = gateway;
         this.frontend = frontend;
         this.reporter = reporter;
@@ -97,25 +102,30 @@
         this.persistence = persistence;
     }
 
-    /** When a notice that is being handled now was sent at the latest, in ms; any thread. */
+    /**
+     * The time, in Unix ms, at which a shutdown notice that is handled now counts as sent: the
+     * earliest possible one, as the process may have stalled since. May be called on any thread.
+     */
     double noticedAtMillis() {
         return Math.min(clock.nowMillis(), gateway.lastSeenAliveMillis());
     }
 
-    /** Ends a gateway that never listened: no client has a request there. */
+    /** Ends a gateway that never listened, and so has no request of any client. */
     void endBeforeListening() {
         LOG.info("shutdown notice received before listening");
         ended.countDown();
     }
 
     /**
-     * Begins to drain; returns at once.
+     * Starts draining; returns at once.
      *
-     * @param replaced whether a later process of this gateway listens: this one ends as soon as it
-     *     is empty, and the gateway stays in the service registry
+     * @param noticedAtMillis when the shutdown notice counts as sent, in Unix ms
+     * @param replaced whether a newer process of this gateway listens; then this one ends as soon
+     *     as it has no request and no connection left, and the gateway stays in the service
+     *     registry
      */
     void begin(double noticedAtMillis, boolean replaced) {
-        loop.execute(
+        eventLoop.execute(
                 () -> {
                     if (replaced) {
                         LOG.info("replaced by another process");
@@ -128,17 +138,17 @@
                 });
     }
 
-    /** Blocks until everything is answered, at most until the process is killed anyway. */
+    /** Blocks until the gateway has ended, but no longer than until the process is killed. */
     void awaitEndOrKill() {
         try {
-            // Whichever comes first: past this time nothing is left to wait for.
+            // The result is ignored: after the timeout the process is killed anyway.
             boolean unused = ended.await((long) config.stopMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Blocks for this long at most; whether the gateway has ended. */
+    /** Blocks for at most this long; returns whether the gateway has ended. */
     boolean awaitEnd(long millis) throws InterruptedException {
         return ended.await(millis, TimeUnit.MILLISECONDS);
     }
@@ -155,8 +165,8 @@
                                                         MAX_MARGIN_MILLIS,
                                                         EXIT_MARGIN_FRACTION
                                                                 * config.stopMillis())));
-        // Guards the grace period against a notice that was handled late, as where the process
-        // gets little of a core.
+        // The notice counts as sent earlier by its assumed delay: where the process gets little of
+        // a core it is handled late, which would lengthen the grace period.
         double graceMillis = config.site().settings().rules().drainGraceMillis();
         gateway.beginDraining(
                 noticedAtMillis - Math.min(MAX_MARGIN_MILLIS, NOTICE_DELAY_FRACTION * graceMillis),
--- a/src/main/java/tinroad/node/StatePersistence.java
+++ b/src/main/java/tinroad/node/StatePersistence.java
@@ -15,18 +15,20 @@
 import tinroad.state.SnapshotWriter;
 
 /**
- * The stored state of a gateway: read once before it listens, on the thread that starts it, and
- * saved periodically from the event loop by a writer with a thread of its own.
+ * Restores and saves the state of a gateway. The state is read once before the gateway listens, on
+ * the thread that starts it, and saved periodically: the event loop hands snapshots to a writer,
+ * which saves them on a thread of its own.
  */
 final class StatePersistence implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("state");
 
-    /** Restores nothing and saves nothing. */
+    /** Instance that restores nothing and saves nothing. */
     static final StatePersistence DISABLED = new StatePersistence(null, null);
 
-    /** Null where nothing is persisted, as is the writer. */
+    /** Null if nothing is persisted. */
     private final StateRestorer restorer;
 
+    /** Null if nothing is persisted. */
     private final SnapshotWriter writer;
 
     private StatePersistence(StateRestorer restorer, SnapshotWriter writer) {
@@ -35,8 +37,8 @@
     }
 
     /**
-     * Reads the snapshots in the folder and claims the next incarnation; blocks. Where the folder
-     * can't be used, that is one log line, and the gateway serves without stored state.
+     * Reads the snapshots in the folder and claims the next incarnation; blocks. If the folder
+     * can't be used, this is logged, and the gateway serves without stored state.
      */
     static StatePersistence open(StateSettings settings, String gatewayName, double nowMillis) {
         SnapshotStore store =
@@ -82,18 +84,18 @@
         };
     }
 
-    /** What earlier incarnations stored, or {@link RestoredState#NONE}. */
+    /** The state stored by earlier incarnations, or {@link RestoredState#NONE}. */
     RestoredState restoredState() {
         return restorer == null ? RestoredState.NONE : restorer;
     }
 
-    /** Hands the writer a snapshot of what the gateway knows now; on the event loop. */
+    /** Hands the writer a snapshot of the gateway's present state; called on the event loop. */
     void save(Gateway gateway) {
         if (writer == null) {
             return;
         }
         Map<String, Estimate> estimates = gateway.learnedEstimates();
-        // Before its engine was reachable it has learned nothing: the last snapshot stays.
+        // A gateway whose engine was never reachable has learned nothing; the last snapshot stays.
         if (!estimates.isEmpty()) {
             writer.offer(
                     restorer.toSnapshot(
@@ -106,7 +108,7 @@
         }
     }
 
-    /** Blocks until the writer has saved what it was handed. */
+    /** Blocks until the writer has saved the snapshots that it was handed. */
     @Override
     public void close() {
         if (writer != null) {
--- a/src/test/java/tinroad/node/GatewayNodeTest.java
+++ b/src/test/java/tinroad/node/GatewayNodeTest.java
@@ -24,17 +24,20 @@
 import tinroad.operator.StateSettings;
 import tinroad.overload.Controller;
 
-/** The whole program on ephemeral loopback ports: it starts, serves its health, drains and ends. */
+/**
+ * Tests a complete gateway on ephemeral loopback ports: it starts, answers health checks, drains
+ * and ends.
+ */
 @Timeout(180)
 class GatewayNodeTest {
-    private static final int HUNG_MS = 60_000;
+    private static final int TIMEOUT_MILLIS = 60_000;
 
-    /** BEGIN_REQUEST, PARAMS with SCRIPT_NAME=/healthz, and the ends of both streams. */
+    /** BEGIN_REQUEST, PARAMS with SCRIPT_NAME=/healthz, and the ends of PARAMS and STDIN. */
     private static final String HEALTH_CHECK =
             "\1\1\0\1\0\10\0\0\0\1\1\0\0\0\0\0\1\4\0\1\0\25\0\0\13\10SCRIPT_NAME/healthz"
                     + "\1\4\0\1\0\0\0\0\1\5\0\1\0\0\0\0";
 
-    private static InetSocketAddress any() {
+    private static InetSocketAddress ephemeralLoopbackAddress() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
@@ -76,8 +79,8 @@
                         false);
         return new GatewayConfig(
                 "n3",
-                any(),
-                any(),
+                ephemeralLoopbackAddress(),
+                ephemeralLoopbackAddress(),
                 (InetSocketAddress) engine.getLocalSocketAddress(),
                 (InetSocketAddress) registry.getLocalSocketAddress(),
                 1,
@@ -87,27 +90,30 @@
                 new Site(settings, List.of("read"), List.of(), List.of("core_use")));
     }
 
-    private static String check(InetSocketAddress address) throws IOException {
-        try (Socket caller = new Socket(address.getAddress(), address.getPort())) {
-            caller.setSoTimeout(HUNG_MS);
-            caller.getOutputStream().write(HEALTH_CHECK.getBytes(StandardCharsets.ISO_8859_1));
-            InputStream in = caller.getInputStream();
+    private static String checkHealth(InetSocketAddress address) throws IOException {
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+            client.setSoTimeout(TIMEOUT_MILLIS);
+            client.getOutputStream().write(HEALTH_CHECK.getBytes(StandardCharsets.ISO_8859_1));
+            InputStream in = client.getInputStream();
             in.readNBytes(8);
             return new BufferedReader(new InputStreamReader(in, StandardCharsets.ISO_8859_1))
                     .readLine();
         }
     }
 
-    /** The framing is lost, with much still to be read: the answer before it comes all the same. */
-    private static String checkThenGarbage(InetSocketAddress address) throws IOException {
-        try (Socket caller = new Socket(address.getAddress(), address.getPort())) {
-            caller.setSoTimeout(HUNG_MS);
-            caller.getOutputStream()
+    /**
+     * Sends a health check followed by 300,000 bytes that are no records, so that the framing is
+     * lost with much input unread; the response to the health check must still arrive.
+     */
+    private static String checkHealthThenSendGarbage(InetSocketAddress address) throws IOException {
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+            client.setSoTimeout(TIMEOUT_MILLIS);
+            client.getOutputStream()
                     .write(
                             (HEALTH_CHECK + "x".repeat(300_000))
                                     .getBytes(StandardCharsets.ISO_8859_1));
-            byte[] all = caller.getInputStream().readAllBytes();
-            return new String(all, 8, all.length - 8, StandardCharsets.ISO_8859_1)
+            byte[] response = client.getInputStream().readAllBytes();
+            return new String(response, 8, response.length - 8, StandardCharsets.ISO_8859_1)
                     .lines()
                     .findFirst()
                     .orElseThrow();
@@ -124,26 +130,26 @@
                                 null,
                                 StateSettings.NONE,
                                 FleetSettings.NONE)) {
-            engine.setSoTimeout(HUNG_MS);
+            engine.setSoTimeout(TIMEOUT_MILLIS);
             InetSocketAddress address = node.start().orElseThrow();
             try (Socket link = engine.accept()) {
-                assertEquals("Status: 503 Service Unavailable", check(address));
+                assertEquals("Status: 503 Service Unavailable", checkHealth(address));
                 link.getOutputStream()
                         .write(
                                 "{\"type\":\"HELLO\",\"state\":\"fresh\",\"took\":1}\n"
                                         .getBytes(StandardCharsets.US_ASCII));
-                registry.setSoTimeout(HUNG_MS);
+                registry.setSoTimeout(TIMEOUT_MILLIS);
                 DatagramPacket report = new DatagramPacket(new byte[64], 64);
                 registry.receive(report);
                 assertEquals(
                         "HERE n3 on",
                         new String(
                                 report.getData(), 0, report.getLength(), StandardCharsets.UTF_8));
-                assertEquals("Status: 200 OK", check(address));
-                assertEquals("Status: 200 OK", checkThenGarbage(address));
+                assertEquals("Status: 200 OK", checkHealth(address));
+                assertEquals("Status: 200 OK", checkHealthThenSendGarbage(address));
                 node.shutDownGracefully();
                 node.awaitEnd(visitor -> config(engine, registry));
-                assertThrows(IOException.class, () -> check(address));
+                assertThrows(IOException.class, () -> checkHealth(address));
             }
         }
     }
@@ -152,21 +158,22 @@
     void startFailsWithTheAddressThatIsInUse() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
                 DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            GatewayConfig free = config(engine, registry);
-            GatewayConfig taken =
+            GatewayConfig validConfig = config(engine, registry);
+            GatewayConfig configWithTakenAddress =
                     new GatewayConfig(
-                            free.name(),
+                            validConfig.name(),
                             (InetSocketAddress) engine.getLocalSocketAddress(),
                             null,
-                            free.engine(),
-                            free.roster(),
+                            validConfig.engine(),
+                            validConfig.roster(),
                             1,
                             600,
                             1024,
                             192,
-                            free.site());
+                            validConfig.site());
             try (GatewayNode node =
-                    new GatewayNode(taken, null, StateSettings.NONE, FleetSettings.NONE)) {
+                    new GatewayNode(
+                            configWithTakenAddress, null, StateSettings.NONE, FleetSettings.NONE)) {
                 String message = assertThrows(IOException.class, node::start).getMessage();
                 assertTrue(message.startsWith("can't listen on "), message);
             }
--- a/src/test/java/tinroad/node/JitWarmupTest.java
+++ b/src/test/java/tinroad/node/JitWarmupTest.java
@@ -15,66 +15,69 @@
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 
-/** The warm-up: its requests are answered, and it is the same every time. */
+/** Tests that the JIT warm-up's requests are answered, and that every run of it is the same. */
 class JitWarmupTest {
     @Test
     void answersNearlyAllRequestsAndIsDeterministic() throws ConfigException {
         Site site = GatewayConfig.read(Path.of("deploy/example.json")).site();
-        int answered = new JitWarmup(site).play();
+        int answered = new JitWarmup(site).run();
         assertTrue(answered > 450 && answered <= 600, "answered: " + answered);
-        assertEquals(answered, new JitWarmup(site).play());
+        assertEquals(answered, new JitWarmup(site).run());
     }
 
     /**
-     * Its cost does not grow with the site: it sends the very requests that it would with its first
-     * classes and tenants.
+     * The cost of the warm-up does not grow with the site: for a large one it sends the same
+     * requests as for a site with only the first classes and tenants.
      */
     @Test
     void usesABoundedSampleOfALargeSite() throws ConfigException {
         Site site = GatewayConfig.read(Path.of("deploy/example.json")).site();
-        RequestClass spec = site.settings().classes().get(0);
-        Site large = large(site, spec, 5000);
+        RequestClass requestClass = site.settings().classes().get(0);
+        Site large = siteWithCopies(site, requestClass, 5000);
         assertEquals(
-                new JitWarmup(large(site, spec, JitWarmup.MAX_SAMPLE)).play(),
-                new JitWarmup(large).play());
+                new JitWarmup(siteWithCopies(site, requestClass, JitWarmup.MAX_SAMPLED_ENTRIES))
+                        .run(),
+                new JitWarmup(large).run());
         assertEquals(
-                JitWarmup.MAX_SAMPLE,
-                large.first(JitWarmup.MAX_SAMPLE).settings().classes().size());
-        assertEquals(JitWarmup.MAX_SAMPLE, large.first(JitWarmup.MAX_SAMPLE).tenantNames().size());
-        assertSame(site, site.first(JitWarmup.MAX_SAMPLE));
+                JitWarmup.MAX_SAMPLED_ENTRIES,
+                large.first(JitWarmup.MAX_SAMPLED_ENTRIES).settings().classes().size());
+        assertEquals(
+                JitWarmup.MAX_SAMPLED_ENTRIES,
+                large.first(JitWarmup.MAX_SAMPLED_ENTRIES).tenantNames().size());
+        assertSame(site, site.first(JitWarmup.MAX_SAMPLED_ENTRIES));
     }
 
-    private static Site large(Site site, RequestClass spec, int n) {
-        Settings s = site.settings();
-        Settings more =
+    private static Site siteWithCopies(Site site, RequestClass requestClass, int count) {
+        Settings settings = site.settings();
+        Settings enlargedSettings =
                 new Settings(
-                        Collections.nCopies(n, spec),
-                        Collections.nCopies(n, new Tenant(100, 0.5)),
-                        s.objectiveWeights(),
-                        s.rules(),
-                        s.dependency(),
-                        s.loadHint(),
-                        s.cancellationMode(),
-                        s.cores(),
-                        s.servers(),
-                        s.callers(),
-                        s.coldStart(),
-                        s.requestsCarryDeadline(),
-                        s.clientIdleMillis(),
-                        s.memoryKb(),
-                        s.runMemoryFactor(),
-                        s.keyKb(),
-                        s.resultFreshMillis(),
-                        s.maxRetryAfterMillis(),
-                        s.sendsRetryAfter(),
-                        s.requestsMarkRetries(),
-                        s.overQuotaWeight(),
-                        s.clockStepMillis(),
-                        s.weightByWork());
+                        Collections.nCopies(count, requestClass),
+                        Collections.nCopies(count, new Tenant(100, 0.5)),
+                        settings.objectiveWeights(),
+                        settings.rules(),
+                        settings.dependency(),
+                        settings.loadHint(),
+                        settings.cancellationMode(),
+                        settings.cores(),
+                        settings.servers(),
+                        settings.callers(),
+                        settings.coldStart(),
+                        settings.requestsCarryDeadline(),
+                        settings.clientIdleMillis(),
+                        settings.memoryKb(),
+                        settings.runMemoryFactor(),
+                        settings.keyKb(),
+                        settings.resultFreshMillis(),
+                        settings.maxRetryAfterMillis(),
+                        settings.sendsRetryAfter(),
+                        settings.requestsMarkRetries(),
+                        settings.overQuotaWeight(),
+                        settings.clockStepMillis(),
+                        settings.weightByWork());
         return new Site(
-                more,
-                IntStream.range(0, n).mapToObj(i -> "class-" + i).toList(),
-                IntStream.range(0, n).mapToObj(i -> "tenant-" + i).toList(),
+                enlargedSettings,
+                IntStream.range(0, count).mapToObj(i -> "class-" + i).toList(),
+                IntStream.range(0, count).mapToObj(i -> "tenant-" + i).toList(),
                 site.gaugeNames());
     }
 }
--- a/src/test/java/tinroad/node/ListenerHandoverTest.java
+++ b/src/test/java/tinroad/node/ListenerHandoverTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one gateway: which of them is replaced, and when they share the limits. */
+/**
+ * Tests which of two processes of one gateway counts as replaced, and when they share the limits.
+ */
 class ListenerHandoverTest {
     @TempDir Path directory;
 
--- a/src/test/java/tinroad/node/SettingsCost.java
+++ b/src/test/java/tinroad/node/SettingsCost.java
@@ -33,96 +33,98 @@
 import tinroad.overload.Controller.Tenant;
 
 /**
- * What the size of the settings costs one gateway, started as the platform's {@code run} does: time
- * until it listens, processor time at rest beside an engine that answers, memory, a configuration
- * read again, and changes of it in place. A JSON line a figure.
+ * Measures what the size of the settings costs one gateway that is started by the platform's {@code
+ * run} command: the time until it listens, the processor time while it is idle with an engine
+ * attached, the memory, and the cost of reading the configuration again and of changing it in
+ * place. Prints one line of JSON for each measurement.
  */
 final class SettingsCost {
-    private static final int SETTLE_MS = 4000;
-    private static final int REST_MS = 20_000;
-    private static final int CHANGES = 40;
-    private static final int MANY = 1000;
-    private static final long HUNG_MS = 120_000;
+    private static final int SETTLE_MILLIS = 4000;
+    private static final int IDLE_MEASUREMENT_MILLIS = 20_000;
+    private static final int SINGLE_CHANGES = 40;
+    private static final int MANY_CHANGES = 1000;
+    private static final long TIMEOUT_MILLIS = 120_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final PrintStream out;
-    private final Path root;
-    private final Path folder;
+    private final Path programFolder;
+    private final Path workFolder;
     private final int tenants;
     private final int classes;
     private final ServerSocket engine;
-    private final String door;
+    private final String adminAddress;
     private Process process;
 
-    /** Bytes a nanosecond that it reads of its engine alone. */
-    private double readAtRest;
+    /** Bytes per nanosecond that an idle gateway reads, which come from its engine alone. */
+    private double idleReadBytesPerNano;
 
-    private SettingsCost(PrintStream out, Path root, int tenants, int classes) throws IOException {
+    private SettingsCost(PrintStream out, Path programFolder, int tenants, int classes)
+            throws IOException {
         this.out = out;
-        this.root = root;
+        this.programFolder = programFolder;
         this.tenants = tenants;
         this.classes = classes;
-        folder = Files.createTempDirectory("settings-cost");
+        workFolder = Files.createTempDirectory("settings-cost");
         engine = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            door = "127.0.0.1:" + free.getLocalPort();
+            adminAddress = "127.0.0.1:" + free.getLocalPort();
         }
-        Thread stand = new Thread(this::serveEngine, "engine");
-        stand.setDaemon(true);
-        stand.start();
+        Thread engineThread = new Thread(this::serveEngine, "engine");
+        engineThread.setDaemon(true);
+        engineThread.start();
     }
 
     /**
-     * {@code SettingsCost FOLDER... -- TENANTSxCLASSES...}: each folder holds a program as {@code
-     * build} leaves it.
+     * Runs {@code SettingsCost FOLDER... -- TENANTSxCLASSES...}, where each folder contains a
+     * program as {@code build} leaves it.
      */
     public static void main(String[] args) throws Exception {
-        List<String> all = List.of(args);
-        int dashes = all.indexOf("--");
-        if (dashes < 1 || dashes == all.size() - 1) {
+        List<String> arguments = List.of(args);
+        int dashes = arguments.indexOf("--");
+        if (dashes < 1 || dashes == arguments.size() - 1) {
             System.err.println("usage: SettingsCost FOLDER... -- TENANTSxCLASSES...");
             System.exit(2);
         }
-        for (String size : all.subList(dashes + 1, all.size())) {
-            String[] parts = size.split("x", 2);
-            for (String program : all.subList(0, dashes)) {
+        for (String size : arguments.subList(dashes + 1, arguments.size())) {
+            String[] counts = size.split("x", 2);
+            for (String programArgument : arguments.subList(0, dashes)) {
                 new SettingsCost(
                                 System.out,
-                                Path.of(program),
-                                Integer.parseInt(parts[0]),
-                                Integer.parseInt(parts[1]))
-                        .play();
+                                Path.of(programArgument),
+                                Integer.parseInt(counts[0]),
+                                Integer.parseInt(counts[1]))
+                        .measureAll();
             }
         }
     }
 
-    private void play() throws Exception {
+    private void measureAll() throws Exception {
         try {
-            write(0, 0);
+            writeConfig(0, 0);
             start(null);
-            rest("rest");
-            hangUp("reread_unchanged", "configuration read again");
+            measureIdle("rest");
+            measureReload("reread_unchanged", "configuration read again");
             stop();
-            Files.createDirectories(folder.resolve("changes"));
+            Files.createDirectories(workFolder.resolve("changes"));
             start("catalog { apply = on-reload }");
             if (process.isAlive()) {
-                change("one_by_reload", 1, 1);
+                measureChange("one_by_reload", 1, 1);
                 if (tenants > 100 || classes > 100) {
-                    change(
+                    measureChange(
                             "hundredth_by_reload",
                             Math.max(1, tenants / 100),
                             Math.max(1, classes / 100));
                 }
-                change("all_by_reload", tenants, classes);
+                measureChange("all_by_reload", tenants, classes);
                 stop();
-                write(0, 0);
+                writeConfig(0, 0);
                 start("catalog { log = changes }");
-                follow();
+                measureChangeLog();
             }
         } finally {
             stop();
             engine.close();
-            try (Stream<Path> files = Files.walk(folder)) {
+            try (Stream<Path> files = Files.walk(workFolder)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(file);
                 }
@@ -131,70 +133,77 @@
     }
 
     /**
-     * Settings of which so many tenants and classes, from the middle on, say another quota and gain
-     * than at first.
+     * Writes a configuration in which this many tenants and classes, counted from the middle of the
+     * list on, have another quota or gain than in the first one.
      */
-    private void write(int otherTenants, int otherClasses) throws IOException {
+    private void writeConfig(int changedTenants, int changedClasses) throws IOException {
         ObjectNode config =
-                (ObjectNode) JSON.readTree(root.resolve("deploy/example.json").toFile());
+                (ObjectNode) JSON.readTree(programFolder.resolve("deploy/example.json").toFile());
         config.put("engine", "127.0.0.1:" + engine.getLocalPort())
                 .put("roster", "127.0.0.1:9")
-                .put("control", door)
+                .put("control", adminAddress)
                 .put("stop_ms", 2000);
         ObjectNode settings = (ObjectNode) config.get("settings");
-        var kinds = settings.putArray("classes");
+        var classArray = settings.putArray("classes");
         for (int i = 0; i < classes; i++) {
-            kinds.addObject()
+            classArray
+                    .addObject()
                     .put("name", String.format("class-%05d", i))
                     .put("objective", 1500.0 + i % 7 * 100)
                     .put("deadline", 3700.0 + i % 7 * 100)
-                    .put("gain", (double) (1 + i % 3 + (changed(i, classes, otherClasses) ? 5 : 0)))
+                    .put(
+                            "gain",
+                            (double) (1 + i % 3 + (isChanged(i, classes, changedClasses) ? 5 : 0)))
                     .put("late_share", 0.2)
                     .put("semantics", i % 2 == 0 ? "free" : "single_shot");
         }
-        var orgs = settings.putArray("orgs");
+        var tenantArray = settings.putArray("orgs");
         for (int i = 0; i < tenants; i++) {
-            orgs.addObject()
+            tenantArray
+                    .addObject()
                     .put("name", String.format("tenant-%05d", i))
-                    .put("quota_per_s", quota(i) + (changed(i, tenants, otherTenants) ? 50 : 0))
+                    .put("quota_per_s", quota(i) + (isChanged(i, tenants, changedTenants) ? 50 : 0))
                     .put("share", 1.0 / tenants);
         }
-        JSON.writeValue(folder.resolve("config.json").toFile(), config);
+        JSON.writeValue(workFolder.resolve("config.json").toFile(), config);
     }
 
     private static double quota(int tenant) {
         return 5.0 + tenant % 20;
     }
 
-    private static boolean changed(int i, int all, int other) {
-        return (i + all - all / 2) % all < other;
+    private static boolean isChanged(int i, int total, int changedCount) {
+        return (i + total - total / 2) % total < changedCount;
     }
 
     private void start(String operator) throws Exception {
-        String line;
-        try (Stream<String> lines = Files.lines(root.resolve("deploy/balancer.toml"))) {
-            line =
+        String command;
+        try (Stream<String> lines = Files.lines(programFolder.resolve("deploy/balancer.toml"))) {
+            command =
                     lines.filter(l -> l.startsWith("run = "))
                             .findFirst()
                             .orElseThrow()
                             .replaceAll("^run = \"|\"$", "");
         }
         if (operator != null) {
-            line += " --operator " + Files.writeString(folder.resolve("operator.conf"), operator);
+            command +=
+                    " --operator "
+                            + Files.writeString(workFolder.resolve("operator.conf"), operator);
         }
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", line).directory(root.toFile());
-        builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
-        builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
-        builder.environment().put("TMPDIR", folder.toString());
-        long begun = System.nanoTime();
+        ProcessBuilder builder =
+                new ProcessBuilder("sh", "-c", command).directory(programFolder.toFile());
+        builder.redirectErrorStream(true).redirectOutput(workFolder.resolve("log").toFile());
+        builder.environment().put("GW_CONFIG", workFolder.resolve("config.json").toString());
+        builder.environment().put("TMPDIR", workFolder.toString());
+        long startNanos = System.nanoTime();
         process = builder.start();
-        if (!logged("listening on", 0)) {
+        if (!awaitLogLine("listening on", 0)) {
             return;
         }
-        figure(
+        writeFigure(
                 "start" + (operator == null ? "" : "_with_operator_file"),
-                Map.of("ms", (System.nanoTime() - begun) / 1_000_000));
-        Thread.sleep(SETTLE_MS);
+                Map.of("ms", (System.nanoTime() - startNanos) / 1_000_000));
+        Thread.sleep(SETTLE_MILLIS);
     }
 
     private void stop() throws InterruptedException {
@@ -203,13 +212,19 @@
         }
     }
 
-    /** Waits for a line after so many bytes of the log; false where the process ends before. */
-    private boolean logged(String part, long after) throws Exception {
-        long end = System.nanoTime() + HUNG_MS * 1_000_000;
-        while (System.nanoTime() < end) {
-            byte[] log = Files.readAllBytes(folder.resolve("log"));
-            if (new String(log, (int) after, log.length - (int) after, StandardCharsets.UTF_8)
-                    .contains(part)) {
+    /**
+     * Waits until the log contains the text after this offset; false if the process ends before.
+     */
+    private boolean awaitLogLine(String expectedText, long offsetBytes) throws Exception {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
+        while (System.nanoTime() < deadlineNanos) {
+            byte[] logContent = Files.readAllBytes(workFolder.resolve("log"));
+            if (new String(
+                            logContent,
+                            (int) offsetBytes,
+                            logContent.length - (int) offsetBytes,
+                            StandardCharsets.UTF_8)
+                    .contains(expectedText)) {
                 return true;
             }
             if (!process.isAlive()) {
@@ -217,23 +232,24 @@
             }
             Thread.sleep(5);
         }
-        throw new IOException("not logged: " + part);
+        throw new IOException("not logged: " + expectedText);
     }
 
-    private void figure(String what, Map<String, Object> values) {
+    private void writeFigure(String measurement, Map<String, Object> values) {
         ObjectNode line = JSON.createObjectNode();
-        line.put("program", root.toAbsolutePath().normalize().getFileName().toString())
+        line.put("program", programFolder.toAbsolutePath().normalize().getFileName().toString())
                 .put("tenants", tenants)
                 .put("classes", classes)
-                .put("what", what);
+                .put("what", measurement);
         values.forEach((name, value) -> line.set(name, JSON.valueToTree(value)));
         out.println(line);
     }
 
     /**
-     * Nanoseconds on a core of all its threads; of one that has ended meanwhile the time is lost.
+     * Processor time of all live threads of the process, in ns. The time of a thread that has ended
+     * is lost.
      */
-    private long cpu() throws IOException {
+    private long cpuNanos() throws IOException {
         long sum = 0;
         try (Stream<Path> tasks =
                 Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
@@ -244,7 +260,7 @@
         return sum;
     }
 
-    private long number(String file, String name) throws IOException {
+    private long readProcNumber(String file, String name) throws IOException {
         try (Stream<String> lines =
                 Files.lines(Path.of("/proc", Long.toString(process.pid()), file))) {
             return Long.parseLong(
@@ -255,137 +271,158 @@
         }
     }
 
-    private double rest(String what) throws Exception {
-        long before = cpu();
-        long bytes = number("io", "rchar");
-        long begun = System.nanoTime();
-        Thread.sleep(REST_MS);
-        double part = (double) (cpu() - before) / (System.nanoTime() - begun);
-        readAtRest = (double) (number("io", "rchar") - bytes) / (System.nanoTime() - begun);
-        figure(
-                what,
+    private double measureIdle(String measurement) throws Exception {
+        long startCpuNanos = cpuNanos();
+        long startReadBytes = readProcNumber("io", "rchar");
+        long startNanos = System.nanoTime();
+        Thread.sleep(IDLE_MEASUREMENT_MILLIS);
+        double cpuShare = (double) (cpuNanos() - startCpuNanos) / (System.nanoTime() - startNanos);
+        idleReadBytesPerNano =
+                (double) (readProcNumber("io", "rchar") - startReadBytes)
+                        / (System.nanoTime() - startNanos);
+        writeFigure(
+                measurement,
                 Map.of(
                         "read_bytes_a_second",
-                        Math.round(readAtRest * 1e9),
+                        Math.round(idleReadBytesPerNano * 1e9),
                         "percent_of_a_core",
-                        Math.round(part * 1e4) / 100.0,
+                        Math.round(cpuShare * 1e4) / 100.0,
                         "rss_kb",
-                        number("status", "VmRSS"),
+                        readProcNumber("status", "VmRSS"),
                         "anon_kb",
-                        number("status", "RssAnon")));
-        return part;
+                        readProcNumber("status", "RssAnon")));
+        return cpuShare;
     }
 
-    private void hangUp(String what, String part) throws Exception {
-        long log = Files.size(folder.resolve("log"));
-        long cpu = cpu();
-        long bytes = number("io", "rchar");
+    private void measureReload(String measurement, String expectedLogText) throws Exception {
+        long logOffsetBytes = Files.size(workFolder.resolve("log"));
+        long startCpuNanos = cpuNanos();
+        long startReadBytes = readProcNumber("io", "rchar");
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-        logged(part, log);
+        awaitLogLine(expectedLogText, logOffsetBytes);
         Thread.sleep(500);
-        long cpuMicros = (cpu() - cpu) / 1000;
-        figure(
-                what,
+        long cpuMicros = (cpuNanos() - startCpuNanos) / 1000;
+        writeFigure(
+                measurement,
                 Map.of(
                         "cpu_ms",
                         cpuMicros / 1e3,
                         "read_bytes",
-                        number("io", "rchar") - bytes,
+                        readProcNumber("io", "rchar") - startReadBytes,
                         "rss_kb",
-                        number("status", "VmRSS"),
+                        readProcNumber("status", "VmRSS"),
                         "longest_slice_ms",
-                        settings().path("longest_slice_ms").asDouble()));
+                        fetchAppliedSettings().path("longest_slice_ms").asDouble()));
     }
 
-    private void change(String what, int otherTenants, int otherClasses) throws Exception {
-        write(otherTenants, otherClasses);
-        hangUp(what, "settings in force");
+    private void measureChange(String measurement, int changedTenants, int changedClasses)
+            throws Exception {
+        writeConfig(changedTenants, changedClasses);
+        measureReload(measurement, "settings in force");
     }
 
-    private JsonNode settings() throws Exception {
-        HttpRequest call =
-                HttpRequest.newBuilder(URI.create("http://" + door + "/api/settings")).build();
-        HttpResponse<String> answer =
-                HttpClient.newHttpClient().send(call, HttpResponse.BodyHandlers.ofString());
-        return answer.statusCode() == 200 ? JSON.readTree(answer.body()) : JSON.createObjectNode();
+    private JsonNode fetchAppliedSettings() throws Exception {
+        HttpRequest request =
+                HttpRequest.newBuilder(URI.create("http://" + adminAddress + "/api/settings"))
+                        .build();
+        HttpResponse<String> response =
+                HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofString());
+        return response.statusCode() == 200
+                ? JSON.readTree(response.body())
+                : JSON.createObjectNode();
     }
 
     /**
-     * Changes of one tenant each by the log: few at leisure, for what one costs, then many as fast
-     * as they are written.
+     * Measures changes of one tenant each that arrive by the change log: first a few with pauses in
+     * between, which show the cost of one, then many as fast as they can be written.
      */
-    private void follow() throws Exception {
-        double rest = rest("rest_with_log");
-        ChangeLogStore log =
-                new ChangeLogStore(folder.resolve("changes"), ChangeLogStore.DEFAULT_KEPT_CHANGES);
-        CatalogBuilder editor = new CatalogBuilder(read());
-        List<Double> inForce = new ArrayList<>();
-        long cpu = cpu();
-        long bytes = number("io", "rchar");
-        long begun = System.nanoTime();
-        for (int i = 0; i < CHANGES; i++) {
-            publish(log, editor, i);
+    private void measureChangeLog() throws Exception {
+        double idleCpuShare = measureIdle("rest_with_log");
+        ChangeLogStore changeLog =
+                new ChangeLogStore(
+                        workFolder.resolve("changes"), ChangeLogStore.DEFAULT_KEPT_CHANGES);
+        CatalogBuilder catalogBuilder = new CatalogBuilder(readCatalog());
+        List<Double> delaysMillis = new ArrayList<>();
+        long startCpuNanos = cpuNanos();
+        long startReadBytes = readProcNumber("io", "rchar");
+        long startNanos = System.nanoTime();
+        for (int i = 0; i < SINGLE_CHANGES; i++) {
+            publishQuota(changeLog, catalogBuilder, i);
             Thread.sleep(700 + 37 * (i % 10));
         }
-        double lasted = System.nanoTime() - begun;
-        double spent = cpu() - cpu - rest * lasted;
-        long read = Math.round(number("io", "rchar") - bytes - readAtRest * lasted);
-        figure(
+        double elapsedNanos = System.nanoTime() - startNanos;
+        double cpuSpentNanos = cpuNanos() - startCpuNanos - idleCpuShare * elapsedNanos;
+        long readBytes =
+                Math.round(
+                        readProcNumber("io", "rchar")
+                                - startReadBytes
+                                - idleReadBytesPerNano * elapsedNanos);
+        writeFigure(
                 "one_by_log",
                 Map.of(
                         "cpu_ms",
-                        Math.round(spent / CHANGES / 1000) / 1e3,
+                        Math.round(cpuSpentNanos / SINGLE_CHANGES / 1000) / 1e3,
                         "read_bytes",
-                        read / CHANGES,
+                        readBytes / SINGLE_CHANGES,
                         "longest_slice_ms",
-                        settings().path("longest_slice_ms").asDouble()));
-        for (int i = 0; i < CHANGES; i++) {
-            double at = System.currentTimeMillis();
-            publish(log, editor, i);
-            long number = editor.current().number();
+                        fetchAppliedSettings().path("longest_slice_ms").asDouble()));
+        for (int i = 0; i < SINGLE_CHANGES; i++) {
+            double publishedAtMillis = System.currentTimeMillis();
+            publishQuota(changeLog, catalogBuilder, i);
+            long publishedNumber = catalogBuilder.current().number();
             Thread.sleep(900 + 37 * (i % 10));
-            JsonNode now = settings();
-            if (now.path("number").asLong() == number) {
-                inForce.add(System.currentTimeMillis() - now.path("since_ms").asDouble() - at);
+            JsonNode shown = fetchAppliedSettings();
+            if (shown.path("number").asLong() == publishedNumber) {
+                delaysMillis.add(
+                        System.currentTimeMillis()
+                                - shown.path("since_ms").asDouble()
+                                - publishedAtMillis);
             }
         }
-        inForce.sort(null);
-        figure(
+        delaysMillis.sort(null);
+        writeFigure(
                 "in_force",
                 Map.of(
                         "changes",
-                        CHANGES,
+                        SINGLE_CHANGES,
                         "seen",
-                        inForce.size(),
+                        delaysMillis.size(),
                         "median_ms",
-                        inForce.get(inForce.size() / 2),
+                        delaysMillis.get(delaysMillis.size() / 2),
                         "worst_ms",
-                        inForce.get(inForce.size() - 1)));
-        long before = number("status", "VmRSS");
-        cpu = cpu();
-        begun = System.nanoTime();
-        for (int i = 0; i < MANY; i++) {
-            publish(log, editor, i);
+                        delaysMillis.get(delaysMillis.size() - 1)));
+        long rssKbBefore = readProcNumber("status", "VmRSS");
+        startCpuNanos = cpuNanos();
+        startNanos = System.nanoTime();
+        for (int i = 0; i < MANY_CHANGES; i++) {
+            publishQuota(changeLog, catalogBuilder, i);
         }
-        while (settings().path("number").asLong() != editor.current().number()) {
+        while (fetchAppliedSettings().path("number").asLong()
+                != catalogBuilder.current().number()) {
             Thread.sleep(50);
         }
-        figure(
+        writeFigure(
                 "many_by_log",
                 Map.of(
                         "changes",
-                        MANY,
+                        MANY_CHANGES,
                         "rss_kb_before",
-                        before,
+                        rssKbBefore,
                         "rss_kb",
-                        number("status", "VmRSS"),
+                        readProcNumber("status", "VmRSS"),
                         "cpu_ms_each",
-                        Math.round((cpu() - cpu - rest * (System.nanoTime() - begun)) / MANY / 1000)
+                        Math.round(
+                                        (cpuNanos()
+                                                        - startCpuNanos
+                                                        - idleCpuShare
+                                                                * (System.nanoTime() - startNanos))
+                                                / MANY_CHANGES
+                                                / 1000)
                                 / 1e3));
     }
 
-    private Catalog read() throws ConfigException {
-        Site site = GatewayConfig.read(folder.resolve("config.json")).site();
+    private Catalog readCatalog() throws ConfigException {
+        Site site = GatewayConfig.read(workFolder.resolve("config.json")).site();
         return Catalog.of(
                 0,
                 0,
@@ -395,35 +432,36 @@
                 site.settings().tenants());
     }
 
-    private void publish(ChangeLogStore log, CatalogBuilder editor, int i) throws IOException {
-        Catalog now = editor.current();
-        Map<String, Tenant> put =
+    private void publishQuota(ChangeLogStore changeLog, CatalogBuilder catalogBuilder, int i)
+            throws IOException {
+        Catalog current = catalogBuilder.current();
+        Map<String, Tenant> changedTenant =
                 Map.of(
                         String.format("tenant-%05d", i % tenants),
-                        new Tenant(100 + now.number() % 1000, 1.0 / tenants));
-        CatalogChange bare =
+                        new Tenant(100 + current.number() % 1000, 1.0 / tenants));
+        CatalogChange withoutHashes =
                 new CatalogChange(
                         1,
-                        now.epoch() == 0 ? 1 : now.number() + 1,
+                        current.epoch() == 0 ? 1 : current.number() + 1,
                         Map.of(),
                         Set.of(),
-                        put,
+                        changedTenant,
                         Set.of());
-        CatalogChange whole =
+        CatalogChange withHashes =
                 new CatalogChange(
                         1,
-                        bare.number(),
+                        withoutHashes.number(),
                         Map.of(),
                         Set.of(),
-                        put,
+                        changedTenant,
                         Set.of(),
-                        now.contentHash(),
-                        now.hashAfter(bare));
-        log.append(whole);
-        editor.apply(whole);
+                        current.contentHash(),
+                        current.hashAfter(withoutHashes));
+        changeLog.append(withHashes);
+        catalogBuilder.apply(withHashes);
     }
 
-    /** An engine that is up and has nothing to do. */
+    /** Serves as a running engine that has nothing to do. */
     private void serveEngine() {
         while (!engine.isClosed()) {
             try (Socket link = engine.accept()) {
@@ -446,7 +484,7 @@
                     link.getOutputStream().write(reply.getBytes(StandardCharsets.US_ASCII));
                 }
             } catch (IOException e) {
-                // The gateway was stopped, or the play is over.
+                // The gateway was stopped, or the measurement is over.
             }
         }
     }
