--- a/src/main/java/tinroad/engine/EngineCommands.java
+++ b/src/main/java/tinroad/engine/EngineCommands.java
@@ -12,30 +12,32 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes commands to a connection, each a line. A write that fails ends the connection, which
- * reports what was sent on it; so no write has a future of its own.
+ * Writes commands to a connection to the engine, one line for each. A write that fails closes the
+ * connection, and that is reported for everything sent on it, so no write needs a future of its
+ * own.
  */
 final class EngineCommands {
     private static final JsonFactory JSON = new JsonFactory();
 
     private EngineCommands() {}
 
-    private interface Fields {
+    private interface FieldWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
-    /** Requests all events after this one; the first command on a connection. */
-    static void attach(ChannelHandlerContext to, long lastEventNumber) {
+    /** Requests all events after this one; must be the first command on a connection. */
+    static void attach(ChannelHandlerContext connection, long lastEventNumber) {
         send(
-                to,
+                connection,
                 EngineProtocol.ATTACH,
                 json -> json.writeNumberField(EngineProtocol.NUMBER, lastEventNumber));
     }
 
-    /** Has the engine run a request, with its body. */
-    static void run(ChannelHandlerContext to, String id, String requestClass, ByteBuf body) {
+    /** Commands the engine to run a request with this body. */
+    static void run(
+            ChannelHandlerContext connection, String id, String requestClass, ByteBuf body) {
         send(
-                to,
+                connection,
                 EngineProtocol.RUN,
                 json -> {
                     json.writeStringField(EngineProtocol.REQUEST_ID, id);
@@ -46,31 +48,32 @@
                 });
     }
 
-    /** Requests the gauges; the tag comes back with them. */
-    static void requestGauges(ChannelHandlerContext to, String tag) {
+    /** Requests the gauges; the reply carries the same tag. */
+    static void requestGauges(ChannelHandlerContext connection, String tag) {
         send(
-                to,
+                connection,
                 EngineProtocol.REQUEST_GAUGES,
                 json -> json.writeStringField(EngineProtocol.TAG, tag));
     }
 
-    private static void send(ChannelHandlerContext to, String type, Fields fields) {
-        ByteBuf line = to.alloc().buffer();
+    private static void send(
+            ChannelHandlerContext connection, String type, FieldWriter fieldWriter) {
+        ByteBuf line = connection.alloc().buffer();
         try (JsonGenerator json =
                 JSON.createGenerator((OutputStream) new ByteBufOutputStream(line))) {
             json.writeStartObject();
             json.writeStringField(EngineProtocol.TYPE, type);
-            fields.write(json);
+            fieldWriter.write(json);
             json.writeEndObject();
             json.writeRaw('\n');
         } catch (IOException e) {
-            // Can't happen: the buffer is memory, and grows as needed.
+            // Can't happen: the buffer is in memory and grows as needed.
             line.release();
             throw new UncheckedIOException(e);
         } catch (RuntimeException | OutOfMemoryError e) {
             line.release();
             throw e;
         }
-        ChannelFuture unused = to.writeAndFlush(line, to.voidPromise());
+        ChannelFuture unused = connection.writeAndFlush(line, connection.voidPromise());
     }
 }
--- a/src/main/java/tinroad/engine/EngineConnection.java
+++ b/src/main/java/tinroad/engine/EngineConnection.java
@@ -11,8 +11,8 @@
 import tinroad.log.LogKeyValues;
 
 /**
- * One connection to the engine, from ATTACH to its end: reads events and passes each on once. Which
- * connection commands go to is {@link EngineLink}'s knowledge. On the event loop.
+ * Handles one connection to the engine, from ATTACH to its end: reads events and passes each on
+ * once. {@link EngineLink} decides which connection receives the commands. Runs on the event loop.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf>
         implements EngineEvent.Handler {
@@ -21,9 +21,9 @@
     private final EngineLink link;
     private final int attempt;
     private ChannelHandlerContext context;
-    private boolean skippedBefore;
+    private boolean skipLogged;
 
-    /** The connection that this attempt made. */
+    /** Creates the handler of the connection that this attempt to connect opens. */
     EngineConnection(EngineLink link, int attempt) {
         this.link = link;
         this.attempt = attempt;
@@ -52,8 +52,7 @@
 
     @Override
     public void onHello(EngineEvent.Hello event) {
-        // Guards against the greeting on a connection that was given up for another address
-        // meanwhile.
+        // HELLO may arrive on a connection that was abandoned for another address meanwhile.
         if (link.isLatest(attempt)) {
             link.attach(context, event);
         }
@@ -88,17 +87,18 @@
         link.onDisconnected(ctx, attempt);
     }
 
-    /** Guards the log against a connection that brings nothing else: one line for each. */
+    /** Logs at most one skipped line for each connection, to limit the log. */
     private void warnSkipped(String reason) {
-        if (!skippedBefore) {
-            skippedBefore = true;
+        if (!skipLogged) {
+            skipLogged = true;
             LOG.warn("line skipped: {}", reason);
         }
     }
 
     /**
-     * Exceptions stop here: a line too long is skipped, anything else costs the connection, which
-     * is opened anew. The end of a connection that another has replaced is not logged.
+     * Handles all exceptions: a line that is too long is skipped; anything else closes the
+     * connection, which is then opened again. The failure of a connection that another has replaced
+     * is not logged.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
@@ -114,7 +114,8 @@
     }
 
     /**
-     * The result is knowingly dropped: the end of a connection shows in {@link #channelInactive}.
+     * Closes the connection. The result is ignored, because {@link #channelInactive} is called when
+     * a connection ends.
      */
     static void close(ChannelHandlerContext ctx) {
         ChannelFuture unused = ctx.close();
--- a/src/main/java/tinroad/engine/EngineConnector.java
+++ b/src/main/java/tinroad/engine/EngineConnector.java
@@ -16,8 +16,8 @@
 import tinroad.recovery.DecorrelatedJitterBackoff;
 
 /**
- * Connects to the engine, again and again with a backoff that grows, at an address that may change.
- * Only the latest attempt counts: guards against two connections that replace each other. On the
+ * Connects to the engine at an address that may change, and retries with an increasing backoff.
+ * Only the latest attempt counts; otherwise two connections could replace each other. Runs on the
  * event loop.
  */
 final class EngineConnector {
@@ -25,7 +25,7 @@
     private static final double FIRST_BACKOFF_MILLIS = 1;
     private static final double MAX_BACKOFF_MILLIS = 250;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Supplier<ChannelHandler[]> handlers;
     private final DecorrelatedJitterBackoff backoff;
     private InetSocketAddress address;
@@ -34,16 +34,18 @@
     private int latestAttempt;
 
     /**
-     * Of gateway {@code name}; {@code handlers} is called once for each connection, after {@link
-     * #latestAttempt} has its number.
+     * Creates a connector of gateway {@code name}.
+     *
+     * @param handlers called once for each connection, after {@link #latestAttempt} was set to its
+     *     number
      */
     EngineConnector(
-            EventLoop loop,
+            EventLoop eventLoop,
             InetSocketAddress address,
             String name,
             long seed,
             Supplier<ChannelHandler[]> handlers) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.address = address;
         this.handlers = handlers;
         backoff =
@@ -58,20 +60,20 @@
         return latestAttempt;
     }
 
-    /** Attempts to connect at once; earlier attempts count no more. */
+    /** Attempts to connect at once; earlier attempts no longer count. */
     void connect() {
         int attempt = ++latestAttempt;
         ChannelFuture unused =
                 new Bootstrap()
-                        .group(loop)
+                        .group(eventLoop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        // One write for all commands that one read of events brings
-                                        // about: each is a call into the kernel.
+                                        // Combines all commands that result from one read of events
+                                        // into one write, because each write is a system call.
                                         channel.pipeline()
                                                 .addLast(
                                                         new FlushConsolidationHandler(
@@ -81,20 +83,20 @@
                                 })
                         .connect(address)
                         .addListener(
-                                (ChannelFuture done) -> {
-                                    if (!done.isSuccess()) {
-                                        // Where no descriptor is left there is no channel, and so
-                                        // no event loop: this is another thread.
-                                        loop.execute(() -> reconnectAfter(attempt));
+                                (ChannelFuture connected) -> {
+                                    if (!connected.isSuccess()) {
+                                        // If no file descriptor is left there is no channel, and so
+                                        // no event loop: then this runs on another thread.
+                                        eventLoop.execute(() -> reconnectAfter(attempt));
                                     }
                                 });
     }
 
-    /** Connects after the backoff, unless there is or will be a later attempt than this one. */
+    /** Connects after the backoff, unless there is a later attempt than this one by then. */
     void reconnectAfter(int attempt) {
         if (attempt == latestAttempt) {
             Future<?> unused =
-                    loop.schedule(
+                    eventLoop.schedule(
                             () -> {
                                 if (attempt == latestAttempt) {
                                     connect();
@@ -105,14 +107,14 @@
         }
     }
 
-    /** The engine answered: the next backoff is a short one. */
+    /** Resets the backoff after the engine has answered, so that the next one is short. */
     void resetBackoff() {
         backoff.reset();
     }
 
-    /** The next attempts go to this address; the backoff begins anew. */
-    void setAddress(InetSocketAddress to) {
-        address = to;
+    /** Sets the address of later attempts and resets the backoff. */
+    void setAddress(InetSocketAddress newAddress) {
+        address = newAddress;
         backoff.reset();
     }
 }
--- a/src/main/java/tinroad/engine/EngineEvent.java
+++ b/src/main/java/tinroad/engine/EngineEvent.java
@@ -5,15 +5,15 @@
 import tinroad.core.Engine.RunOutcome;
 import tinroad.overload.Controller.Gauges;
 
-/** One event from the engine: a line, read once. */
+/** An event from the engine, which arrives as one line. */
 sealed interface EngineEvent {
-    /** The engine's number of the event; 0 for an event that is not numbered. */
+    /** The engine's number of the event; 0 if it is not numbered. */
     long number();
 
     /** Calls the handler's method for this event. */
     void dispatch(Handler handler);
 
-    /** One method for each event that means something. */
+    /** Handles events: one method for each type that the gateway uses. */
     interface Handler {
         void onHello(Hello event);
 
@@ -25,8 +25,8 @@
     }
 
     /**
-     * The event on this line, or null where it is none. Its buffers are only valid as long as the
-     * line.
+     * Reads the event on this line; null if there is none. The event's buffers are valid only as
+     * long as the line.
      *
      * @param gaugeNames the names of the gauges, in the engine's order
      */
@@ -37,8 +37,8 @@
     /**
      * The engine answered ATTACH.
      *
-     * @param newProcess whether it says that it has just started
-     * @param startedMillisAgo how long ago it started, in ms
+     * @param newProcess whether the engine reports that it has just started
+     * @param startedMillisAgo time since the engine started
      */
     record Hello(long number, boolean newProcess, double startedMillisAgo) implements EngineEvent {
         @Override
@@ -47,7 +47,13 @@
         }
     }
 
-    /** A run is over, after so many ms; an unknown outcome counts as a crash: it may have run. */
+    /**
+     * A run is over.
+     *
+     * @param outcome how it ended; an unknown outcome counts as a crash, because the request may
+     *     have run
+     * @param tookMillis duration of the run
+     */
     record RunEnded(
             long number, String requestId, RunOutcome outcome, double tookMillis, ByteBuf result)
             implements EngineEvent {
@@ -57,7 +63,7 @@
         }
     }
 
-    /** The gauges that were requested with this tag; NaN for one that is absent. */
+    /** The gauges that were requested with this tag; a missing gauge is NaN. */
     record GaugesRead(long number, String tag, Gauges gauges) implements EngineEvent {
         @Override
         public void dispatch(Handler handler) {
@@ -66,10 +72,10 @@
     }
 
     /**
-     * A command was not carried out.
+     * The engine did not carry out a command.
      *
      * @param command the type of the command
-     * @param requestId the request that it was for, or empty
+     * @param requestId the request that the command was for, or empty
      */
     record Rejected(long number, String command, String requestId, ByteBuf body)
             implements EngineEvent {
@@ -79,7 +85,7 @@
         }
     }
 
-    /** A remark, or a type that this release does not know: only its number counts. */
+    /** A note, or an event whose type this release does not know; only its number is used. */
     record Unknown(long number) implements EngineEvent {
         @Override
         public void dispatch(Handler handler) {}
--- a/src/main/java/tinroad/engine/EngineEventReader.java
+++ b/src/main/java/tinroad/engine/EngineEventReader.java
@@ -15,7 +15,10 @@
 import tinroad.core.Engine.RunOutcome;
 import tinroad.overload.Controller.Gauges;
 
-/** Reads one line from the engine; fields may come in any order, and absent ones are empty or 0. */
+/**
+ * Reads one line from the engine as an event. Fields may come in any order; a missing one is empty
+ * or 0.
+ */
 final class EngineEventReader {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -27,7 +30,7 @@
     private String state = "";
     private String tag = "";
     private long number;
-    private double millis;
+    private double tookMillis;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
 
     private EngineEventReader(JsonParser parser, List<String> gaugeNames) {
@@ -39,23 +42,24 @@
     static EngineEvent read(ByteBuf line, List<String> gaugeNames) {
         try (JsonParser parser = JSON.createParser((InputStream) new ByteBufInputStream(line))) {
             return parser.nextToken() == JsonToken.START_OBJECT
-                    ? new EngineEventReader(parser, gaugeNames).event()
+                    ? new EngineEventReader(parser, gaugeNames).readEvent()
                     : null;
         } catch (IOException e) {
             return null;
         }
     }
 
-    private EngineEvent event() throws IOException {
-        JsonFields.each(parser, this::field);
+    private EngineEvent readEvent() throws IOException {
+        JsonFields.each(parser, this::readField);
         if (parser.currentToken() != JsonToken.END_OBJECT) {
             return null;
         }
         return switch (type) {
             case EngineProtocol.HELLO ->
-                    new EngineEvent.Hello(number, state.equals(EngineProtocol.NEW_PROCESS), millis);
+                    new EngineEvent.Hello(
+                            number, state.equals(EngineProtocol.NEW_PROCESS), tookMillis);
             case EngineProtocol.RUN_ENDED ->
-                    new EngineEvent.RunEnded(number, requestId, outcome(), millis, body);
+                    new EngineEvent.RunEnded(number, requestId, runOutcome(), tookMillis, body);
             case EngineProtocol.GAUGES_READ -> new EngineEvent.GaugesRead(number, tag, gauges());
             case EngineProtocol.REJECTED ->
                     new EngineEvent.Rejected(number, state, requestId, body);
@@ -63,7 +67,7 @@
         };
     }
 
-    private RunOutcome outcome() {
+    private RunOutcome runOutcome() {
         return switch (state) {
             case EngineProtocol.DONE -> RunOutcome.DONE;
             case EngineProtocol.ABORTED -> RunOutcome.ABORTED;
@@ -84,15 +88,15 @@
         return gauges.getOrDefault(name, Double.NaN);
     }
 
-    private void field(String name) throws IOException {
+    private void readField(String name) throws IOException {
         switch (name) {
             case EngineProtocol.TYPE -> type = JsonFields.text(parser);
             case EngineProtocol.NUMBER -> number = (long) JsonFields.number(parser, 0);
             case EngineProtocol.REQUEST_ID -> requestId = JsonFields.text(parser);
             case EngineProtocol.STATE -> state = JsonFields.text(parser);
-            case EngineProtocol.MILLIS -> millis = JsonFields.number(parser, 0);
+            case EngineProtocol.MILLIS -> tookMillis = JsonFields.number(parser, 0);
             case EngineProtocol.TAG -> tag = JsonFields.text(parser);
-            case EngineProtocol.GAUGES -> JsonFields.items(parser, this::gaugeAt);
+            case EngineProtocol.GAUGES -> JsonFields.items(parser, this::readGauge);
             case EngineProtocol.BODY -> {
                 if (parser.currentToken() == JsonToken.VALUE_STRING) {
                     body = Unpooled.wrappedBuffer(parser.getBinaryValue());
@@ -102,10 +106,10 @@
         }
     }
 
-    private void gaugeAt(String index) throws IOException {
-        int i = Integer.parseInt(index);
-        if (i < gaugeNames.size()) {
-            gauges.put(gaugeNames.get(i), JsonFields.number(parser, Double.NaN));
+    private void readGauge(String indexText) throws IOException {
+        int position = Integer.parseInt(indexText);
+        if (position < gaugeNames.size()) {
+            gauges.put(gaugeNames.get(position), JsonFields.number(parser, Double.NaN));
         }
     }
 }
--- a/src/main/java/tinroad/engine/EngineLink.java
+++ b/src/main/java/tinroad/engine/EngineLink.java
@@ -16,44 +16,45 @@
 import tinroad.log.LogKeyValues;
 
 /**
- * The link to the engine: attaches, passes events on, reconnects after it broke, and switches to
- * another address. Commands go to one connection at a time; events are read from earlier ones, too,
- * until those end.
+ * The link to the engine: attaches, passes on events, reconnects after a failure, and switches to
+ * another address. Commands go to one connection at a time; events are also read from earlier
+ * connections until those end.
  *
- * <p>Keeps no requests: while it is down {@link #run} returns NOT_SENT. What becomes of the
- * requests in flight when it breaks, and which are sent again, is decided in {@code
- * core.EngineRecovery}; a request whose run was lost for good is answered at its deadline by {@code
- * core.DeadlineGuard}. The order of calls is that of {@link Engine.Listener}: onDetached (not on a
- * switch of the address), then after a reconnect onAttached, the events from before, and
- * onCaughtUp.
+ * <p>The link stores no requests: while it is down, {@link #run} returns NOT_SENT. When it fails,
+ * {@code core.EngineRecovery} decides what happens to the requests in flight and which are sent
+ * again; {@code core.DeadlineGuard} answers a request whose run was lost for good at its deadline.
+ * The listener's methods are called in the order that {@link Engine.Listener} describes: onDetached
+ * (not when the address is switched), then after a reconnect onAttached, the events from before,
+ * and onCaughtUp.
  *
- * <p>The event loop owns all of it; only {@link #engineReachable} may be called from other threads.
+ * <p>Owned by the event loop; only {@link #engineReachable} may be called on other threads.
  */
 public final class EngineLink implements Engine {
     /**
-     * Tag of the request for gauges that follows HELLO: its reply comes after all events from
-     * before the connection. No timer has this tag.
+     * Tag of the request for gauges that follows HELLO. Its reply comes after all events from
+     * before the connection. No timer uses this tag.
      */
     static final String CATCH_UP_TAG = "catch-up";
 
     /**
-     * How long an earlier connection is still read once a new one has taken over, in ms; then it is
-     * closed.
+     * Time for which a retired connection is still read; then it is closed if a new one has taken
+     * over, and otherwise read for as long again.
      */
     private static final long HANDOVER_MILLIS = 500;
 
     private static final Logger LOG = LoggerFactory.getLogger("engine");
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final List<String> gaugeNames;
     private final EngineConnector connector;
     private Listener listener;
 
-    /** The connection that commands go to: HELLO was read on it. Null while there is none. */
-    private ChannelHandlerContext active;
+    /** The connection on which HELLO was read, to which commands go; null if there is none. */
+    private ChannelHandlerContext activeConnection;
 
     /**
-     * Attached or, before the first time, connected: the engine may come up long after the gateway.
+     * Whether the link is attached or, before it was attached for the first time, connected: the
+     * engine may start long after the gateway.
      */
     private volatile boolean engineReachable;
 
@@ -61,72 +62,76 @@
     private long lastEventNumber;
 
     /**
-     * A link of gateway {@code name} to {@code address}.
+     * Creates a link of gateway {@code name} to the engine at {@code address}.
      *
      * @param gaugeNames the names of the gauges, in the order in which the engine sends them
-     * @param seed of the jitter between attempts to connect
+     * @param seed seed of the jitter between attempts to connect
      */
     public EngineLink(
-            EventLoop loop,
+            EventLoop eventLoop,
             InetSocketAddress address,
             List<String> gaugeNames,
             String name,
             long seed) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.gaugeNames = gaugeNames;
-        connector = new EngineConnector(loop, address, name, seed, this::handlers);
+        connector = new EngineConnector(eventLoop, address, name, seed, this::handlers);
     }
 
-    /** Connects, and keeps connecting; {@code events} receives what the engine reports. */
-    public void start(Listener events) {
-        setListener(events);
+    /** Connects, and reconnects after failures; {@code newListener} receives the events. */
+    public void start(Listener newListener) {
+        setListener(newListener);
         connector.connect();
     }
 
-    /** Sets who receives what the engine reports. */
-    public void setListener(Listener events) {
-        listener = events;
+    /** Sets the listener that receives the engine's events. */
+    public void setListener(Listener newListener) {
+        listener = newListener;
     }
 
     /**
-     * Switches to another address; nothing happens if it is the present one. Commands wait until
-     * the engine answers there; the connection to the old address is read until then, so that no
+     * Switches to another address; does nothing if it is the current one. No command is sent until
+     * the engine answers there. The connection to the old address is read until then, so that no
      * event is missed.
      */
-    public void switchEndpoint(InetSocketAddress to) {
-        if (to.equals(connector.address())) {
+    public void switchEndpoint(InetSocketAddress newAddress) {
+        if (newAddress.equals(connector.address())) {
             return;
         }
-        LogKeyValues.with(LOG.atInfo(), "engine", to).log("switching endpoint to {}", to);
-        connector.setAddress(to);
+        LogKeyValues.with(LOG.atInfo(), "engine", newAddress)
+                .log("switching endpoint to {}", newAddress);
+        connector.setAddress(newAddress);
         retireActive();
         connector.connect();
     }
 
-    /** No command goes to the active connection any more; it ends once the next has taken over. */
+    /** Sends no more commands to the active connection; it is closed after the next takes over. */
     private void retireActive() {
-        if (active != null) {
-            ChannelHandlerContext old = active;
-            active = null;
+        if (activeConnection != null) {
+            ChannelHandlerContext retiredConnection = activeConnection;
+            activeConnection = null;
             engineReachable = false;
-            scheduleClose(old);
+            scheduleClose(retiredConnection);
         }
     }
 
-    private void scheduleClose(ChannelHandlerContext old) {
+    private void scheduleClose(ChannelHandlerContext retiredConnection) {
         Future<?> unused =
-                loop.schedule(() -> closeOnceReplaced(old), HANDOVER_MILLIS, TimeUnit.MILLISECONDS);
+                eventLoop.schedule(
+                        () -> closeOnceReplaced(retiredConnection),
+                        HANDOVER_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
-    private void closeOnceReplaced(ChannelHandlerContext old) {
-        if (active != null) {
-            EngineConnection.close(old);
-        } else if (old.channel().isActive()) {
-            scheduleClose(old);
+    private void closeOnceReplaced(ChannelHandlerContext retiredConnection) {
+        if (activeConnection != null) {
+            EngineConnection.close(retiredConnection);
+        } else if (retiredConnection.channel().isActive()) {
+            scheduleClose(retiredConnection);
         }
     }
 
-    /** What a connection to the engine is read with. */
+    /** Creates the channel handlers of one connection to the engine. */
     public ChannelHandler[] handlers() {
         return new ChannelHandler[] {
             new LineBasedFrameDecoder(EngineProtocol.MAX_LINE_BYTES),
@@ -134,27 +139,27 @@
         };
     }
 
-    /** Whether the engine answers at its address; any thread may ask. */
+    /** Whether the engine answers at its address; may be called on any thread. */
     public boolean engineReachable() {
         return engineReachable;
     }
 
     @Override
     public Progress run(String id, String requestClass, ByteBuf body) {
-        if (active == null) {
+        if (activeConnection == null) {
             return Progress.NOT_SENT;
         }
-        EngineCommands.run(active, id, requestClass, body);
+        EngineCommands.run(activeConnection, id, requestClass, body);
         return Progress.SENT;
     }
 
     @Override
     public boolean requestGauges(String tag) {
-        // Guards against an engine that has stopped reading: requests don't pile up.
-        if (active == null || !active.channel().isWritable()) {
+        // If the engine has stopped reading, requests for gauges must not accumulate.
+        if (activeConnection == null || !activeConnection.channel().isWritable()) {
             return false;
         }
-        EngineCommands.requestGauges(active, tag);
+        EngineCommands.requestGauges(activeConnection, tag);
         return true;
     }
 
@@ -179,10 +184,13 @@
     }
 
     boolean isActive(ChannelHandlerContext connection) {
-        return connection == active;
+        return connection == activeConnection;
     }
 
-    /** Guards against events that are sent again after a new ATTACH: each counts once. */
+    /**
+     * Whether the event has not been read before. The engine may send events again after a new
+     * ATTACH, and each counts once.
+     */
     boolean isNew(EngineEvent event) {
         if (event.number() <= 0) {
             return true;
@@ -194,32 +202,32 @@
         return true;
     }
 
-    /** The latest attempt has connected; the engine has not answered yet. */
+    /** Called when the latest attempt has connected, before the engine has answered. */
     void onConnected() {
         engineReachable |= !attachedOnce;
     }
 
-    /** The engine answered on the latest connection: commands go there from now on. */
+    /** Called when the engine has answered on the latest connection; commands now go there. */
     void attach(ChannelHandlerContext connection, EngineEvent.Hello event) {
-        active = connection;
+        activeConnection = connection;
         attachedOnce = true;
         engineReachable = true;
         connector.resetBackoff();
-        // Not sent on a connection that can't be written: then catching up waits for the next one.
+        // Not sent if the connection can't be written; then catching up waits for the next one.
         boolean unused = requestGauges(CATCH_UP_TAG);
         listener.onAttached(event.newProcess(), event.startedMillisAgo());
     }
 
     /**
-     * A connection ended; if it was the active one, the link is down until the next {@link
-     * #attach}.
+     * Called when a connection ended. If it was the active one, the link is down until the next
+     * {@link #attach}.
      */
     void onDisconnected(ChannelHandlerContext connection, int attempt) {
-        if (connection == active) {
-            active = null;
+        if (connection == activeConnection) {
+            activeConnection = null;
             listener.onDetached();
         }
-        if (active == null) {
+        if (activeConnection == null) {
             engineReachable = false;
         }
         connector.reconnectAfter(attempt);
--- a/src/main/java/tinroad/engine/EngineProtocol.java
+++ b/src/main/java/tinroad/engine/EngineProtocol.java
@@ -1,8 +1,11 @@
 package tinroad.engine;
 
-/** The words of the engine's protocol as they are on the wire, and its bounds. */
+/** Field names, types and values of the engine's protocol as they are on the wire. */
 final class EngineProtocol {
-    /** Longest line in bytes: a result of 4 KiB in base64 and a few words. Others are skipped. */
+    /**
+     * Upper bound of a line; longer ones are skipped. A line holds at most a result of 4 KiB in
+     * base64 and a few other fields.
+     */
     static final int MAX_LINE_BYTES = 64 * 1024;
 
     // Fields.
@@ -27,15 +30,16 @@
     static final String GAUGES_READ = "STATS";
     static final String REJECTED = "NO";
 
-    // State of a HELLO: an engine that just started; any other word is one that has run before.
+    // State in HELLO of an engine that has just started; any other state is one of an engine that
+    // ran before.
     static final String NEW_PROCESS = "fresh";
 
-    // States of a run that ended; any other word is a crash.
+    // States of a run that ended; any other state is a crash.
     static final String DONE = "done";
     static final String ABORTED = "aborted";
     static final String STALE = "stale";
 
-    // Names of gauges, by which the configuration gives their order.
+    // Names of gauges; the configuration lists them in the order in which the engine sends them.
     static final String CORE_UTILIZATION = "core_use";
     static final String RUNNABLE = "on_cores";
     static final String HEAP_UTILIZATION = "heap_share";
--- a/src/main/java/tinroad/engine/package-info.java
+++ b/src/main/java/tinroad/engine/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The link to the engine, the process that runs the requests: connecting, its line protocol (JSON
- * objects, one a line), switching to another address. {@code EngineLink} is the entry, called by
- * {@code node} and the lab; it reports to {@code core.Engine.Listener}. Decides nothing on
- * requests, and may know no other edge.
+ * The link to the engine, the process that runs the requests: connecting, the line protocol (one
+ * JSON object per line), and switching to another address. The entry point is {@code EngineLink},
+ * used by {@code node} and the lab; it reports to {@code core.Engine.Listener}. Makes no decisions
+ * on requests, and must not depend on the other protocol edges.
  */
 package tinroad.engine;
--- a/src/test/java/tinroad/engine/EngineLinkTest.java
+++ b/src/test/java/tinroad/engine/EngineLinkTest.java
@@ -38,77 +38,78 @@
 import tinroad.overload.Controller.Gauges;
 
 /**
- * The link against a scripted engine on an ephemeral loopback port; waits end by events, never by
- * the clock.
+ * Tests the link with a scripted engine on an ephemeral loopback port. Waits end with an event; the
+ * timeout is reached only if a test hangs.
  */
 class EngineLinkTest {
     private static final List<String> GAUGES =
             List.of("core_use", "on_cores", "heap_share", "links");
 
-    /** Only a hung test waits this long. */
-    private static final long HUNG_S = 60;
+    /** Timeout of waits, which is reached only if a test hangs. */
+    private static final long TIMEOUT_SECONDS = 60;
 
-    private final BlockingQueue<String> reported = new LinkedBlockingQueue<>();
-    private MultiThreadIoEventLoopGroup group;
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    private MultiThreadIoEventLoopGroup eventLoopGroup;
     private ServerSocket server;
     private EngineLink link;
     private Socket socket;
-    private BufferedReader lines;
+    private BufferedReader commandReader;
 
     @BeforeEach
-    void start() throws IOException {
-        group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    void setUp() throws IOException {
+        eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(HUNG_S));
+        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         link =
                 new EngineLink(
-                        group.next(),
+                        eventLoopGroup.next(),
                         (InetSocketAddress) server.getLocalSocketAddress(),
                         GAUGES,
                         "n3",
                         1);
-        group.next().execute(() -> link.start(new Recorder()));
-        accept();
+        eventLoopGroup.next().execute(() -> link.start(new Recorder()));
+        acceptConnection();
     }
 
     @AfterEach
-    void stop() throws IOException {
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+    void tearDown() throws IOException {
+        eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         socket.close();
         server.close();
     }
 
     private class Recorder implements Engine.Listener {
         @Override
-        public void onAttached(boolean fresh, double startedAgo) {
-            reported.add("attached " + fresh + " " + startedAgo);
+        public void onAttached(boolean newProcess, double startedMillisAgo) {
+            events.add("attached " + newProcess + " " + startedMillisAgo);
         }
 
         @Override
         public void onCaughtUp() {
-            reported.add("caught up");
+            events.add("caught up");
         }
 
         @Override
         public void onDetached() {
-            reported.add("detached");
+            events.add("detached");
         }
 
         @Override
-        public void onRunEnded(String id, Engine.RunOutcome end, double took, ByteBuf result) {
-            reported.add(
+        public void onRunEnded(
+                String id, Engine.RunOutcome outcome, double tookMillis, ByteBuf result) {
+            events.add(
                     id
                             + " "
-                            + end
+                            + outcome
                             + " "
-                            + took
+                            + tookMillis
                             + " "
                             + result.toString(StandardCharsets.ISO_8859_1));
         }
 
         @Override
         public void onGauges(String tag, Gauges gauges) {
-            reported.add(
+            events.add(
                     tag
                             + " "
                             + gauges.coreUtilization()
@@ -119,9 +120,9 @@
         }
     }
 
-    private void accept() throws IOException {
+    private void acceptConnection() throws IOException {
         socket = server.accept();
-        lines =
+        commandReader =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
     }
@@ -131,43 +132,44 @@
     }
 
     private void expect(String event) throws InterruptedException {
-        assertEquals(event, reported.poll(HUNG_S, TimeUnit.SECONDS));
+        assertEquals(event, events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private void hello() throws IOException, InterruptedException {
+    private void attach() throws IOException, InterruptedException {
         send("{\"type\":\"HELLO\",\"state\":\"fresh\",\"took\":12.5}\n");
         expect("attached true 12.5");
-        assertEquals("{\"type\":\"STAT\",\"ref\":\"catch-up\"}", lines.readLine());
+        assertEquals("{\"type\":\"STAT\",\"ref\":\"catch-up\"}", commandReader.readLine());
     }
 
-    private <T> T onLoop(Callable<T> call) throws Exception {
-        return group.next().submit(call).get(HUNG_S, TimeUnit.SECONDS);
+    private <T> T callOnEventLoop(Callable<T> call) throws Exception {
+        return eventLoopGroup.next().submit(call).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private Progress run(String id) throws Exception {
-        return onLoop(() -> link.run(id, "read", Unpooled.wrappedBuffer(new byte[] {0, -1, 'b'})));
+        return callOnEventLoop(
+                () -> link.run(id, "read", Unpooled.wrappedBuffer(new byte[] {0, -1, 'b'})));
     }
 
     @Test
     void sendsNoCommandBeforeHello() throws Exception {
-        assertEquals("{\"type\":\"ATTACH\",\"n\":0}", lines.readLine());
+        assertEquals("{\"type\":\"ATTACH\",\"n\":0}", commandReader.readLine());
         assertEquals(Progress.NOT_SENT, run("0a"));
-        assertEquals(false, onLoop(() -> link.requestGauges("1")));
-        hello();
+        assertEquals(false, callOnEventLoop(() -> link.requestGauges("1")));
+        attach();
         assertEquals(Progress.SENT, run("0b"));
         assertEquals(
                 "{\"type\":\"RUN\",\"job\":\"0b\",\"kind\":\"read\",\"data\":\"AP9i\"}",
-                lines.readLine());
-        assertTrue(onLoop(() -> link.requestGauges("7")));
-        assertEquals("{\"type\":\"STAT\",\"ref\":\"7\"}", lines.readLine());
+                commandReader.readLine());
+        assertTrue(callOnEventLoop(() -> link.requestGauges("7")));
+        assertEquals("{\"type\":\"STAT\",\"ref\":\"7\"}", commandReader.readLine());
         send("{\"type\":\"STATS\",\"ref\":\"7\",\"gauges\":[0.5,3,0.1,9,77]}\n");
         expect("7 0.5 3.0 9.0");
     }
 
     @Test
     void reconnectsAfterTheLastEventAndCountsEachOnce() throws Exception {
-        lines.readLine();
-        hello();
+        commandReader.readLine();
+        attach();
         send(
                 """
                 {"type":"DONE","n":1,"job":"0a","state":"done","took":3,"data":"cmVz"}
@@ -181,9 +183,9 @@
         socket.close();
         expect("detached");
         assertEquals(Progress.NOT_SENT, run("0c"));
-        accept();
-        assertEquals("{\"type\":\"ATTACH\",\"n\":3}", lines.readLine());
-        hello();
+        acceptConnection();
+        assertEquals("{\"type\":\"ATTACH\",\"n\":3}", commandReader.readLine());
+        attach();
         send(
                 """
                 {"type":"DONE","n":3,"job":"0b","state":"crashed","took":4}
@@ -196,40 +198,41 @@
 
     @Test
     void switchesEndpointWithoutLosingAnEvent() throws Exception {
-        lines.readLine();
-        hello();
+        commandReader.readLine();
+        attach();
         send(
                 "{\"type\":\"DONE\",\"n\":1,\"job\":\"0a\",\"state\":\"done\",\"took\":3,\"data\":\"cmVz\"}\n");
         expect("0a DONE 3.0 res");
-        try (Socket old = socket;
-                ServerSocket next = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            ServerSocket before = server;
-            server = next;
-            server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(HUNG_S));
-            onLoop(
+        try (Socket oldSocket = socket;
+                ServerSocket newServer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            ServerSocket oldServer = server;
+            server = newServer;
+            server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
+            callOnEventLoop(
                     () -> {
-                        link.switchEndpoint((InetSocketAddress) next.getLocalSocketAddress());
-                        link.switchEndpoint((InetSocketAddress) next.getLocalSocketAddress());
+                        link.switchEndpoint((InetSocketAddress) newServer.getLocalSocketAddress());
+                        link.switchEndpoint((InetSocketAddress) newServer.getLocalSocketAddress());
                         return null;
                     });
-            assertEquals(Progress.NOT_SENT, run("0b"), "nothing new goes to the old address");
-            before.close();
-            accept();
-            assertEquals("{\"type\":\"ATTACH\",\"n\":1}", lines.readLine());
-            old.getOutputStream()
+            assertEquals(Progress.NOT_SENT, run("0b"), "no new command goes to the old address");
+            oldServer.close();
+            acceptConnection();
+            assertEquals("{\"type\":\"ATTACH\",\"n\":1}", commandReader.readLine());
+            oldSocket
+                    .getOutputStream()
                     .write(
                             "{\"type\":\"DONE\",\"n\":2,\"job\":\"0c\",\"state\":\"crashed\",\"took\":4}\n"
                                     .getBytes(StandardCharsets.US_ASCII));
             expect("0c CRASHED 4.0 ");
-            hello();
+            attach();
             assertEquals(Progress.SENT, run("0d"));
-            assertTrue(lines.readLine().contains("\"0d\""));
+            assertTrue(commandReader.readLine().contains("\"0d\""));
             assertNull(
                     new BufferedReader(
                                     new InputStreamReader(
-                                            old.getInputStream(), StandardCharsets.US_ASCII))
+                                            oldSocket.getInputStream(), StandardCharsets.US_ASCII))
                             .readLine(),
-                    "the old link ends, with nothing more written to it");
+                    "the old connection ends, and no more commands are written to it");
             send(
                     """
                     {"type":"DONE","n":2,"job":"0c","state":"crashed","took":4}
@@ -241,8 +244,8 @@
 
     @Test
     void skipsLinesThatAreNoEvents() throws Exception {
-        lines.readLine();
-        hello();
+        commandReader.readLine();
+        attach();
         send(
                 "\n"
                         + "[]\n"
@@ -259,36 +262,41 @@
     @Property(seed = "20261204", tries = 200)
     void readsEventsHoweverTheyAreSplitAndWhateverIsBetween(
             @ForAll long seed, @ForAll @Size(max = 100) byte[] garbage) {
-        EngineLink cut = new EngineLink(null, null, GAUGES, "n3", 1);
-        List<String> ended = new ArrayList<>();
-        cut.setListener(
+        EngineLink embeddedLink = new EngineLink(null, null, GAUGES, "n3", 1);
+        List<String> endedRuns = new ArrayList<>();
+        embeddedLink.setListener(
                 new Recorder() {
                     @Override
                     public void onRunEnded(
-                            String id, Engine.RunOutcome end, double took, ByteBuf result) {
-                        ended.add(
+                            String id,
+                            Engine.RunOutcome outcome,
+                            double tookMillis,
+                            ByteBuf result) {
+                        endedRuns.add(
                                 id
                                         + " "
-                                        + end
+                                        + outcome
                                         + " "
                                         + result.toString(StandardCharsets.ISO_8859_1));
                     }
                 });
-        EmbeddedChannel channel = new EmbeddedChannel(cut.handlers());
-        for (int n = 1; n <= 20; n++) {
+        EmbeddedChannel channel = new EmbeddedChannel(embeddedLink.handlers());
+        for (int number = 1; number <= 20; number++) {
             Cuts.feed(
                     channel,
                     Cuts.join(
                             garbage,
                             ("\n{\"type\":\"DONE\",\"n\":"
-                                            + n
+                                            + number
                                             + ",\"job\":\""
-                                            + n
+                                            + number
                                             + "\",\"state\":\"done\",\"took\":1,\"data\":\"cmVz\"}\n")
                                     .getBytes(StandardCharsets.US_ASCII)),
-                    seed + n);
+                    seed + number);
         }
-        assertEquals(IntStream.rangeClosed(1, 20).mapToObj(n -> n + " DONE res").toList(), ended);
+        assertEquals(
+                IntStream.rangeClosed(1, 20).mapToObj(number -> number + " DONE res").toList(),
+                endedRuns);
     }
 
     @Property(seed = "20261203", tries = 500)
@@ -301,9 +309,9 @@
                         .getBytes(StandardCharsets.US_ASCII);
         assertNotNull(EngineEvent.read(Unpooled.wrappedBuffer(line), GAUGES));
         Random random = new Random(seed);
-        int cut = random.nextInt(line.length);
-        assertNull(EngineEvent.read(Unpooled.wrappedBuffer(line, 0, cut), GAUGES));
-        line[cut] = (byte) random.nextInt(256);
+        int cutOffset = random.nextInt(line.length);
+        assertNull(EngineEvent.read(Unpooled.wrappedBuffer(line, 0, cutOffset), GAUGES));
+        line[cutOffset] = (byte) random.nextInt(256);
         EngineEvent.read(Unpooled.wrappedBuffer(line), GAUGES);
     }
 }
