--- a/src/main/java/tinroad/discovery/LoadReporter.java
+++ b/src/main/java/tinroad/discovery/LoadReporter.java
@@ -15,119 +15,120 @@
 import tinroad.recovery.JitteredInterval;
 
 /**
- * Reports to the service registry that this gateway is there, and whether it admits requests: one
- * UDP datagram for each report, without a reply. The event loop owns all of it.
+ * Reports to the service registry that this gateway is running, and whether it admits requests. A
+ * report is one UDP datagram without a reply. Owned by the event loop.
  */
 public final class LoadReporter {
     /**
-     * The registry drops a gateway 3 s after its last report, and a quarter of the datagrams may be
-     * lost: at this period it takes a dozen losses in a row to be dropped, and a change that is
-     * lost is reported again soon.
+     * Mean interval between reports. The registry drops a gateway 3 s after its last report, and a
+     * quarter of the datagrams may be lost. At this period a gateway is dropped only after a dozen
+     * losses in a row, and a lost change is soon reported again.
      */
     private static final double PERIOD_MILLIS = 250;
 
     /**
-     * Fraction of the period by which each interval is longer or shorter: gateways that started
-     * together must not report together.
+     * Fraction of the period by which each interval may be longer or shorter, so that gateways that
+     * started together do not report together.
      */
     private static final double JITTER = 0.2;
 
-    // The report on the wire: "HERE", the gateway's name, and its state.
+    // A report on the wire consists of "HERE", the gateway's name and its state.
     private static final String REPORT = "HERE ";
     private static final String ADMITS = " on";
-    private static final String ADMITS_NOT = " off";
+    private static final String REJECTS = " off";
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final String name;
     private final JitteredInterval reportInterval;
     private InetSocketAddress registry;
 
-    /** Null before {@link #start}; replaced if it was closed. */
+    /** The socket; null before {@link #start}, replaced if it was closed. */
     private Channel channel;
 
-    /** Whether there is anything to report yet. */
-    private boolean reporting;
+    /** Whether {@link #report} was called, so that there is a state to report. */
+    private boolean hasStateToReport;
 
     private boolean admitsRequests;
     private boolean stopped;
 
-    /** Reports of gateway {@code name} to the registry at this address. */
-    public LoadReporter(EventLoop loop, InetSocketAddress registry, String name, long seed) {
+    /** Creates a reporter of gateway {@code name} to the registry at this address. */
+    public LoadReporter(EventLoop eventLoop, InetSocketAddress registry, String name, long seed) {
         reportInterval = reportInterval(name, seed);
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.registry = registry;
         this.name = name;
     }
 
-    /** The intervals at which a gateway of this name and seed reports. */
+    /** The intervals between the reports of a gateway with this name and seed. */
     public static JitteredInterval reportInterval(String name, long seed) {
         return new JitteredInterval(name, seed, PERIOD_MILLIS, JITTER);
     }
 
     /** Opens the socket; nothing is reported before the first {@link #report}. */
     public void start() {
-        open();
+        openSocket();
         scheduleNext();
     }
 
-    private void open() {
-        // Where it can't be bound, nothing is sent: the next period opens another.
+    private void openSocket() {
+        // If the socket can't be bound, nothing is sent, and the next period opens another one.
         channel =
                 new Bootstrap()
-                        .group(loop)
+                        .group(eventLoop)
                         .channel(NioDatagramChannel.class)
-                        .handler(new Discarding())
+                        .handler(new ReplyDiscarder())
                         .bind(0)
-                        .addListener(bound -> send())
+                        .addListener(bindFuture -> send())
                         .channel();
     }
 
     private void scheduleNext() {
-        // Knowingly dropped: reports go on for as long as the event loop does.
+        // The future is not needed: reports continue for as long as the event loop runs.
         Future<?> unused =
-                loop.schedule(
+                eventLoop.schedule(
                         this::reportPeriodically,
                         (long) (reportInterval.nextMillis() * 1e6),
                         TimeUnit.NANOSECONDS);
     }
 
     private void reportPeriodically() {
-        // First: guards the reports to come against one that fails.
+        // Schedules the next report before this one, so that later reports follow even if this one
+        // fails.
         scheduleNext();
-        // Guards a gateway that serves against leaving the registry for good with its socket: a
-        // failed read closes it.
+        // A failed read closes the socket. Without a new one a serving gateway would be dropped
+        // from the registry for good.
         if (!channel.isOpen()) {
-            open();
+            openSocket();
         }
         send();
     }
 
-    /** Reports to another address from now on, at once if that is a new one. */
-    public void switchEndpoint(InetSocketAddress to) {
-        if (!to.equals(registry)) {
-            registry = to;
+    /** Sends reports to this address from now on; if it is a new one, reports at once. */
+    public void switchEndpoint(InetSocketAddress newRegistry) {
+        if (!newRegistry.equals(registry)) {
+            registry = newRegistry;
             send();
         }
     }
 
-    /** Reports nothing more: another process of this gateway reports from now on. */
+    /** Stops all reports, because another process of this gateway reports from now on. */
     public void stopReporting() {
         stopped = true;
     }
 
     /** Reports at once, and then periodically, whether the gateway admits requests. */
     public void report(boolean admits) {
-        reporting = true;
+        hasStateToReport = true;
         admitsRequests = admits;
         send();
     }
 
     private void send() {
-        // Guards against a report before the socket is open: it would be lost until the next
-        // period.
-        if (reporting && !stopped && channel != null && channel.isActive()) {
-            String report = REPORT + name + (admitsRequests ? ADMITS : ADMITS_NOT);
-            // Knowingly dropped: a datagram may be lost anyway, and the next report follows.
+        // A report before the socket is open would be lost, and the next one would come only after
+        // a period; instead it is sent as soon as the socket is open.
+        if (hasStateToReport && !stopped && channel != null && channel.isActive()) {
+            String report = REPORT + name + (admitsRequests ? ADMITS : REJECTS);
+            // The future is not needed: a datagram may be lost anyway, and the next report follows.
             Future<?> unused =
                     channel.writeAndFlush(
                             new DatagramPacket(
@@ -135,15 +136,16 @@
         }
     }
 
-    /** Ignores what comes in: reports have no reply. */
-    private static final class Discarding extends ChannelInboundHandlerAdapter {
+    /** Discards all input, because reports have no reply. */
+    private static final class ReplyDiscarder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ReferenceCountUtil.release(message);
         }
 
         /**
-         * A registry that is down answers with an ICMP error: the next report is sent all the same.
+         * Ignores the ICMP error with which the host of a stopped registry answers; the next report
+         * is sent nevertheless.
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
--- a/src/test/java/tinroad/discovery/LoadReporterTest.java
+++ b/src/test/java/tinroad/discovery/LoadReporterTest.java
@@ -24,15 +24,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The reports, on an ephemeral loopback port. */
+/** Tests the reports on an ephemeral loopback port. */
 class LoadReporterTest {
-    private static final int HUNG_MS = 60_000;
+    private static final int TIMEOUT_MILLIS = 60_000;
 
-    private static int lastPort;
+    /** Port from which the latest report came. */
+    private static int lastSenderPort;
 
-    /** The system's own provider; records the selectors, and so what is open. */
+    /** The system's provider, which also records the selectors and so gives access to channels. */
     private static final class RecordingProvider extends SelectorProvider {
-        private final SelectorProvider system = SelectorProvider.provider();
+        private final SelectorProvider delegate = SelectorProvider.provider();
         private final List<AbstractSelector> selectors;
 
         RecordingProvider(List<AbstractSelector> selectors) {
@@ -41,107 +42,113 @@
 
         @Override
         public DatagramChannel openDatagramChannel() throws IOException {
-            return system.openDatagramChannel();
+            return delegate.openDatagramChannel();
         }
 
         @Override
         public DatagramChannel openDatagramChannel(ProtocolFamily family) throws IOException {
-            return system.openDatagramChannel(family);
+            return delegate.openDatagramChannel(family);
         }
 
         @Override
         public Pipe openPipe() throws IOException {
-            return system.openPipe();
+            return delegate.openPipe();
         }
 
         @Override
         public AbstractSelector openSelector() throws IOException {
-            AbstractSelector selector = system.openSelector();
+            AbstractSelector selector = delegate.openSelector();
             selectors.add(selector);
             return selector;
         }
 
         @Override
         public ServerSocketChannel openServerSocketChannel() throws IOException {
-            return system.openServerSocketChannel();
+            return delegate.openServerSocketChannel();
         }
 
         @Override
         public SocketChannel openSocketChannel() throws IOException {
-            return system.openSocketChannel();
+            return delegate.openSocketChannel();
         }
     }
 
     private static String receive(DatagramSocket registry) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
         registry.receive(packet);
-        lastPort = packet.getPort();
+        lastSenderPort = packet.getPort();
         return new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8);
     }
 
     @Test
     void reportsAChangeAtOnceAndThenPeriodically() throws IOException {
-        MultiThreadIoEventLoopGroup group =
+        MultiThreadIoEventLoopGroup eventLoopGroup =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            registry.setSoTimeout(HUNG_MS);
+            registry.setSoTimeout(TIMEOUT_MILLIS);
             LoadReporter reporter =
                     new LoadReporter(
-                            group.next(),
+                            eventLoopGroup.next(),
                             (InetSocketAddress) registry.getLocalSocketAddress(),
                             "n3",
                             1);
-            group.next()
+            eventLoopGroup
+                    .next()
                     .execute(
                             () -> {
                                 reporter.start();
-                                // The socket is not open yet: the report must go out as soon as it
+                                // The socket is not open yet; the report must be sent as soon as it
                                 // is.
                                 reporter.report(true);
                             });
             assertEquals("HERE n3 on", receive(registry));
-            group.next().execute(() -> reporter.report(false));
+            eventLoopGroup.next().execute(() -> reporter.report(false));
             assertEquals("HERE n3 off", receive(registry));
-            assertEquals("HERE n3 off", receive(registry), "the periodic one");
-            try (DatagramSocket next = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-                next.setSoTimeout(HUNG_MS);
-                group.next()
+            assertEquals("HERE n3 off", receive(registry), "the periodic report");
+            try (DatagramSocket newRegistry =
+                    new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+                newRegistry.setSoTimeout(TIMEOUT_MILLIS);
+                eventLoopGroup
+                        .next()
                         .execute(
                                 () ->
                                         reporter.switchEndpoint(
-                                                (InetSocketAddress) next.getLocalSocketAddress()));
-                assertEquals("HERE n3 off", receive(next), "at a new address");
+                                                (InetSocketAddress)
+                                                        newRegistry.getLocalSocketAddress()));
+                assertEquals("HERE n3 off", receive(newRegistry), "the report to a new address");
             }
         } finally {
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+            eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 
     @Test
     void reopensASocketThatWasClosed() throws Exception {
         List<AbstractSelector> selectors = new ArrayList<>();
-        MultiThreadIoEventLoopGroup group =
+        MultiThreadIoEventLoopGroup eventLoopGroup =
                 new MultiThreadIoEventLoopGroup(
                         1,
                         NioIoHandler.newFactory(
                                 new RecordingProvider(selectors),
                                 DefaultSelectStrategyFactory.INSTANCE));
         try (DatagramSocket registry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            registry.setSoTimeout(HUNG_MS);
+            registry.setSoTimeout(TIMEOUT_MILLIS);
             LoadReporter reporter =
                     new LoadReporter(
-                            group.next(),
+                            eventLoopGroup.next(),
                             (InetSocketAddress) registry.getLocalSocketAddress(),
                             "n3",
                             1);
-            group.next()
+            eventLoopGroup
+                    .next()
                     .execute(
                             () -> {
                                 reporter.start();
                                 reporter.report(true);
                             });
             assertEquals("HERE n3 on", receive(registry));
-            group.next()
+            eventLoopGroup
+                    .next()
                     .submit(
                             () -> {
                                 for (SelectionKey key : selectors.get(0).keys()) {
@@ -150,14 +157,14 @@
                                 return null;
                             })
                     .sync();
-            // What was sent before it closed may still come: the one after it can only be by
-            // another socket.
-            int before = lastPort;
-            while (lastPort == before) {
+            // Reports that were sent before the socket closed may still arrive; later ones can only
+            // come from another socket.
+            int closedSocketPort = lastSenderPort;
+            while (lastSenderPort == closedSocketPort) {
                 assertEquals("HERE n3 on", receive(registry));
             }
         } finally {
-            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+            eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 }
