--- a/src/main/java/tinroad/admin/AdminRequestHandler.java
+++ b/src/main/java/tinroad/admin/AdminRequestHandler.java
@@ -10,9 +10,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection of an operator: one request, its response, and the end. On the event loop. */
+/**
+ * Handles one connection of an operator: reads one request, writes its response and closes the
+ * connection. Runs on the event loop.
+ */
 final class AdminRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    /** A connection whose request is not complete by then is closed. */
+    /** A connection that is still open this long after it was opened is closed. */
     private static final long REQUEST_TIMEOUT_MILLIS = 5000;
 
     private static final Logger LOG = LoggerFactory.getLogger("control");
@@ -39,8 +42,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        // Guards against a second request that was sent with the first: the first one's response
-        // ends the connection.
+        // A second request may have been sent together with the first; it is ignored, because the
+        // connection closes after the first response.
         if (!requested) {
             requested = true;
             ChannelFuture unused =
@@ -49,14 +52,14 @@
         }
     }
 
-    /** Exceptions stop here: they cost this connection and nothing else. */
+    /** Closes this connection, and nothing else, on an exception. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         LOG.debug("admin request failed", cause);
         close(ctx);
     }
 
-    /** The result is knowingly dropped: nothing is left to do on this connection. */
+    /** Closes the connection; the result is ignored, because nothing is left to do on it. */
     private static void close(ChannelHandlerContext ctx) {
         ChannelFuture unused = ctx.close();
     }
--- a/src/main/java/tinroad/admin/AdminResponses.java
+++ b/src/main/java/tinroad/admin/AdminResponses.java
@@ -17,7 +17,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** The forms that responses of the admin endpoint have: a line of text, or a JSON object. */
+/** Builds the responses of the admin endpoint: a line of text or a JSON object. */
 final class AdminResponses {
     private static final String TEXT = "text/plain";
     private static final String JSON = "application/json";
@@ -43,15 +43,15 @@
             fields.write(json);
             json.writeEndObject();
         } catch (IOException e) {
-            // Can't happen: the buffer is memory, and grows as needed.
+            // Can't happen: the buffer is in memory and grows as needed.
             throw new UncheckedIOException(e);
         }
         return response(HttpResponseStatus.OK, JSON, body);
     }
 
     /**
-     * Writes a number with one decimal. JSON has no infinite number and none that is absent: null
-     * stands for both.
+     * Writes a number with one decimal. An infinite number and NaN, which JSON does not have, are
+     * written as null.
      */
     static void writeNumber(JsonGenerator json, String name, double value) throws IOException {
         if (Double.isFinite(value)) {
--- a/src/main/java/tinroad/admin/AdminRouter.java
+++ b/src/main/java/tinroad/admin/AdminRouter.java
@@ -12,7 +12,7 @@
 import tinroad.core.Gateway;
 import tinroad.fleet.Membership;
 
-/** Finds the resource that a request is for, by path and method. */
+/** Routes a request to its resource by path and method. */
 final class AdminRouter {
     private record Route(HttpMethod method, Supplier<FullHttpResponse> resource) {}
 
--- a/src/main/java/tinroad/admin/AdminServer.java
+++ b/src/main/java/tinroad/admin/AdminServer.java
@@ -20,39 +20,39 @@
 import tinroad.fleet.Membership;
 
 /**
- * The admin endpoint: HTTP/1.1, one request for each connection. Everything runs on the event loop
+ * The admin endpoint, an HTTP/1.1 server with one request per connection. Runs on the event loop
  * that owns the gateway.
  */
 public final class AdminServer {
     /**
-     * Bounds the connections, and so the descriptors, that operators take: the oldest is closed for
-     * a new one.
+     * Upper bound of the operators' connections, and so of their file descriptors; above it the
+     * oldest is closed for a new one.
      */
     static final int MAX_CONNECTIONS = 24;
 
-    /** Bounds the body of a request; none needs one. */
+    /** Upper bound of a request's body; no request needs one. */
     static final int MAX_BODY_BYTES = 4096;
 
     private final AdminRouter router;
-    private final Set<Channel> open = new LinkedHashSet<>();
+    private final Set<Channel> openChannels = new LinkedHashSet<>();
 
-    /** An endpoint of a gateway that is not a member of a fleet. */
+    /** Creates the endpoint of a gateway that is not a member of a fleet. */
     public AdminServer(Gateway gateway) {
         this(gateway, Optional::empty);
     }
 
     /**
-     * An endpoint of {@code gateway} and of its membership, which is empty while the gateway is not
-     * a member of a fleet.
+     * Creates the endpoint of {@code gateway} and its membership, which is empty while the gateway
+     * is not a member of a fleet.
      */
     public AdminServer(Gateway gateway, Supplier<Optional<Membership>> membership) {
         router = new AdminRouter(gateway, membership);
     }
 
-    /** Begins to listen, on the one event loop that owns the gateway. */
-    public ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
+    /** Starts to listen on the event loop that owns the gateway. */
+    public ChannelFuture listen(EventLoop eventLoop, InetSocketAddress address) {
         return new ServerBootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(
@@ -66,7 +66,7 @@
                 .bind(address);
     }
 
-    /** What an operator's connection is read with. */
+    /** Creates the channel handlers of one connection of an operator. */
     public ChannelHandler[] handlers() {
         return new ChannelHandler[] {
             new HttpServerCodec(),
@@ -75,14 +75,17 @@
         };
     }
 
-    /** Guards against clients that connect and send nothing: they never keep the others out. */
+    /**
+     * Registers a connection and closes the oldest one above the bound, so that clients that
+     * connect and send nothing do not keep others out.
+     */
     private void onOpened(Channel channel) {
-        open.add(channel);
+        openChannels.add(channel);
         ChannelFuture unusedFuture =
-                channel.closeFuture().addListener(closed -> open.remove(channel));
-        if (open.size() > MAX_CONNECTIONS) {
-            // The listener above sees its end.
-            ChannelFuture unused = open.iterator().next().close();
+                channel.closeFuture().addListener(closed -> openChannels.remove(channel));
+        if (openChannels.size() > MAX_CONNECTIONS) {
+            // The close listener above removes it from the set.
+            ChannelFuture unused = openChannels.iterator().next().close();
         }
     }
 }
--- a/src/main/java/tinroad/admin/CatalogResource.java
+++ b/src/main/java/tinroad/admin/CatalogResource.java
@@ -5,8 +5,8 @@
 import tinroad.core.Gateway;
 
 /**
- * Which version of classes and tenants is in force, since when, how many later ones are pending,
- * and why the last one was rejected.
+ * Shows which version of classes and tenants is in force, since when, how many later versions are
+ * pending, and why the last one was rejected.
  */
 record CatalogResource(Gateway gateway) {
     FullHttpResponse respond() {
--- a/src/main/java/tinroad/admin/EvacuationResource.java
+++ b/src/main/java/tinroad/admin/EvacuationResource.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import tinroad.core.Gateway;
 
-/** Has the gateway stop admitting requests without ending, and admit them again. */
+/** Makes the gateway stop admitting requests without shutting down, and admit them again. */
 record EvacuationResource(Gateway gateway) {
     FullHttpResponse evacuate() {
         gateway.evacuate();
--- a/src/main/java/tinroad/admin/MembersResource.java
+++ b/src/main/java/tinroad/admin/MembersResource.java
@@ -9,7 +9,7 @@
 import tinroad.fleet.MemberUpdate;
 import tinroad.fleet.Membership;
 
-/** The members of the fleet as this gateway knows them, itself first. */
+/** Shows the members of the fleet as this gateway knows them, starting with itself. */
 record MembersResource(Gateway gateway, Supplier<Optional<Membership>> membership) {
     FullHttpResponse respond() {
         return membership
@@ -22,13 +22,14 @@
                                         "this gateway speaks with no others"));
     }
 
-    private FullHttpResponse members(Membership known) {
+    private FullHttpResponse members(Membership fleetMembership) {
         return AdminResponses.json(
                 json -> {
-                    json.writeBooleanField("cut", known.suspectsPartition());
-                    json.writeNumberField("doubts", known.healthPenalty());
+                    json.writeBooleanField("cut", fleetMembership.suspectsPartition());
+                    json.writeNumberField("doubts", fleetMembership.healthPenalty());
                     json.writeArrayFieldStart("members");
-                    for (Membership.MemberEntry entry : known.entries(gateway.nowMillis())) {
+                    for (Membership.MemberEntry entry :
+                            fleetMembership.entries(gateway.nowMillis())) {
                         MemberUpdate update = entry.update();
                         json.writeStartObject();
                         json.writeStringField("name", update.name());
--- a/src/main/java/tinroad/admin/MetricsResource.java
+++ b/src/main/java/tinroad/admin/MetricsResource.java
@@ -8,7 +8,7 @@
 import tinroad.core.Gateway;
 import tinroad.core.GatewayMetrics;
 
-/** Responses by request class and outcome, runs on the engine, and requests in flight. */
+/** Shows the responses by request class and outcome, the engine's runs, and requests in flight. */
 record MetricsResource(Gateway gateway) {
     FullHttpResponse respond() {
         List<GatewayMetrics.Row> rows = gateway.metrics().rows();
--- a/src/main/java/tinroad/admin/ReadinessResource.java
+++ b/src/main/java/tinroad/admin/ReadinessResource.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import tinroad.core.Gateway;
 
-/** Whether the gateway admits requests. */
+/** Shows whether the gateway admits requests. */
 record ReadinessResource(Gateway gateway) {
     FullHttpResponse respond() {
         return gateway.ready()
--- a/src/main/java/tinroad/admin/RecoveryResource.java
+++ b/src/main/java/tinroad/admin/RecoveryResource.java
@@ -9,7 +9,7 @@
 import tinroad.recovery.RecoveryPhaseTracker;
 import tinroad.recovery.RestoredState;
 
-/** The phase of recovery, and which learned statistics of earlier incarnations were restored. */
+/** Shows the recovery phase, and which learned statistics of earlier incarnations were restored. */
 record RecoveryResource(Gateway gateway) {
     FullHttpResponse respond() {
         RecoveryPhaseTracker tracker = gateway.recoveryPhase();
--- a/src/main/java/tinroad/admin/package-info.java
+++ b/src/main/java/tinroad/admin/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The admin endpoint: HTTP/1.1 for operators and their tools, a class for each resource. {@code
- * AdminServer} is the entry, called by {@code node}. Reads the gateway and the membership, and
- * requests evacuation and rejoin; decides nothing, and may know no other edge.
+ * The admin endpoint: an HTTP/1.1 server for operators and their tools, with a class for each
+ * resource. The entry point is {@code AdminServer}, used by {@code node}. Reads the gateway and the
+ * membership, and requests evacuation and rejoin. Makes no decisions of its own, and must not
+ * depend on the other protocol edges.
  */
 package tinroad.admin;
--- a/src/test/java/tinroad/admin/AdminServerTest.java
+++ b/src/test/java/tinroad/admin/AdminServerTest.java
@@ -23,11 +23,14 @@
 import tinroad.overload.Controller.Estimate;
 import tinroad.recovery.RestoredState;
 
-/** The requests of operators, their responses, and that garbage costs only its connection. */
+/**
+ * Tests the requests of operators and their responses, and that garbage closes only its own
+ * connection.
+ */
 class AdminServerTest {
     private GatewayHarness harness = GatewayHarness.started();
 
-    /** Each test, and each try of a property, has a gateway that callers reach. */
+    /** Marks the gateway of each test, and of each try of a property, as listening. */
     AdminServerTest() {
         harness.gateway.markListening();
     }
@@ -40,24 +43,38 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** The status line and the body; the connection is over. */
-    private String call(String head, long seed) {
+    /**
+     * Returns the status line and the body of the response, and checks that the connection ended.
+     */
+    private String call(String requestLine, long seed) {
         EmbeddedChannel channel = connect();
-        Cuts.feed(channel, bytes(head + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"), seed);
-        String sent = new String(Cuts.sent(channel), StandardCharsets.ISO_8859_1);
+        Cuts.feed(
+                channel,
+                bytes(requestLine + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"),
+                seed);
+        String output = new String(Cuts.sent(channel), StandardCharsets.ISO_8859_1);
         assertFalse(channel.isOpen());
-        return sent.substring(0, sent.indexOf('\r')) + sent.substring(sent.indexOf("\r\n\r\n") + 3);
+        return output.substring(0, output.indexOf('\r'))
+                + output.substring(output.indexOf("\r\n\r\n") + 3);
     }
 
-    private String call(String head) {
-        return call(head, 1);
+    private String call(String requestLine) {
+        return call(requestLine, 1);
     }
 
-    private void send(String id, String kind) {
+    private void sendRequest(String id, String requestClass) {
         harness.gateway.handle(
                 new IncomingRequest(
-                        id, harness.now, kind, "acme", 4, 20, 0.5, null, Unpooled.EMPTY_BUFFER),
-                a -> {});
+                        id,
+                        harness.now,
+                        requestClass,
+                        "acme",
+                        4,
+                        20,
+                        0.5,
+                        null,
+                        Unpooled.EMPTY_BUFFER),
+                response -> {});
     }
 
     @Test
@@ -81,16 +98,16 @@
     @Test
     void telemetryCountsResponsesByClassRunsAndRequestsInFlight() {
         harness.controller.onRequest = r -> harness.controller.actions.run(r.id());
-        send("0000000000000001", "read");
-        send("0000000000000002", "read");
-        send("0000000000000002", "read");
-        send("0000000000000003", "order");
+        sendRequest("0000000000000001", "read");
+        sendRequest("0000000000000002", "read");
+        sendRequest("0000000000000002", "read");
+        sendRequest("0000000000000003", "order");
         harness.gateway.onRunEnded(
                 "0000000000000001", Engine.RunOutcome.DONE, 5, Unpooled.EMPTY_BUFFER);
         harness.gateway.onRunEnded(
                 "0000000000000003", Engine.RunOutcome.CRASHED, 5, Unpooled.EMPTY_BUFFER);
         harness.controller.onRequest = r -> harness.controller.actions.reject(r.id(), 0, false);
-        send("0000000000000004", "order");
+        sendRequest("0000000000000004", "order");
         assertEquals(
                 "HTTP/1.1 200 OK\n"
                     + "{\"success\":{\"read\":1,\"order\":0},\"busy\":{\"read\":0,\"order\":1},"
@@ -108,10 +125,10 @@
                         + "\",\"classes\":2,\"tenants\":1,\"since_ms\":250,"
                         + "\"lag\":0,\"longest_slice_ms\":0.0,\"refusal\":null,\"refused_ms\":null}",
                 call("GET /api/settings"));
-        CatalogBuilder builder = new CatalogBuilder(harness.gateway.catalog());
+        CatalogBuilder catalogBuilder = new CatalogBuilder(harness.gateway.catalog());
         CatalogBuilder.ChangeResult.Applied applied =
                 (CatalogBuilder.ChangeResult.Applied)
-                        builder.apply(
+                        catalogBuilder.apply(
                                 new CatalogChange(
                                         0, 1, Map.of(), Set.of("order"), Map.of(), Set.of()));
         harness.gateway.applyChange(applied.next(), applied.delta(), inForce -> {});
@@ -124,15 +141,16 @@
                                         + "\",\"classes\":2,\"tenants\":1,\"since_ms\":250,\"lag\":1,\"longest_slice_ms\":0.0,\"refusal\":\"class"
                                         + " \\\"x\\\": yyy"));
         harness.advance(40);
-        String after = call("GET /api/settings");
+        String settingsAfterChange = call("GET /api/settings");
         assertTrue(
-                after.contains(
+                settingsAfterChange.contains(
                         "\"number\":1,\"hash\":\""
                                 + applied.next().contentHash()
                                 + "\",\"classes\":1,\"tenants\":1,\"since_ms\":40,\"lag\":0,"),
-                after);
-        assertTrue(after.endsWith("y...\",\"refused_ms\":40.0}"), after);
-        assertTrue(after.length() < 1000, after);
+                settingsAfterChange);
+        assertTrue(
+                settingsAfterChange.endsWith("y...\",\"refused_ms\":40.0}"), settingsAfterChange);
+        assertTrue(settingsAfterChange.length() < 1000, settingsAfterChange);
     }
 
     @Test
@@ -189,10 +207,10 @@
                                     + "[{\"what\":\"run.read\",\"value\":24.0,\"age_ms\":61000,\"life\":3}]}"),
                 cold);
         assertEquals(Map.of("0", 24.0), harness.controller.restored);
-        // What an earlier incarnation ran is not run again before its deadline; evacuation outlasts
-        // the process.
-        send("00000000000000aa", "read");
-        send("00000000000000ab", "read");
+        // A request that an earlier incarnation ran is not run again before its deadline, and a
+        // restarted gateway remains evacuated.
+        sendRequest("00000000000000aa", "read");
+        sendRequest("00000000000000ab", "read");
         assertEquals("00000000000000ab", harness.controller.lastRequest.id());
         assertFalse(harness.gateway.healthy());
         assertTrue(harness.gateway.rejoin() && harness.gateway.healthy());
