--- a/src/main/java/tinroad/admin/AdminRequestHandler.java
+++ b/src/main/java/tinroad/admin/AdminRequestHandler.java
@@ -22,7 +22,7 @@
 
     private final AdminRouter router;
     private Future<?> timeout;
-    private boolean requested;
+    private boolean requestReceived;
 
     AdminRequestHandler(AdminRouter router) {
         this.router = router;
@@ -44,8 +44,8 @@
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
         // A second request may have been sent together with the first; it is ignored, because the
         // connection closes after the first response.
-        if (!requested) {
-            requested = true;
+        if (!requestReceived) {
+            requestReceived = true;
             ChannelFuture unused =
                     ctx.writeAndFlush(router.respond(request))
                             .addListener(ChannelFutureListener.CLOSE);
--- a/src/main/java/tinroad/discovery/LoadReporter.java
+++ b/src/main/java/tinroad/discovery/LoadReporter.java
@@ -38,7 +38,7 @@
     private static final String REJECTS = " off";
 
     private final EventLoop eventLoop;
-    private final String name;
+    private final String gatewayName;
     private final JitteredInterval reportInterval;
     private InetSocketAddress registry;
 
@@ -51,17 +51,18 @@
     private boolean admitsRequests;
     private boolean stopped;
 
-    /** Creates a reporter of gateway {@code name} to the registry at this address. */
-    public LoadReporter(EventLoop eventLoop, InetSocketAddress registry, String name, long seed) {
-        reportInterval = reportInterval(name, seed);
+    /** Creates a reporter of gateway {@code gatewayName} to the registry at this address. */
+    public LoadReporter(
+            EventLoop eventLoop, InetSocketAddress registry, String gatewayName, long seed) {
+        reportInterval = reportInterval(gatewayName, seed);
         this.eventLoop = eventLoop;
         this.registry = registry;
-        this.name = name;
+        this.gatewayName = gatewayName;
     }
 
     /** The intervals between the reports of a gateway with this name and seed. */
-    public static JitteredInterval reportInterval(String name, long seed) {
-        return new JitteredInterval(name, seed, PERIOD_MILLIS, JITTER);
+    public static JitteredInterval reportInterval(String gatewayName, long seed) {
+        return new JitteredInterval(gatewayName, seed, PERIOD_MILLIS, JITTER);
     }
 
     /** Opens the socket; nothing is reported before the first {@link #report}. */
@@ -127,7 +128,7 @@
         // A report before the socket is open would be lost, and the next one would come only after
         // a period; instead it is sent as soon as the socket is open.
         if (hasStateToReport && !stopped && channel != null && channel.isActive()) {
-            String report = REPORT + name + (admitsRequests ? ADMITS : REJECTS);
+            String report = REPORT + gatewayName + (admitsRequests ? ADMITS : REJECTS);
             // The future is not needed: a datagram may be lost anyway, and the next report follows.
             Future<?> unused =
                     channel.writeAndFlush(
--- a/src/main/java/tinroad/node/CatalogUpdater.java
+++ b/src/main/java/tinroad/node/CatalogUpdater.java
@@ -109,7 +109,7 @@
                 mayHaveMore = result.applied().isPresent() && activate(result.applied().get());
             }
         } catch (RuntimeException e) {
-            // Without this catch the executor would cancel all later polls.
+            // After an uncaught exception the executor would cancel all later polls.
             LOG.error("can't follow the change log", e);
         }
     }
--- a/src/main/java/tinroad/node/JitWarmup.java
+++ b/src/main/java/tinroad/node/JitWarmup.java
@@ -179,7 +179,7 @@
 
     /** Returns all FastCGI records of the next request. */
     private ByteBuf nextRequest() {
-        int number = 1 + sentCount / CONNECTIONS;
+        int fastCgiId = 1 + sentCount / CONNECTIONS;
         ByteBuf params = Unpooled.buffer();
         nextParams()
                 .forEach(
@@ -191,22 +191,22 @@
         writeRecord(
                 records,
                 FCGI_BEGIN_REQUEST,
-                number,
+                fastCgiId,
                 Unpooled.wrappedBuffer(RESPONDER_KEEP_CONNECTION));
-        writeRecord(records, FCGI_PARAMS, number, params);
-        writeRecord(records, FCGI_PARAMS, number, Unpooled.EMPTY_BUFFER);
-        writeRecord(records, FCGI_STDIN, number, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
-        writeRecord(records, FCGI_STDIN, number, Unpooled.EMPTY_BUFFER);
+        writeRecord(records, FCGI_PARAMS, fastCgiId, params);
+        writeRecord(records, FCGI_PARAMS, fastCgiId, Unpooled.EMPTY_BUFFER);
+        writeRecord(records, FCGI_STDIN, fastCgiId, Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
+        writeRecord(records, FCGI_STDIN, fastCgiId, Unpooled.EMPTY_BUFFER);
         return records;
     }
 
     private Map<String, String> nextParams() {
         List<String> tenants = site.tenantNames();
-        int index = sentCount++;
-        int requestClass = index % site.classNames().size();
+        int requestIndex = sentCount++;
+        int classIndex = requestIndex % site.classNames().size();
         Map<String, String> params = new LinkedHashMap<>();
         params.put("REQUEST_METHOD", "POST");
-        params.put("SCRIPT_NAME", "/v1/" + site.classNames().get(requestClass));
+        params.put("SCRIPT_NAME", "/v1/" + site.classNames().get(classIndex));
         params.put("HTTP_REQ_ID", String.format("%016x", sentCount));
         params.put("HTTP_REQ_TIME", Long.toString((long) nowMillis));
         params.put("HTTP_REQ_FROM", Integer.toString(sentCount % CONNECTIONS));
@@ -214,17 +214,17 @@
                 "HTTP_REQ_OWNER", tenants.isEmpty() ? "" : tenants.get(sentCount % tenants.size()));
         params.put("HTTP_REQ_KB", "24.5");
         params.put("HTTP_REQ_RANK", "0." + sentCount % 10);
-        if (site.settings().classes().get(requestClass).idempotency()
+        if (site.settings().classes().get(classIndex).idempotency()
                 == Controller.Idempotency.IDEMPOTENT_WITH_KEY) {
             params.put("HTTP_REQ_TOKEN", String.format("%032x", sentCount));
         }
         return params;
     }
 
-    private static void writeRecord(ByteBuf out, int type, int number, ByteBuf content) {
+    private static void writeRecord(ByteBuf out, int type, int fastCgiId, ByteBuf content) {
         out.writeByte(FCGI_VERSION)
                 .writeByte(type)
-                .writeShort(number)
+                .writeShort(fastCgiId)
                 .writeShort(content.readableBytes())
                 .writeShort(0);
         out.writeBytes(content);
--- a/src/main/java/tinroad/node/ListenerHandover.java
+++ b/src/main/java/tinroad/node/ListenerHandover.java
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Whether no older process is left. If so, this process holds the lock, by which younger ones
-     * detect it.
+     * Whether no older process is left. If there is a shared directory, this process then tries to
+     * hold the lock, by which younger ones detect it.
      */
     private boolean isOldest() {
         if (lockFile == null || lockChannel != null) {
--- a/src/main/java/tinroad/node/NodeShutdown.java
+++ b/src/main/java/tinroad/node/NodeShutdown.java
@@ -32,7 +32,7 @@
  *       notified too. This line comes late or never if the engine has not been attached yet.
  *   <li>"drained": every request is answered and every connection is closed, at the exit time or,
  *       if the process was replaced, before it; the state is saved and the process ends. If this
- *       line is missing, the process was killed with requests or connections left.
+ *       line is missing, the time until the kill ran out with requests or connections left.
  * </ul>
  */
 final class NodeShutdown {
--- a/src/test/java/tinroad/fastcgi/FrontendRaceTest.java
+++ b/src/test/java/tinroad/fastcgi/FrontendRaceTest.java
@@ -289,7 +289,7 @@
     }
 
     @Test
-    void halfARequestThatIsCompletedWhileThisProcessLeavesIsAnswered() throws Exception {
+    void aPartialRequestThatIsCompletedWhileDrainingIsAnswered() throws Exception {
         Socket client = connectAndServe(1);
         byte[] request = Records.completeRequest(2, Records.validFields(id(2)), "body");
         client.getOutputStream().write(request, 0, request.length - 5);
