--- a/src/main/java/tinroad/fastcgi/ResponseWriter.java
+++ b/src/main/java/tinroad/fastcgi/ResponseWriter.java
@@ -47,8 +47,8 @@
         }
         writeLoadLevel(out, loadLevel);
         writeAscii(out, "\r\n");
-        // The result fits into one record: the engine's lines, which contain it, are bounded far
-        // below the size of a record.
+        // The result fits into one record: the engine's lines are bounded, and so their results,
+        // which are decoded from base64, are far smaller than a record.
         out.writeBytes(
                 response.result(),
                 response.result().readerIndex(),
