--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -45,8 +45,8 @@
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Deed;
 import tinroad.lab.script.Script.Folder;
-import tinroad.lab.script.Script.Kind;
 import tinroad.lab.script.Script.Link;
+import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Bound;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Ledger.Excuse;
@@ -243,7 +243,7 @@
     }
 
     private double mostPatience() {
-        return script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0)
+        return script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
                 * Math.max(1, script.callers().inAll());
     }
 
--- a/src/main/java/tinroad/lab/Settings.java
+++ b/src/main/java/tinroad/lab/Settings.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.RequestClass;
 
 /** What the platform would tell the gateways of a script's fleet. */
 public final class Settings {
@@ -32,7 +32,7 @@
     public static ObjectNode of(Script script, boolean cold) {
         ObjectNode s = JSON.createObjectNode();
         ArrayNode classes = s.putArray("classes");
-        for (Kind k : script.classes()) {
+        for (RequestClass k : script.classes()) {
             classes.addObject()
                     .put("name", k.name())
                     .put("objective", k.objective())
--- a/src/main/java/tinroad/lab/fake/Choosing.java
+++ b/src/main/java/tinroad/lab/fake/Choosing.java
@@ -4,14 +4,14 @@
 import java.util.BitSet;
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.script.Script.Choice;
+import tinroad.lab.script.Script.Selection;
 
 /**
  * How one client proxy chooses a gateway, from what the roster, its checks and the answers told it.
  * Times in ms.
  */
 public final class Choosing {
-    private final Choice choice;
+    private final Selection choice;
     private final UniformRandomProvider random;
     private final boolean[] listed;
     private final boolean[] checkedBad;
@@ -20,7 +20,7 @@
     private int turn;
 
     /** A proxy that has so many gateways to choose from, all of them listed. */
-    public Choosing(Choice choice, int gateways, UniformRandomProvider random) {
+    public Choosing(Selection choice, int gateways, UniformRandomProvider random) {
         this.choice = choice;
         this.random = random;
         listed = new boolean[gateways];
@@ -58,7 +58,7 @@
     public int next(double nowMillis, BitSet asked, int subject) {
         int best = -1;
         double least = Double.POSITIVE_INFINITY;
-        turn = choice == Choice.TURN ? (turn + 1) % open.length : turn;
+        turn = choice == Selection.TURN ? (turn + 1) % open.length : turn;
         for (int g = 0; g < open.length; g++) {
             if (takes(g, nowMillis, asked)) {
                 double weight =
--- a/src/main/java/tinroad/lab/fake/Cores.java
+++ b/src/main/java/tinroad/lab/fake/Cores.java
@@ -21,7 +21,7 @@
 
     private record Job(String id, double endsAt) {}
 
-    private final Script.Work law;
+    private final Script.EngineModel law;
     private final int cores;
     private final double speed;
     private final PriorityQueue<Job> jobs =
@@ -41,7 +41,7 @@
     private long reads;
 
     /** Cores that start at {@code now}: cold, or warm for good. */
-    public Cores(Script.Work law, int cores, double speed, double nowMillis, boolean cold) {
+    public Cores(Script.EngineModel law, int cores, double speed, double nowMillis, boolean cold) {
         this.law = law;
         this.cores = cores;
         this.speed = speed;
--- a/src/main/java/tinroad/lab/fake/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/Proxy.java
@@ -6,7 +6,7 @@
 import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Rules;
 import tinroad.lab.verification.Try;
@@ -37,7 +37,7 @@
     @FunctionalInterface
     public interface Carrier {
         /** Sends it; false where there is no connection for it, and nobody is told. */
-        boolean send(Asked asked, Try t, Kind kind, Told told);
+        boolean send(Asked asked, Try t, RequestClass kind, Told told);
     }
 
     /** A request while somebody waits for it. */
@@ -106,7 +106,7 @@
 
     /** A request comes to this proxy. */
     public void ask(Asked asked) {
-        Kind kind = script.classes().get(asked.kind());
+        RequestClass kind = script.classes().get(asked.kind());
         waiting++;
         attempt(
                 new Open(
@@ -138,7 +138,7 @@
     }
 
     private void send(Open o, int tryNumber, int gateway) {
-        Kind kind = script.classes().get(o.asked.kind());
+        RequestClass kind = script.classes().get(o.asked.kind());
         double nowMillis = world.now();
         Try t =
                 new Try(
--- a/src/main/java/tinroad/lab/fake/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/ProxyStand.java
@@ -10,7 +10,7 @@
 import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Try;
 
@@ -69,7 +69,7 @@
 
     // --- requests ---
 
-    private boolean send(Asked asked, Try t, Kind kind, Proxy.Told told) {
+    private boolean send(Asked asked, Try t, RequestClass kind, Proxy.Told told) {
         Connection connection = connection(t.gateway);
         if (connection == null) {
             return false;
@@ -109,7 +109,7 @@
         return true;
     }
 
-    private Map<String, String> fields(Asked asked, Try t, Kind kind) {
+    private Map<String, String> fields(Asked asked, Try t, RequestClass kind) {
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("REQUEST_METHOD", "POST");
         fields.put("SCRIPT_NAME", "/v1/" + kind.name());
--- a/src/main/java/tinroad/lab/schedule/Plan.java
+++ b/src/main/java/tinroad/lab/schedule/Plan.java
@@ -18,10 +18,10 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Crowd;
 import tinroad.lab.script.Script.Deed;
 import tinroad.lab.script.Script.Jump;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.Population;
+import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.script.Script.Trouble;
 
 /**
@@ -90,7 +90,7 @@
      * they have nothing left.
      */
     public static double meanCost(Script script) {
-        double parts = script.classes().stream().mapToDouble(Kind::part).sum();
+        double parts = script.classes().stream().mapToDouble(RequestClass::part).sum();
         return script.classes().stream().mapToDouble(k -> k.part() * k.work()).sum()
                 / parts
                 * (1 + script.engine().read());
@@ -146,7 +146,7 @@
     }
 
     private int kind(double at) {
-        double left = at * script.classes().stream().mapToDouble(Kind::part).sum();
+        double left = at * script.classes().stream().mapToDouble(RequestClass::part).sum();
         int kind = 0;
         while (kind < script.classes().size() - 1 && left >= script.classes().get(kind).part()) {
             left -= script.classes().get(kind++).part();
@@ -155,7 +155,7 @@
     }
 
     /** Counted from 0, the most frequent one first. */
-    private static IntSupplier crowd(Crowd crowd, UniformRandomProvider random) {
+    private static IntSupplier crowd(Population crowd, UniformRandomProvider random) {
         SharedStateDiscreteSampler zipf =
                 RejectionInversionZipfSampler.of(random, crowd.count(), crowd.skew());
         return () -> zipf.sample() - 1;
--- a/src/main/java/tinroad/lab/script/Script.java
+++ b/src/main/java/tinroad/lab/script/Script.java
@@ -15,10 +15,10 @@
         double length,
         double settle,
         Fleet fleet,
-        Work engine,
-        List<Kind> classes,
-        Crowd members,
-        Crowd subjects,
+        EngineModel engine,
+        List<RequestClass> classes,
+        Population members,
+        Population subjects,
         Callers callers,
         Load load,
         Roster roster,
@@ -66,8 +66,8 @@
      * @param check work of a health check
      * @param handshake work of a new connection
      */
-    public record Work(
-            Law law,
+    public record EngineModel(
+            ServiceTimeLaw law,
             double sigma,
             double knee,
             double crowding,
@@ -78,7 +78,7 @@
             double handshake) {}
 
     /** Laws of service time. */
-    public enum Law {
+    public enum ServiceTimeLaw {
         CONSTANT,
         EXPONENTIAL,
         LOGNORMAL
@@ -91,7 +91,7 @@
      * @param work mean
      * @param free whether it may run twice
      */
-    public record Kind(
+    public record RequestClass(
             String name,
             double part,
             double work,
@@ -101,7 +101,7 @@
             boolean free) {}
 
     /** Members or subjects: how many, and the exponent of their Zipf law; 0 is even. */
-    public record Crowd(int count, double skew) {}
+    public record Population(int count, double skew) {}
 
     /**
      * The client proxies.
@@ -122,7 +122,7 @@
      */
     public record Callers(
             int proxies,
-            Choice choice,
+            Selection choice,
             int connections,
             int streams,
             double patience,
@@ -136,7 +136,7 @@
             double unaware) {}
 
     /** How a proxy chooses a gateway. */
-    public enum Choice {
+    public enum Selection {
         TURN,
         LEAST,
         SUBJECT
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -12,20 +12,20 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tinroad.lab.script.Script.Callers;
-import tinroad.lab.script.Script.Choice;
-import tinroad.lab.script.Script.Crowd;
 import tinroad.lab.script.Script.Deed;
+import tinroad.lab.script.Script.EngineModel;
 import tinroad.lab.script.Script.Fleet;
 import tinroad.lab.script.Script.Folder;
 import tinroad.lab.script.Script.Jump;
-import tinroad.lab.script.Script.Kind;
-import tinroad.lab.script.Script.Law;
 import tinroad.lab.script.Script.Link;
 import tinroad.lab.script.Script.Load;
+import tinroad.lab.script.Script.Population;
+import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.script.Script.Roster;
+import tinroad.lab.script.Script.Selection;
+import tinroad.lab.script.Script.ServiceTimeLaw;
 import tinroad.lab.script.Script.Trouble;
 import tinroad.lab.script.Script.Way;
-import tinroad.lab.script.Script.Work;
 import tinroad.operator.OperatorException;
 import tinroad.operator.ValidatedFile;
 import tinroad.operator.ValidationError;
@@ -89,9 +89,9 @@
                 c.getIntList("same-name"));
     }
 
-    private static Work work(Config c) {
-        return new Work(
-                word(Law.class, c, "law"),
+    private static EngineModel work(Config c) {
+        return new EngineModel(
+                word(ServiceTimeLaw.class, c, "law"),
                 c.getDouble("sigma"),
                 c.getDouble("knee"),
                 c.getDouble("crowding"),
@@ -102,11 +102,11 @@
                 ms(c, "handshake"));
     }
 
-    private List<Kind> classes() {
+    private List<RequestClass> classes() {
         return items("classes").stream()
                 .map(
                         c ->
-                                new Kind(
+                                new RequestClass(
                                         c.getString("name"),
                                         c.getDouble("part"),
                                         ms(c, "work"),
@@ -124,14 +124,14 @@
                 .toList();
     }
 
-    private Crowd crowd(String key) {
-        return new Crowd(all.getInt(key + ".count"), all.getDouble(key + ".skew"));
+    private Population crowd(String key) {
+        return new Population(all.getInt(key + ".count"), all.getDouble(key + ".skew"));
     }
 
     private static Callers callers(Config c) {
         return new Callers(
                 c.getInt("proxies"),
-                word(Choice.class, c, "choice"),
+                word(Selection.class, c, "choice"),
                 c.getInt("connections"),
                 c.getInt("streams"),
                 c.getDouble("patience"),
@@ -208,7 +208,7 @@
         }
         Set<String> names = new HashSet<>();
         for (int i = 0; i < s.classes().size(); i++) {
-            Kind k = s.classes().get(i);
+            RequestClass k = s.classes().get(i);
             if (!names.add(k.name())) {
                 wrong("classes", i, "name", "must differ from the names of the other classes");
             }
--- a/src/main/java/tinroad/lab/verification/Measures.java
+++ b/src/main/java/tinroad/lab/verification/Measures.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.RequestClass;
 
 /** The figures of a day, from its ledger. Times in ms from the beginning of the load. */
 public final class Measures {
@@ -38,7 +38,7 @@
         asked = new double[(int) Math.ceil(script.length() / WINDOW)];
         served = new double[asked.length];
         for (Ledger.Fate f : ledger.fates) {
-            Kind kind = script.classes().get(f.asked.kind());
+            RequestClass kind = script.classes().get(f.asked.kind());
             int w = (int) (f.asked.at() / WINDOW);
             asked[w] += kind.gain();
             served[w] += inTime(f) ? kind.gain() : 0;
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -26,7 +26,7 @@
 import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.Deed;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Bound;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Ledger.Excuse;
@@ -157,7 +157,7 @@
                                 agenda.at(asked.at(), () -> proxies.get(asked.proxy()).ask(asked)));
         plan.hits().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
         double patience =
-                script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0)
+                script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
                         * Math.max(1, script.callers().inAll());
         double end = script.length() + patience + 500;
         while (now < script.length()
@@ -184,7 +184,7 @@
 
     // --- callers ---
 
-    private boolean carry(Asked asked, Try t, Kind kind, Proxy.Told told) {
+    private boolean carry(Asked asked, Try t, RequestClass kind, Proxy.Told told) {
         ModelGateway g = gateways.get(t.gateway);
         if (!g.listens()) {
             agenda.at(now + 2 * WAY, () -> told.lost(false, now));
--- a/src/test/java/tinroad/lab/fake/CallersTest.java
+++ b/src/test/java/tinroad/lab/fake/CallersTest.java
@@ -10,27 +10,27 @@
 import org.junit.jupiter.api.Test;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script.Callers;
-import tinroad.lab.script.Script.Choice;
+import tinroad.lab.script.Script.Selection;
 import tinroad.lab.verification.Try.End;
 
 /** What a client proxy decides: where, whether and when; and what the roster lists. */
 class CallersTest {
     private static final BitSet NONE = new BitSet();
 
-    private static Choosing choosing(Choice choice) {
+    private static Choosing choosing(Selection choice) {
         return new Choosing(choice, 4, Draw.stream(1, "test"));
     }
 
     private static Repeating repeating(int tries, boolean walk, boolean heeds) {
         return new Repeating(
-                new Callers(1, Choice.TURN, 1, 1, 1, 2, tries, 100, 1, walk, 0, 1000, 0),
+                new Callers(1, Selection.TURN, 1, 1, 1, 2, tries, 100, 1, walk, 0, 1000, 0),
                 heeds,
                 Draw.stream(1, "test"));
     }
 
     @Test
     void inTurnEachGatewayComesOnce() {
-        Choosing choosing = choosing(Choice.TURN);
+        Choosing choosing = choosing(Selection.TURN);
         Set<Integer> seen = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             seen.add(choosing.next(0, NONE, 0));
@@ -40,7 +40,7 @@
 
     @Test
     void leastOpenTakesTheEmptyOne() {
-        Choosing choosing = choosing(Choice.LEAST);
+        Choosing choosing = choosing(Selection.LEAST);
         for (int g : new int[] {0, 1, 3, 0, 1, 3}) {
             choosing.open(g, 1);
         }
@@ -52,7 +52,7 @@
 
     @Test
     void aSubjectKeepsItsGatewayAndOnlyThoseOfOneThatGoesMove() {
-        Choosing choosing = choosing(Choice.SUBJECT);
+        Choosing choosing = choosing(Selection.SUBJECT);
         int[] home = new int[1000];
         for (int s = 0; s < home.length; s++) {
             home[s] = choosing.next(0, NONE, s);
@@ -69,7 +69,7 @@
 
     @Test
     void whatIsOffBadOrAskedToBeLeftAloneIsNotChosen() {
-        Choosing choosing = choosing(Choice.LEAST);
+        Choosing choosing = choosing(Selection.LEAST);
         choosing.listed(0, false);
         choosing.checked(1, false);
         choosing.stayAway(2, 500);
--- a/src/test/java/tinroad/lab/fake/CoresTest.java
+++ b/src/test/java/tinroad/lab/fake/CoresTest.java
@@ -6,13 +6,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Law;
+import tinroad.lab.script.Script.ServiceTimeLaw;
 
 /** The model of the cores, against what can be worked out by hand. */
 class CoresTest {
     private static Cores cores(int count, double crowding, boolean cold) {
         return new Cores(
-                new Script.Work(Law.CONSTANT, 1, 2, crowding, 0.25, 1000, 0.25, 0, 0),
+                new Script.EngineModel(
+                        ServiceTimeLaw.CONSTANT, 1, 2, crowding, 0.25, 1000, 0.25, 0, 0),
                 count,
                 1,
                 0,
--- a/src/test/java/tinroad/lab/script/ScriptTest.java
+++ b/src/test/java/tinroad/lab/script/ScriptTest.java
@@ -139,7 +139,7 @@
                                     + " 1s, deadline = 2s } ]"));
         assertEquals(3, s.fleet().gateways());
         assertEquals(6.0, s.fleet().power());
-        assertEquals(new Script.Kind("a", 1, 5, 1000, 2000, 1, true), s.classes().get(0));
+        assertEquals(new Script.RequestClass("a", 1, 5, 1000, 2000, 1, true), s.classes().get(0));
         assertEquals(Script.Deed.ENGINE_SICK, s.faults().get(0).deed());
         assertEquals(1500, s.faults().get(0).length());
         assertEquals(1, s.faults().get(0).share());
--- a/src/test/java/tinroad/recovery/SlowStartTest.java
+++ b/src/test/java/tinroad/recovery/SlowStartTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import tinroad.lab.fake.Cores;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Law;
+import tinroad.lab.script.Script.ServiceTimeLaw;
 import tinroad.recovery.SlowStart.Phase;
 
 /** Slow start against the lab's model of cores, on virtual time. */
@@ -58,8 +58,16 @@
             boolean limited) {
         Cores cores =
                 new Cores(
-                        new Script.Work(
-                                Law.LOGNORMAL, 0.5, 3, 0.1, 0.2, Math.max(1, warmup), 0.25, 0, 0),
+                        new Script.EngineModel(
+                                ServiceTimeLaw.LOGNORMAL,
+                                0.5,
+                                3,
+                                0.1,
+                                0.2,
+                                Math.max(1, warmup),
+                                0.25,
+                                0,
+                                0),
                         CORES,
                         speed,
                         0,
