--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -43,10 +43,10 @@
 import tinroad.lab.schedule.Hit;
 import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Deed;
-import tinroad.lab.script.Script.Folder;
+import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.Link;
 import tinroad.lab.script.Script.RequestClass;
+import tinroad.lab.script.Script.StateRetention;
 import tinroad.lab.verification.Bound;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Ledger.Excuse;
@@ -619,24 +619,24 @@
             return;
         }
         Member m = members.get(hit.gateway());
-        String what = hit.trouble().deed().name().toLowerCase(Locale.ROOT);
+        String what = hit.trouble().action().name().toLowerCase(Locale.ROOT);
         note(m, "fault: " + what);
-        if (hit.trouble().deed().toLinks()) {
+        if (hit.trouble().action().toLinks()) {
             cutLinks(m, hit);
             return;
         }
-        if (hit.trouble().deed().ends()) {
+        if (hit.trouble().action().ends()) {
             if (m.away) {
                 note(m, "away already");
                 return;
             }
             m.away = true;
         }
-        switch (hit.trouble().deed()) {
+        switch (hit.trouble().action()) {
             case KILL, KILL_GATEWAY -> {
                 m.life.told = true;
                 shut(m);
-                if (hit.trouble().deed() == Deed.KILL) {
+                if (hit.trouble().action() == FaultAction.KILL) {
                     m.engine.crash();
                 }
                 keepers.execute(m.process::kill);
@@ -659,7 +659,7 @@
             case ENGINE_MOVE -> move(m, hit);
             default -> throw new IllegalStateException(what);
         }
-        if (!hit.trouble().deed().ends()) {
+        if (!hit.trouble().action().ends()) {
             agenda.at(Math.max(hit.at(), hit.until()), () -> ended(now()));
         }
     }
@@ -707,7 +707,7 @@
     }
 
     /** Sends the signals that follow a notice, until its process has ended. */
-    private void signalAfterNotice(GatewayProcess process, Script.Trouble notice) {
+    private void signalAfterNotice(GatewayProcess process, Script.Fault notice) {
         for (int i = 0; i < notice.signals().size(); i++) {
             String name = notice.signals().get(i);
             agenda.at(
@@ -768,7 +768,7 @@
                 });
     }
 
-    private void folder(Member m, Folder folder) {
+    private void folder(Member m, StateRetention folder) {
         Path state = m.folder.resolve("tmp");
         try {
             switch (folder) {
@@ -862,7 +862,10 @@
                 () -> {
                     refuse(m, hit, false);
                     hitLinks.forEach(l -> l.end(hit.trouble()));
-                    note(m, "fault ends: " + hit.trouble().deed().name().toLowerCase(Locale.ROOT));
+                    note(
+                            m,
+                            "fault ends: "
+                                    + hit.trouble().action().name().toLowerCase(Locale.ROOT));
                     ended(now());
                 });
     }
@@ -872,7 +875,7 @@
      * comes.
      */
     private void refuse(Member m, Hit hit, boolean on) {
-        if (hit.trouble().deed() == Deed.REFUSE) {
+        if (hit.trouble().action() == FaultAction.REFUSE) {
             keepers.execute(
                     () -> {
                         if (hit.trouble().links().contains(Link.ENGINE)) {
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -223,7 +223,7 @@
                                 .put("at_ms", h.at())
                                 .put("until_ms", h.until())
                                 .put("gateway", h.gateway())
-                                .put("do", h.trouble().deed().name().toLowerCase(Locale.ROOT))
+                                .put("do", h.trouble().action().name().toLowerCase(Locale.ROOT))
                                 .put("heard", h.heard()));
             }
         }
--- a/src/main/java/tinroad/lab/relay/DatagramRelay.java
+++ b/src/main/java/tinroad/lab/relay/DatagramRelay.java
@@ -11,8 +11,8 @@
 import java.net.InetSocketAddress;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import tinroad.lab.script.Script.Deed;
-import tinroad.lab.script.Script.Way;
+import tinroad.lab.script.Script.FaultAction;
+import tinroad.lab.script.Script.LinkDirection;
 
 /**
  * Brings datagrams on from one address to another: loses, repeats, delays, swaps them, as its link
@@ -61,15 +61,16 @@
 
     /** What comes here goes away from the gateway. */
     private void bring(Channel by, ByteBuf content) {
-        if (faults.cut(Way.OUT) || random.nextDouble() < faults.chance(Deed.LOSE)) {
+        if (faults.cut(LinkDirection.OUT)
+                || random.nextDouble() < faults.chance(FaultAction.LOSE)) {
             content.release();
             return;
         }
-        if (swapped == null && random.nextDouble() < faults.chance(Deed.REORDER)) {
+        if (swapped == null && random.nextDouble() < faults.chance(FaultAction.REORDER)) {
             swapped = content;
             return;
         }
-        if (random.nextDouble() < faults.chance(Deed.REPEAT)) {
+        if (random.nextDouble() < faults.chance(FaultAction.REPEAT)) {
             send(by, content.retainedDuplicate());
         }
         send(by, content);
@@ -80,7 +81,7 @@
     }
 
     private void send(Channel by, ByteBuf content) {
-        double delay = faults.delay(Way.OUT, random.nextDouble());
+        double delay = faults.delay(LinkDirection.OUT, random.nextDouble());
         DatagramPacket packet = new DatagramPacket(content, to);
         if (delay <= 0) {
             by.writeAndFlush(packet);
--- a/src/main/java/tinroad/lab/relay/Pipe.java
+++ b/src/main/java/tinroad/lab/relay/Pipe.java
@@ -12,8 +12,8 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import tinroad.lab.script.Script.Deed;
-import tinroad.lab.script.Script.Way;
+import tinroad.lab.script.Script.FaultAction;
+import tinroad.lab.script.Script.LinkDirection;
 
 /**
  * One stream through a relay, both directions, on one event loop. What a cut holds, the end of a
@@ -28,8 +28,8 @@
     private final Channel near;
     private final boolean changesBytes;
     private Channel far;
-    private final Direction in = new Direction(Way.IN);
-    private final Direction out = new Direction(Way.OUT);
+    private final Direction in = new Direction(LinkDirection.IN);
+    private final Direction out = new Direction(LinkDirection.OUT);
     private final Runnable connect;
     private final Runnable onFarClosed;
     private boolean connecting;
@@ -55,7 +55,7 @@
     void begin() {
         faults.opened(this);
         near.closeFuture().addListener(closed -> faults.closed(this));
-        if (faults.hasEither(Deed.RESET) || faults.hasEither(Deed.REFUSE)) {
+        if (faults.hasEither(FaultAction.RESET) || faults.hasEither(FaultAction.REFUSE)) {
             reset();
         } else {
             connectIfFree();
@@ -65,11 +65,11 @@
     private void connectIfFree() {
         if (!connecting
                 && near.isActive()
-                && !faults.hasEither(Deed.CUT)
-                && !faults.hasEither(Deed.MUTE)) {
+                && !faults.hasEither(FaultAction.CUT)
+                && !faults.hasEither(FaultAction.MUTE)) {
             connecting = true;
             connect.run();
-        } else if (!connecting && faults.hasEither(Deed.MUTE)) {
+        } else if (!connecting && faults.hasEither(FaultAction.MUTE)) {
             near.config().setAutoRead(true);
         }
     }
@@ -161,7 +161,7 @@
 
     /** One direction. */
     private final class Direction {
-        private final Way way;
+        private final LinkDirection way;
         private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
         private final ArrayDeque<Runnable> delayed = new ArrayDeque<>();
         private Channel from;
@@ -173,16 +173,16 @@
         private boolean aborted;
         private double freeAt;
 
-        Direction(Way way) {
+        Direction(LinkDirection way) {
             this.way = way;
         }
 
         void take(ByteBuf buf) {
-            if (faults.has(Deed.MUTE, way)) {
+            if (faults.has(FaultAction.MUTE, way)) {
                 buf.release();
                 return;
             }
-            if (changesBytes && way == Way.IN && buf.readableBytes() > 1) {
+            if (changesBytes && way == LinkDirection.IN && buf.readableBytes() > 1) {
                 int last = buf.writerIndex() - 1 - buf.readableBytes() / 8;
                 buf.setByte(last, buf.getByte(last) ^ 1);
             }
@@ -193,7 +193,7 @@
         }
 
         void ended(boolean whole) {
-            if (!inputEnded && way == Way.OUT) {
+            if (!inputEnded && way == LinkDirection.OUT) {
                 onFarClosed.run();
             }
             inputEnded = true;
@@ -202,7 +202,7 @@
         }
 
         void healed() {
-            halted &= faults.has(Deed.HALF, way);
+            halted &= faults.has(FaultAction.HALF, way);
             pump();
             readIfRoom();
         }
@@ -225,7 +225,7 @@
             }
             while (!held.isEmpty() && !halted) {
                 ByteBuf next = held.peek();
-                if (faults.has(Deed.HALF, way)) {
+                if (faults.has(FaultAction.HALF, way)) {
                     halted = true;
                     int half = next.readableBytes() / 2;
                     bytes -= half;
--- a/src/main/java/tinroad/lab/schedule/Hit.java
+++ b/src/main/java/tinroad/lab/schedule/Hit.java
@@ -1,6 +1,6 @@
 package tinroad.lab.schedule;
 
-import tinroad.lab.script.Script.Trouble;
+import tinroad.lab.script.Script.Fault;
 
 /**
  * A fault at one gateway, or at the roster.
@@ -19,4 +19,4 @@
         double away,
         boolean heard,
         int fault,
-        Trouble trouble) {}
+        Fault trouble) {}
--- a/src/main/java/tinroad/lab/schedule/Plan.java
+++ b/src/main/java/tinroad/lab/schedule/Plan.java
@@ -18,11 +18,11 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Deed;
+import tinroad.lab.script.Script.Fault;
+import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.Jump;
 import tinroad.lab.script.Script.Population;
 import tinroad.lab.script.Script.RequestClass;
-import tinroad.lab.script.Script.Trouble;
 
 /**
  * A script drawn with a seed. The same two give the same plan, whatever program it is played
@@ -178,9 +178,9 @@
     private List<Hit> drawHits() {
         List<Hit> drawn = new ArrayList<>();
         for (int i = 0; i < script.faults().size(); i++) {
-            Trouble t = script.faults().get(i);
+            Fault t = script.faults().get(i);
             UniformRandomProvider random = Draw.stream(seed, "fault " + i);
-            if (t.deed() == Deed.ROSTER_DOWN) {
+            if (t.action() == FaultAction.ROSTER_DOWN) {
                 drawn.add(new Hit(t.at(), t.at() + t.length(), -1, 0, true, i, t));
                 continue;
             }
@@ -189,7 +189,7 @@
             for (int n = 0; n < targets.size(); n++) {
                 double at = t.at() + random.nextDouble() * t.within();
                 double away = t.backLeast() + random.nextDouble() * (t.backMost() - t.backLeast());
-                boolean back = t.deed().ends() || t.deed() == Deed.ENGINE_CRASH;
+                boolean back = t.action().ends() || t.action() == FaultAction.ENGINE_CRASH;
                 drawn.add(
                         new Hit(
                                 at,
@@ -205,7 +205,7 @@
         return drawn;
     }
 
-    private List<Integer> targets(Trouble t, UniformRandomProvider random) {
+    private List<Integer> targets(Fault t, UniformRandomProvider random) {
         List<Integer> targets = new ArrayList<>();
         for (int g = 0; g < script.fleet().gateways(); g++) {
             if ((t.gateways().isEmpty() || t.gateways().contains(g))
--- a/src/main/java/tinroad/lab/script/Script.java
+++ b/src/main/java/tinroad/lab/script/Script.java
@@ -22,7 +22,7 @@
         Callers callers,
         Load load,
         Roster roster,
-        List<Trouble> faults) {
+        List<Fault> faults) {
 
     /**
      * The gateways and their engines.
@@ -172,7 +172,7 @@
     public record Roster(double lateLeast, double lateMost, double lapse) {}
 
     /** What a fault does. */
-    public enum Deed {
+    public enum FaultAction {
         /** Gateway and engine are killed, and come back. */
         KILL,
         /** The gateway is killed, its engine lives; it comes back. */
@@ -234,14 +234,14 @@
     }
 
     /** Directions of a link: towards the gateway, away from it, or both. */
-    public enum Way {
+    public enum LinkDirection {
         IN,
         OUT,
         BOTH
     }
 
     /** What becomes of a gateway's folder when it is started again. */
-    public enum Folder {
+    public enum StateRetention {
         KEEP,
         LOSE,
         OLD
@@ -250,7 +250,7 @@
     /**
      * A fault.
      *
-     * @param deed what is done
+     * @param action what is done
      * @param at when
      * @param length for how long, where it has an end
      * @param within the targets are hit at moments spread over this time
@@ -264,8 +264,8 @@
      * @param signals with a notice: names of the signals that follow it, in this order
      * @param signalGap between two of them, in ms; 0: in the same instant
      */
-    public record Trouble(
-            Deed deed,
+    public record Fault(
+            FaultAction action,
             double at,
             double length,
             double within,
@@ -273,11 +273,11 @@
             int zone,
             double share,
             List<Link> links,
-            Way way,
+            LinkDirection direction,
             int callersZone,
             double backLeast,
             double backMost,
-            Folder folder,
+            StateRetention folder,
             String jar,
             double factor,
             double missed,
@@ -286,5 +286,59 @@
             double rate,
             double chance,
             List<String> signals,
-            double signalGap) {}
+            double signalGap) {
+        /**
+         * The text that enters the digest of a schedule. Digests compare results of different
+         * builds, so this text keeps the names that it had first.
+         */
+        @Override
+        public String toString() {
+            return "Trouble["
+                    + "deed="
+                    + action
+                    + ", at="
+                    + at
+                    + ", length="
+                    + length
+                    + ", within="
+                    + within
+                    + ", gateways="
+                    + gateways
+                    + ", zone="
+                    + zone
+                    + ", share="
+                    + share
+                    + ", links="
+                    + links
+                    + ", way="
+                    + direction
+                    + ", callersZone="
+                    + callersZone
+                    + ", backLeast="
+                    + backLeast
+                    + ", backMost="
+                    + backMost
+                    + ", folder="
+                    + folder
+                    + ", jar="
+                    + jar
+                    + ", factor="
+                    + factor
+                    + ", missed="
+                    + missed
+                    + ", delay="
+                    + delay
+                    + ", jitter="
+                    + jitter
+                    + ", rate="
+                    + rate
+                    + ", chance="
+                    + chance
+                    + ", signals="
+                    + signals
+                    + ", signalGap="
+                    + signalGap
+                    + "]";
+        }
+    }
 }
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -12,20 +12,20 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tinroad.lab.script.Script.Callers;
-import tinroad.lab.script.Script.Deed;
 import tinroad.lab.script.Script.EngineModel;
+import tinroad.lab.script.Script.Fault;
+import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.Fleet;
-import tinroad.lab.script.Script.Folder;
 import tinroad.lab.script.Script.Jump;
 import tinroad.lab.script.Script.Link;
+import tinroad.lab.script.Script.LinkDirection;
 import tinroad.lab.script.Script.Load;
 import tinroad.lab.script.Script.Population;
 import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.script.Script.Roster;
 import tinroad.lab.script.Script.Selection;
 import tinroad.lab.script.Script.ServiceTimeLaw;
-import tinroad.lab.script.Script.Trouble;
-import tinroad.lab.script.Script.Way;
+import tinroad.lab.script.Script.StateRetention;
 import tinroad.operator.OperatorException;
 import tinroad.operator.ValidatedFile;
 import tinroad.operator.ValidationError;
@@ -159,12 +159,12 @@
         return new Roster(ms(c, "late-least"), ms(c, "late-most"), ms(c, "lapse"));
     }
 
-    private List<Trouble> troubles() {
+    private List<Fault> troubles() {
         return items("faults").stream()
                 .map(
                         c ->
-                                new Trouble(
-                                        word(Deed.class, c, "do"),
+                                new Fault(
+                                        word(FaultAction.class, c, "do"),
                                         ms(c, "at"),
                                         ms(c, "for"),
                                         ms(c, "within"),
@@ -174,11 +174,11 @@
                                         c.getStringList("links").stream()
                                                 .map(l -> Link.valueOf(l.toUpperCase(Locale.ROOT)))
                                                 .toList(),
-                                        word(Way.class, c, "way"),
+                                        word(LinkDirection.class, c, "way"),
                                         c.getInt("callers-zone"),
                                         ms(c, "back-least"),
                                         ms(c, "back-most"),
-                                        word(Folder.class, c, "folder"),
+                                        word(StateRetention.class, c, "folder"),
                                         c.getString("jar"),
                                         c.getDouble("factor"),
                                         c.getDouble("missed"),
@@ -221,7 +221,7 @@
         }
     }
 
-    private void check(Script s, int i, Trouble t) {
+    private void check(Script s, int i, Fault t) {
         if (t.at() >= s.length()) {
             wrong("faults", i, "at", "must be before the end of the load, length");
         }
@@ -238,7 +238,7 @@
         if (t.backLeast() > t.backMost()) {
             wrong("faults", i, "back-least", "must be no more than back-most");
         }
-        if (t.deed().toLinks() == t.links().isEmpty()) {
+        if (t.action().toLinks() == t.links().isEmpty()) {
             wrong(
                     "faults",
                     i,
@@ -248,13 +248,15 @@
                             : "must go with a fault of links");
         }
         boolean datagrams =
-                t.deed() == Deed.LOSE || t.deed() == Deed.REPEAT || t.deed() == Deed.REORDER;
+                t.action() == FaultAction.LOSE
+                        || t.action() == FaultAction.REPEAT
+                        || t.action() == FaultAction.REORDER;
         boolean streams =
-                t.deed() == Deed.RESET
-                        || t.deed() == Deed.HALF
-                        || t.deed() == Deed.REFUSE
-                        || t.deed() == Deed.THROTTLE
-                        || t.deed() == Deed.MUTE;
+                t.action() == FaultAction.RESET
+                        || t.action() == FaultAction.HALF
+                        || t.action() == FaultAction.REFUSE
+                        || t.action() == FaultAction.THROTTLE
+                        || t.action() == FaultAction.MUTE;
         if ((datagrams && t.links().stream().anyMatch(l -> l != Link.ROSTER))
                 || (streams && t.links().contains(Link.ROSTER))) {
             wrong(
--- a/src/main/java/tinroad/lab/verification/Bound.java
+++ b/src/main/java/tinroad/lab/verification/Bound.java
@@ -5,7 +5,7 @@
 import tinroad.lab.schedule.Hit;
 import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Deed;
+import tinroad.lab.script.Script.FaultAction;
 
 /**
  * What no program could better on a day: the service that the engines' own warm-up allows, where
@@ -30,14 +30,14 @@
     public Bound(Plan plan, double reachAfter) {
         this.plan = plan;
         for (Hit hit : plan.hits()) {
-            Deed deed = hit.trouble().deed();
-            if (deed == Deed.ENGINE_CRASH) {
+            FaultAction deed = hit.trouble().action();
+            if (deed == FaultAction.ENGINE_CRASH) {
                 away.add(new Away(hit.gateway(), hit.at(), hit.until(), hit.until()));
             } else if (deed.ends()) {
-                boolean engineToo = deed != Deed.KILL_GATEWAY;
+                boolean engineToo = deed != FaultAction.KILL_GATEWAY;
                 // On a notice the gateway takes all of its time to leave, as it is told to answer
                 // all that it read.
-                double leave = deed == Deed.NOTICE ? plan.script().fleet().stop() : 0;
+                double leave = deed == FaultAction.NOTICE ? plan.script().fleet().stop() : 0;
                 double back = hit.until() + leave;
                 away.add(
                         new Away(
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -25,7 +25,7 @@
 import tinroad.lab.schedule.Hit;
 import tinroad.lab.schedule.Plan;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Deed;
+import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Bound;
 import tinroad.lab.verification.Ledger;
@@ -81,8 +81,8 @@
         this.remembers = remembers;
         script = plan.script();
         for (Hit hit : plan.hits()) {
-            Deed deed = hit.trouble().deed();
-            if (deed.toLinks() || deed == Deed.STOP || deed == Deed.ENGINE_MOVE) {
+            FaultAction deed = hit.trouble().action();
+            if (deed.toLinks() || deed == FaultAction.STOP || deed == FaultAction.ENGINE_MOVE) {
                 throw new IllegalArgumentException(
                         "the model has no links and no processes: it can't play "
                                 + deed.name().toLowerCase(Locale.ROOT).replace('_', '-'));
@@ -266,13 +266,13 @@
         }
         ModelGateway g = gateways.get(hit.gateway());
         ModelEngine engine = engines.get(hit.gateway());
-        if (hit.trouble().deed().ends() && !g.leaves()) {
+        if (hit.trouble().action().ends() && !g.leaves()) {
             return;
         }
-        switch (hit.trouble().deed()) {
+        switch (hit.trouble().action()) {
             case KILL, KILL_GATEWAY -> {
                 g.life().told = true;
-                if (hit.trouble().deed() == Deed.KILL) {
+                if (hit.trouble().action() == FaultAction.KILL) {
                     engine.crash();
                 }
                 g.end();
@@ -297,9 +297,9 @@
             case ENGINE_PAUSE -> lasting(hit, engine::pause);
             case ENGINE_SICK -> lasting(hit, engine::sick);
             case ENGINE_SLOW -> lasting(hit, on -> engine.slow(on ? hit.trouble().factor() : 1));
-            default -> throw new IllegalStateException(hit.trouble().deed().name());
+            default -> throw new IllegalStateException(hit.trouble().action().name());
         }
-        if (!hit.trouble().deed().ends()) {
+        if (!hit.trouble().action().ends()) {
             agenda.at(Math.max(hit.at(), hit.until()), this::ended);
         }
     }
--- a/src/main/java/tinroad/simulation/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -58,7 +58,7 @@
     }
 
     /** What became of the folder while the process was gone. */
-    void folder(Script.Folder what) {
+    void folder(Script.StateRetention what) {
         switch (what) {
             case KEEP -> older = folder;
             case LOSE -> folder = null;
--- a/src/test/java/tinroad/lab/relay/RelayTest.java
+++ b/src/test/java/tinroad/lab/relay/RelayTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tinroad.lab.script.Script.Trouble;
+import tinroad.lab.script.Script.Fault;
 import tinroad.lab.script.ScriptReader;
 
 /** What stands between two processes, and each way in which it fails. */
@@ -52,7 +52,7 @@
     private Socket far;
     @TempDir private Path dir;
 
-    private Trouble trouble(String text) throws Exception {
+    private Fault trouble(String text) throws Exception {
         return ScriptReader.read(
                         Files.writeString(
                                 dir.resolve("s.conf"), "faults = [ { at = 1s, " + text + " } ]"))
@@ -112,7 +112,7 @@
 
     @Test
     void aCutHoldsWhatComesAndTheEndOfItAndBringsAllOnceHealed() throws Exception {
-        Trouble cut = trouble("do = cut, links = [engine]");
+        Fault cut = trouble("do = cut, links = [engine]");
         write(near, "before");
         assertEquals("before", read(far, 6));
         link.begin(cut);
@@ -128,7 +128,7 @@
 
     @Test
     void aCutOfOneWayLeavesTheOther() throws Exception {
-        Trouble cut = trouble("do = cut, way = out, links = [engine]");
+        Fault cut = trouble("do = cut, way = out, links = [engine]");
         link.begin(cut);
         write(near, "in");
         assertEquals("in", read(far, 2));
@@ -141,7 +141,7 @@
 
     @Test
     void aNewConnectionWaitsForTheEndOfACut() throws Exception {
-        Trouble cut = trouble("do = cut, links = [engine]");
+        Fault cut = trouble("do = cut, links = [engine]");
         link.begin(cut);
         try (Socket second = dial()) {
             write(second, "hello");
@@ -157,7 +157,7 @@
 
     @Test
     void halfOfAMessageGoesOnAndTheRestOnceHealed() throws Exception {
-        Trouble half = trouble("do = half, way = in, links = [engine]");
+        Fault half = trouble("do = half, way = in, links = [engine]");
         link.begin(half);
         write(near, "12345678");
         assertEquals("1234", read(far, 4));
@@ -171,7 +171,7 @@
 
     @Test
     void aResetIsSeenAtBothEndsAndByWhoeverComesUntilItEnds() throws Exception {
-        Trouble reset = trouble("do = reset, links = [engine]");
+        Fault reset = trouble("do = reset, links = [engine]");
         link.begin(reset);
         assertThrows(SocketException.class, () -> near.getInputStream().read());
         assertThrows(SocketException.class, () -> far.getInputStream().read());
@@ -201,7 +201,7 @@
 
     @Test
     void aMuteLinkTakesAllAndSaysNothing() throws Exception {
-        Trouble mute = trouble("do = mute, links = [engine]");
+        Fault mute = trouble("do = mute, links = [engine]");
         link.begin(mute);
         try (Socket second = dial()) {
             write(second, "x".repeat(100_000));
@@ -245,9 +245,9 @@
             heard.setSoTimeout(HUNG_MS);
             DatagramRelay.open(
                     group, at, (InetSocketAddress) heard.getLocalSocketAddress(), link, 1);
-            Trouble lose = trouble("do = lose, chance = 1, links = [roster]");
-            Trouble repeat = trouble("do = repeat, chance = 1, links = [roster]");
-            Trouble reorder = trouble("do = reorder, chance = 1, links = [roster]");
+            Fault lose = trouble("do = lose, chance = 1, links = [roster]");
+            Fault repeat = trouble("do = repeat, chance = 1, links = [roster]");
+            Fault reorder = trouble("do = reorder, chance = 1, links = [roster]");
             link.begin(repeat);
             say(says, at, "a");
             assertEquals("aa", hear(heard) + hear(heard));
@@ -286,17 +286,16 @@
 
     @Test
     void faultsOfOneLinkAddUp() throws Exception {
-        Trouble slow =
-                trouble("do = delay, delay = 20ms, jitter = 10ms, way = in, links = [engine]");
+        Fault slow = trouble("do = delay, delay = 20ms, jitter = 10ms, way = in, links = [engine]");
         link.begin(slow);
         link.begin(trouble("do = delay, delay = 5ms, jitter = 0ms, links = [engine]"));
-        assertEquals(30, link.delay(tinroad.lab.script.Script.Way.IN, 0.5));
-        assertEquals(5, link.delay(tinroad.lab.script.Script.Way.OUT, 0.5));
+        assertEquals(30, link.delay(tinroad.lab.script.Script.LinkDirection.IN, 0.5));
+        assertEquals(5, link.delay(tinroad.lab.script.Script.LinkDirection.OUT, 0.5));
         link.begin(trouble("do = throttle, rate = 3000, links = [engine]"));
         link.begin(trouble("do = throttle, rate = 2000, links = [engine]"));
-        assertEquals(2, link.rate(tinroad.lab.script.Script.Way.IN));
+        assertEquals(2, link.rate(tinroad.lab.script.Script.LinkDirection.IN));
         link.end(slow);
-        assertEquals(5, link.delay(tinroad.lab.script.Script.Way.IN, 0.5));
-        assertTrue(!link.cut(tinroad.lab.script.Script.Way.IN));
+        assertEquals(5, link.delay(tinroad.lab.script.Script.LinkDirection.IN, 0.5));
+        assertTrue(!link.cut(tinroad.lab.script.Script.LinkDirection.IN));
     }
 }
--- a/src/test/java/tinroad/lab/script/ScriptTest.java
+++ b/src/test/java/tinroad/lab/script/ScriptTest.java
@@ -140,7 +140,7 @@
         assertEquals(3, s.fleet().gateways());
         assertEquals(6.0, s.fleet().power());
         assertEquals(new Script.RequestClass("a", 1, 5, 1000, 2000, 1, true), s.classes().get(0));
-        assertEquals(Script.Deed.ENGINE_SICK, s.faults().get(0).deed());
+        assertEquals(Script.FaultAction.ENGINE_SICK, s.faults().get(0).action());
         assertEquals(1500, s.faults().get(0).length());
         assertEquals(1, s.faults().get(0).share());
     }
