--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -244,7 +244,7 @@
 
     private double mostPatience() {
         return script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
-                * Math.max(1, script.callers().inAll());
+                * Math.max(1, script.callers().totalTimeoutFactor());
     }
 
     private int waiting() throws InterruptedException {
@@ -521,7 +521,7 @@
                                                                 + " "
                                                                 + System.nanoTime())
                                                 .nextLong()))
-                        .put("stop_ms", script.fleet().stop());
+                        .put("stop_ms", script.fleet().shutdownGraceMillis());
         c.putObject("limits")
                 .put("cores", 1.0)
                 .put("memory_mb", script.fleet().memoryMb())
@@ -689,7 +689,7 @@
         keepers.execute(process::notice);
         signalAfterNotice(process, hit.trouble());
         agenda.at(
-                now() + script.fleet().stop(),
+                now() + script.fleet().shutdownGraceMillis(),
                 () -> {
                     if (life.exit < 0) {
                         note(m, "did not end on notice: killed");
@@ -909,7 +909,7 @@
                                     }
                                 }));
         // Generous: how long a process takes to end that has left in order hangs on the machine.
-        double until = now() + script.fleet().stop() + END_PATIENCE;
+        double until = now() + script.fleet().shutdownGraceMillis() + END_PATIENCE;
         boolean[] all = new boolean[1];
         while (!all[0] && now() < until) {
             Thread.sleep(20);
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -76,8 +76,8 @@
                 new Bound(
                                         plan,
                                         REACH_AFTER
-                                                + (script.roster().lateLeast()
-                                                                + script.roster().lateMost())
+                                                + (script.roster().minDelayMillis()
+                                                                + script.roster().maxDelayMillis())
                                                         / 2)
                                 .toFullService(ledger.faultEnd, measures.before())
                         / 1000);
--- a/src/main/java/tinroad/lab/Settings.java
+++ b/src/main/java/tinroad/lab/Settings.java
@@ -60,7 +60,7 @@
                         .put("callers", script.callers().proxies())
                         .put("memory_kb", 60_000.0)
                         .put("run_factor", 4.0)
-                        .put("idle", script.callers().idle())
+                        .put("idle", script.callers().idleTimeoutMillis())
                         .put("passes_deadline", false)
                         .put("just_started", cold)
                         .put("say", "none")
--- a/src/main/java/tinroad/lab/fake/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/Proxy.java
@@ -72,9 +72,9 @@
         this.carrier = carrier;
         script = world.plan.script();
         UniformRandomProvider random = Draw.stream(world.plan.seed(), "proxy " + number);
-        double heed = script.callers().heed();
+        double heed = script.callers().heedingShare();
         boolean heeds = isAmong(heed);
-        unaware = isAmong(script.callers().unaware());
+        unaware = isAmong(script.callers().unawareShare());
         choosing = new Choosing(script.callers().choice(), script.fleet().gateways(), random);
         repeating = new Repeating(script.callers(), heeds, random);
         ids = Draw.stream(world.plan.seed(), "ids " + number);
@@ -112,7 +112,7 @@
                 new Open(
                         asked,
                         world.ledger.fates.get(asked.number()),
-                        asked.at() + script.callers().inAll() * kind.deadline()),
+                        asked.at() + script.callers().totalTimeoutFactor() * kind.deadline()),
                 1);
     }
 
@@ -157,7 +157,7 @@
         world.ledger.tries.add(t);
         choosing.open(gateway, 1);
         world.agenda.at(
-                Math.min(o.until, nowMillis + script.callers().patience() * kind.deadline()),
+                Math.min(o.until, nowMillis + script.callers().tryTimeoutShare() * kind.deadline()),
                 () -> ended(o, t, Try.End.GIVEN_UP, 0, false));
         if (!carrier.send(o.asked, t, kind, told(o, t))) {
             ended(o, t, Try.End.UNSENT, 0, false);
--- a/src/main/java/tinroad/lab/fake/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/ProxyStand.java
@@ -53,10 +53,10 @@
     /** Begins to check, and to close what is idle. */
     public void begin() {
         UniformRandomProvider random = Draw.stream(world.plan.seed(), "checks " + number);
-        for (int g = 0; g < checks.length && script.callers().checks() > 0; g++) {
+        for (int g = 0; g < checks.length && script.callers().healthCheckPeriodMillis() > 0; g++) {
             int gateway = g;
             world.agenda.at(
-                    world.now() + random.nextDouble() * script.callers().checks(),
+                    world.now() + random.nextDouble() * script.callers().healthCheckPeriodMillis(),
                     () -> check(gateway));
         }
         sweep();
@@ -159,7 +159,7 @@
 
     private void sweep() {
         world.agenda.at(world.now() + SWEEP_MS, this::sweep);
-        double then = world.now() - script.callers().idle();
+        double then = world.now() - script.callers().idleTimeoutMillis();
         pools.forEach(
                 pool ->
                         List.copyOf(pool).stream()
@@ -170,7 +170,8 @@
     // --- health checks ---
 
     private void check(int gateway) {
-        world.agenda.at(world.now() + script.callers().checks(), () -> check(gateway));
+        world.agenda.at(
+                world.now() + script.callers().healthCheckPeriodMillis(), () -> check(gateway));
         if (checks[gateway] == null) {
             checks[gateway] = open(gateway, checksFrom, c -> checks[gateway] = null);
         }
--- a/src/main/java/tinroad/lab/fake/Repeating.java
+++ b/src/main/java/tinroad/lab/fake/Repeating.java
@@ -50,13 +50,16 @@
         boolean again =
                 end != Try.End.SERVED
                         && (free || end.provenUnrun())
-                        && (callers.tries() == 0 || tries < callers.tries())
+                        && (callers.maxTries() == 0 || tries < callers.maxTries())
                         && !(last && heeds);
         if (!again) {
             return NEVER;
         }
-        boolean walks = callers.walk() && othersLeft && end != Try.End.FAILED;
-        double at = walks ? nowMillis : nowMillis + callers.pause() * (0.5 + random.nextDouble());
+        boolean walks = callers.triesNextAfterRejection() && othersLeft && end != Try.End.FAILED;
+        double at =
+                walks
+                        ? nowMillis
+                        : nowMillis + callers.retryPauseMillis() * (0.5 + random.nextDouble());
         return at < until ? at : NEVER;
     }
 
@@ -68,7 +71,7 @@
         double at =
                 Math.min(
                         Math.max(freeAt, nowMillis + LEAST_WAIT),
-                        nowMillis + callers.pause() * (0.5 + random.nextDouble()));
+                        nowMillis + callers.retryPauseMillis() * (0.5 + random.nextDouble()));
         return at < until ? at : NEVER;
     }
 }
--- a/src/main/java/tinroad/lab/fake/RosterStand.java
+++ b/src/main/java/tinroad/lab/fake/RosterStand.java
@@ -30,7 +30,7 @@
         this.world = world;
         this.proxies = proxies;
         Script script = world.plan.script();
-        list = new RosterList(script.fleet().gateways(), script.roster().lapse());
+        list = new RosterList(script.fleet().gateways(), script.roster().entryLifetimeMillis());
         random = Draw.stream(world.plan.seed(), "roster");
         told = new boolean[script.fleet().gateways()];
         newest = new long[proxies.size()][script.fleet().gateways()];
@@ -107,8 +107,9 @@
                 for (int p = 0; p < proxies.size(); p++) {
                     int proxy = p;
                     double after =
-                            late.lateLeast()
-                                    + random.nextDouble() * (late.lateMost() - late.lateLeast());
+                            late.minDelayMillis()
+                                    + random.nextDouble()
+                                            * (late.maxDelayMillis() - late.minDelayMillis());
                     world.agenda.at(
                             world.now() + after,
                             () -> {
--- a/src/main/java/tinroad/lab/schedule/Plan.java
+++ b/src/main/java/tinroad/lab/schedule/Plan.java
@@ -122,7 +122,7 @@
                         MEMORY_SIGMA);
         DoubleSupplier law = law(what);
         double perMs = script.fleet().power() / meanCost(script);
-        double most = script.load().most() * perMs;
+        double most = script.load().peak() * perMs;
         List<Asked> drawn = new ArrayList<>();
         for (double t = gaps.sample() / most; t < script.length(); t += gaps.sample() / most) {
             // By thinning: the rate differs from moment to moment.
--- a/src/main/java/tinroad/lab/script/Script.java
+++ b/src/main/java/tinroad/lab/script/Script.java
@@ -31,7 +31,7 @@
      * @param speeds of the engines' cores, in turn over the gateways
      * @param memoryMb a gateway's limit
      * @param sockets a gateway's limit of descriptors
-     * @param stop time from the notice to the kill
+     * @param shutdownGraceMillis time from the notice to the kill
      * @param sameName gateways that bear the name of gateway 0, by mistake
      */
     public record Fleet(
@@ -41,7 +41,7 @@
             List<Double> speeds,
             int memoryMb,
             int sockets,
-            double stop,
+            double shutdownGraceMillis,
             List<Integer> sameName) {
         /** What all cores can do, in ms of work a ms. */
         public double power() {
@@ -108,32 +108,33 @@
      *
      * @param connections to one gateway, at most
      * @param streams open requests that a connection carries before another is opened
-     * @param patience for one try, as a share of its class's deadline
-     * @param inAll for all tries together, as a multiple of the class's deadline
-     * @param tries at most; 0 is without limit
-     * @param pause before another try where nothing tells when
-     * @param heed share of the proxies that heed advice
-     * @param walk whether they go down the list after a refusal, without a pause, until all were
-     *     asked
-     * @param checks period of health checks by each proxy at each gateway; 0 is none
-     * @param idle connections are closed after so long
-     * @param unaware share of the proxies that follow neither the roster's news nor health checks:
-     *     they use each gateway for as long as it has a connection to give
+     * @param tryTimeoutShare for one try, as a share of its class's deadline
+     * @param totalTimeoutFactor for all tries together, as a multiple of the class's deadline
+     * @param maxTries at most; 0 is without limit
+     * @param retryPauseMillis before another try where nothing tells when
+     * @param heedingShare share of the proxies that heed advice
+     * @param triesNextAfterRejection whether they go down the list after a refusal, without a
+     *     pause, until all were asked
+     * @param healthCheckPeriodMillis period of health checks by each proxy at each gateway; 0 is
+     *     none
+     * @param idleTimeoutMillis connections are closed after so long
+     * @param unawareShare share of the proxies that follow neither the roster's news nor health
+     *     checks: they use each gateway for as long as it has a connection to give
      */
     public record Callers(
             int proxies,
             Selection choice,
             int connections,
             int streams,
-            double patience,
-            double inAll,
-            int tries,
-            double pause,
-            double heed,
-            boolean walk,
-            double checks,
-            double idle,
-            double unaware) {}
+            double tryTimeoutShare,
+            double totalTimeoutFactor,
+            int maxTries,
+            double retryPauseMillis,
+            double heedingShare,
+            boolean triesNextAfterRejection,
+            double healthCheckPeriodMillis,
+            double idleTimeoutMillis,
+            double unawareShare) {}
 
     /** How a proxy chooses a gateway. */
     public enum Selection {
@@ -145,9 +146,9 @@
     /**
      * Load in open loop, as shares of what the cores can do.
      *
-     * @param height of a wave about the level, as a share of it
+     * @param waveAmplitude of a wave about the level, as a share of it
      */
-    public record Load(double level, double height, double period, List<Jump> jumps) {
+    public record Load(double level, double waveAmplitude, double wavePeriod, List<Jump> jumps) {
         /** The share asked for at this time. */
         public double at(double t) {
             for (Jump jump : jumps) {
@@ -155,13 +156,14 @@
                     return jump.level;
                 }
             }
-            return level * (1 + height * Math.sin(2 * Math.PI * t / period));
+            return level * (1 + waveAmplitude * Math.sin(2 * Math.PI * t / wavePeriod));
         }
 
         /** The most that is asked for at any time. */
-        public double most() {
+        public double peak() {
             return Math.max(
-                    level * (1 + height), jumps.stream().mapToDouble(Jump::level).max().orElse(0));
+                    level * (1 + waveAmplitude),
+                    jumps.stream().mapToDouble(Jump::level).max().orElse(0));
         }
     }
 
@@ -169,7 +171,8 @@
     public record Jump(double at, double length, double level) {}
 
     /** The roster: news reach each proxy so late; an entry lapses so long after the last report. */
-    public record Roster(double lateLeast, double lateMost, double lapse) {}
+    public record Roster(
+            double minDelayMillis, double maxDelayMillis, double entryLifetimeMillis) {}
 
     /** What a fault does. */
     public enum FaultAction {
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -203,7 +203,7 @@
         if (s.fleet().sameName().stream().anyMatch(g -> g >= s.fleet().gateways())) {
             wrong("fleet.same-name", "must be from 0 to " + (s.fleet().gateways() - 1));
         }
-        if (s.roster().lateLeast() > s.roster().lateMost()) {
+        if (s.roster().minDelayMillis() > s.roster().maxDelayMillis()) {
             wrong("roster.late-least", "must be no more than late-most");
         }
         Set<String> names = new HashSet<>();
--- a/src/main/java/tinroad/lab/verification/Bound.java
+++ b/src/main/java/tinroad/lab/verification/Bound.java
@@ -37,7 +37,10 @@
                 boolean engineToo = deed != FaultAction.KILL_GATEWAY;
                 // On a notice the gateway takes all of its time to leave, as it is told to answer
                 // all that it read.
-                double leave = deed == FaultAction.NOTICE ? plan.script().fleet().stop() : 0;
+                double leave =
+                        deed == FaultAction.NOTICE
+                                ? plan.script().fleet().shutdownGraceMillis()
+                                : 0;
                 double back = hit.until() + leave;
                 away.add(
                         new Away(
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -158,7 +158,7 @@
         plan.hits().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
         double patience =
                 script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
-                        * Math.max(1, script.callers().inAll());
+                        * Math.max(1, script.callers().totalTimeoutFactor());
         double end = script.length() + patience + 500;
         while (now < script.length()
                 || (now < end && proxies.stream().anyMatch(p -> p.waiting() > 0))) {
@@ -229,7 +229,7 @@
     }
 
     private void checks() {
-        double period = script.callers().checks();
+        double period = script.callers().healthCheckPeriodMillis();
         for (int p = 0; p < proxies.size() && period > 0; p++) {
             UniformRandomProvider random = Draw.stream(plan.seed(), "checks " + p);
             for (int g = 0; g < gateways.size(); g++) {
@@ -281,9 +281,9 @@
             }
             case NOTICE -> {
                 g.life().told = true;
-                g.notice(script.fleet().stop());
+                g.notice(script.fleet().shutdownGraceMillis());
                 agenda.at(
-                        now + script.fleet().stop(),
+                        now + script.fleet().shutdownGraceMillis(),
                         () -> {
                             g.end();
                             engine.crash();
--- a/src/test/java/tinroad/lab/script/ScriptTest.java
+++ b/src/test/java/tinroad/lab/script/ScriptTest.java
@@ -184,6 +184,6 @@
         assertEquals(0.7, load.at(2000), 1e-9);
         assertEquals(0.3, load.at(6000), 1e-9);
         assertEquals(2, load.at(1499));
-        assertEquals(2, load.most());
+        assertEquals(2, load.peak());
     }
 }
