--- a/src/main/java/tinroad/lab/schedule/Plan.java
+++ b/src/main/java/tinroad/lab/schedule/Plan.java
@@ -185,10 +185,12 @@
                 continue;
             }
             List<Integer> targets = targets(t, random);
-            int missed = (int) Math.round(t.missed() * targets.size());
+            int missed = (int) Math.round(t.unnotifiedShare() * targets.size());
             for (int n = 0; n < targets.size(); n++) {
-                double at = t.at() + random.nextDouble() * t.within();
-                double away = t.backLeast() + random.nextDouble() * (t.backMost() - t.backLeast());
+                double at = t.at() + random.nextDouble() * t.spreadMillis();
+                double away =
+                        t.minAwayMillis()
+                                + random.nextDouble() * (t.maxAwayMillis() - t.minAwayMillis());
                 boolean back = t.action().ends() || t.action() == FaultAction.ENGINE_CRASH;
                 drawn.add(
                         new Hit(
--- a/src/main/java/tinroad/lab/script/Script.java
+++ b/src/main/java/tinroad/lab/script/Script.java
@@ -192,7 +192,10 @@
         ENGINE_SICK,
         /** The engine has {@code factor} of its speed. */
         ENGINE_SLOW,
-        /** The engine moves; the gateways are told by SIGHUP, but for {@code missed} of them. */
+        /**
+         * The engine moves; the gateways are told by SIGHUP, but for {@code unnotifiedShare} of
+         * them.
+         */
         ENGINE_MOVE,
         /** The roster is down. */
         ROSTER_DOWN,
@@ -256,13 +259,13 @@
      * @param action what is done
      * @param at when
      * @param length for how long, where it has an end
-     * @param within the targets are hit at moments spread over this time
+     * @param spreadMillis the targets are hit at moments spread over this time
      * @param gateways by number; empty: see zone and share
      * @param zone all gateways of this zone; -1 is any
      * @param share of the gateways that are left, drawn by the seed
      * @param links which, where it is done to links
      * @param callersZone only links from proxies of this zone; -1 is any
-     * @param backLeast gone for so long, at least; counted from the end of the process
+     * @param minAwayMillis gone for so long, at least; counted from the end of the process
      * @param jar the program that comes back; "" is the same
      * @param signals with a notice: names of the signals that follow it, in this order
      * @param signalGap between two of them, in ms; 0: in the same instant
@@ -271,19 +274,19 @@
             FaultAction action,
             double at,
             double length,
-            double within,
+            double spreadMillis,
             List<Integer> gateways,
             int zone,
             double share,
             List<Link> links,
             LinkDirection direction,
             int callersZone,
-            double backLeast,
-            double backMost,
+            double minAwayMillis,
+            double maxAwayMillis,
             StateRetention folder,
             String jar,
             double factor,
-            double missed,
+            double unnotifiedShare,
             double delay,
             double jitter,
             double rate,
@@ -304,7 +307,7 @@
                     + ", length="
                     + length
                     + ", within="
-                    + within
+                    + spreadMillis
                     + ", gateways="
                     + gateways
                     + ", zone="
@@ -318,9 +321,9 @@
                     + ", callersZone="
                     + callersZone
                     + ", backLeast="
-                    + backLeast
+                    + minAwayMillis
                     + ", backMost="
-                    + backMost
+                    + maxAwayMillis
                     + ", folder="
                     + folder
                     + ", jar="
@@ -328,7 +331,7 @@
                     + ", factor="
                     + factor
                     + ", missed="
-                    + missed
+                    + unnotifiedShare
                     + ", delay="
                     + delay
                     + ", jitter="
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -235,7 +235,7 @@
                     t.zone() >= s.fleet().zones() ? "zone" : "callers-zone",
                     "must be from 0 to " + (s.fleet().zones() - 1));
         }
-        if (t.backLeast() > t.backMost()) {
+        if (t.minAwayMillis() > t.maxAwayMillis()) {
             wrong("faults", i, "back-least", "must be no more than back-most");
         }
         if (t.action().toLinks() == t.links().isEmpty()) {
