--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -26,7 +26,7 @@
 import tinroad.lab.scale.ScaleReader;
 import tinroad.lab.scale.ScaleRun;
 import tinroad.lab.scale.Sweep;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
 import tinroad.lab.soak.SoakRun;
@@ -247,7 +247,7 @@
         Path work = left == null ? Files.createTempDirectory("tinroad-lab") : left;
         try (Lab lab =
                 new Lab(
-                        Plan.of(played, number),
+                        Schedule.of(played, number),
                         new Lab.Options(
                                 jar(program),
                                 work,
@@ -273,13 +273,13 @@
             long broken = 0;
             for (long number : range()) {
                 Report report =
-                        new Report(new FleetModel(Plan.of(played, number), remembers).play());
+                        new Report(new FleetModel(Schedule.of(played, number), remembers).play());
                 out.println(report.line());
                 broken += report.broken().size();
             }
             return broken == 0 ? SUCCESS : FAILURE;
         }
-        Report report = new Report(new FleetModel(Plan.of(script(), seed), remembers).play());
+        Report report = new Report(new FleetModel(Schedule.of(script(), seed), remembers).play());
         if (folder != null) {
             report.write(Path.of(folder));
         }
--- a/src/main/java/tinroad/lab/Charts.java
+++ b/src/main/java/tinroad/lab/Charts.java
@@ -10,7 +10,7 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.verification.Bound;
 import tinroad.lab.verification.Measures;
 
@@ -23,7 +23,7 @@
 
     private Charts() {}
 
-    static void draw(Plan plan, Measures measures, double faultEnd, Path folder)
+    static void draw(Schedule plan, Measures measures, double faultEnd, Path folder)
             throws IOException {
         // No display: the pictures go into files.
         System.setProperty("java.awt.headless", "true");
@@ -63,7 +63,12 @@
     }
 
     private static XYChart chart(
-            Plan plan, String what, List<Double> x, List<Double> y, double top, double faultEnd) {
+            Schedule plan,
+            String what,
+            List<Double> x,
+            List<Double> y,
+            double top,
+            double faultEnd) {
         XYChart chart =
                 new XYChartBuilder()
                         .width(900)
--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -38,10 +38,10 @@
 import tinroad.lab.relay.DatagramRelay;
 import tinroad.lab.relay.LinkFaults;
 import tinroad.lab.relay.StreamRelay;
-import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.PlannedRequest;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.Link;
@@ -155,7 +155,7 @@
     }
 
     private final Options options;
-    private final Plan plan;
+    private final Schedule plan;
     private final Script script;
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -183,7 +183,7 @@
     private volatile boolean over;
 
     /** A lab for this plan. */
-    public Lab(Plan plan, Options options) {
+    public Lab(Schedule plan, Options options) {
         this.plan = plan;
         this.options = options;
         script = plan.script();
@@ -402,7 +402,7 @@
         roster.allUp();
         agenda.at(now(), roster::begin);
         proxies.forEach(p -> agenda.at(now(), p::begin));
-        for (Asked asked : plan.requests()) {
+        for (PlannedRequest asked : plan.requests()) {
             agenda.at(
                     asked.at(),
                     () -> {
@@ -416,7 +416,7 @@
                         proxies.get(asked.proxy()).proxy().ask(asked);
                     });
         }
-        for (Hit hit : plan.hits()) {
+        for (FaultEvent hit : plan.faultEvents()) {
             agenda.at(hit.at(), () -> begin(hit));
         }
         script.load().jumps().forEach(j -> agenda.at(j.at() + j.length(), () -> ended(now())));
@@ -607,7 +607,7 @@
 
     // --- faults ---
 
-    private void begin(Hit hit) {
+    private void begin(FaultEvent hit) {
         if (hit.gateway() < 0) {
             roster.down(true);
             agenda.at(
@@ -619,24 +619,24 @@
             return;
         }
         Member m = members.get(hit.gateway());
-        String what = hit.trouble().action().name().toLowerCase(Locale.ROOT);
+        String what = hit.fault().action().name().toLowerCase(Locale.ROOT);
         note(m, "fault: " + what);
-        if (hit.trouble().action().toLinks()) {
+        if (hit.fault().action().toLinks()) {
             cutLinks(m, hit);
             return;
         }
-        if (hit.trouble().action().ends()) {
+        if (hit.fault().action().ends()) {
             if (m.away) {
                 note(m, "away already");
                 return;
             }
             m.away = true;
         }
-        switch (hit.trouble().action()) {
+        switch (hit.fault().action()) {
             case KILL, KILL_GATEWAY -> {
                 m.life.told = true;
                 shut(m);
-                if (hit.trouble().action() == FaultAction.KILL) {
+                if (hit.fault().action() == FaultAction.KILL) {
                     m.engine.crash();
                 }
                 keepers.execute(m.process::kill);
@@ -655,11 +655,11 @@
             }
             case ENGINE_PAUSE -> lasting(hit, m.engine::pause);
             case ENGINE_SICK -> lasting(hit, m.engine::sick);
-            case ENGINE_SLOW -> lasting(hit, on -> m.engine.slow(on ? hit.trouble().factor() : 1));
+            case ENGINE_SLOW -> lasting(hit, on -> m.engine.slow(on ? hit.fault().factor() : 1));
             case ENGINE_MOVE -> move(m, hit);
             default -> throw new IllegalStateException(what);
         }
-        if (!hit.trouble().action().ends()) {
+        if (!hit.fault().action().ends()) {
             agenda.at(Math.max(hit.at(), hit.until()), () -> ended(now()));
         }
     }
@@ -668,7 +668,7 @@
         ledger.faultEnd = Double.isNaN(ledger.faultEnd) ? at : Math.max(at, ledger.faultEnd);
     }
 
-    private void lasting(Hit hit, Consumer<Boolean> set) {
+    private void lasting(FaultEvent hit, Consumer<Boolean> set) {
         set.accept(true);
         agenda.at(hit.until(), () -> set.accept(false));
     }
@@ -681,13 +681,13 @@
         }
     }
 
-    private void notice(Member m, Hit hit) {
+    private void notice(Member m, FaultEvent hit) {
         Life life = m.life;
         GatewayProcess process = m.process;
         life.noticedAt = now();
         life.told = true;
         keepers.execute(process::notice);
-        signalAfterNotice(process, hit.trouble());
+        signalAfterNotice(process, hit.fault());
         agenda.at(
                 now() + script.fleet().shutdownGraceMillis(),
                 () -> {
@@ -724,7 +724,7 @@
         }
     }
 
-    private void comeBack(Member m, Hit hit) {
+    private void comeBack(Member m, FaultEvent hit) {
         Life life = m.life;
         double from = now();
         whenEnded(
@@ -736,15 +736,15 @@
                 });
     }
 
-    private void restart(Member m, Hit hit) {
+    private void restart(Member m, FaultEvent hit) {
         agenda.at(
-                now() + hit.away(),
+                now() + hit.awayMillis(),
                 () -> {
                     ended(now());
                     keepers.execute(
                             () -> {
-                                folder(m, hit.trouble().folder());
-                                String jar = hit.trouble().jar();
+                                folder(m, hit.fault().folder());
+                                String jar = hit.fault().jar();
                                 try {
                                     begin(m, true, jar.isEmpty() ? options.jar : jar);
                                 } catch (IOException e) {
@@ -813,7 +813,7 @@
     }
 
     /** The engine answers at another address from now on; the old one refuses. */
-    private void move(Member m, Hit hit) {
+    private void move(Member m, FaultEvent hit) {
         m.enginePort = m.enginePort == ENGINE_RELAY_PORT ? MOVED_RELAY_PORT : ENGINE_RELAY_PORT;
         GatewayProcess process = m.process;
         keepers.execute(
@@ -824,7 +824,7 @@
                         write(m, false);
                         before.refuse(true);
                         m.links.get(Link.ENGINE).get(0).resetAll();
-                        if (hit.heard()) {
+                        if (hit.notified()) {
                             process.signal("HUP");
                         }
                     } catch (IOException e) {
@@ -841,19 +841,19 @@
                 });
     }
 
-    private void cutLinks(Member m, Hit hit) {
+    private void cutLinks(Member m, FaultEvent hit) {
         List<LinkFaults> hitLinks = new ArrayList<>();
-        for (Link link : hit.trouble().links()) {
+        for (Link link : hit.fault().links()) {
             List<LinkFaults> all = m.links.get(link);
             hitLinks.addAll(
-                    all.size() == 1 || hit.trouble().callersZone() < 0
+                    all.size() == 1 || hit.fault().callersZone() < 0
                             ? all
-                            : List.of(all.get(hit.trouble().callersZone())));
+                            : List.of(all.get(hit.fault().callersZone())));
         }
         // First: a connection may be reset before the next reading of the clock.
         double begunAt = now();
-        hitLinks.forEach(l -> l.begin(hit.trouble()));
-        if (hit.trouble().links().contains(Link.CALLERS)) {
+        hitLinks.forEach(l -> l.begin(hit.fault()));
+        if (hit.fault().links().contains(Link.CALLERS)) {
             ledger.excuses.add(new Excuse(m.number, begunAt, hit.until()));
         }
         refuse(m, hit, true);
@@ -861,11 +861,8 @@
                 hit.until(),
                 () -> {
                     refuse(m, hit, false);
-                    hitLinks.forEach(l -> l.end(hit.trouble()));
-                    note(
-                            m,
-                            "fault ends: "
-                                    + hit.trouble().action().name().toLowerCase(Locale.ROOT));
+                    hitLinks.forEach(l -> l.end(hit.fault()));
+                    note(m, "fault ends: " + hit.fault().action().name().toLowerCase(Locale.ROOT));
                     ended(now());
                 });
     }
@@ -874,15 +871,15 @@
      * Only a whole door can refuse; where but some of its links do, each connection is reset as it
      * comes.
      */
-    private void refuse(Member m, Hit hit, boolean on) {
-        if (hit.trouble().action() == FaultAction.REFUSE) {
+    private void refuse(Member m, FaultEvent hit, boolean on) {
+        if (hit.fault().action() == FaultAction.REFUSE) {
             keepers.execute(
                     () -> {
-                        if (hit.trouble().links().contains(Link.ENGINE)) {
+                        if (hit.fault().links().contains(Link.ENGINE)) {
                             refuse(m.engineRelay, on);
                         }
-                        if (hit.trouble().links().containsAll(List.of(Link.CALLERS, Link.CHECKS))
-                                && hit.trouble().callersZone() < 0) {
+                        if (hit.fault().links().containsAll(List.of(Link.CALLERS, Link.CHECKS))
+                                && hit.fault().callersZone() < 0) {
                             refuse(m.callersRelay, on);
                         }
                     });
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -11,8 +11,8 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.verification.Bound;
 import tinroad.lab.verification.Ledger;
@@ -37,7 +37,7 @@
     private static final double[] QUANTILES = {50, 99};
 
     private final Lab.Outcome outcome;
-    private final Plan plan;
+    private final Schedule plan;
     private final Measures measures;
     private final List<Rules.Broken> broken;
     private final Rules.Fates fates;
@@ -217,14 +217,14 @@
         }
         try (PrintWriter out =
                 new PrintWriter(Files.newBufferedWriter(folder.resolve("faults.jsonl")))) {
-            for (Hit h : plan.hits()) {
+            for (FaultEvent h : plan.faultEvents()) {
                 out.println(
                         JSON.createObjectNode()
                                 .put("at_ms", h.at())
                                 .put("until_ms", h.until())
                                 .put("gateway", h.gateway())
-                                .put("do", h.trouble().action().name().toLowerCase(Locale.ROOT))
-                                .put("heard", h.heard()));
+                                .put("do", h.fault().action().name().toLowerCase(Locale.ROOT))
+                                .put("heard", h.notified()));
             }
         }
         try (PrintWriter out =
--- a/src/main/java/tinroad/lab/Settings.java
+++ b/src/main/java/tinroad/lab/Settings.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.stream.IntStream;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.RequestClass;
 
@@ -42,7 +42,7 @@
                     .put("semantics", k.free() ? "free" : "single_shot");
         }
         ArrayNode orgs = s.putArray("orgs");
-        double all = script.fleet().power() / Plan.meanCost(script) * 1000;
+        double all = script.fleet().power() / Schedule.meanCost(script) * 1000;
         double sum =
                 IntStream.rangeClosed(1, script.members().count())
                         .mapToDouble(i -> Math.pow(i, -script.members().skew()))
--- a/src/main/java/tinroad/lab/fake/Bodies.java
+++ b/src/main/java/tinroad/lab/fake/Bodies.java
@@ -2,13 +2,13 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.PlannedRequest;
 
 /** What requests carry: the same for all tries of one, and another for another. */
 final class Bodies {
     private Bodies() {}
 
-    static byte[] of(Asked asked) {
+    static byte[] of(PlannedRequest asked) {
         byte[] body = new byte[asked.bodyBytes()];
         Arrays.fill(body, (byte) (asked.number() % 251));
         byte[] number = Integer.toString(asked.number()).getBytes(StandardCharsets.US_ASCII);
--- a/src/main/java/tinroad/lab/fake/EngineStand.java
+++ b/src/main/java/tinroad/lab/fake/EngineStand.java
@@ -22,7 +22,7 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
-import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Try;
@@ -196,7 +196,7 @@
     }
 
     /** A request, which costs the cores a share of its class's work to read. */
-    void read(Asked asked) {
+    void read(PlannedRequest asked) {
         Script script = world.plan.script();
         takeIn(script.engine().read() * script.classes().get(asked.kind()).work());
     }
@@ -270,7 +270,7 @@
             no(ctx, id);
             return;
         }
-        Asked asked = world.plan.requests().get(t.request);
+        PlannedRequest asked = world.plan.requests().get(t.request);
         if (!world.plan
                         .script()
                         .classes()
@@ -296,7 +296,7 @@
         }
     }
 
-    private void begin(Try t, Asked asked) {
+    private void begin(Try t, PlannedRequest asked) {
         t.runs++;
         t.ranAt = world.now();
         t.step(world.now(), "engine " + gateway, "run " + t.runs + " begins");
--- a/src/main/java/tinroad/lab/fake/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/Proxy.java
@@ -3,8 +3,8 @@
 import java.util.BitSet;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
+import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Ledger;
@@ -37,18 +37,18 @@
     @FunctionalInterface
     public interface Carrier {
         /** Sends it; false where there is no connection for it, and nobody is told. */
-        boolean send(Asked asked, Try t, RequestClass kind, Told told);
+        boolean send(PlannedRequest asked, Try t, RequestClass kind, Told told);
     }
 
     /** A request while somebody waits for it. */
     private static final class Open {
-        private final Asked asked;
+        private final PlannedRequest asked;
         private final Ledger.Fate fate;
         private final BitSet gateways = new BitSet();
         private final double until;
         private Try now;
 
-        Open(Asked asked, Ledger.Fate fate, double until) {
+        Open(PlannedRequest asked, Ledger.Fate fate, double until) {
             this.asked = asked;
             this.fate = fate;
             this.until = until;
@@ -105,7 +105,7 @@
     }
 
     /** A request comes to this proxy. */
-    public void ask(Asked asked) {
+    public void ask(PlannedRequest asked) {
         RequestClass kind = script.classes().get(asked.kind());
         waiting++;
         attempt(
--- a/src/main/java/tinroad/lab/fake/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/ProxyStand.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
+import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Ledger;
@@ -69,7 +69,7 @@
 
     // --- requests ---
 
-    private boolean send(Asked asked, Try t, RequestClass kind, Proxy.Told told) {
+    private boolean send(PlannedRequest asked, Try t, RequestClass kind, Proxy.Told told) {
         Connection connection = connection(t.gateway);
         if (connection == null) {
             return false;
@@ -109,7 +109,7 @@
         return true;
     }
 
-    private Map<String, String> fields(Asked asked, Try t, RequestClass kind) {
+    private Map<String, String> fields(PlannedRequest asked, Try t, RequestClass kind) {
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("REQUEST_METHOD", "POST");
         fields.put("SCRIPT_NAME", "/v1/" + kind.name());
--- a/src/main/java/tinroad/lab/fake/World.java
+++ b/src/main/java/tinroad/lab/fake/World.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.DoubleSupplier;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Try;
 
@@ -21,7 +21,7 @@
     }
 
     final EventLoop loop;
-    final Plan plan;
+    final Schedule plan;
     final Ledger ledger;
     final Agenda agenda;
     final Mutant mutant;
--- a/src/main/java/tinroad/lab/schedule/Plan.java
+++ b/src/main/java/tinroad/lab/schedule/Schedule.java
@@ -28,7 +28,7 @@
  * A script drawn with a seed. The same two give the same plan, whatever program it is played
  * against.
  */
-public final class Plan {
+public final class Schedule {
     private static final double MEMORY_KB = 24;
     private static final double MEMORY_SIGMA = 0.6;
     private static final int LEAST_BODY = 16;
@@ -36,19 +36,19 @@
 
     private final Script script;
     private final long seed;
-    private final List<Asked> requests;
-    private final List<Hit> hits;
+    private final List<PlannedRequest> requests;
+    private final List<FaultEvent> faultEvents;
 
-    private Plan(Script script, long seed) {
+    private Schedule(Script script, long seed) {
         this.script = script;
         this.seed = seed;
         requests = List.copyOf(drawRequests());
-        hits = List.copyOf(drawHits());
+        faultEvents = List.copyOf(drawHits());
     }
 
     /** The plan of this script and seed. */
-    public static Plan of(Script script, long seed) {
-        return new Plan(script, seed);
+    public static Schedule of(Script script, long seed) {
+        return new Schedule(script, seed);
     }
 
     /** What it was drawn from. */
@@ -62,13 +62,13 @@
     }
 
     /** All requests, in the order of their times. */
-    public List<Asked> requests() {
+    public List<PlannedRequest> requests() {
         return requests;
     }
 
     /** All faults, in the order of their times. */
-    public List<Hit> hits() {
-        return hits;
+    public List<FaultEvent> faultEvents() {
+        return faultEvents;
     }
 
     /** The zone of a gateway or of a proxy. */
@@ -79,7 +79,7 @@
     /** When the first fault or jump of the load begins; NaN without any. */
     public double firstFault() {
         return DoubleStream.concat(
-                        hits.stream().mapToDouble(Hit::at),
+                        faultEvents.stream().mapToDouble(FaultEvent::at),
                         script.load().jumps().stream().mapToDouble(Jump::at))
                 .min()
                 .orElse(Double.NaN);
@@ -101,7 +101,7 @@
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             requests.forEach(r -> sha.update(r.toString().getBytes(StandardCharsets.UTF_8)));
-            hits.forEach(h -> sha.update(h.toString().getBytes(StandardCharsets.UTF_8)));
+            faultEvents.forEach(h -> sha.update(h.toString().getBytes(StandardCharsets.UTF_8)));
             return HexFormat.of().formatHex(sha.digest(), 0, 8);
         } catch (NoSuchAlgorithmException e) {
             // Can't happen: every Java platform has it.
@@ -109,7 +109,7 @@
         }
     }
 
-    private List<Asked> drawRequests() {
+    private List<PlannedRequest> drawRequests() {
         UniformRandomProvider random = Draw.stream(seed, "arrivals");
         UniformRandomProvider what = Draw.stream(seed, "requests");
         ZigguratSampler.Exponential gaps = ZigguratSampler.Exponential.of(random);
@@ -123,13 +123,13 @@
         DoubleSupplier law = law(what);
         double perMs = script.fleet().power() / meanCost(script);
         double most = script.load().peak() * perMs;
-        List<Asked> drawn = new ArrayList<>();
+        List<PlannedRequest> drawn = new ArrayList<>();
         for (double t = gaps.sample() / most; t < script.length(); t += gaps.sample() / most) {
             // By thinning: the rate differs from moment to moment.
             if (random.nextDouble() * most <= script.load().at(t) * perMs) {
                 int kind = kind(what.nextDouble());
                 drawn.add(
-                        new Asked(
+                        new PlannedRequest(
                                 drawn.size(),
                                 t,
                                 kind,
@@ -175,13 +175,13 @@
         };
     }
 
-    private List<Hit> drawHits() {
-        List<Hit> drawn = new ArrayList<>();
+    private List<FaultEvent> drawHits() {
+        List<FaultEvent> drawn = new ArrayList<>();
         for (int i = 0; i < script.faults().size(); i++) {
             Fault t = script.faults().get(i);
             UniformRandomProvider random = Draw.stream(seed, "fault " + i);
             if (t.action() == FaultAction.ROSTER_DOWN) {
-                drawn.add(new Hit(t.at(), t.at() + t.length(), -1, 0, true, i, t));
+                drawn.add(new FaultEvent(t.at(), t.at() + t.length(), -1, 0, true, i, t));
                 continue;
             }
             List<Integer> targets = targets(t, random);
@@ -193,7 +193,7 @@
                                 + random.nextDouble() * (t.maxAwayMillis() - t.minAwayMillis());
                 boolean back = t.action().ends() || t.action() == FaultAction.ENGINE_CRASH;
                 drawn.add(
-                        new Hit(
+                        new FaultEvent(
                                 at,
                                 at + (back ? away : t.length()),
                                 targets.get(n),
@@ -203,7 +203,9 @@
                                 t));
             }
         }
-        drawn.sort(Comparator.comparingDouble(Hit::at).thenComparingInt(Hit::fault));
+        drawn.sort(
+                Comparator.comparingDouble(FaultEvent::at)
+                        .thenComparingInt(FaultEvent::faultNumber));
         return drawn;
     }
 
--- a/src/main/java/tinroad/lab/soak/SoakRun.java
+++ b/src/main/java/tinroad/lab/soak/SoakRun.java
@@ -6,7 +6,7 @@
 import tinroad.lab.Lab;
 import tinroad.lab.Report;
 import tinroad.lab.fake.World;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 import tinroad.operator.OperatorException;
 
@@ -31,7 +31,7 @@
         Path script = Files.writeString(folder.resolve("script.conf"), SoakScript.of(seed));
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(script), seed),
+                        Schedule.of(ScriptReader.read(script), seed),
                         new Lab.Options(
                                 program, folder.resolve("run"), null, null, World.Mutant.NONE))) {
             Lab.Outcome outcome = lab.play();
--- a/src/main/java/tinroad/lab/verification/Bound.java
+++ b/src/main/java/tinroad/lab/verification/Bound.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.FaultAction;
 
@@ -18,7 +18,7 @@
 
     private record Away(int gateway, double from, double engineAt, double listedAt) {}
 
-    private final Plan plan;
+    private final Schedule plan;
     private final List<Away> away = new ArrayList<>();
 
     /**
@@ -27,10 +27,10 @@
      * @param reachAfter how long after the start of its process a gateway is reached by callers: 0
      *     for the engines' warm-up alone
      */
-    public Bound(Plan plan, double reachAfter) {
+    public Bound(Schedule plan, double reachAfter) {
         this.plan = plan;
-        for (Hit hit : plan.hits()) {
-            FaultAction deed = hit.trouble().action();
+        for (FaultEvent hit : plan.faultEvents()) {
+            FaultAction deed = hit.fault().action();
             if (deed == FaultAction.ENGINE_CRASH) {
                 away.add(new Away(hit.gateway(), hit.at(), hit.until(), hit.until()));
             } else if (deed.ends()) {
--- a/src/main/java/tinroad/lab/verification/Ledger.java
+++ b/src/main/java/tinroad/lab/verification/Ledger.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinroad.lab.schedule.Asked;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.PlannedRequest;
+import tinroad.lab.schedule.Schedule;
 
 /**
  * Everything that was seen at the ends, as it came. Filled by one thread; times in ms from the
@@ -12,12 +12,12 @@
 public final class Ledger {
     /** What became of a request, over all its tries. */
     public static final class Fate {
-        public final Asked asked;
+        public final PlannedRequest asked;
         public int tries;
         public Try.End end;
         public double endedAt = Double.NaN;
 
-        Fate(Asked asked) {
+        Fate(PlannedRequest asked) {
             this.asked = asked;
         }
     }
@@ -87,7 +87,7 @@
         RUNS
     }
 
-    public final Plan plan;
+    public final Schedule plan;
     public final List<Fate> fates;
     public final List<Try> tries = new ArrayList<>();
     public final List<Excuse> excuses = new ArrayList<>();
@@ -110,7 +110,7 @@
     private final int[][][] counts;
 
     /** An empty ledger of this plan. */
-    public Ledger(Plan plan) {
+    public Ledger(Schedule plan) {
         this.plan = plan;
         fates = plan.requests().stream().map(Fate::new).toList();
         counts =
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -20,10 +20,10 @@
 import tinroad.lab.fake.Proxy;
 import tinroad.lab.fake.RosterStand;
 import tinroad.lab.fake.World;
-import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.PlannedRequest;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.RequestClass;
@@ -59,7 +59,7 @@
     /** Before the load begins the gateways stand up. */
     private static final double BEFORE = 1000;
 
-    private final Plan plan;
+    private final Schedule plan;
     private final boolean remembers;
     private final Script script;
     private final Ledger ledger;
@@ -76,12 +76,12 @@
      * A fleet that will live through this plan; refuses what needs links. {@code remembers}: state
      * lasts over restarts.
      */
-    public FleetModel(Plan plan, boolean remembers) throws IOException {
+    public FleetModel(Schedule plan, boolean remembers) throws IOException {
         this.plan = plan;
         this.remembers = remembers;
         script = plan.script();
-        for (Hit hit : plan.hits()) {
-            FaultAction deed = hit.trouble().action();
+        for (FaultEvent hit : plan.faultEvents()) {
+            FaultAction deed = hit.fault().action();
             if (deed.toLinks() || deed == FaultAction.STOP || deed == FaultAction.ENGINE_MOVE) {
                 throw new IllegalArgumentException(
                         "the model has no links and no processes: it can't play "
@@ -112,7 +112,7 @@
         }
     }
 
-    Plan plan() {
+    Schedule plan() {
         return plan;
     }
 
@@ -155,7 +155,7 @@
                 .forEach(
                         asked ->
                                 agenda.at(asked.at(), () -> proxies.get(asked.proxy()).ask(asked)));
-        plan.hits().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
+        plan.faultEvents().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
         double patience =
                 script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
                         * Math.max(1, script.callers().totalTimeoutFactor());
@@ -184,7 +184,7 @@
 
     // --- callers ---
 
-    private boolean carry(Asked asked, Try t, RequestClass kind, Proxy.Told told) {
+    private boolean carry(PlannedRequest asked, Try t, RequestClass kind, Proxy.Told told) {
         ModelGateway g = gateways.get(t.gateway);
         if (!g.listens()) {
             agenda.at(now + 2 * WAY, () -> told.lost(false, now));
@@ -253,7 +253,7 @@
 
     // --- faults ---
 
-    private void begin(Hit hit) {
+    private void begin(FaultEvent hit) {
         if (hit.gateway() < 0) {
             roster.down(true);
             agenda.at(
@@ -266,13 +266,13 @@
         }
         ModelGateway g = gateways.get(hit.gateway());
         ModelEngine engine = engines.get(hit.gateway());
-        if (hit.trouble().action().ends() && !g.leaves()) {
+        if (hit.fault().action().ends() && !g.leaves()) {
             return;
         }
-        switch (hit.trouble().action()) {
+        switch (hit.fault().action()) {
             case KILL, KILL_GATEWAY -> {
                 g.life().told = true;
-                if (hit.trouble().action() == FaultAction.KILL) {
+                if (hit.fault().action() == FaultAction.KILL) {
                     engine.crash();
                 }
                 g.end();
@@ -296,25 +296,25 @@
             }
             case ENGINE_PAUSE -> lasting(hit, engine::pause);
             case ENGINE_SICK -> lasting(hit, engine::sick);
-            case ENGINE_SLOW -> lasting(hit, on -> engine.slow(on ? hit.trouble().factor() : 1));
-            default -> throw new IllegalStateException(hit.trouble().action().name());
+            case ENGINE_SLOW -> lasting(hit, on -> engine.slow(on ? hit.fault().factor() : 1));
+            default -> throw new IllegalStateException(hit.fault().action().name());
         }
-        if (!hit.trouble().action().ends()) {
+        if (!hit.fault().action().ends()) {
             agenda.at(Math.max(hit.at(), hit.until()), this::ended);
         }
     }
 
-    private void lasting(Hit hit, Consumer<Boolean> set) {
+    private void lasting(FaultEvent hit, Consumer<Boolean> set) {
         set.accept(true);
         agenda.at(hit.until(), () -> set.accept(false));
     }
 
-    private void restart(ModelGateway g, ModelEngine engine, Hit hit) {
+    private void restart(ModelGateway g, ModelEngine engine, FaultEvent hit) {
         agenda.at(
-                now + hit.away(),
+                now + hit.awayMillis(),
                 () -> {
                     ended();
-                    g.folder(hit.trouble().folder());
+                    g.folder(hit.fault().folder());
                     agenda.at(
                             now + START_LEAST + (START_MOST - START_LEAST) * starts.nextDouble(),
                             () -> g.begin(true));
--- a/src/main/java/tinroad/simulation/ModelEngine.java
+++ b/src/main/java/tinroad/simulation/ModelEngine.java
@@ -9,7 +9,7 @@
 import tinroad.core.Progress;
 import tinroad.lab.fake.Cores;
 import tinroad.lab.fake.EngineStand;
-import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Try;
@@ -159,7 +159,7 @@
                     () -> to.onRunEnded(id, RunOutcome.STALE, 0, Unpooled.EMPTY_BUFFER));
             return Progress.SENT;
         }
-        Asked asked = model.plan().requests().get(t.request);
+        PlannedRequest asked = model.plan().requests().get(t.request);
         t.runs++;
         t.ranAt = model.now();
         model.ledger().count(Ledger.Count.RUNS, gateway, model.now());
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
 import tinroad.lab.fake.World.Mutant;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Rules;
@@ -30,7 +30,7 @@
         Path file = Files.writeString(dir.resolve("s.conf"), script);
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(file), seed),
+                        Schedule.of(ScriptReader.read(file), seed),
                         new Lab.Options(
                                 Program.CLASS_PATH, dir.resolve("run"), null, null, mutant))) {
             Lab.Outcome outcome = lab.play();
--- a/src/test/java/tinroad/lab/RememberingTest.java
+++ b/src/test/java/tinroad/lab/RememberingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
 import tinroad.lab.fake.World.Mutant;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 
 /** Real processes whose state lasts, is lost, and is rolled back under them. */
@@ -53,7 +53,7 @@
                             + " \"@SECOND@:7001\"], zone = \"@ZONE@\", key-file = \"@KEYS@\" }\n");
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(script), 1),
+                        Schedule.of(ScriptReader.read(script), 1),
                         new Lab.Options(
                                 Program.CLASS_PATH,
                                 dir.resolve("run"),
@@ -103,7 +103,7 @@
                         "state { folder = tmp/state, fence = fence, every = 100ms }");
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(script), 1),
+                        Schedule.of(ScriptReader.read(script), 1),
                         new Lab.Options(
                                 Program.CLASS_PATH,
                                 dir.resolve("run"),
--- a/src/test/java/tinroad/lab/schedule/PlanTest.java
+++ b/src/test/java/tinroad/lab/schedule/PlanTest.java
@@ -25,22 +25,23 @@
     @Test
     void theSameScriptAndSeedGiveTheSamePlanAndAnotherSeedAnother() throws Exception {
         Script s = ScriptReader.read(Path.of("lab/mass-restart.conf"));
-        assertEquals(Plan.of(s, 3).digest(), Plan.of(s, 3).digest());
-        assertEquals(Plan.of(s, 3).requests(), Plan.of(s, 3).requests());
-        assertEquals(Plan.of(s, 3).hits(), Plan.of(s, 3).hits());
-        assertNotEquals(Plan.of(s, 3).digest(), Plan.of(s, 4).digest());
+        assertEquals(Schedule.of(s, 3).digest(), Schedule.of(s, 3).digest());
+        assertEquals(Schedule.of(s, 3).requests(), Schedule.of(s, 3).requests());
+        assertEquals(Schedule.of(s, 3).faultEvents(), Schedule.of(s, 3).faultEvents());
+        assertNotEquals(Schedule.of(s, 3).digest(), Schedule.of(s, 4).digest());
     }
 
     @Test
     void aFaultMoreLeavesTheRequestsAsTheyWere() throws Exception {
-        List<Asked> before = Plan.of(script("length = 20s"), 5).requests();
-        assertEquals(before, Plan.of(script("faults = [ { do = kill, at = 8s } ]"), 5).requests());
+        List<PlannedRequest> before = Schedule.of(script("length = 20s"), 5).requests();
+        assertEquals(
+                before, Schedule.of(script("faults = [ { do = kill, at = 8s } ]"), 5).requests());
     }
 
     @Test
     void theLoadIsTheShareOfTheCoresThatWasAskedFor() throws Exception {
-        Plan plan =
-                Plan.of(
+        Schedule plan =
+                Schedule.of(
                         script(
                                 "length = 60s, load { level = 0.5, jumps = [ { at = 20s, for = 10s,"
                                         + " level = 1.5 } ] }"),
@@ -48,12 +49,12 @@
         double calm =
                 plan.requests().stream()
                         .filter(r -> r.at() < 20_000)
-                        .mapToDouble(Asked::work)
+                        .mapToDouble(PlannedRequest::work)
                         .sum();
         double jump =
                 plan.requests().stream()
                         .filter(r -> r.at() >= 20_000 && r.at() < 30_000)
-                        .mapToDouble(Asked::work)
+                        .mapToDouble(PlannedRequest::work)
                         .sum();
         // Reading a request costs a quarter of a run, and is part of the load.
         assertEquals(0.5, 1.25 * calm / 20_000 / 6, 0.04);
@@ -67,8 +68,8 @@
 
     @Test
     void membersAndSubjectsComeInUnequalParts() throws Exception {
-        List<Asked> all =
-                Plan.of(
+        List<PlannedRequest> all =
+                Schedule.of(
                                 script(
                                         "length = 60s, members { count = 4, skew = 1 }, subjects {"
                                                 + " count = 100, skew = 0 }"),
@@ -83,13 +84,13 @@
                 0.12,
                 (double) all.stream().filter(r -> r.member() == 3).count() / all.size(),
                 0.02);
-        assertTrue(all.stream().mapToInt(Asked::subject).distinct().count() > 95);
+        assertTrue(all.stream().mapToInt(PlannedRequest::subject).distinct().count() > 95);
     }
 
     @Test
     void faultsHitTheShareThatWasAskedForOfTheirZone() throws Exception {
-        Plan plan =
-                Plan.of(
+        Schedule plan =
+                Schedule.of(
                         script(
                                 "fleet { gateways = 20, zones = 4 }\n"
                                     + "faults = [\n"
@@ -100,7 +101,8 @@
                                     + " 0.34 }\n"
                                     + "{ do = roster-down, at = 1s, for = 15s } ]"),
                         2);
-        List<Hit> killed = plan.hits().stream().filter(h -> h.fault() == 0).toList();
+        List<FaultEvent> killed =
+                plan.faultEvents().stream().filter(h -> h.faultNumber() == 0).toList();
         assertEquals(14, killed.size());
         Set<Integer> targets = new HashSet<>();
         killed.forEach(
@@ -109,18 +111,23 @@
                             targets.add(h.gateway())
                                     && h.at() >= 5000
                                     && h.at() <= 6000
-                                    && h.away() >= 3000
-                                    && h.away() <= 8000,
+                                    && h.awayMillis() >= 3000
+                                    && h.awayMillis() <= 8000,
                             h::toString);
                 });
-        List<Hit> stopped = plan.hits().stream().filter(h -> h.fault() == 1).toList();
+        List<FaultEvent> stopped =
+                plan.faultEvents().stream().filter(h -> h.faultNumber() == 1).toList();
         assertEquals(2, stopped.size());
         stopped.forEach(
                 h -> assertTrue(plan.zone(h.gateway()) == 3 && h.until() == 11_000, h::toString));
-        assertEquals(1, plan.hits().stream().filter(h -> h.fault() == 2 && !h.heard()).count());
         assertEquals(
-                new Hit(1000, 16_000, -1, 0, true, 3, plan.script().faults().get(3)),
-                plan.hits().get(0));
+                1,
+                plan.faultEvents().stream()
+                        .filter(h -> h.faultNumber() == 2 && !h.notified())
+                        .count());
+        assertEquals(
+                new FaultEvent(1000, 16_000, -1, 0, true, 3, plan.script().faults().get(3)),
+                plan.faultEvents().get(0));
         assertEquals(1000, plan.firstFault());
     }
 }
--- a/src/test/java/tinroad/lab/schedule/ScheduleDigestTest.java
+++ b/src/test/java/tinroad/lab/schedule/ScheduleDigestTest.java
@@ -2,16 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-
 import tinroad.lab.script.ScriptReader;
 
-import java.nio.file.Path;
-
 /** Digests of schedules are compared between builds, so they must not depend on names in code. */
 class ScheduleDigestTest {
     private static String digest(String script) throws Exception {
-        return Plan.of(ScriptReader.read(Path.of("lab", script)), 1).digest();
+        return Schedule.of(ScriptReader.read(Path.of("lab", script)), 1).digest();
     }
 
     @Test
--- a/src/test/java/tinroad/lab/verification/MeasuresTest.java
+++ b/src/test/java/tinroad/lab/verification/MeasuresTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import tinroad.lab.schedule.Draw;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 
 /** Figures of days that were made up, so that they are known beforehand. */
@@ -16,7 +16,7 @@
     private final Ledger ledger;
 
     MeasuresTest() throws Exception {
-        ledger = new Ledger(Plan.of(ScriptReader.read(Path.of("lab/mass-restart.conf")), 1));
+        ledger = new Ledger(Schedule.of(ScriptReader.read(Path.of("lab/mass-restart.conf")), 1));
         ledger.fates.forEach(
                 f -> {
                     f.tries = 1;
@@ -75,7 +75,11 @@
         double reading = 0.7 * 0.2;
         assertEquals(1, bound.service(7999));
         assertEquals((0.3 - reading) / (0.7 - reading), bound.service(8001), 1e-9);
-        double last = ledger.plan.hits().stream().mapToDouble(Hit::until).max().orElseThrow();
+        double last =
+                ledger.plan.faultEvents().stream()
+                        .mapToDouble(FaultEvent::until)
+                        .max()
+                        .orElseThrow();
         assertEquals(1, bound.service(last + Bound.ENGINE_AFTER + 8000));
         double full = bound.toFullService(last, 1);
         assertTrue(
--- a/src/test/java/tinroad/lab/verification/RulesTest.java
+++ b/src/test/java/tinroad/lab/verification/RulesTest.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
 import tinroad.lab.verification.Ledger.Excuse;
@@ -20,7 +20,7 @@
 
     @BeforeEach
     void empty() throws Exception {
-        ledger = new Ledger(Plan.of(ScriptReader.read(Path.of("lab/first.conf")), 1));
+        ledger = new Ledger(Schedule.of(ScriptReader.read(Path.of("lab/first.conf")), 1));
         ledger.begins(0);
     }
 
@@ -142,7 +142,7 @@
         Script day = ledger.plan.script();
         ledger =
                 new Ledger(
-                        Plan.of(
+                        Schedule.of(
                                 new Script(
                                         "",
                                         60_000,
--- a/src/test/java/tinroad/simulation/FleetModelTest.java
+++ b/src/test/java/tinroad/simulation/FleetModelTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.lab.Report;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 
 /** Whole gateways on virtual time: figures may be asserted here, as they hang on no machine. */
@@ -25,7 +25,8 @@
         Path file = Files.writeString(dir.resolve("s.conf"), script);
         Report report =
                 new Report(
-                        new FleetModel(Plan.of(ScriptReader.read(file), seed), remembers).play());
+                        new FleetModel(Schedule.of(ScriptReader.read(file), seed), remembers)
+                                .play());
         assertEquals(
                 List.of(),
                 report.broken().stream().limit(3).toList(),
