--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -48,10 +48,10 @@
 import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.script.Script.StateRetention;
 import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Ledger;
-import tinroad.lab.verification.Ledger.Excuse;
-import tinroad.lab.verification.Ledger.Life;
 import tinroad.lab.verification.Measures;
+import tinroad.lab.verification.RunHistory;
+import tinroad.lab.verification.RunHistory.ExcusedInterval;
+import tinroad.lab.verification.RunHistory.GatewayIncarnation;
 import tinroad.lab.verification.Try;
 
 /**
@@ -110,7 +110,7 @@
      * @param late 99th percentile of how late requests were sent, in ms
      * @param cpuLeft share of all cores that was idle
      */
-    public record Outcome(Ledger ledger, double late, double cpuLeft) {
+    public record Outcome(RunHistory ledger, double late, double cpuLeft) {
         /** Whether the load came in time; else it does not count. */
         public boolean counts() {
             return late <= LATE;
@@ -127,7 +127,7 @@
         private StreamRelay callersRelay;
         private StreamRelay engineRelay;
         private volatile GatewayProcess process;
-        private Life life;
+        private GatewayIncarnation life;
         private int enginePort = ENGINE_RELAY_PORT;
 
         /** Its process ends, or has ended, and the next one is to come: it can't end twice. */
@@ -172,7 +172,7 @@
     private final List<Member> members = new ArrayList<>();
     private final List<ProxyStand> proxies = new ArrayList<>();
     private final Agenda agenda = new Agenda();
-    private final Ledger ledger;
+    private final RunHistory ledger;
     private final org.HdrHistogram.Histogram lateness =
             new org.HdrHistogram.Histogram(60_000_000, 3);
     private World world;
@@ -196,7 +196,7 @@
                             + MOST_PROXIES
                             + " proxies; larger fleets are for 'lab model'");
         }
-        ledger = new Ledger(plan);
+        ledger = new RunHistory(plan);
     }
 
     private double now() {
@@ -442,7 +442,7 @@
                 GatewayProcess.start(jar, m.folder, options.operator == null ? null : operator(m));
         loop.execute(
                 () -> {
-                    Life life = ledger.begins(m.number);
+                    GatewayIncarnation life = ledger.addIncarnation(m.number);
                     life.begunAt = begunAt;
                     m.life = life;
                     m.process = process;
@@ -534,9 +534,10 @@
         while (!over) {
             for (Member m : members) {
                 GatewayProcess process = m.process;
-                Life life = m.life;
+                GatewayIncarnation life = m.life;
                 if (process != null) {
-                    life.seen(process.memoryMb(), process.descriptors(), now() / script.length());
+                    life.addSample(
+                            process.memoryMb(), process.descriptors(), now() / script.length());
                 }
             }
             try {
@@ -634,7 +635,7 @@
         }
         switch (hit.fault().action()) {
             case KILL, KILL_GATEWAY -> {
-                m.life.told = true;
+                m.life.endedByScript = true;
                 shut(m);
                 if (hit.fault().action() == FaultAction.KILL) {
                     m.engine.crash();
@@ -644,7 +645,7 @@
             }
             case NOTICE -> notice(m, hit);
             case STOP -> {
-                ledger.excuses.add(new Excuse(m.number, now(), hit.until()));
+                ledger.excusedIntervals.add(new ExcusedInterval(m.number, now(), hit.until()));
                 GatewayProcess process = m.process;
                 keepers.execute(() -> signal(process, "STOP"));
                 agenda.at(hit.until(), () -> keepers.execute(() -> signal(process, "CONT")));
@@ -682,10 +683,10 @@
     }
 
     private void notice(Member m, FaultEvent hit) {
-        Life life = m.life;
+        GatewayIncarnation life = m.life;
         GatewayProcess process = m.process;
         life.noticedAt = now();
-        life.told = true;
+        life.endedByScript = true;
         keepers.execute(process::notice);
         signalAfterNotice(process, hit.fault());
         agenda.at(
@@ -693,7 +694,8 @@
                 () -> {
                     if (life.exit < 0) {
                         note(m, "did not end on notice: killed");
-                        ledger.excuses.add(new Excuse(m.number, now() - 1, now() + 1));
+                        ledger.excusedIntervals.add(
+                                new ExcusedInterval(m.number, now() - 1, now() + 1));
                         keepers.execute(process::kill);
                     }
                 });
@@ -716,7 +718,7 @@
         }
     }
 
-    private void whenEnded(Member m, Life life, Runnable task) {
+    private void whenEnded(Member m, GatewayIncarnation life, Runnable task) {
         if (life.exit >= 0) {
             task.run();
         } else {
@@ -725,13 +727,14 @@
     }
 
     private void comeBack(Member m, FaultEvent hit) {
-        Life life = m.life;
+        GatewayIncarnation life = m.life;
         double from = now();
         whenEnded(
                 m,
                 life,
                 () -> {
-                    ledger.excuses.add(new Excuse(m.number, from, life.endedAt + 50));
+                    ledger.excusedIntervals.add(
+                            new ExcusedInterval(m.number, from, life.endedAt + 50));
                     restart(m, hit);
                 });
     }
@@ -854,7 +857,7 @@
         double begunAt = now();
         hitLinks.forEach(l -> l.begin(hit.fault()));
         if (hit.fault().links().contains(Link.CALLERS)) {
-            ledger.excuses.add(new Excuse(m.number, begunAt, hit.until()));
+            ledger.excusedIntervals.add(new ExcusedInterval(m.number, begunAt, hit.until()));
         }
         refuse(m, hit, true);
         agenda.at(
@@ -895,7 +898,7 @@
                         members.forEach(
                                 m -> {
                                     if (m.process != null && m.life.exit < 0) {
-                                        m.life.told = true;
+                                        m.life.endedByScript = true;
                                         m.life.noticedAt =
                                                 Math.min(
                                                         now(),
@@ -949,8 +952,8 @@
         onLoop(
                 () -> {
                     long answered =
-                            ledger.fates.stream().filter(f -> f.end == Try.End.SERVED).count();
-                    long ended = ledger.fates.stream().filter(f -> f.end != null).count();
+                            ledger.requests.stream().filter(f -> f.end == Try.End.SERVED).count();
+                    long ended = ledger.requests.stream().filter(f -> f.end != null).count();
                     options.progress.printf(
                             Locale.ROOT,
                             "%4.0f s  %d served of %d ended, %d tries, %d of %d gateways run%n",
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -15,9 +15,9 @@
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Measures;
 import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /** What is told of a run: figures by name, the broken rules, files and charts. */
@@ -57,7 +57,7 @@
 
     private void fill() {
         Script script = plan.script();
-        Ledger ledger = outcome.ledger();
+        RunHistory ledger = outcome.ledger();
         double from = Double.isNaN(plan.firstFault()) ? script.settle() : plan.firstFault();
         double to =
                 Double.isNaN(ledger.faultEnd)
@@ -97,17 +97,23 @@
         }
         put(
                 "checks_s_gateway",
-                measures.mean(Ledger.Count.CHECKS, script.settle(), script.length()));
+                measures.mean(RunHistory.Counter.CHECKS, script.settle(), script.length()));
         put(
                 "checks_s_fleet_most",
-                (double) measures.most(Ledger.Count.CHECKS, script.settle(), script.length())[1]);
+                (double)
+                        measures.most(RunHistory.Counter.CHECKS, script.settle(), script.length())[
+                                1]);
         put(
                 "connections_s_gateway_most",
                 (double)
-                        measures.most(Ledger.Count.CONNECTIONS, script.settle(), script.length())[
-                                0]);
-        put("runs_s_gateway_fault", measures.mean(Ledger.Count.RUNS, from, to));
-        put("memory_mb", ledger.lives.stream().mapToDouble(l -> l.mostMemoryMb).max().orElse(0));
+                        measures.most(
+                                        RunHistory.Counter.CONNECTIONS,
+                                        script.settle(),
+                                        script.length())[0]);
+        put("runs_s_gateway_fault", measures.mean(RunHistory.Counter.RUNS, from, to));
+        put(
+                "memory_mb",
+                ledger.incarnations.stream().mapToDouble(l -> l.mostMemoryMb).max().orElse(0));
         put("late_p99_ms", outcome.late());
         put("cpu_left", outcome.cpuLeft());
         put("counts", outcome.counts());
--- a/src/main/java/tinroad/lab/fake/EngineStand.java
+++ b/src/main/java/tinroad/lab/fake/EngineStand.java
@@ -24,7 +24,7 @@
 import java.util.Map;
 import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /**
@@ -300,7 +300,7 @@
         t.runs++;
         t.ranAt = world.now();
         t.step(world.now(), "engine " + gateway, "run " + t.runs + " begins");
-        world.ledger.count(Ledger.Count.RUNS, gateway, world.now());
+        world.ledger.count(RunHistory.Counter.RUNS, gateway, world.now());
         String result =
                 "result " + t.runs + " of " + t.id + " at " + gateway + " for " + asked.number();
         running.put(t.id, new Running(t, world.now(), result, sick, world.life(gateway)));
--- a/src/main/java/tinroad/lab/fake/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/Proxy.java
@@ -7,8 +7,8 @@
 import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.RequestClass;
-import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /**
@@ -43,12 +43,12 @@
     /** A request while somebody waits for it. */
     private static final class Open {
         private final PlannedRequest asked;
-        private final Ledger.Fate fate;
+        private final RunHistory.RequestRecord fate;
         private final BitSet gateways = new BitSet();
         private final double until;
         private Try now;
 
-        Open(PlannedRequest asked, Ledger.Fate fate, double until) {
+        Open(PlannedRequest asked, RunHistory.RequestRecord fate, double until) {
             this.asked = asked;
             this.fate = fate;
             this.until = until;
@@ -111,7 +111,7 @@
         attempt(
                 new Open(
                         asked,
-                        world.ledger.fates.get(asked.number()),
+                        world.ledger.requests.get(asked.number()),
                         asked.at() + script.callers().totalTimeoutFactor() * kind.deadline()),
                 1);
     }
--- a/src/main/java/tinroad/lab/fake/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/ProxyStand.java
@@ -11,7 +11,7 @@
 import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.RequestClass;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /** One client proxy: its connections, its tries, its health checks. */
@@ -192,7 +192,7 @@
                 new Connection.Waiter() {
                     @Override
                     public void sent() {
-                        world.ledger.count(Ledger.Count.CHECKS, gateway, world.now());
+                        world.ledger.count(RunHistory.Counter.CHECKS, gateway, world.now());
                         world.engine(gateway).takeIn(script.engine().check());
                     }
 
--- a/src/main/java/tinroad/lab/fake/World.java
+++ b/src/main/java/tinroad/lab/fake/World.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.DoubleSupplier;
 import tinroad.lab.schedule.Schedule;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /** What the stand-ins of a run share: one event loop owns it and all of them. */
@@ -22,7 +22,7 @@
 
     final EventLoop loop;
     final Schedule plan;
-    final Ledger ledger;
+    final RunHistory ledger;
     final Agenda agenda;
     final Mutant mutant;
     final Map<String, Try> byId = new HashMap<>();
@@ -38,7 +38,7 @@
 
     /** A world whose time {@code clock} is in ms from the beginning of the load. */
     public World(
-            EventLoop loop, Ledger ledger, Agenda agenda, Mutant mutant, DoubleSupplier clock) {
+            EventLoop loop, RunHistory ledger, Agenda agenda, Mutant mutant, DoubleSupplier clock) {
         this.loop = loop;
         this.ledger = ledger;
         this.plan = ledger.plan;
@@ -107,7 +107,7 @@
     void connections(int gateway, int change) {
         connections[gateway] += change;
         if (change > 0) {
-            ledger.count(Ledger.Count.CONNECTIONS, gateway, now());
+            ledger.count(RunHistory.Counter.CONNECTIONS, gateway, now());
         }
     }
 
--- a/src/main/java/tinroad/lab/soak/SoakVerdict.java
+++ b/src/main/java/tinroad/lab/soak/SoakVerdict.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import tinroad.lab.Lab;
 import tinroad.lab.Report;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /**
@@ -33,10 +33,10 @@
 
     /** Judges a run. */
     static SoakVerdict of(Lab.Outcome outcome, Report report) {
-        Ledger ledger = outcome.ledger();
+        RunHistory ledger = outcome.ledger();
         List<String> faults = new ArrayList<>();
         report.broken().forEach(broken -> faults.add(broken.rule() + ": " + broken.what()));
-        for (Ledger.Life life : ledger.lives) {
+        for (RunHistory.GatewayIncarnation life : ledger.incarnations) {
             judgeEnd(ledger, life, faults);
             judgeStart(ledger, life, faults);
         }
@@ -47,7 +47,8 @@
         return new SoakVerdict(lateMillis, List.copyOf(faults));
     }
 
-    private static void judgeEnd(Ledger ledger, Ledger.Life life, List<String> faults) {
+    private static void judgeEnd(
+            RunHistory ledger, RunHistory.GatewayIncarnation life, List<String> faults) {
         if (!(life.noticedAt < ledger.plan.script().length())) {
             return;
         }
@@ -61,7 +62,8 @@
         }
     }
 
-    private static void judgeStart(Ledger ledger, Ledger.Life life, List<String> faults) {
+    private static void judgeStart(
+            RunHistory ledger, RunHistory.GatewayIncarnation life, List<String> faults) {
         boolean judged =
                 life.number > 0
                         && life.begunAt < ledger.plan.script().length() - READY_MILLIS
@@ -72,7 +74,11 @@
         }
     }
 
-    private static boolean has(Ledger ledger, Ledger.Life life, double fromMillis, String remark) {
+    private static boolean has(
+            RunHistory ledger,
+            RunHistory.GatewayIncarnation life,
+            double fromMillis,
+            String remark) {
         String where = "gateway " + life.gateway;
         double untilMillis =
                 Double.isNaN(life.endedAt) ? Double.MAX_VALUE : life.endedAt + MAX_LATE_MILLIS;
--- a/src/main/java/tinroad/lab/verification/Measures.java
+++ b/src/main/java/tinroad/lab/verification/Measures.java
@@ -26,18 +26,18 @@
     static final double FULL = 0.95;
     private static final long LONGEST_MICROS = 120_000_000;
 
-    private final Ledger ledger;
+    private final RunHistory ledger;
     private final Script script;
     private final double[] asked;
     private final double[] served;
 
     /** The figures of this ledger. */
-    public Measures(Ledger ledger) {
+    public Measures(RunHistory ledger) {
         this.ledger = ledger;
         script = ledger.plan.script();
         asked = new double[(int) Math.ceil(script.length() / WINDOW)];
         served = new double[asked.length];
-        for (Ledger.Fate f : ledger.fates) {
+        for (RunHistory.RequestRecord f : ledger.requests) {
             RequestClass kind = script.classes().get(f.asked.kind());
             int w = (int) (f.asked.at() / WINDOW);
             asked[w] += kind.gain();
@@ -45,7 +45,7 @@
         }
     }
 
-    private boolean inTime(Ledger.Fate f) {
+    private boolean inTime(RunHistory.RequestRecord f) {
         return f.end == Try.End.SERVED
                 && f.endedAt <= f.asked.at() + script.classes().get(f.asked.kind()).objective();
     }
@@ -142,7 +142,7 @@
      */
     public double ready(double part) {
         double[] all =
-                ledger.lives.stream()
+                ledger.incarnations.stream()
                         .filter(l -> l.number > 0 && !Double.isNaN(l.begunAt))
                         .mapToDouble(
                                 l ->
@@ -156,9 +156,10 @@
 
     /** Tries for each request, from the first moment that counts. */
     public double triesPerFirst() {
-        long requests = ledger.fates.stream().filter(f -> f.asked.at() >= script.settle()).count();
+        long requests =
+                ledger.requests.stream().filter(f -> f.asked.at() >= script.settle()).count();
         long tries =
-                ledger.fates.stream()
+                ledger.requests.stream()
                         .filter(f -> f.asked.at() >= script.settle())
                         .mapToLong(f -> f.tries)
                         .sum();
@@ -168,7 +169,10 @@
     /** Share of the engines' work that served nobody in time. */
     public double wasted() {
         double useful =
-                ledger.fates.stream().filter(this::inTime).mapToDouble(f -> f.asked.work()).sum();
+                ledger.requests.stream()
+                        .filter(this::inTime)
+                        .mapToDouble(f -> f.asked.work())
+                        .sum();
         return ledger.engineWork == 0 ? 0 : Math.max(0, 1 - useful / ledger.engineWork);
     }
 
@@ -178,7 +182,7 @@
      */
     public Histogram latency(int kind) {
         Histogram histogram = new Histogram(LONGEST_MICROS, 3);
-        for (Ledger.Fate f : ledger.fates) {
+        for (RunHistory.RequestRecord f : ledger.requests) {
             if (f.asked.kind() == kind
                     && f.end == Try.End.SERVED
                     && f.asked.at() >= script.settle()) {
@@ -194,7 +198,7 @@
     /**
      * Most in a second at one gateway, and most over all of them, from {@code from} to {@code to}.
      */
-    public int[] most(Ledger.Count what, double from, double to) {
+    public int[] most(RunHistory.Counter what, double from, double to) {
         int[] most = new int[2];
         for (int second = (int) (from / 1000); second < to / 1000; second++) {
             int all = 0;
@@ -209,7 +213,7 @@
     }
 
     /** Mean a second and gateway, from {@code from} to {@code to}, as whole seconds. */
-    public double mean(Ledger.Count what, double from, double to) {
+    public double mean(RunHistory.Counter what, double from, double to) {
         List<Integer> all = new ArrayList<>();
         for (int second = (int) Math.ceil(from / 1000); second < Math.floor(to / 1000); second++) {
             for (int g = 0; g < script.fleet().gateways(); g++) {
--- a/src/main/java/tinroad/lab/verification/Rules.java
+++ b/src/main/java/tinroad/lab/verification/Rules.java
@@ -74,7 +74,7 @@
         }
     }
 
-    private final Ledger ledger;
+    private final RunHistory ledger;
     private final List<Broken> broken = new ArrayList<>();
     private int excused;
     private final Map<String, Set<String>> results = new HashMap<>();
@@ -88,23 +88,23 @@
      */
     public record Verdict(List<Broken> broken, int excused) {}
 
-    private Rules(Ledger ledger) {
+    private Rules(RunHistory ledger) {
         this.ledger = ledger;
     }
 
     /** Judges a day, once. */
-    public static Verdict judge(Ledger ledger) {
+    public static Verdict judge(RunHistory ledger) {
         Rules rules = new Rules(ledger);
         return new Verdict(rules.judge(), rules.excused);
     }
 
     /** The count of the fates. */
-    public static Fates fates(Ledger ledger, List<Broken> broken) {
+    public static Fates fates(RunHistory ledger, List<Broken> broken) {
         int[] ends = new int[3];
-        ledger.fates.forEach(
+        ledger.requests.forEach(
                 f -> ends[f.end == Try.End.SERVED ? 0 : f.end == Try.End.REFUSED ? 1 : 2]++);
         return new Fates(
-                ledger.fates.size(),
+                ledger.requests.size(),
                 ends[0],
                 ends[1],
                 ends[2],
@@ -138,7 +138,7 @@
                                 "ran in " + ran.size() + " tries, and may run once only");
                     }
                 });
-        ledger.lives.forEach(this::judge);
+        ledger.incarnations.forEach(this::judge);
         ledger.strange.forEach(s -> broken.add(new Broken(Rule.STRANGE, s, List.of())));
         return broken;
     }
@@ -156,7 +156,7 @@
         if (t.answer == Try.End.SERVED && !owns(t)) {
             breaks(Rule.WRONG, t, "was served with what no run made for it");
         }
-        Ledger.Life life = life(t);
+        RunHistory.GatewayIncarnation life = life(t);
         if (t.runs > 0 && life != null && t.sentAt > life.noticedAt + GRACE) {
             breaks(
                     Rule.RAN_AFTER_NOTICE,
@@ -198,15 +198,15 @@
                                         .contains(t.served)));
     }
 
-    private Ledger.Life life(Try t) {
-        return ledger.lives.stream()
+    private RunHistory.GatewayIncarnation life(Try t) {
+        return ledger.incarnations.stream()
                 .filter(l -> l.gateway == t.gateway && l.number == t.life)
                 .findFirst()
                 .orElse(null);
     }
 
     private boolean excused(Try t, double until) {
-        return ledger.excuses.stream()
+        return ledger.excusedIntervals.stream()
                 .anyMatch(e -> e.gateway() == t.gateway && e.from() <= until && e.to() >= t.sentAt);
     }
 
@@ -218,8 +218,8 @@
                 .sum();
     }
 
-    private void judge(Ledger.Life life) {
-        if (!Double.isNaN(life.endedAt) && !life.told) {
+    private void judge(RunHistory.GatewayIncarnation life) {
+        if (!Double.isNaN(life.endedAt) && !life.endedByScript) {
             broken.add(
                     new Broken(
                             Rule.CRASHED,
--- a/src/main/java/tinroad/lab/verification/Ledger.java
+++ b/src/main/java/tinroad/lab/verification/RunHistory.java
@@ -9,15 +9,15 @@
  * Everything that was seen at the ends, as it came. Filled by one thread; times in ms from the
  * beginning of the load.
  */
-public final class Ledger {
+public final class RunHistory {
     /** What became of a request, over all its tries. */
-    public static final class Fate {
+    public static final class RequestRecord {
         public final PlannedRequest asked;
         public int tries;
         public Try.End end;
         public double endedAt = Double.NaN;
 
-        Fate(PlannedRequest asked) {
+        RequestRecord(PlannedRequest asked) {
             this.asked = asked;
         }
     }
@@ -26,10 +26,10 @@
      * A time in which the script keeps a gateway from answering: its connections may break, its
      * answers be late.
      */
-    public record Excuse(int gateway, double from, double to) {}
+    public record ExcusedInterval(int gateway, double from, double to) {}
 
     /** One life of a gateway's process; {@code exit} is -1 while it lives. */
-    public static final class Life {
+    public static final class GatewayIncarnation {
         public final int gateway;
         public final int number;
 
@@ -45,14 +45,14 @@
         public int exit = -1;
 
         /** The script ended it, or told it to end. */
-        public boolean told;
+        public boolean endedByScript;
 
         public double mostMemoryMb;
         public int mostDescriptors;
         private double[] sums = new double[2];
         private int[] counts = new int[2];
 
-        Life(int gateway, int number) {
+        GatewayIncarnation(int gateway, int number) {
             this.gateway = gateway;
             this.number = number;
         }
@@ -61,7 +61,7 @@
          * A look at the process, {@code part} of the day gone: its second and last fifths tell
          * whether memory grows.
          */
-        public void seen(double memoryMb, int descriptors, double part) {
+        public void addSample(double memoryMb, int descriptors, double part) {
             mostMemoryMb = Math.max(mostMemoryMb, memoryMb);
             mostDescriptors = Math.max(mostDescriptors, descriptors);
             int fifth = (int) (5 * part);
@@ -81,17 +81,17 @@
     }
 
     /** Something counted by gateway and second. */
-    public enum Count {
+    public enum Counter {
         CHECKS,
         CONNECTIONS,
         RUNS
     }
 
     public final Schedule plan;
-    public final List<Fate> fates;
+    public final List<RequestRecord> requests;
     public final List<Try> tries = new ArrayList<>();
-    public final List<Excuse> excuses = new ArrayList<>();
-    public final List<Life> lives = new ArrayList<>();
+    public final List<ExcusedInterval> excusedIntervals = new ArrayList<>();
+    public final List<GatewayIncarnation> incarnations = new ArrayList<>();
 
     /** Remarks on the gateways from their logs and ends, for the way of a request. */
     public final List<Try.Step> events = new ArrayList<>();
@@ -110,25 +110,27 @@
     private final int[][][] counts;
 
     /** An empty ledger of this plan. */
-    public Ledger(Schedule plan) {
+    public RunHistory(Schedule plan) {
         this.plan = plan;
-        fates = plan.requests().stream().map(Fate::new).toList();
+        requests = plan.requests().stream().map(RequestRecord::new).toList();
         counts =
-                new int[Count.values().length][plan.script().fleet().gateways()]
+                new int[Counter.values().length][plan.script().fleet().gateways()]
                         [(int) (plan.script().length() / 1000) + 61];
     }
 
     /** Another life of a gateway. */
-    public Life begins(int gateway) {
-        Life life =
-                new Life(gateway, (int) lives.stream().filter(l -> l.gateway == gateway).count());
-        lives.add(life);
+    public GatewayIncarnation addIncarnation(int gateway) {
+        GatewayIncarnation life =
+                new GatewayIncarnation(
+                        gateway,
+                        (int) incarnations.stream().filter(l -> l.gateway == gateway).count());
+        incarnations.add(life);
         return life;
     }
 
     /** The roster heard that this gateway takes work. */
     public void listed(int gateway, double at) {
-        lives.stream()
+        incarnations.stream()
                 .filter(l -> l.gateway == gateway)
                 .reduce((earlier, later) -> later)
                 .filter(l -> Double.isNaN(l.listedAt))
@@ -136,7 +138,7 @@
     }
 
     /** Counts one more. */
-    public void count(Count what, int gateway, double at) {
+    public void count(Counter what, int gateway, double at) {
         int[] seconds = counts[what.ordinal()][gateway];
         if (at >= 0 && at < 1000.0 * seconds.length) {
             seconds[(int) (at / 1000)]++;
@@ -144,7 +146,7 @@
     }
 
     /** How many in this second. */
-    public int counted(Count what, int gateway, int second) {
+    public int counted(Counter what, int gateway, int second) {
         int[] seconds = counts[what.ordinal()][gateway];
         return second >= 0 && second < seconds.length ? seconds[second] : 0;
     }
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -28,9 +28,9 @@
 import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Ledger;
-import tinroad.lab.verification.Ledger.Excuse;
 import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.RunHistory;
+import tinroad.lab.verification.RunHistory.ExcusedInterval;
 import tinroad.lab.verification.Try;
 
 /**
@@ -62,7 +62,7 @@
     private final Schedule plan;
     private final boolean remembers;
     private final Script script;
-    private final Ledger ledger;
+    private final RunHistory ledger;
     private final Agenda agenda = new Agenda();
     private final World world;
     private final List<ModelEngine> engines = new ArrayList<>();
@@ -88,7 +88,7 @@
                                 + deed.name().toLowerCase(Locale.ROOT).replace('_', '-'));
             }
         }
-        ledger = new Ledger(plan);
+        ledger = new RunHistory(plan);
         world = new World(null, ledger, agenda, World.Mutant.NONE, () -> now);
         world.begins(ZERO);
         starts = Draw.stream(plan.seed(), "starts");
@@ -120,7 +120,7 @@
         return remembers;
     }
 
-    Ledger ledger() {
+    RunHistory ledger() {
         return ledger;
     }
 
@@ -244,7 +244,7 @@
         agenda.at(now + period, () -> check(proxy, gateway, period));
         boolean there = gateways.get(gateway).listens();
         if (there) {
-            ledger.count(Ledger.Count.CHECKS, gateway, now);
+            ledger.count(RunHistory.Counter.CHECKS, gateway, now);
             engines.get(gateway).takeIn(script.engine().check());
         }
         boolean good = there && gateways.get(gateway).healthy();
@@ -271,16 +271,16 @@
         }
         switch (hit.fault().action()) {
             case KILL, KILL_GATEWAY -> {
-                g.life().told = true;
+                g.life().endedByScript = true;
                 if (hit.fault().action() == FaultAction.KILL) {
                     engine.crash();
                 }
                 g.end();
-                ledger.excuses.add(new Excuse(hit.gateway(), now, now + 50));
+                ledger.excusedIntervals.add(new ExcusedInterval(hit.gateway(), now, now + 50));
                 restart(g, engine, hit);
             }
             case NOTICE -> {
-                g.life().told = true;
+                g.life().endedByScript = true;
                 g.notice(script.fleet().shutdownGraceMillis());
                 agenda.at(
                         now + script.fleet().shutdownGraceMillis(),
--- a/src/main/java/tinroad/simulation/ModelEngine.java
+++ b/src/main/java/tinroad/simulation/ModelEngine.java
@@ -11,7 +11,7 @@
 import tinroad.lab.fake.EngineStand;
 import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 import tinroad.overload.Controller.Gauges;
 
@@ -162,7 +162,7 @@
         PlannedRequest asked = model.plan().requests().get(t.request);
         t.runs++;
         t.ranAt = model.now();
-        model.ledger().count(Ledger.Count.RUNS, gateway, model.now());
+        model.ledger().count(RunHistory.Counter.RUNS, gateway, model.now());
         running.put(id, new Running(t, model.now(), sick, listener));
         cores.start(id, asked.work() * (sick ? EngineStand.SICK_PART : 1));
         return Progress.SENT;
--- a/src/main/java/tinroad/simulation/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -12,7 +12,7 @@
 import tinroad.lab.fake.Proxy;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.overload.Controller.Estimate;
 import tinroad.overload.OverloadController;
 import tinroad.recovery.JitteredInterval;
@@ -45,7 +45,7 @@
     private Snapshot folder;
 
     private Snapshot older;
-    private Ledger.Life life;
+    private RunHistory.GatewayIncarnation life;
     private boolean good;
     private boolean leaving;
 
@@ -68,12 +68,12 @@
 
     /** Another life begins, and listens at once. */
     void begin(boolean justStarted) {
-        life = model.ledger().begins(number);
+        life = model.ledger().addIncarnation(number);
         model.world().lives(number, life.number);
         long seed =
                 Draw.stream(model.plan().seed(), "gateway " + number + " " + life.number)
                         .nextLong();
-        Ledger.Life mine = life;
+        RunHistory.GatewayIncarnation mine = life;
         good = false;
         leaving = false;
         gateway =
@@ -124,7 +124,7 @@
         report(mine, LoadReporter.reportInterval("g" + number, seed));
     }
 
-    private void save(Ledger.Life mine) {
+    private void save(RunHistory.GatewayIncarnation mine) {
         if (life == mine && gateway != null) {
             Map<String, Estimate> values = gateway.learnedEstimates();
             if (!values.isEmpty()) {
@@ -141,14 +141,14 @@
         }
     }
 
-    private void report(Ledger.Life mine, JitteredInterval pace) {
+    private void report(RunHistory.GatewayIncarnation mine, JitteredInterval pace) {
         if (life == mine && gateway != null) {
             model.reports(number, good);
             model.at(model.now() + pace.nextMillis(), () -> report(mine, pace));
         }
     }
 
-    Ledger.Life life() {
+    RunHistory.GatewayIncarnation life() {
         return life;
     }
 
@@ -180,7 +180,7 @@
             return;
         }
         open.add(told);
-        Ledger.Life mine = life;
+        RunHistory.GatewayIncarnation mine = life;
         gateway.handle(
                 in,
                 answer -> {
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -16,15 +16,15 @@
 import tinroad.lab.fake.World.Mutant;
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.verification.Ledger;
 import tinroad.lab.verification.Rules;
 import tinroad.lab.verification.Rules.Rule;
+import tinroad.lab.verification.RunHistory;
 
 /** Real processes with faults between them: the rules only, no figure that hangs on the clock. */
 @Timeout(240)
 class LabTest {
     @TempDir private Path dir;
-    private Ledger ledger;
+    private RunHistory ledger;
 
     private Report play(String script, long seed, Mutant mutant) throws Exception {
         Path file = Files.writeString(dir.resolve("s.conf"), script);
@@ -134,7 +134,7 @@
                 ]
                 """);
         // What was to happen did happen.
-        assertEquals(6 + 2, ledger.lives.size());
+        assertEquals(6 + 2, ledger.incarnations.size());
         assertEquals(List.of(128 + 9, 128 + 15), exits(1));
         assertEquals(List.of(128 + 9, 128 + 15), exits(3));
         assertTrue(
@@ -156,7 +156,10 @@
     }
 
     private List<Integer> exits(int gateway) {
-        return ledger.lives.stream().filter(l -> l.gateway == gateway).map(l -> l.exit).toList();
+        return ledger.incarnations.stream()
+                .filter(l -> l.gateway == gateway)
+                .map(l -> l.exit)
+                .toList();
     }
 
     private void caught(Mutant mutant, Rule rule, String words, String script) throws Exception {
--- a/src/test/java/tinroad/lab/verification/MeasuresTest.java
+++ b/src/test/java/tinroad/lab/verification/MeasuresTest.java
@@ -13,11 +13,12 @@
 
 /** Figures of days that were made up, so that they are known beforehand. */
 class MeasuresTest {
-    private final Ledger ledger;
+    private final RunHistory ledger;
 
     MeasuresTest() throws Exception {
-        ledger = new Ledger(Schedule.of(ScriptReader.read(Path.of("lab/mass-restart.conf")), 1));
-        ledger.fates.forEach(
+        ledger =
+                new RunHistory(Schedule.of(ScriptReader.read(Path.of("lab/mass-restart.conf")), 1));
+        ledger.requests.forEach(
                 f -> {
                     f.tries = 1;
                     f.end = Try.End.SERVED;
@@ -26,7 +27,7 @@
     }
 
     private void down(double from, double to) {
-        ledger.fates.stream()
+        ledger.requests.stream()
                 .filter(f -> f.asked.at() >= from && f.asked.at() < to)
                 .forEach(f -> f.end = Try.End.REFUSED);
     }
@@ -51,9 +52,9 @@
     void howLongStartedAgainProcessesTakeIsCountedToTheirFirstReport() {
         assertTrue(Double.isNaN(new Measures(ledger).ready(0.9)));
         for (int g = 0; g < 10; g++) {
-            ledger.begins(g).begunAt = -1000;
+            ledger.addIncarnation(g).begunAt = -1000;
             ledger.listed(g, 0);
-            ledger.begins(g).begunAt = 6000;
+            ledger.addIncarnation(g).begunAt = 6000;
             if (g < 9) {
                 ledger.listed(g, 7000 + 100 * g);
                 ledger.listed(g, 9000);
@@ -91,7 +92,7 @@
 
     @Test
     void whatIsServedAfterItsAimIsNotService() {
-        ledger.fates.forEach(f -> f.endedAt = f.asked.at() + 2000);
+        ledger.requests.forEach(f -> f.endedAt = f.asked.at() + 2000);
         // Orders, with an aim of 2.5 s, are worth 3 and a fifth of all; reads had 1.5 s.
         assertEquals(0.6 / 1.4, new Measures(ledger).service(0, 36_000), 0.03);
     }
@@ -111,12 +112,12 @@
     @Test
     void countsAreKeptBySecondAndGateway() {
         for (int i = 0; i < 30; i++) {
-            ledger.count(Ledger.Count.RUNS, i % 3, 1000 + i * 100);
+            ledger.count(RunHistory.Counter.RUNS, i % 3, 1000 + i * 100);
         }
         Measures measures = new Measures(ledger);
-        assertEquals(1.0, measures.mean(Ledger.Count.RUNS, 1000, 4000), 1e-9);
-        assertEquals(10, measures.most(Ledger.Count.RUNS, 0, 5000)[1]);
-        assertEquals(4, measures.most(Ledger.Count.RUNS, 0, 5000)[0]);
+        assertEquals(1.0, measures.mean(RunHistory.Counter.RUNS, 1000, 4000), 1e-9);
+        assertEquals(10, measures.most(RunHistory.Counter.RUNS, 0, 5000)[1]);
+        assertEquals(4, measures.most(RunHistory.Counter.RUNS, 0, 5000)[0]);
     }
 
     @Test
--- a/src/test/java/tinroad/lab/verification/RulesTest.java
+++ b/src/test/java/tinroad/lab/verification/RulesTest.java
@@ -11,17 +11,17 @@
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.verification.Ledger.Excuse;
 import tinroad.lab.verification.Rules.Rule;
+import tinroad.lab.verification.RunHistory.ExcusedInterval;
 
 /** Each rule: a ledger that keeps it, and one that breaks it. */
 class RulesTest {
-    private Ledger ledger;
+    private RunHistory ledger;
 
     @BeforeEach
     void empty() throws Exception {
-        ledger = new Ledger(Schedule.of(ScriptReader.read(Path.of("lab/first.conf")), 1));
-        ledger.begins(0);
+        ledger = new RunHistory(Schedule.of(ScriptReader.read(Path.of("lab/first.conf")), 1));
+        ledger.addIncarnation(0);
     }
 
     /** A try of a read, sent at 1 s, run and served 50 ms later; due at 4.7 s. */
@@ -75,13 +75,13 @@
         Try lost = add("a", 0, true, this::unanswered);
         broken(Rule.LOST);
         assertTrue(Rules.judge(ledger).broken().get(0).way().get(1).contains("proxy 0: sent"));
-        ledger.excuses.add(new Excuse(1, 0, 9000));
+        ledger.excusedIntervals.add(new ExcusedInterval(1, 0, 9000));
         broken(Rule.LOST);
         assertEquals(0, Rules.judge(ledger).excused());
-        ledger.excuses.add(new Excuse(0, 3000, 3500));
+        ledger.excusedIntervals.add(new ExcusedInterval(0, 3000, 3500));
         broken();
         assertEquals(1, Rules.judge(ledger).excused());
-        ledger.excuses.clear();
+        ledger.excusedIntervals.clear();
         lost.brokenAt = 1049;
         broken();
         lost.brokenAt = 1051;
@@ -130,10 +130,10 @@
 
     @Test
     void nothingRunsThatCameLongAfterTheNotice() {
-        ledger.lives.get(0).noticedAt = 1000 - Rules.GRACE;
+        ledger.incarnations.get(0).noticedAt = 1000 - Rules.GRACE;
         add("a", 0, true, t -> {});
         broken();
-        ledger.lives.get(0).noticedAt -= 1;
+        ledger.incarnations.get(0).noticedAt -= 1;
         broken(Rule.RAN_AFTER_NOTICE);
     }
 
@@ -141,7 +141,7 @@
     void memoryThatGrowsOverALongDayIsToldAndWarmingUpIsNot() throws Exception {
         Script day = ledger.plan.script();
         ledger =
-                new Ledger(
+                new RunHistory(
                         Schedule.of(
                                 new Script(
                                         "",
@@ -157,11 +157,11 @@
                                         day.roster(),
                                         day.faults()),
                                 1));
-        Ledger.Life warms = ledger.begins(0);
-        Ledger.Life grows = ledger.begins(1);
+        RunHistory.GatewayIncarnation warms = ledger.addIncarnation(0);
+        RunHistory.GatewayIncarnation grows = ledger.addIncarnation(1);
         for (double part = 0; part < 1; part += 0.01) {
-            warms.seen(Math.min(70, 40 + 300 * part), 50, part);
-            grows.seen(50 + 25 * part, 50, part);
+            warms.addSample(Math.min(70, 40 + 300 * part), 50, part);
+            grows.addSample(50 + 25 * part, 50, part);
         }
         broken(Rule.LIMIT);
         assertEquals(15, grows.grownMb(), 0.5);
@@ -171,12 +171,12 @@
 
     @Test
     void anEndThatNobodyAskedForIsACrashAndLimitsHold() {
-        ledger.lives.get(0).endedAt = 500;
-        ledger.lives.get(0).exit = 3;
+        ledger.incarnations.get(0).endedAt = 500;
+        ledger.incarnations.get(0).exit = 3;
         broken(Rule.CRASHED);
-        ledger.lives.get(0).told = true;
+        ledger.incarnations.get(0).endedByScript = true;
         broken();
-        ledger.lives.get(0).mostMemoryMb = 193;
+        ledger.incarnations.get(0).mostMemoryMb = 193;
         broken(Rule.LIMIT);
         ledger.strange.add("what nobody knows");
         broken(Rule.LIMIT, Rule.STRANGE);
