--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -336,8 +336,8 @@
                 .limit(5)
                 .forEach(
                         b -> {
-                            err.println("broken: " + b.rule() + ": " + b.what());
-                            b.way().forEach(err::println);
+                            err.println("broken: " + b.rule() + ": " + b.description());
+                            b.trace().forEach(err::println);
                         });
         out.println(report.fates());
         return report.broken().isEmpty() ? SUCCESS : FAILURE;
--- a/src/main/java/tinroad/lab/Charts.java
+++ b/src/main/java/tinroad/lab/Charts.java
@@ -11,8 +11,8 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 import tinroad.lab.schedule.Schedule;
-import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Measures;
+import tinroad.lab.verification.RecoveryBound;
+import tinroad.lab.verification.RunMetrics;
 
 /**
  * The charts of a run: service, and the tries that the fleet meets, over the day; each as SVG and
@@ -23,16 +23,16 @@
 
     private Charts() {}
 
-    static void draw(Schedule plan, Measures measures, double faultEnd, Path folder)
+    static void draw(Schedule plan, RunMetrics measures, double faultEnd, Path folder)
             throws IOException {
         // No display: the pictures go into files.
         System.setProperty("java.awt.headless", "true");
-        double step = STEP * Measures.WINDOW;
+        double step = STEP * RunMetrics.WINDOW;
         List<Double> at = new ArrayList<>();
         List<Double> service = new ArrayList<>();
         List<Double> tries = new ArrayList<>();
         List<Double> possible = new ArrayList<>();
-        Bound bound = new Bound(plan, 0);
+        RecoveryBound bound = new RecoveryBound(plan, 0);
         for (double t = 0; t + step <= plan.script().length(); t += step) {
             double share = measures.service(t, t + step);
             int sent = 0;
--- a/src/main/java/tinroad/lab/Comparison.java
+++ b/src/main/java/tinroad/lab/Comparison.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 import tinroad.lab.schedule.Draw;
-import tinroad.lab.verification.Paired;
+import tinroad.lab.verification.PairedComparison;
 
 /**
  * Two programs by the same script: the pairs of the seeds that count for both, figure by figure.
@@ -38,8 +38,8 @@
                 }
             }
             if (!pairs.isEmpty()) {
-                Paired p =
-                        Paired.of(
+                PairedComparison p =
+                        PairedComparison.of(
                                 pairs.stream().mapToDouble(x -> x[0]).toArray(),
                                 pairs.stream().mapToDouble(x -> x[1]).toArray(),
                                 Draw.stream(SEED, name));
--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -47,11 +47,11 @@
 import tinroad.lab.script.Script.Link;
 import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.script.Script.StateRetention;
-import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Measures;
+import tinroad.lab.verification.RecoveryBound;
 import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.RunHistory.ExcusedInterval;
 import tinroad.lab.verification.RunHistory.GatewayIncarnation;
+import tinroad.lab.verification.RunMetrics;
 import tinroad.lab.verification.Try;
 
 /**
@@ -63,7 +63,7 @@
      * A load that ran later than this, in ms, in more than one of 100 requests does not count: a
      * bin of arrivals.
      */
-    public static final double LATE = Measures.BIN;
+    public static final double LATE = RunMetrics.BIN;
 
     private static final int RELAY_THREADS = 3;
     private static final double TICK_MS = 1;
@@ -231,7 +231,7 @@
             }
         }
         long[] cpuAfter = cpu();
-        Thread.sleep((long) (tinroad.lab.verification.Rules.SLACK + 100));
+        Thread.sleep((long) (tinroad.lab.verification.HistoryChecker.SLACK + 100));
         leaveAll();
         over = true;
         onLoop(() -> members.forEach(m -> m.engine.end()));
@@ -762,7 +762,7 @@
                             });
                     if (!m.engine.up()) {
                         agenda.at(
-                                now() + Bound.ENGINE_AFTER,
+                                now() + RecoveryBound.ENGINE_AFTER,
                                 () -> {
                                     m.engine.start(true);
                                     roster.engineUp(m.number);
@@ -952,7 +952,9 @@
         onLoop(
                 () -> {
                     long answered =
-                            ledger.requests.stream().filter(f -> f.end == Try.End.SERVED).count();
+                            ledger.requests.stream()
+                                    .filter(f -> f.end == Try.Outcome.SERVED)
+                                    .count();
                     long ended = ledger.requests.stream().filter(f -> f.end != null).count();
                     options.progress.printf(
                             Locale.ROOT,
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -14,10 +14,10 @@
 import tinroad.lab.schedule.FaultEvent;
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
-import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Measures;
-import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.HistoryChecker;
+import tinroad.lab.verification.RecoveryBound;
 import tinroad.lab.verification.RunHistory;
+import tinroad.lab.verification.RunMetrics;
 import tinroad.lab.verification.Try;
 
 /** What is told of a run: figures by name, the broken rules, files and charts. */
@@ -38,19 +38,19 @@
 
     private final Lab.Outcome outcome;
     private final Schedule plan;
-    private final Measures measures;
-    private final List<Rules.Broken> broken;
-    private final Rules.Fates fates;
+    private final RunMetrics measures;
+    private final List<HistoryChecker.Violation> broken;
+    private final HistoryChecker.OutcomeCounts fates;
     private final Map<String, Object> figures = new LinkedHashMap<>();
 
     /** The report of this run. */
     public Report(Lab.Outcome outcome) {
         this.outcome = outcome;
         plan = outcome.ledger().plan;
-        measures = new Measures(outcome.ledger());
-        Rules.Verdict verdict = Rules.judge(outcome.ledger());
+        measures = new RunMetrics(outcome.ledger());
+        HistoryChecker.Verdict verdict = HistoryChecker.check(outcome.ledger());
         broken = verdict.broken();
-        fates = Rules.fates(outcome.ledger(), broken);
+        fates = HistoryChecker.fates(outcome.ledger(), broken);
         fill();
         put("excused_tries", (long) verdict.excused());
     }
@@ -70,10 +70,13 @@
         put("service_fault", measures.service(from, to));
         put("service_after", measures.service(to, script.length()));
         put("to_full_s", measures.toFullService() / 1000);
-        put("bound_s", new Bound(plan, 0).toFullService(ledger.faultEnd, measures.before()) / 1000);
+        put(
+                "bound_s",
+                new RecoveryBound(plan, 0).toFullService(ledger.faultEnd, measures.before())
+                        / 1000);
         put(
                 "bound_reached_s",
-                new Bound(
+                new RecoveryBound(
                                         plan,
                                         REACH_AFTER
                                                 + (script.roster().minDelayMillis()
@@ -142,12 +145,12 @@
     }
 
     /** What is broken. */
-    public List<Rules.Broken> broken() {
+    public List<HistoryChecker.Violation> broken() {
         return broken;
     }
 
     /** The last line. */
-    public Rules.Fates fates() {
+    public HistoryChecker.OutcomeCounts fates() {
         return fates;
     }
 
@@ -207,7 +210,7 @@
             double[] asked = measures.asked();
             double[] served = measures.served();
             int[] tries = measures.arrivals(0, plan.script().length());
-            int bins = (int) (Measures.WINDOW / Measures.BIN);
+            int bins = (int) (RunMetrics.WINDOW / RunMetrics.BIN);
             for (int w = 0; w < asked.length; w++) {
                 int sent = 0;
                 for (int b = w * bins; b < Math.min(tries.length, (w + 1) * bins); b++) {
@@ -215,7 +218,7 @@
                 }
                 out.println(
                         JSON.createObjectNode()
-                                .put("at_ms", w * Measures.WINDOW)
+                                .put("at_ms", w * RunMetrics.WINDOW)
                                 .put("asked", asked[w])
                                 .put("served", served[w])
                                 .put("tries", sent));
@@ -235,9 +238,9 @@
         }
         try (PrintWriter out =
                 new PrintWriter(Files.newBufferedWriter(folder.resolve("broken.txt")))) {
-            for (Rules.Broken b : broken) {
-                out.println(b.rule() + ": " + b.what());
-                b.way().forEach(out::println);
+            for (HistoryChecker.Violation b : broken) {
+                out.println(b.rule() + ": " + b.description());
+                b.trace().forEach(out::println);
             }
         }
         tries(folder);
--- a/src/main/java/tinroad/lab/fake/EngineStand.java
+++ b/src/main/java/tinroad/lab/fake/EngineStand.java
@@ -220,7 +220,7 @@
     }
 
     private void done(Try t, String state, double took, String result) {
-        t.step(world.now(), "engine " + gateway, state + " after " + Math.round(took) + " ms");
+        t.addStep(world.now(), "engine " + gateway, state + " after " + Math.round(took) + " ms");
         ObjectNode line =
                 JSON.createObjectNode()
                         .put("type", "DONE")
@@ -299,7 +299,7 @@
     private void begin(Try t, PlannedRequest asked) {
         t.runs++;
         t.ranAt = world.now();
-        t.step(world.now(), "engine " + gateway, "run " + t.runs + " begins");
+        t.addStep(world.now(), "engine " + gateway, "run " + t.runs + " begins");
         world.ledger.count(RunHistory.Counter.RUNS, gateway, world.now());
         String result =
                 "result " + t.runs + " of " + t.id + " at " + gateway + " for " + asked.number();
--- a/src/main/java/tinroad/lab/fake/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/Proxy.java
@@ -7,7 +7,7 @@
 import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.RequestClass;
-import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.HistoryChecker;
 import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
@@ -24,7 +24,7 @@
         /**
          * A whole answer; {@code served} is the engine's result, or null; {@code stayAway} in ms.
          */
-        void answered(Try.End end, String status, String served, double stayAway, boolean last);
+        void answered(Try.Outcome end, String status, String served, double stayAway, boolean last);
 
         /**
          * The connection is gone, with or without it having been written; the other side closed it
@@ -127,7 +127,7 @@
         if (gateway < 0) {
             double at = repeating.wait(nowMillis, o.until, choosing.freeAt());
             if (at == Repeating.NEVER) {
-                finish(o, o.now == null ? Try.End.UNSENT : o.now.end);
+                finish(o, o.now == null ? Try.Outcome.UNSENT : o.now.end);
             } else {
                 world.agenda.at(at, () -> attempt(o, tryNumber));
             }
@@ -152,15 +152,15 @@
                         nowMillis + kind.deadline());
         o.now = t;
         o.fate.tries = tryNumber;
-        t.life = world.life(gateway);
+        t.incarnation = world.life(gateway);
         world.byId.put(t.id, t);
         world.ledger.tries.add(t);
         choosing.open(gateway, 1);
         world.agenda.at(
                 Math.min(o.until, nowMillis + script.callers().tryTimeoutShare() * kind.deadline()),
-                () -> ended(o, t, Try.End.GIVEN_UP, 0, false));
+                () -> ended(o, t, Try.Outcome.GIVEN_UP, 0, false));
         if (!carrier.send(o.asked, t, kind, told(o, t))) {
-            ended(o, t, Try.End.UNSENT, 0, false);
+            ended(o, t, Try.Outcome.UNSENT, 0, false);
         }
     }
 
@@ -169,18 +169,18 @@
             @Override
             public void sent() {
                 t.sentAt = world.now();
-                t.step(t.sentAt, "proxy " + number, "sent");
+                t.addStep(t.sentAt, "proxy " + number, "sent");
             }
 
             @Override
             public void answered(
-                    Try.End end, String status, String served, double stayAway, boolean last) {
+                    Try.Outcome end, String status, String served, double stayAway, boolean last) {
                 t.answers++;
                 if (t.answers == 1) {
                     t.answeredAt = world.now();
                     t.answer = end;
                     t.served = served;
-                    t.step(t.answeredAt, "proxy " + number, "answered " + status);
+                    t.addStep(t.answeredAt, "proxy " + number, "answered " + status);
                 }
                 ended(o, t, t.answer, stayAway, last);
             }
@@ -188,15 +188,17 @@
             @Override
             public void lost(boolean wasSent, double at) {
                 t.brokenAt = at;
-                t.step(
+                t.addStep(
                         t.brokenAt,
                         "proxy " + number,
                         wasSent ? "connection lost" : "no connection");
-                boolean crossed = wasSent && t.brokenAt - t.sentAt <= Rules.CROSSING;
+                boolean crossed = wasSent && t.brokenAt - t.sentAt <= HistoryChecker.CROSSING;
                 ended(
                         o,
                         t,
-                        !wasSent ? Try.End.UNSENT : crossed ? Try.End.CROSSED : Try.End.BROKEN,
+                        !wasSent
+                                ? Try.Outcome.UNSENT
+                                : crossed ? Try.Outcome.CROSSED : Try.Outcome.BROKEN,
                         0,
                         false);
             }
@@ -204,7 +206,7 @@
     }
 
     /** A try ends for its caller, who may have given it up before. */
-    private void ended(Open o, Try t, Try.End end, double stayAway, boolean last) {
+    private void ended(Open o, Try t, Try.Outcome end, double stayAway, boolean last) {
         if (t.end != null) {
             return;
         }
@@ -231,7 +233,7 @@
         }
     }
 
-    private void finish(Open o, Try.End end) {
+    private void finish(Open o, Try.Outcome end) {
         o.fate.end = end;
         o.fate.endedAt = world.now();
         waiting--;
--- a/src/main/java/tinroad/lab/fake/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/ProxyStand.java
@@ -86,16 +86,16 @@
 
                     @Override
                     public void answered(Wire.Response response) {
-                        Try.End end =
+                        Try.Outcome end =
                                 switch (response.status()) {
-                                    case OK -> Try.End.SERVED;
-                                    case REFUSED, TOO_MANY -> Try.End.REFUSED;
-                                    default -> Try.End.FAILED;
+                                    case OK -> Try.Outcome.SERVED;
+                                    case REFUSED, TOO_MANY -> Try.Outcome.REFUSED;
+                                    default -> Try.Outcome.FAILED;
                                 };
                         told.answered(
                                 end,
                                 Integer.toString(response.status()),
-                                end == Try.End.SERVED ? response.body() : null,
+                                end == Try.Outcome.SERVED ? response.body() : null,
                                 response.stayAway(),
                                 response.last());
                     }
--- a/src/main/java/tinroad/lab/fake/Repeating.java
+++ b/src/main/java/tinroad/lab/fake/Repeating.java
@@ -40,7 +40,7 @@
      * @param last the refusal asked that no other gateway be tried
      */
     public double after(
-            Try.End end,
+            Try.Outcome end,
             boolean free,
             int tries,
             double nowMillis,
@@ -48,14 +48,15 @@
             boolean othersLeft,
             boolean last) {
         boolean again =
-                end != Try.End.SERVED
+                end != Try.Outcome.SERVED
                         && (free || end.provenUnrun())
                         && (callers.maxTries() == 0 || tries < callers.maxTries())
                         && !(last && heeds);
         if (!again) {
             return NEVER;
         }
-        boolean walks = callers.triesNextAfterRejection() && othersLeft && end != Try.End.FAILED;
+        boolean walks =
+                callers.triesNextAfterRejection() && othersLeft && end != Try.Outcome.FAILED;
         double at =
                 walks
                         ? nowMillis
--- a/src/main/java/tinroad/lab/soak/SoakVerdict.java
+++ b/src/main/java/tinroad/lab/soak/SoakVerdict.java
@@ -35,7 +35,7 @@
     static SoakVerdict of(Lab.Outcome outcome, Report report) {
         RunHistory ledger = outcome.ledger();
         List<String> faults = new ArrayList<>();
-        report.broken().forEach(broken -> faults.add(broken.rule() + ": " + broken.what()));
+        report.broken().forEach(broken -> faults.add(broken.rule() + ": " + broken.description()));
         for (RunHistory.GatewayIncarnation life : ledger.incarnations) {
             judgeEnd(ledger, life, faults);
             judgeStart(ledger, life, faults);
--- a/src/main/java/tinroad/lab/verification/Rules.java
+++ b/src/main/java/tinroad/lab/verification/HistoryChecker.java
@@ -13,7 +13,7 @@
  * The rules, judged from a ledger once the day is over. A broken one names the request and tells
  * its way through every process that it came to.
  */
-public final class Rules {
+public final class HistoryChecker {
     /**
      * An answer may come so long after its due time, in ms: the slack of the settings and that of
      * the sockets.
@@ -49,11 +49,11 @@
         STRANGE
     }
 
-    /** One broken rule; {@code way} is one line for each thing that happened. */
-    public record Broken(Rule rule, String what, List<String> way) {}
+    /** One broken rule; {@code trace} is one line for each thing that happened. */
+    public record Violation(Rule rule, String description, List<String> trace) {}
 
     /** What became of all requests, in one line. */
-    public record Fates(
+    public record OutcomeCounts(
             int asked, int served, int refused, int failed, long lost, long twice, long wrong) {
         @Override
         public String toString() {
@@ -75,7 +75,7 @@
     }
 
     private final RunHistory ledger;
-    private final List<Broken> broken = new ArrayList<>();
+    private final List<Violation> broken = new ArrayList<>();
     private int excused;
     private final Map<String, Set<String>> results = new HashMap<>();
 
@@ -86,24 +86,28 @@
      * @param excused tries that had no answer in time, and are no broken rule as the script took
      *     them, or a close crossed them
      */
-    public record Verdict(List<Broken> broken, int excused) {}
+    public record Verdict(List<Violation> broken, int excused) {}
 
-    private Rules(RunHistory ledger) {
+    private HistoryChecker(RunHistory ledger) {
         this.ledger = ledger;
     }
 
     /** Judges a day, once. */
-    public static Verdict judge(RunHistory ledger) {
-        Rules rules = new Rules(ledger);
-        return new Verdict(rules.judge(), rules.excused);
+    public static Verdict check(RunHistory ledger) {
+        HistoryChecker rules = new HistoryChecker(ledger);
+        return new Verdict(rules.check(), rules.excused);
     }
 
     /** The count of the fates. */
-    public static Fates fates(RunHistory ledger, List<Broken> broken) {
+    public static OutcomeCounts fates(RunHistory ledger, List<Violation> broken) {
         int[] ends = new int[3];
         ledger.requests.forEach(
-                f -> ends[f.end == Try.End.SERVED ? 0 : f.end == Try.End.REFUSED ? 1 : 2]++);
-        return new Fates(
+                f ->
+                        ends[
+                                f.end == Try.Outcome.SERVED
+                                        ? 0
+                                        : f.end == Try.Outcome.REFUSED ? 1 : 2]++);
+        return new OutcomeCounts(
                 ledger.requests.size(),
                 ends[0],
                 ends[1],
@@ -113,11 +117,11 @@
                 count(broken, Rule.WRONG));
     }
 
-    private static long count(List<Broken> broken, Rule rule) {
+    private static long count(List<Violation> broken, Rule rule) {
         return broken.stream().filter(b -> b.rule == rule).count();
     }
 
-    private List<Broken> judge() {
+    private List<Violation> check() {
         Map<Integer, List<Try>> once = new HashMap<>();
         for (Try t : ledger.tries) {
             if (t.result != null && t.key != null) {
@@ -128,7 +132,7 @@
                 once.computeIfAbsent(t.request, k -> new ArrayList<>()).add(t);
             }
         }
-        ledger.tries.forEach(this::judge);
+        ledger.tries.forEach(this::check);
         once.forEach(
                 (request, ran) -> {
                     if (ran.size() > 1) {
@@ -138,22 +142,22 @@
                                 "ran in " + ran.size() + " tries, and may run once only");
                     }
                 });
-        ledger.incarnations.forEach(this::judge);
-        ledger.strange.forEach(s -> broken.add(new Broken(Rule.STRANGE, s, List.of())));
+        ledger.incarnations.forEach(this::check);
+        ledger.strange.forEach(s -> broken.add(new Violation(Rule.STRANGE, s, List.of())));
         return broken;
     }
 
-    private void judge(Try t) {
+    private void check(Try t) {
         if (t.runs > 1) {
             breaks(Rule.TWICE, t, "its id ran " + t.runs + " times");
         }
         if (t.answers > 1) {
             breaks(Rule.TWICE, t, "got " + t.answers + " answers");
         }
-        if (t.answer == Try.End.REFUSED && t.runs > 0) {
+        if (t.answer == Try.Outcome.REFUSED && t.runs > 0) {
             breaks(Rule.REFUSED_BUT_RAN, t, "was refused, and ran");
         }
-        if (t.answer == Try.End.SERVED && !owns(t)) {
+        if (t.answer == Try.Outcome.SERVED && !owns(t)) {
             breaks(Rule.WRONG, t, "was served with what no run made for it");
         }
         RunHistory.GatewayIncarnation life = life(t);
@@ -169,11 +173,11 @@
         boolean crossed = Double.isNaN(t.answeredAt) && t.brokenAt - t.sentAt <= CROSSING;
         boolean intime =
                 !Double.isNaN(t.answeredAt)
-                        && t.answeredAt <= t.due + SLACK + stalled(t.sentAt, t.answeredAt);
+                        && t.answeredAt <= t.deadlineAt + SLACK + stalled(t.sentAt, t.answeredAt);
         if (Double.isNaN(t.sentAt) || intime) {
             return;
         }
-        if (crossed || excused(t, Double.isNaN(last) ? t.due + SLACK : last)) {
+        if (crossed || excused(t, Double.isNaN(last) ? t.deadlineAt + SLACK : last)) {
             excused++;
         } else {
             breaks(
@@ -184,7 +188,7 @@
                             : Double.isNaN(t.answeredAt)
                                     ? "lost its connection, and the script did not cut it"
                                     : "was answered "
-                                            + Math.round(t.answeredAt - t.due)
+                                            + Math.round(t.answeredAt - t.deadlineAt)
                                             + " ms after its due time");
         }
     }
@@ -200,7 +204,7 @@
 
     private RunHistory.GatewayIncarnation life(Try t) {
         return ledger.incarnations.stream()
-                .filter(l -> l.gateway == t.gateway && l.number == t.life)
+                .filter(l -> l.gateway == t.gateway && l.number == t.incarnation)
                 .findFirst()
                 .orElse(null);
     }
@@ -218,10 +222,10 @@
                 .sum();
     }
 
-    private void judge(RunHistory.GatewayIncarnation life) {
+    private void check(RunHistory.GatewayIncarnation life) {
         if (!Double.isNaN(life.endedAt) && !life.endedByScript) {
             broken.add(
-                    new Broken(
+                    new Violation(
                             Rule.CRASHED,
                             "gateway "
                                     + life.gateway
@@ -234,7 +238,7 @@
         if (life.mostMemoryMb > ledger.plan.script().fleet().memoryMb()
                 || life.mostDescriptors > ledger.plan.script().fleet().sockets()) {
             broken.add(
-                    new Broken(
+                    new Violation(
                             Rule.LIMIT,
                             "gateway "
                                     + life.gateway
@@ -247,7 +251,7 @@
         }
         if (ledger.plan.script().length() >= LONG_DAY && life.grownMb() > GROWN_MB) {
             broken.add(
-                    new Broken(
+                    new Violation(
                             Rule.LIMIT,
                             "gateway "
                                     + life.gateway
@@ -272,13 +276,13 @@
                                 + " at gateway "
                                 + other.gateway
                                 + ", due "
-                                + at(other.due));
+                                + at(other.deadlineAt));
                 other.steps.forEach(s -> way.add("  " + line(s)));
-                way.addAll(near(other.gateway, other.sentAt - NEAR, other.due + NEAR));
+                way.addAll(near(other.gateway, other.sentAt - NEAR, other.deadlineAt + NEAR));
             }
         }
         broken.add(
-                new Broken(
+                new Violation(
                         rule,
                         "request " + t.request + ", try " + t.number + ", " + t.id + ": " + what,
                         way));
--- a/src/main/java/tinroad/lab/verification/Paired.java
+++ b/src/main/java/tinroad/lab/verification/PairedComparison.java
@@ -8,12 +8,13 @@
  * differences. Infinite figures (a day that never came back) count as the largest finite number, so
  * that they have a place in the order.
  */
-public record Paired(double first, double second, double low, double high, int pairs) {
+public record PairedComparison(double first, double second, double low, double high, int pairs) {
     private static final int RESAMPLES = 4000;
     private static final double TAIL = 0.025;
 
     /** Compares; both hold the figure of the same seed at the same place, and none is NaN. */
-    public static Paired of(double[] first, double[] second, UniformRandomProvider random) {
+    public static PairedComparison of(
+            double[] first, double[] second, UniformRandomProvider random) {
         double[] differences = new double[first.length];
         for (int i = 0; i < first.length; i++) {
             differences[i] = first[i] == second[i] ? 0 : finite(second[i]) - finite(first[i]);
@@ -27,7 +28,7 @@
             medians[r] = median(drawn);
         }
         Arrays.sort(medians);
-        return new Paired(
+        return new PairedComparison(
                 median(first),
                 median(second),
                 medians[(int) (TAIL * RESAMPLES)],
--- a/src/main/java/tinroad/lab/verification/Bound.java
+++ b/src/main/java/tinroad/lab/verification/RecoveryBound.java
@@ -12,7 +12,7 @@
  * everything asked for is read once, nothing is tried twice and each core has its even part of the
  * load. Of what ends engines and processes; other faults do not lower it. Times in ms.
  */
-public final class Bound {
+public final class RecoveryBound {
     /** An engine is up this long after its gateway's process was started. */
     public static final double ENGINE_AFTER = 1000;
 
@@ -27,7 +27,7 @@
      * @param reachAfter how long after the start of its process a gateway is reached by callers: 0
      *     for the engines' warm-up alone
      */
-    public Bound(Schedule plan, double reachAfter) {
+    public RecoveryBound(Schedule plan, double reachAfter) {
         this.plan = plan;
         for (FaultEvent hit : plan.faultEvents()) {
             FaultAction deed = hit.fault().action();
@@ -88,15 +88,15 @@
 
     /**
      * Time from {@code faultEnd} to the first moment from which service can stay at {@link
-     * Measures#FULL} of {@code before}; NaN where no process or engine ended.
+     * RunMetrics#FULL} of {@code before}; NaN where no process or engine ended.
      */
     public double toFullService(double faultEnd, double before) {
         if (away.isEmpty() || Double.isNaN(faultEnd)) {
             return Double.NaN;
         }
         double last = faultEnd;
-        for (double t = faultEnd; t < plan.script().length(); t += Measures.WINDOW) {
-            last = service(t) < Measures.FULL * before ? t + Measures.WINDOW : last;
+        for (double t = faultEnd; t < plan.script().length(); t += RunMetrics.WINDOW) {
+            last = service(t) < RunMetrics.FULL * before ? t + RunMetrics.WINDOW : last;
         }
         return last - faultEnd;
     }
--- a/src/main/java/tinroad/lab/verification/RunHistory.java
+++ b/src/main/java/tinroad/lab/verification/RunHistory.java
@@ -14,7 +14,7 @@
     public static final class RequestRecord {
         public final PlannedRequest asked;
         public int tries;
-        public Try.End end;
+        public Try.Outcome end;
         public double endedAt = Double.NaN;
 
         RequestRecord(PlannedRequest asked) {
--- a/src/main/java/tinroad/lab/verification/Measures.java
+++ b/src/main/java/tinroad/lab/verification/RunMetrics.java
@@ -7,7 +7,7 @@
 import tinroad.lab.script.Script.RequestClass;
 
 /** The figures of a day, from its ledger. Times in ms from the beginning of the load. */
-public final class Measures {
+public final class RunMetrics {
     /** Width of a window of service. */
     public static final double WINDOW = 100;
 
@@ -32,7 +32,7 @@
     private final double[] served;
 
     /** The figures of this ledger. */
-    public Measures(RunHistory ledger) {
+    public RunMetrics(RunHistory ledger) {
         this.ledger = ledger;
         script = ledger.plan.script();
         asked = new double[(int) Math.ceil(script.length() / WINDOW)];
@@ -46,7 +46,7 @@
     }
 
     private boolean inTime(RunHistory.RequestRecord f) {
-        return f.end == Try.End.SERVED
+        return f.end == Try.Outcome.SERVED
                 && f.endedAt <= f.asked.at() + script.classes().get(f.asked.kind()).objective();
     }
 
@@ -184,7 +184,7 @@
         Histogram histogram = new Histogram(LONGEST_MICROS, 3);
         for (RunHistory.RequestRecord f : ledger.requests) {
             if (f.asked.kind() == kind
-                    && f.end == Try.End.SERVED
+                    && f.end == Try.Outcome.SERVED
                     && f.asked.at() >= script.settle()) {
                 histogram.recordValue(
                         Math.min(
--- a/src/main/java/tinroad/lab/verification/Try.java
+++ b/src/main/java/tinroad/lab/verification/Try.java
@@ -9,7 +9,7 @@
  */
 public final class Try {
     /** How a try ended for its caller. */
-    public enum End {
+    public enum Outcome {
         /** Status 200. */
         SERVED,
         /** 429, 503 or overloaded. */
@@ -53,7 +53,7 @@
     /** Class and subject: what a read repeats. */
     public final String key;
 
-    public final double due;
+    public final double deadlineAt;
     public final List<Step> steps = new ArrayList<>();
 
     /** When its last byte was written; NaN before. */
@@ -70,10 +70,10 @@
     public int answers;
 
     /** What the first answer said; null without one. */
-    public End answer;
+    public Outcome answer;
 
     /** How it ended for its caller, who may have gone before the answer came. */
-    public End end;
+    public Outcome end;
 
     public String served;
 
@@ -84,7 +84,7 @@
     public String result;
 
     /** Which life of the gateway it was sent to. */
-    public int life;
+    public int incarnation;
 
     /** A try that is about to be sent. */
     public Try(
@@ -95,7 +95,7 @@
             int gateway,
             boolean free,
             String key,
-            double due) {
+            double deadlineAt) {
         this.id = id;
         this.request = request;
         this.number = number;
@@ -103,11 +103,11 @@
         this.gateway = gateway;
         this.free = free;
         this.key = key;
-        this.due = due;
+        this.deadlineAt = deadlineAt;
     }
 
     /** Notes what happened. */
-    public void step(double at, String where, String what) {
+    public void addStep(double at, String where, String what) {
         steps.add(new Step(at, where, what));
     }
 }
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -27,8 +27,8 @@
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.RequestClass;
-import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.HistoryChecker;
+import tinroad.lab.verification.RecoveryBound;
 import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.RunHistory.ExcusedInterval;
 import tinroad.lab.verification.Try;
@@ -167,7 +167,7 @@
         // Callers may have gone; what they sent, and what is on its way, is owed an answer all the
         // same.
         step();
-        for (double last = now + patience + Rules.SLACK;
+        for (double last = now + patience + HistoryChecker.SLACK;
                 now < last && gateways.stream().anyMatch(ModelGateway::owes); ) {
             step();
         }
@@ -209,14 +209,14 @@
 
     /** What an answer says to a caller, on its way back. */
     void answer(Response a, Proxy.Told told) {
-        Try.End end =
+        Try.Outcome end =
                 switch (a.kind()) {
-                    case SERVED -> Try.End.SERVED;
-                    case REJECTED -> Try.End.REFUSED;
-                    case FAILED, INVALID -> Try.End.FAILED;
+                    case SERVED -> Try.Outcome.SERVED;
+                    case REJECTED -> Try.Outcome.REFUSED;
+                    case FAILED, INVALID -> Try.Outcome.FAILED;
                 };
         String served =
-                end == Try.End.SERVED ? a.result().toString(StandardCharsets.ISO_8859_1) : null;
+                end == Try.Outcome.SERVED ? a.result().toString(StandardCharsets.ISO_8859_1) : null;
         agenda.at(
                 now + WAY,
                 () ->
@@ -320,7 +320,7 @@
                             () -> g.begin(true));
                     if (!engine.up()) {
                         agenda.at(
-                                now + Bound.ENGINE_AFTER,
+                                now + RecoveryBound.ENGINE_AFTER,
                                 () -> {
                                     engine.start(true);
                                     roster.engineUp(hit.gateway());
--- a/src/main/java/tinroad/simulation/MembersSweep.java
+++ b/src/main/java/tinroad/simulation/MembersSweep.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 import tinroad.fleet.MemberStatus;
 import tinroad.fleet.MembershipConfig;
-import tinroad.lab.verification.Paired;
+import tinroad.lab.verification.PairedComparison;
 
 /**
  * The figures of a membership against the fleet's size and the network's loss, over several seeds.
@@ -95,7 +95,7 @@
     }
 
     private static long median(List<Double> values) {
-        return Math.round(Paired.median(values.stream().mapToDouble(x -> x).toArray()));
+        return Math.round(PairedComparison.median(values.stream().mapToDouble(x -> x).toArray()));
     }
 
     private static long worst(List<Double> values) {
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -16,8 +16,8 @@
 import tinroad.lab.fake.World.Mutant;
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.verification.Rules;
-import tinroad.lab.verification.Rules.Rule;
+import tinroad.lab.verification.HistoryChecker;
+import tinroad.lab.verification.HistoryChecker.Rule;
 import tinroad.lab.verification.RunHistory;
 
 /** Real processes with faults between them: the rules only, no figure that hangs on the clock. */
@@ -46,14 +46,20 @@
                 + "\n"
                 + report.broken().stream()
                         .limit(3)
-                        .map(b -> b.rule() + ": " + b.what() + "\n" + String.join("\n", b.way()))
+                        .map(
+                                b ->
+                                        b.rule()
+                                                + ": "
+                                                + b.description()
+                                                + "\n"
+                                                + String.join("\n", b.trace()))
                         .collect(Collectors.joining("\n"));
     }
 
     private Report kept(String script) throws Exception {
         Report report = play(script, 1, Mutant.NONE);
         assertEquals(List.of(), report.broken(), () -> told(report));
-        Rules.Fates f = report.fates();
+        HistoryChecker.OutcomeCounts f = report.fates();
         assertTrue(
                 f.served() > 0 && f.asked() == f.served() + f.refused() + f.failed(), f::toString);
         return report;
@@ -166,7 +172,7 @@
         Report report = play(script, 1, mutant);
         assertTrue(
                 report.broken().stream()
-                        .anyMatch(b -> b.rule() == rule && b.what().contains(words)),
+                        .anyMatch(b -> b.rule() == rule && b.description().contains(words)),
                 () -> told(report));
     }
 
--- a/src/test/java/tinroad/lab/RememberingTest.java
+++ b/src/test/java/tinroad/lab/RememberingTest.java
@@ -63,7 +63,7 @@
             Report report = new Report(lab.play());
             assertEquals(
                     List.of(),
-                    report.broken().stream().map(b -> b.rule() + ": " + b.what()).toList());
+                    report.broken().stream().map(b -> b.rule() + ": " + b.description()).toList());
         }
         for (int g = 0; g < 2; g++) {
             String log = Files.readString(dir.resolve("run/g" + g + "/log"));
@@ -113,7 +113,7 @@
             Report report = new Report(lab.play());
             assertEquals(
                     List.of(),
-                    report.broken().stream().map(b -> b.rule() + ": " + b.what()).toList());
+                    report.broken().stream().map(b -> b.rule() + ": " + b.description()).toList());
         }
         assertEquals("incarnation 1 started without stored state", lives(0).get(0));
         assertEquals("incarnation 2 started from incarnation 1, saved N s ago", lives(0).get(1));
--- a/src/test/java/tinroad/lab/fake/CallersTest.java
+++ b/src/test/java/tinroad/lab/fake/CallersTest.java
@@ -11,7 +11,7 @@
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script.Callers;
 import tinroad.lab.script.Script.Selection;
-import tinroad.lab.verification.Try.End;
+import tinroad.lab.verification.Try.Outcome;
 
 /** What a client proxy decides: where, whether and when; and what the roster lists. */
 class CallersTest {
@@ -89,14 +89,14 @@
     @Test
     void whatMayRunOnceIsRepeatedOnProofOnly() {
         Repeating repeating = repeating(0, true, false);
-        for (End end : End.values()) {
-            boolean proven = end == End.REFUSED || end == End.UNSENT;
+        for (Outcome end : Outcome.values()) {
+            boolean proven = end == Outcome.REFUSED || end == Outcome.UNSENT;
             assertEquals(
                     proven,
                     repeating.after(end, false, 1, 0, 5000, true, false) != Repeating.NEVER,
                     end::name);
             assertEquals(
-                    end != End.SERVED,
+                    end != Outcome.SERVED,
                     repeating.after(end, true, 1, 0, 5000, true, false) != Repeating.NEVER,
                     end::name);
         }
@@ -105,20 +105,23 @@
     @Test
     void triesPausesAndTimeAreKeptTo() {
         Repeating repeating = repeating(3, true, true);
-        assertEquals(70, repeating.after(End.REFUSED, true, 2, 70, 5000, true, false));
-        assertEquals(Repeating.NEVER, repeating.after(End.REFUSED, true, 3, 70, 5000, true, false));
-        assertEquals(Repeating.NEVER, repeating.after(End.REFUSED, true, 1, 70, 5000, true, true));
+        assertEquals(70, repeating.after(Outcome.REFUSED, true, 2, 70, 5000, true, false));
         assertEquals(
-                Repeating.NEVER, repeating.after(End.REFUSED, true, 1, 5000, 5000, true, false));
-        double paused = repeating.after(End.REFUSED, true, 1, 70, 5000, false, false);
+                Repeating.NEVER, repeating.after(Outcome.REFUSED, true, 3, 70, 5000, true, false));
+        assertEquals(
+                Repeating.NEVER, repeating.after(Outcome.REFUSED, true, 1, 70, 5000, true, true));
+        assertEquals(
+                Repeating.NEVER,
+                repeating.after(Outcome.REFUSED, true, 1, 5000, 5000, true, false));
+        double paused = repeating.after(Outcome.REFUSED, true, 1, 70, 5000, false, false);
         assertTrue(paused >= 120 && paused <= 220, "" + paused);
         assertTrue(
-                repeating(3, false, true).after(End.REFUSED, true, 1, 70, 5000, true, false)
+                repeating(3, false, true).after(Outcome.REFUSED, true, 1, 70, 5000, true, false)
                         >= 120);
         // An answer 500 says that the same may happen anywhere: with a pause.
-        assertTrue(repeating.after(End.FAILED, true, 1, 70, 5000, true, false) >= 120);
+        assertTrue(repeating.after(Outcome.FAILED, true, 1, 70, 5000, true, false) >= 120);
         assertTrue(
-                repeating(3, true, false).after(End.REFUSED, true, 1, 0, 5000, true, true)
+                repeating(3, true, false).after(Outcome.REFUSED, true, 1, 0, 5000, true, true)
                         < Repeating.NEVER);
         assertEquals(10, repeating.wait(0, 5000, 0));
         assertEquals(Repeating.NEVER, repeating.wait(4995, 5000, 0));
--- a/src/test/java/tinroad/lab/verification/RulesTest.java
+++ b/src/test/java/tinroad/lab/verification/RulesTest.java
@@ -11,7 +11,7 @@
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.verification.Rules.Rule;
+import tinroad.lab.verification.HistoryChecker.Rule;
 import tinroad.lab.verification.RunHistory.ExcusedInterval;
 
 /** Each rule: a ledger that keeps it, and one that breaks it. */
@@ -30,13 +30,13 @@
         t.sentAt = 1000;
         t.answeredAt = 1050;
         t.answers = 1;
-        t.answer = Try.End.SERVED;
-        t.end = Try.End.SERVED;
+        t.answer = Try.Outcome.SERVED;
+        t.end = Try.Outcome.SERVED;
         t.runs = 1;
         t.ranAt = 1001;
         t.result = "made for " + id;
         t.served = t.result;
-        t.step(1000, "proxy 0", "sent");
+        t.addStep(1000, "proxy 0", "sent");
         change.accept(t);
         ledger.tries.add(t);
         return t;
@@ -52,7 +52,9 @@
     private void broken(Rule... rules) {
         assertEquals(
                 List.of(rules),
-                Rules.judge(ledger).broken().stream().map(Rules.Broken::rule).toList());
+                HistoryChecker.check(ledger).broken().stream()
+                        .map(HistoryChecker.Violation::rule)
+                        .toList());
     }
 
     @Test
@@ -74,13 +76,19 @@
     void aTryWithoutAnAnswerIsLostUnlessTheScriptTookIt() {
         Try lost = add("a", 0, true, this::unanswered);
         broken(Rule.LOST);
-        assertTrue(Rules.judge(ledger).broken().get(0).way().get(1).contains("proxy 0: sent"));
+        assertTrue(
+                HistoryChecker.check(ledger)
+                        .broken()
+                        .get(0)
+                        .trace()
+                        .get(1)
+                        .contains("proxy 0: sent"));
         ledger.excusedIntervals.add(new ExcusedInterval(1, 0, 9000));
         broken(Rule.LOST);
-        assertEquals(0, Rules.judge(ledger).excused());
+        assertEquals(0, HistoryChecker.check(ledger).excused());
         ledger.excusedIntervals.add(new ExcusedInterval(0, 3000, 3500));
         broken();
-        assertEquals(1, Rules.judge(ledger).excused());
+        assertEquals(1, HistoryChecker.check(ledger).excused());
         ledger.excusedIntervals.clear();
         lost.brokenAt = 1049;
         broken();
@@ -124,13 +132,13 @@
 
     @Test
     void whatWasRefusedNeverRan() {
-        add("a", 0, true, t -> t.answer = Try.End.REFUSED);
+        add("a", 0, true, t -> t.answer = Try.Outcome.REFUSED);
         broken(Rule.REFUSED_BUT_RAN);
     }
 
     @Test
     void nothingRunsThatCameLongAfterTheNotice() {
-        ledger.incarnations.get(0).noticedAt = 1000 - Rules.GRACE;
+        ledger.incarnations.get(0).noticedAt = 1000 - HistoryChecker.GRACE;
         add("a", 0, true, t -> {});
         broken();
         ledger.incarnations.get(0).noticedAt -= 1;
@@ -166,7 +174,8 @@
         broken(Rule.LIMIT);
         assertEquals(15, grows.grownMb(), 0.5);
         assertEquals(
-                "gateway 1 grew by 15 MB over the day", Rules.judge(ledger).broken().get(0).what());
+                "gateway 1 grew by 15 MB over the day",
+                HistoryChecker.check(ledger).broken().get(0).description());
     }
 
     @Test
@@ -181,7 +190,7 @@
         ledger.strange.add("what nobody knows");
         broken(Rule.LIMIT, Rule.STRANGE);
         assertTrue(
-                Rules.fates(ledger, Rules.judge(ledger).broken())
+                HistoryChecker.fates(ledger, HistoryChecker.check(ledger).broken())
                         .toString()
                         .endsWith("lost 0, twice 0, wrong 0"));
     }
