--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -21,7 +21,7 @@
 import tinroad.lab.Lab;
 import tinroad.lab.Report;
 import tinroad.lab.capacity.CapacityPage;
-import tinroad.lab.fake.World;
+import tinroad.lab.fake.LabContext;
 import tinroad.lab.scale.Scale;
 import tinroad.lab.scale.ScaleReader;
 import tinroad.lab.scale.ScaleRun;
@@ -253,7 +253,7 @@
                                 work,
                                 operator(program),
                                 progress,
-                                World.Mutant.NONE))) {
+                                LabContext.Mutant.NONE))) {
             Report report = new Report(lab.play());
             if (left != null) {
                 report.write(left);
--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -29,12 +29,12 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import tinroad.lab.fake.Agenda;
-import tinroad.lab.fake.EngineStand;
-import tinroad.lab.fake.ProxyStand;
-import tinroad.lab.fake.RosterStand;
-import tinroad.lab.fake.World;
-import tinroad.lab.fake.World.Mutant;
+import tinroad.lab.fake.EventQueue;
+import tinroad.lab.fake.FakeClientProxy;
+import tinroad.lab.fake.FakeEngine;
+import tinroad.lab.fake.FakeRegistry;
+import tinroad.lab.fake.LabContext;
+import tinroad.lab.fake.LabContext.Mutant;
 import tinroad.lab.relay.DatagramRelay;
 import tinroad.lab.relay.LinkFaults;
 import tinroad.lab.relay.StreamRelay;
@@ -123,7 +123,7 @@
         private final Path folder;
         private final Path older;
         private final Map<Link, List<LinkFaults>> links = new EnumMap<>(Link.class);
-        private EngineStand engine;
+        private FakeEngine engine;
         private StreamRelay callersRelay;
         private StreamRelay engineRelay;
         private volatile GatewayProcess process;
@@ -170,13 +170,13 @@
                         return thread;
                     });
     private final List<Member> members = new ArrayList<>();
-    private final List<ProxyStand> proxies = new ArrayList<>();
-    private final Agenda agenda = new Agenda();
+    private final List<FakeClientProxy> proxies = new ArrayList<>();
+    private final EventQueue agenda = new EventQueue();
     private final RunHistory ledger;
     private final org.HdrHistogram.Histogram lateness =
             new org.HdrHistogram.Histogram(60_000_000, 3);
-    private World world;
-    private RosterStand roster;
+    private LabContext world;
+    private FakeRegistry roster;
     private LoopbackRange range;
     private long zeroNanos = System.nanoTime();
     private double lastTick = Double.NaN;
@@ -283,12 +283,12 @@
     // --- the build ---
 
     private void build() throws IOException {
-        world = new World(loop, ledger, agenda, options.mutant, this::now);
+        world = new LabContext(loop, ledger, agenda, options.mutant, this::now);
         for (int g = 0; g < script.fleet().gateways(); g++) {
             Member m = new Member(g);
             members.add(m);
             m.engine =
-                    new EngineStand(
+                    new FakeEngine(
                             world,
                             g,
                             script.fleet().speeds().get(g % script.fleet().speeds().size()));
@@ -297,14 +297,14 @@
                 members.stream().map(m -> address(host(m.number), CALLERS_PORT)).toList();
         for (int p = 0; p < script.callers().proxies(); p++) {
             proxies.add(
-                    new ProxyStand(
+                    new FakeClientProxy(
                             world,
                             p,
                             address(FIRST_PROXY + p, 0),
                             address(FIRST_CHECKS + p, 0),
                             doors));
         }
-        roster = new RosterStand(world, proxies.stream().map(ProxyStand::proxy).toList());
+        roster = new FakeRegistry(world, proxies.stream().map(FakeClientProxy::proxy).toList());
     }
 
     private void open() throws InterruptedException {
@@ -413,7 +413,7 @@
                                             60_000_000,
                                             Math.max(0, (long) (1000 * (now() - asked.at())))));
                         }
-                        proxies.get(asked.proxy()).proxy().ask(asked);
+                        proxies.get(asked.proxy()).proxy().submit(asked);
                     });
         }
         for (FaultEvent hit : plan.faultEvents()) {
--- a/src/main/java/tinroad/lab/fake/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/ClientProxyModel.java
@@ -15,9 +15,9 @@
  * The requests of one client proxy: where each try goes, what came of it, whether there is another.
  * Knows no socket.
  */
-public final class Proxy {
+public final class ClientProxyModel {
     /** What becomes of a try on its way. */
-    public interface Told {
+    public interface TryListener {
         /** It was written whole. */
         void sent();
 
@@ -35,9 +35,9 @@
 
     /** What brings a try to its gateway. */
     @FunctionalInterface
-    public interface Carrier {
+    public interface TryTransport {
         /** Sends it; false where there is no connection for it, and nobody is told. */
-        boolean send(PlannedRequest asked, Try t, RequestClass kind, Told told);
+        boolean send(PlannedRequest asked, Try t, RequestClass kind, TryListener told);
     }
 
     /** A request while somebody waits for it. */
@@ -55,18 +55,18 @@
         }
     }
 
-    private final World world;
+    private final LabContext world;
     private final Script script;
     private final int number;
-    private final Choosing choosing;
-    private final Repeating repeating;
+    private final GatewaySelector choosing;
+    private final RetryPolicy repeating;
     private final UniformRandomProvider ids;
-    private final Carrier carrier;
+    private final TryTransport carrier;
     private final boolean unaware;
     private int waiting;
 
     /** Proxy {@code number}, whose tries {@code carrier} brings on. */
-    public Proxy(World world, int number, Carrier carrier) {
+    public ClientProxyModel(LabContext world, int number, TryTransport carrier) {
         this.world = world;
         this.number = number;
         this.carrier = carrier;
@@ -75,8 +75,9 @@
         double heed = script.callers().heedingShare();
         boolean heeds = isAmong(heed);
         unaware = isAmong(script.callers().unawareShare());
-        choosing = new Choosing(script.callers().choice(), script.fleet().gateways(), random);
-        repeating = new Repeating(script.callers(), heeds, random);
+        choosing =
+                new GatewaySelector(script.callers().choice(), script.fleet().gateways(), random);
+        repeating = new RetryPolicy(script.callers(), heeds, random);
         ids = Draw.stream(world.plan.seed(), "ids " + number);
     }
 
@@ -105,7 +106,7 @@
     }
 
     /** A request comes to this proxy. */
-    public void ask(PlannedRequest asked) {
+    public void submit(PlannedRequest asked) {
         RequestClass kind = script.classes().get(asked.kind());
         waiting++;
         attempt(
@@ -126,7 +127,7 @@
         }
         if (gateway < 0) {
             double at = repeating.wait(nowMillis, o.until, choosing.freeAt());
-            if (at == Repeating.NEVER) {
+            if (at == RetryPolicy.NEVER) {
                 finish(o, o.now == null ? Try.Outcome.UNSENT : o.now.end);
             } else {
                 world.agenda.at(at, () -> attempt(o, tryNumber));
@@ -164,8 +165,8 @@
         }
     }
 
-    private Told told(Open o, Try t) {
-        return new Told() {
+    private TryListener told(Open o, Try t) {
+        return new TryListener() {
             @Override
             public void sent() {
                 t.sentAt = world.now();
@@ -214,9 +215,9 @@
         choosing.open(t.gateway, -1);
         double nowMillis = world.now();
         if (stayAway > 0 && repeating.heeds()) {
-            choosing.stayAway(t.gateway, nowMillis + stayAway);
+            choosing.avoidUntil(t.gateway, nowMillis + stayAway);
         }
-        boolean unproven = world.mutant == World.Mutant.CALLER_REPEATS_UNPROVEN;
+        boolean unproven = world.mutant == LabContext.Mutant.CALLER_REPEATS_UNPROVEN;
         double next =
                 repeating.after(
                         end,
@@ -226,7 +227,7 @@
                         o.until,
                         choosing.left(nowMillis, o.gateways),
                         last);
-        if (next == Repeating.NEVER) {
+        if (next == RetryPolicy.NEVER) {
             finish(o, end);
         } else {
             world.agenda.at(next, () -> attempt(o, t.number + 1));
--- a/src/main/java/tinroad/lab/fake/Connection.java
+++ b/src/main/java/tinroad/lab/fake/Connection.java
@@ -40,7 +40,7 @@
         void lost(boolean wasSent, double at);
     }
 
-    private final World world;
+    private final LabContext world;
     private final Consumer<Connection> onEnd;
     private final Map<Integer, Waiter> open = new HashMap<>();
     private final Map<Integer, StringBuilder> partial = new HashMap<>();
@@ -54,7 +54,10 @@
 
     /** Begins to connect; {@code onEnd} hears once that it is gone. */
     Connection(
-            World world, InetSocketAddress from, InetSocketAddress to, Consumer<Connection> onEnd) {
+            LabContext world,
+            InetSocketAddress from,
+            InetSocketAddress to,
+            Consumer<Connection> onEnd) {
         this.world = world;
         this.onEnd = onEnd;
         new Bootstrap()
--- a/src/main/java/tinroad/lab/fake/Cores.java
+++ b/src/main/java/tinroad/lab/fake/CoreModel.java
@@ -13,7 +13,7 @@
  * beside the runs; the rest wait unread. Times in ms, work in ms of a core at speed 1. Between two
  * calls the speed is held.
  */
-public final class Cores {
+public final class CoreModel {
     /** Time constant of the busy share, in ms. */
     private static final double USE_OVER = 500;
 
@@ -41,7 +41,8 @@
     private long reads;
 
     /** Cores that start at {@code now}: cold, or warm for good. */
-    public Cores(Script.EngineModel law, int cores, double speed, double nowMillis, boolean cold) {
+    public CoreModel(
+            Script.EngineModel law, int cores, double speed, double nowMillis, boolean cold) {
         this.law = law;
         this.cores = cores;
         this.speed = speed;
--- a/src/main/java/tinroad/lab/fake/Agenda.java
+++ b/src/main/java/tinroad/lab/fake/EventQueue.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 
 /** What is to be done when, in ms; of two things for one moment the first one noted comes first. */
-public final class Agenda {
+public final class EventQueue {
     private record Item(double at, long number, Runnable task) {}
 
     private final PriorityQueue<Item> items =
--- a/src/main/java/tinroad/lab/fake/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/FakeClientProxy.java
@@ -15,17 +15,17 @@
 import tinroad.lab.verification.Try;
 
 /** One client proxy: its connections, its tries, its health checks. */
-public final class ProxyStand {
+public final class FakeClientProxy {
     private static final double CHECK_PATIENCE = 1000;
     private static final double SWEEP_MS = 500;
     private static final int REFUSED = 503;
     private static final int TOO_MANY = 429;
     private static final int OK = 200;
 
-    private final World world;
+    private final LabContext world;
     private final Script script;
     private final int number;
-    private final Proxy proxy;
+    private final ClientProxyModel proxy;
     private final InetSocketAddress from;
     private final InetSocketAddress checksFrom;
     private final List<InetSocketAddress> gateways;
@@ -33,8 +33,8 @@
     private final Connection[] checks;
 
     /** Proxy {@code number}, which connects from these addresses to those of the gateways. */
-    public ProxyStand(
-            World world,
+    public FakeClientProxy(
+            LabContext world,
             int number,
             InetSocketAddress from,
             InetSocketAddress checksFrom,
@@ -45,7 +45,7 @@
         this.checksFrom = checksFrom;
         this.gateways = gateways;
         script = world.plan.script();
-        proxy = new Proxy(world, number, this::send);
+        proxy = new ClientProxyModel(world, number, this::send);
         checks = new Connection[gateways.size()];
         gateways.forEach(g -> pools.add(new ArrayList<>()));
     }
@@ -63,13 +63,14 @@
     }
 
     /** What decides of its requests. */
-    public Proxy proxy() {
+    public ClientProxyModel proxy() {
         return proxy;
     }
 
     // --- requests ---
 
-    private boolean send(PlannedRequest asked, Try t, RequestClass kind, Proxy.Told told) {
+    private boolean send(
+            PlannedRequest asked, Try t, RequestClass kind, ClientProxyModel.TryListener told) {
         Connection connection = connection(t.gateway);
         if (connection == null) {
             return false;
--- a/src/main/java/tinroad/lab/fake/EngineStand.java
+++ b/src/main/java/tinroad/lab/fake/FakeEngine.java
@@ -31,7 +31,7 @@
  * An engine: the protocol of its link over the model of its cores. What it ran, and what it made,
  * it notes in the ledger.
  */
-public final class EngineStand {
+public final class FakeEngine {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int STORED = 4000;
     private static final int LONGEST_LINE = 64 * 1024;
@@ -47,12 +47,12 @@
 
     private record Running(Try t, double since, String result, boolean sick, int life) {}
 
-    private final World world;
+    private final LabContext world;
     private final int gateway;
     private final double speed;
     private final ArrayDeque<String> stored = new ArrayDeque<>();
     private final Map<String, Running> running = new HashMap<>();
-    private Cores cores;
+    private CoreModel cores;
     private double upSince;
     private boolean up;
     private boolean fresh;
@@ -68,7 +68,7 @@
     private long waitingAfter;
 
     /** The engine of this gateway; it listens once {@link #listen} was called. */
-    public EngineStand(World world, int gateway, double speed) {
+    public FakeEngine(LabContext world, int gateway, double speed) {
         this.world = world;
         this.gateway = gateway;
         this.speed = speed;
@@ -100,7 +100,9 @@
     /** The engine comes up, cold or as one that was up all the time. */
     public void start(boolean cold) {
         Script.Fleet fleet = world.plan.script().fleet();
-        cores = new Cores(world.plan.script().engine(), fleet.cores(), speed, world.now(), cold);
+        cores =
+                new CoreModel(
+                        world.plan.script().engine(), fleet.cores(), speed, world.now(), cold);
         upSince = cold ? world.now() : world.now() - UP_BEFORE;
         fresh = cold;
         up = true;
@@ -283,15 +285,15 @@
             no(ctx, id);
             return;
         }
-        if (running.containsKey(id) && world.mutant != World.Mutant.ENGINE_RUNS_TWICE) {
+        if (running.containsKey(id) && world.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
             return;
         }
-        if (t.runs > 0 && world.mutant != World.Mutant.ENGINE_RUNS_TWICE) {
+        if (t.runs > 0 && world.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
             done(t, "stale", 0, null);
             return;
         }
         begin(t, asked);
-        if (world.mutant == World.Mutant.ENGINE_RUNS_TWICE && t.request % 97 == 5) {
+        if (world.mutant == LabContext.Mutant.ENGINE_RUNS_TWICE && t.request % 97 == 5) {
             begin(t, asked);
         }
     }
--- a/src/main/java/tinroad/lab/fake/RosterStand.java
+++ b/src/main/java/tinroad/lab/fake/FakeRegistry.java
@@ -13,24 +13,26 @@
 import tinroad.lab.script.Script;
 
 /** The roster: hears reports over UDP, and has its news reach each proxy late. */
-public final class RosterStand {
+public final class FakeRegistry {
     private static final double LOOK_MS = 50;
     private static final String WORD = "HERE";
 
-    private final World world;
-    private final List<Proxy> proxies;
-    private final RosterList list;
+    private final LabContext world;
+    private final List<ClientProxyModel> proxies;
+    private final RegistryEntries list;
     private final UniformRandomProvider random;
     private final boolean[] told;
     private final long[][] newest;
     private long news;
 
     /** A roster on which all gateways stand, each up to now. */
-    public RosterStand(World world, List<Proxy> proxies) {
+    public FakeRegistry(LabContext world, List<ClientProxyModel> proxies) {
         this.world = world;
         this.proxies = proxies;
         Script script = world.plan.script();
-        list = new RosterList(script.fleet().gateways(), script.roster().entryLifetimeMillis());
+        list =
+                new RegistryEntries(
+                        script.fleet().gateways(), script.roster().entryLifetimeMillis());
         random = Draw.stream(world.plan.seed(), "roster");
         told = new boolean[script.fleet().gateways()];
         newest = new long[proxies.size()][script.fleet().gateways()];
--- a/src/main/java/tinroad/lab/fake/Choosing.java
+++ b/src/main/java/tinroad/lab/fake/GatewaySelector.java
@@ -10,7 +10,7 @@
  * How one client proxy chooses a gateway, from what the roster, its checks and the answers told it.
  * Times in ms.
  */
-public final class Choosing {
+public final class GatewaySelector {
     private final Selection choice;
     private final UniformRandomProvider random;
     private final boolean[] listed;
@@ -20,7 +20,7 @@
     private int turn;
 
     /** A proxy that has so many gateways to choose from, all of them listed. */
-    public Choosing(Selection choice, int gateways, UniformRandomProvider random) {
+    public GatewaySelector(Selection choice, int gateways, UniformRandomProvider random) {
         this.choice = choice;
         this.random = random;
         listed = new boolean[gateways];
@@ -42,7 +42,7 @@
     }
 
     /** Advice to stay away from a gateway, which this proxy heeds. */
-    public void stayAway(int gateway, double until) {
+    public void avoidUntil(int gateway, double until) {
         awayUntil[gateway] = Math.max(awayUntil[gateway], until);
     }
 
--- a/src/main/java/tinroad/lab/fake/World.java
+++ b/src/main/java/tinroad/lab/fake/LabContext.java
@@ -11,7 +11,7 @@
 import tinroad.lab.verification.Try;
 
 /** What the stand-ins of a run share: one event loop owns it and all of them. */
-public final class World {
+public final class LabContext {
     /** A stand-in that does wrong, for tests of the checker. */
     public enum Mutant {
         NONE,
@@ -23,7 +23,7 @@
     final EventLoop loop;
     final Schedule plan;
     final RunHistory ledger;
-    final Agenda agenda;
+    final EventQueue agenda;
     final Mutant mutant;
     final Map<String, Try> byId = new HashMap<>();
     private final DoubleSupplier clock;
@@ -32,13 +32,17 @@
     private final Map<InetSocketAddress, Double> closed = new ConcurrentHashMap<>();
 
     private double unixAtZero;
-    private final EngineStand[] engines;
+    private final FakeEngine[] engines;
     private final int[] life;
     private final int[] connections;
 
     /** A world whose time {@code clock} is in ms from the beginning of the load. */
-    public World(
-            EventLoop loop, RunHistory ledger, Agenda agenda, Mutant mutant, DoubleSupplier clock) {
+    public LabContext(
+            EventLoop loop,
+            RunHistory ledger,
+            EventQueue agenda,
+            Mutant mutant,
+            DoubleSupplier clock) {
         this.loop = loop;
         this.ledger = ledger;
         this.plan = ledger.plan;
@@ -46,7 +50,7 @@
         this.mutant = mutant;
         this.clock = clock;
         int n = plan.script().fleet().gateways();
-        engines = new EngineStand[n];
+        engines = new FakeEngine[n];
         life = new int[n];
         connections = new int[n];
     }
@@ -86,12 +90,12 @@
         return at == null ? now() : at;
     }
 
-    void engine(int gateway, EngineStand engine) {
+    void engine(int gateway, FakeEngine engine) {
         engines[gateway] = engine;
     }
 
     /** The engine of a gateway. */
-    public EngineStand engine(int gateway) {
+    public FakeEngine engine(int gateway) {
         return engines[gateway];
     }
 
--- a/src/main/java/tinroad/lab/fake/RosterList.java
+++ b/src/main/java/tinroad/lab/fake/RegistryEntries.java
@@ -5,7 +5,7 @@
  * listed when its engine comes up, and by a report; it lapses so long after the last of either.
  * While the roster is down nothing is heard and nothing lapses. Times in ms.
  */
-public final class RosterList {
+public final class RegistryEntries {
     private final double lapse;
     private final double[] heardAt;
     private final boolean[] listed;
@@ -14,7 +14,7 @@
     private double downAt;
 
     /** A list of so many gateways, none of them on it. */
-    public RosterList(int gateways, double lapse) {
+    public RegistryEntries(int gateways, double lapse) {
         this.lapse = lapse;
         heardAt = new double[gateways];
         listed = new boolean[gateways];
--- a/src/main/java/tinroad/lab/fake/Repeating.java
+++ b/src/main/java/tinroad/lab/fake/RetryPolicy.java
@@ -8,7 +8,7 @@
  * Whether and when a client proxy tries a request again. What may run only once is repeated only
  * where it is proven that the last try never ran. Times in ms.
  */
-public final class Repeating {
+public final class RetryPolicy {
     /** No other try. */
     public static final double NEVER = Double.POSITIVE_INFINITY;
 
@@ -20,7 +20,7 @@
     private final UniformRandomProvider random;
 
     /** The habits of one proxy. */
-    public Repeating(Callers callers, boolean heeds, UniformRandomProvider random) {
+    public RetryPolicy(Callers callers, boolean heeds, UniformRandomProvider random) {
         this.callers = callers;
         this.heeds = heeds;
         this.random = random;
--- a/src/main/java/tinroad/lab/scale/RosterCounter.java
+++ b/src/main/java/tinroad/lab/scale/RosterCounter.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import tinroad.lab.fake.RosterList;
+import tinroad.lab.fake.RegistryEntries;
 
 /**
  * A roster that hears the reports of all, keeps its list, and counts. Owned by its event loop; read
@@ -19,14 +19,14 @@
 final class RosterCounter {
     private static final double LAPSE = 3000;
 
-    private final RosterList list;
+    private final RegistryEntries list;
     private final Map<String, Integer> numbers = new HashMap<>();
     private final Map<String, ZoneWire.Count> byName = new HashMap<>();
     private final ZoneWire.Count all = new ZoneWire.Count();
 
     /** A roster of so many gateways at most. */
     RosterCounter(int gateways) {
-        list = new RosterList(gateways, LAPSE);
+        list = new RegistryEntries(gateways, LAPSE);
     }
 
     /** Hears reports; blocks until it does. */
--- a/src/main/java/tinroad/lab/soak/SoakRun.java
+++ b/src/main/java/tinroad/lab/soak/SoakRun.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import tinroad.lab.Lab;
 import tinroad.lab.Report;
-import tinroad.lab.fake.World;
+import tinroad.lab.fake.LabContext;
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 import tinroad.operator.OperatorException;
@@ -33,7 +33,11 @@
                 new Lab(
                         Schedule.of(ScriptReader.read(script), seed),
                         new Lab.Options(
-                                program, folder.resolve("run"), null, null, World.Mutant.NONE))) {
+                                program,
+                                folder.resolve("run"),
+                                null,
+                                null,
+                                LabContext.Mutant.NONE))) {
             Lab.Outcome outcome = lab.play();
             Report report = new Report(outcome);
             report.write(folder);
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -16,10 +16,10 @@
 import tinroad.core.Response;
 import tinroad.lab.Lab;
 import tinroad.lab.Settings;
-import tinroad.lab.fake.Agenda;
-import tinroad.lab.fake.Proxy;
-import tinroad.lab.fake.RosterStand;
-import tinroad.lab.fake.World;
+import tinroad.lab.fake.ClientProxyModel;
+import tinroad.lab.fake.EventQueue;
+import tinroad.lab.fake.FakeRegistry;
+import tinroad.lab.fake.LabContext;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.schedule.FaultEvent;
 import tinroad.lab.schedule.PlannedRequest;
@@ -63,12 +63,12 @@
     private final boolean remembers;
     private final Script script;
     private final RunHistory ledger;
-    private final Agenda agenda = new Agenda();
-    private final World world;
+    private final EventQueue agenda = new EventQueue();
+    private final LabContext world;
     private final List<ModelEngine> engines = new ArrayList<>();
     private final List<ModelGateway> gateways = new ArrayList<>();
-    private final List<Proxy> proxies = new ArrayList<>();
-    private final RosterStand roster;
+    private final List<ClientProxyModel> proxies = new ArrayList<>();
+    private final FakeRegistry roster;
     private final UniformRandomProvider starts;
     private double now = -BEFORE;
 
@@ -89,7 +89,7 @@
             }
         }
         ledger = new RunHistory(plan);
-        world = new World(null, ledger, agenda, World.Mutant.NONE, () -> now);
+        world = new LabContext(null, ledger, agenda, LabContext.Mutant.NONE, () -> now);
         world.begins(ZERO);
         starts = Draw.stream(plan.seed(), "starts");
         Site warm = site(false);
@@ -100,9 +100,9 @@
             gateways.add(new ModelGateway(this, g, engine, warm, cold));
         }
         for (int p = 0; p < script.callers().proxies(); p++) {
-            proxies.add(new Proxy(world, p, this::carry));
+            proxies.add(new ClientProxyModel(world, p, this::carry));
         }
-        roster = new RosterStand(world, proxies);
+        roster = new FakeRegistry(world, proxies);
     }
 
     private Site site(boolean cold) throws IOException {
@@ -124,7 +124,7 @@
         return ledger;
     }
 
-    World world() {
+    LabContext world() {
         return world;
     }
 
@@ -154,7 +154,9 @@
         plan.requests()
                 .forEach(
                         asked ->
-                                agenda.at(asked.at(), () -> proxies.get(asked.proxy()).ask(asked)));
+                                agenda.at(
+                                        asked.at(),
+                                        () -> proxies.get(asked.proxy()).submit(asked)));
         plan.faultEvents().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
         double patience =
                 script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
@@ -184,7 +186,8 @@
 
     // --- callers ---
 
-    private boolean carry(PlannedRequest asked, Try t, RequestClass kind, Proxy.Told told) {
+    private boolean carry(
+            PlannedRequest asked, Try t, RequestClass kind, ClientProxyModel.TryListener told) {
         ModelGateway g = gateways.get(t.gateway);
         if (!g.listens()) {
             agenda.at(now + 2 * WAY, () -> told.lost(false, now));
@@ -208,7 +211,7 @@
     }
 
     /** What an answer says to a caller, on its way back. */
-    void answer(Response a, Proxy.Told told) {
+    void answer(Response a, ClientProxyModel.TryListener told) {
         Try.Outcome end =
                 switch (a.kind()) {
                     case SERVED -> Try.Outcome.SERVED;
--- a/src/main/java/tinroad/simulation/MembersModel.java
+++ b/src/main/java/tinroad/simulation/MembersModel.java
@@ -13,7 +13,7 @@
 import tinroad.fleet.Membership;
 import tinroad.fleet.MembershipConfig;
 import tinroad.fleet.Message;
-import tinroad.lab.fake.Agenda;
+import tinroad.lab.fake.EventQueue;
 
 /**
  * Members of a fleet on virtual time: the program's own {@code fleet.Membership} over a network
@@ -138,7 +138,7 @@
     private final SplittableRandom random;
     private final List<String> seeds;
     private final List<Node> nodes = new ArrayList<>();
-    private final Agenda agenda = new Agenda();
+    private final EventQueue agenda = new EventQueue();
     private final List<String> broken = new ArrayList<>();
     private final Map<String, Integer> falseDeaths = new LinkedHashMap<>();
     private BiPredicate<Integer, Integer> cut = (from, to) -> false;
--- a/src/main/java/tinroad/simulation/ModelEngine.java
+++ b/src/main/java/tinroad/simulation/ModelEngine.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import tinroad.core.Engine;
 import tinroad.core.Progress;
-import tinroad.lab.fake.Cores;
-import tinroad.lab.fake.EngineStand;
+import tinroad.lab.fake.CoreModel;
+import tinroad.lab.fake.FakeEngine;
 import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
 import tinroad.lab.verification.RunHistory;
@@ -22,7 +22,7 @@
     private final FleetModel model;
     private final int gateway;
     private final Map<String, Running> running = new HashMap<>();
-    private Cores cores;
+    private CoreModel cores;
     private Listener listener;
     private double upSince;
     private boolean up;
@@ -39,8 +39,8 @@
     void start(boolean cold) {
         Script script = model.plan().script();
         double speed = script.fleet().speeds().get(gateway % script.fleet().speeds().size());
-        cores = new Cores(script.engine(), script.fleet().cores(), speed, model.now(), cold);
-        upSince = cold ? model.now() : model.now() - EngineStand.UP_BEFORE;
+        cores = new CoreModel(script.engine(), script.fleet().cores(), speed, model.now(), cold);
+        upSince = cold ? model.now() : model.now() - FakeEngine.UP_BEFORE;
         fresh = cold;
         up = true;
         if (listener != null) {
@@ -164,7 +164,7 @@
         t.ranAt = model.now();
         model.ledger().count(RunHistory.Counter.RUNS, gateway, model.now());
         running.put(id, new Running(t, model.now(), sick, listener));
-        cores.start(id, asked.work() * (sick ? EngineStand.SICK_PART : 1));
+        cores.start(id, asked.work() * (sick ? FakeEngine.SICK_PART : 1));
         return Progress.SENT;
     }
 
@@ -182,7 +182,7 @@
                                 new Gauges(
                                         cores.use(),
                                         cores.present(),
-                                        EngineStand.memoryShare(running.size()),
+                                        FakeEngine.memoryShare(running.size()),
                                         model.plan().script().callers().proxies())));
         return true;
     }
--- a/src/main/java/tinroad/simulation/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -9,7 +9,7 @@
 import tinroad.core.Gateway;
 import tinroad.core.IncomingRequest;
 import tinroad.discovery.LoadReporter;
-import tinroad.lab.fake.Proxy;
+import tinroad.lab.fake.ClientProxyModel;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
 import tinroad.lab.verification.RunHistory;
@@ -37,7 +37,7 @@
     private final ModelEngine engine;
     private final Site warm;
     private final Site cold;
-    private final Set<Proxy.Told> open = new LinkedHashSet<>();
+    private final Set<ClientProxyModel.TryListener> open = new LinkedHashSet<>();
     private Gateway gateway;
     private StateRestorer remembrance;
 
@@ -174,7 +174,7 @@
         return gateway != null && gateway.healthy();
     }
 
-    void request(IncomingRequest in, Proxy.Told told) {
+    void request(IncomingRequest in, ClientProxyModel.TryListener told) {
         if (gateway == null) {
             told.lost(true, model.now());
             return;
@@ -202,7 +202,7 @@
         life.exit = 0;
         gateway = null;
         engine.attach(null);
-        List<Proxy.Told> lost = List.copyOf(open);
+        List<ClientProxyModel.TryListener> lost = List.copyOf(open);
         open.clear();
         lost.forEach(told -> told.lost(true, model.now()));
     }
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
-import tinroad.lab.fake.World.Mutant;
+import tinroad.lab.fake.LabContext.Mutant;
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 import tinroad.lab.verification.HistoryChecker;
--- a/src/test/java/tinroad/lab/fake/CallersTest.java
+++ b/src/test/java/tinroad/lab/fake/CallersTest.java
@@ -17,12 +17,12 @@
 class CallersTest {
     private static final BitSet NONE = new BitSet();
 
-    private static Choosing choosing(Selection choice) {
-        return new Choosing(choice, 4, Draw.stream(1, "test"));
+    private static GatewaySelector choosing(Selection choice) {
+        return new GatewaySelector(choice, 4, Draw.stream(1, "test"));
     }
 
-    private static Repeating repeating(int tries, boolean walk, boolean heeds) {
-        return new Repeating(
+    private static RetryPolicy repeating(int tries, boolean walk, boolean heeds) {
+        return new RetryPolicy(
                 new Callers(1, Selection.TURN, 1, 1, 1, 2, tries, 100, 1, walk, 0, 1000, 0),
                 heeds,
                 Draw.stream(1, "test"));
@@ -30,7 +30,7 @@
 
     @Test
     void inTurnEachGatewayComesOnce() {
-        Choosing choosing = choosing(Selection.TURN);
+        GatewaySelector choosing = choosing(Selection.TURN);
         Set<Integer> seen = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             seen.add(choosing.next(0, NONE, 0));
@@ -40,7 +40,7 @@
 
     @Test
     void leastOpenTakesTheEmptyOne() {
-        Choosing choosing = choosing(Selection.LEAST);
+        GatewaySelector choosing = choosing(Selection.LEAST);
         for (int g : new int[] {0, 1, 3, 0, 1, 3}) {
             choosing.open(g, 1);
         }
@@ -52,7 +52,7 @@
 
     @Test
     void aSubjectKeepsItsGatewayAndOnlyThoseOfOneThatGoesMove() {
-        Choosing choosing = choosing(Selection.SUBJECT);
+        GatewaySelector choosing = choosing(Selection.SUBJECT);
         int[] home = new int[1000];
         for (int s = 0; s < home.length; s++) {
             home[s] = choosing.next(0, NONE, s);
@@ -69,15 +69,15 @@
 
     @Test
     void whatIsOffBadOrAskedToBeLeftAloneIsNotChosen() {
-        Choosing choosing = choosing(Selection.LEAST);
+        GatewaySelector choosing = choosing(Selection.LEAST);
         choosing.listed(0, false);
         choosing.checked(1, false);
-        choosing.stayAway(2, 500);
+        choosing.avoidUntil(2, 500);
         assertEquals(3, choosing.next(499, NONE, 0));
         assertFalse(choosing.left(499, BitSet.valueOf(new long[] {8})));
         assertEquals(0, choosing.freeAt());
-        choosing.stayAway(3, 800);
-        choosing.stayAway(3, 600);
+        choosing.avoidUntil(3, 800);
+        choosing.avoidUntil(3, 600);
         assertEquals(-1, choosing.next(499, NONE, 0));
         assertEquals(500, choosing.freeAt());
         assertEquals(2, choosing.next(500, NONE, 0));
@@ -88,30 +88,31 @@
 
     @Test
     void whatMayRunOnceIsRepeatedOnProofOnly() {
-        Repeating repeating = repeating(0, true, false);
+        RetryPolicy repeating = repeating(0, true, false);
         for (Outcome end : Outcome.values()) {
             boolean proven = end == Outcome.REFUSED || end == Outcome.UNSENT;
             assertEquals(
                     proven,
-                    repeating.after(end, false, 1, 0, 5000, true, false) != Repeating.NEVER,
+                    repeating.after(end, false, 1, 0, 5000, true, false) != RetryPolicy.NEVER,
                     end::name);
             assertEquals(
                     end != Outcome.SERVED,
-                    repeating.after(end, true, 1, 0, 5000, true, false) != Repeating.NEVER,
+                    repeating.after(end, true, 1, 0, 5000, true, false) != RetryPolicy.NEVER,
                     end::name);
         }
     }
 
     @Test
     void triesPausesAndTimeAreKeptTo() {
-        Repeating repeating = repeating(3, true, true);
+        RetryPolicy repeating = repeating(3, true, true);
         assertEquals(70, repeating.after(Outcome.REFUSED, true, 2, 70, 5000, true, false));
         assertEquals(
-                Repeating.NEVER, repeating.after(Outcome.REFUSED, true, 3, 70, 5000, true, false));
+                RetryPolicy.NEVER,
+                repeating.after(Outcome.REFUSED, true, 3, 70, 5000, true, false));
         assertEquals(
-                Repeating.NEVER, repeating.after(Outcome.REFUSED, true, 1, 70, 5000, true, true));
+                RetryPolicy.NEVER, repeating.after(Outcome.REFUSED, true, 1, 70, 5000, true, true));
         assertEquals(
-                Repeating.NEVER,
+                RetryPolicy.NEVER,
                 repeating.after(Outcome.REFUSED, true, 1, 5000, 5000, true, false));
         double paused = repeating.after(Outcome.REFUSED, true, 1, 70, 5000, false, false);
         assertTrue(paused >= 120 && paused <= 220, "" + paused);
@@ -122,15 +123,15 @@
         assertTrue(repeating.after(Outcome.FAILED, true, 1, 70, 5000, true, false) >= 120);
         assertTrue(
                 repeating(3, true, false).after(Outcome.REFUSED, true, 1, 0, 5000, true, true)
-                        < Repeating.NEVER);
+                        < RetryPolicy.NEVER);
         assertEquals(10, repeating.wait(0, 5000, 0));
-        assertEquals(Repeating.NEVER, repeating.wait(4995, 5000, 0));
+        assertEquals(RetryPolicy.NEVER, repeating.wait(4995, 5000, 0));
         assertTrue(repeating.wait(0, 5000, 900) <= 150);
     }
 
     @Test
     void theRosterListsOnAWordAndForgetsWithoutOne() {
-        RosterList list = new RosterList(2, 3000);
+        RegistryEntries list = new RegistryEntries(2, 3000);
         assertFalse(list.takes(0));
         list.engineUp(0, 0);
         list.heard(1, true, 0);
--- a/src/test/java/tinroad/lab/fake/CoresTest.java
+++ b/src/test/java/tinroad/lab/fake/CoresTest.java
@@ -10,8 +10,8 @@
 
 /** The model of the cores, against what can be worked out by hand. */
 class CoresTest {
-    private static Cores cores(int count, double crowding, boolean cold) {
-        return new Cores(
+    private static CoreModel cores(int count, double crowding, boolean cold) {
+        return new CoreModel(
                 new Script.EngineModel(
                         ServiceTimeLaw.CONSTANT, 1, 2, crowding, 0.25, 1000, 0.25, 0, 0),
                 count,
@@ -22,7 +22,7 @@
 
     @Test
     void eachHasACoreOfItsOwnUntilThereAreMoreThanCores() {
-        Cores cores = cores(2, 0, false);
+        CoreModel cores = cores(2, 0, false);
         cores.start("a", 10);
         cores.start("b", 20);
         assertEquals(List.of(), cores.advance(9.9));
@@ -38,7 +38,7 @@
 
     @Test
     void whatComesLaterSharesFromThenOn() {
-        Cores cores = cores(1, 0, false);
+        CoreModel cores = cores(1, 0, false);
         cores.start("a", 10);
         cores.advance(5);
         cores.start("b", 2);
@@ -49,7 +49,7 @@
 
     @Test
     void aCrowdCostsWork() {
-        Cores cores = cores(1, 0.5, false);
+        CoreModel cores = cores(1, 0.5, false);
         for (int i = 0; i < 4; i++) {
             cores.start("r" + i, 10);
         }
@@ -60,7 +60,7 @@
 
     @Test
     void aColdStartIsSlowAndGetsWarm() {
-        Cores cores = cores(1, 0, true);
+        CoreModel cores = cores(1, 0, true);
         assertEquals(0.25, cores.warmth());
         cores.start("a", 1000);
         // Speeds are held between looks of 1 ms: 625 ms of work in the first second, then full
@@ -74,7 +74,7 @@
 
     @Test
     void eachCoreReadsOneAtATimeAndTheRunsGoOn() {
-        Cores cores = cores(1, 0, false);
+        CoreModel cores = cores(1, 0, false);
         cores.start("a", 10);
         for (int i = 0; i < 100; i++) {
             cores.read(5);
@@ -90,7 +90,7 @@
 
     @Test
     void aPauseStopsTheWorkAndACrashLosesIt() {
-        Cores cores = cores(1, 0, false);
+        CoreModel cores = cores(1, 0, false);
         cores.start("a", 10);
         cores.advance(5);
         cores.pause(true);
--- a/src/test/java/tinroad/recovery/SlowStartTest.java
+++ b/src/test/java/tinroad/recovery/SlowStartTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tinroad.lab.fake.Cores;
+import tinroad.lab.fake.CoreModel;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.ServiceTimeLaw;
 import tinroad.recovery.SlowStart.Phase;
@@ -56,8 +56,8 @@
             double hungUntil,
             double length,
             boolean limited) {
-        Cores cores =
-                new Cores(
+        CoreModel cores =
+                new CoreModel(
                         new Script.EngineModel(
                                 ServiceTimeLaw.LOGNORMAL,
                                 0.5,
