--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -110,7 +110,7 @@
      * @param late 99th percentile of how late requests were sent, in ms
      * @param cpuLeft share of all cores that was idle
      */
-    public record Outcome(RunHistory ledger, double late, double cpuLeft) {
+    public record RunOutcome(RunHistory ledger, double late, double cpuLeft) {
         /** Whether the load came in time; else it does not count. */
         public boolean counts() {
             return late <= LATE;
@@ -204,7 +204,7 @@
     }
 
     /** Plays the plan; blocks until it is over. */
-    public Outcome play() throws IOException, InterruptedException {
+    public RunOutcome play() throws IOException, InterruptedException {
         range = LoopbackRange.take(CALLERS_PORT);
         zeroNanos = System.nanoTime();
         Files.createDirectories(options.folder);
@@ -236,7 +236,7 @@
         over = true;
         onLoop(() -> members.forEach(m -> m.engine.end()));
         readLogs();
-        return new Outcome(
+        return new RunOutcome(
                 ledger,
                 lateness.getValueAtPercentile(99) / 1000.0,
                 (double) (cpuAfter[0] - cpuBefore[0]) / Math.max(1, cpuAfter[1] - cpuBefore[1]));
@@ -526,7 +526,7 @@
                 .put("cores", 1.0)
                 .put("memory_mb", script.fleet().memoryMb())
                 .put("sockets", script.fleet().sockets());
-        c.set("settings", Settings.of(script, cold));
+        c.set("settings", PlatformSettings.of(script, cold));
         Files.writeString(m.folder.resolve("config.json"), c.toPrettyString());
     }
 
--- a/src/main/java/tinroad/lab/Settings.java
+++ b/src/main/java/tinroad/lab/PlatformSettings.java
@@ -9,7 +9,7 @@
 import tinroad.lab.script.Script.RequestClass;
 
 /** What the platform would tell the gateways of a script's fleet. */
-public final class Settings {
+public final class PlatformSettings {
     /**
      * What the gateways are told of the engines' warm-up, in ms: the platform's word, not the
      * script's truth.
@@ -18,7 +18,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Settings() {}
+    private PlatformSettings() {}
 
     /** The {@code settings} as text. */
     public static String text(Script script, boolean cold) {
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -36,7 +36,7 @@
 
     private static final double[] QUANTILES = {50, 99};
 
-    private final Lab.Outcome outcome;
+    private final Lab.RunOutcome outcome;
     private final Schedule plan;
     private final RunMetrics measures;
     private final List<HistoryChecker.Violation> broken;
@@ -44,7 +44,7 @@
     private final Map<String, Object> figures = new LinkedHashMap<>();
 
     /** The report of this run. */
-    public Report(Lab.Outcome outcome) {
+    public Report(Lab.RunOutcome outcome) {
         this.outcome = outcome;
         plan = outcome.ledger().plan;
         measures = new RunMetrics(outcome.ledger());
--- a/src/main/java/tinroad/lab/soak/SoakRun.java
+++ b/src/main/java/tinroad/lab/soak/SoakRun.java
@@ -38,7 +38,7 @@
                                 null,
                                 null,
                                 LabContext.Mutant.NONE))) {
-            Lab.Outcome outcome = lab.play();
+            Lab.RunOutcome outcome = lab.play();
             Report report = new Report(outcome);
             report.write(folder);
             return new SoakRun(seed, SoakVerdict.of(outcome, report), report.fates().asked());
--- a/src/main/java/tinroad/lab/soak/SoakVerdict.java
+++ b/src/main/java/tinroad/lab/soak/SoakVerdict.java
@@ -32,7 +32,7 @@
     }
 
     /** Judges a run. */
-    static SoakVerdict of(Lab.Outcome outcome, Report report) {
+    static SoakVerdict of(Lab.RunOutcome outcome, Report report) {
         RunHistory ledger = outcome.ledger();
         List<String> faults = new ArrayList<>();
         report.broken().forEach(broken -> faults.add(broken.rule() + ": " + broken.description()));
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -15,7 +15,7 @@
 import tinroad.core.IncomingRequest;
 import tinroad.core.Response;
 import tinroad.lab.Lab;
-import tinroad.lab.Settings;
+import tinroad.lab.PlatformSettings;
 import tinroad.lab.fake.ClientProxyModel;
 import tinroad.lab.fake.EventQueue;
 import tinroad.lab.fake.FakeRegistry;
@@ -106,7 +106,7 @@
     }
 
     private Site site(boolean cold) throws IOException {
-        try (JsonParser in = new JsonFactory().createParser(Settings.text(script, cold))) {
+        try (JsonParser in = new JsonFactory().createParser(PlatformSettings.text(script, cold))) {
             in.nextToken();
             return SiteReader.read(in);
         }
@@ -141,7 +141,7 @@
     }
 
     /** Plays the day. */
-    public Lab.Outcome play() {
+    public Lab.RunOutcome play() {
         gateways.forEach(g -> g.begin(false));
         agenda.at(
                 0,
@@ -175,7 +175,7 @@
         }
         step();
         engines.forEach(ModelEngine::end);
-        return new Lab.Outcome(ledger, 0, 1);
+        return new Lab.RunOutcome(ledger, 0, 1);
     }
 
     private void step() {
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -33,7 +33,7 @@
                         Schedule.of(ScriptReader.read(file), seed),
                         new Lab.Options(
                                 Program.CLASS_PATH, dir.resolve("run"), null, null, mutant))) {
-            Lab.Outcome outcome = lab.play();
+            Lab.RunOutcome outcome = lab.play();
             ledger = outcome.ledger();
             Report report = new Report(outcome);
             report.write(dir.resolve("out"));
