--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -17,6 +17,7 @@
 import tinroad.lab.verification.HistoryChecker;
 import tinroad.lab.verification.RecoveryBound;
 import tinroad.lab.verification.RunHistory;
+import tinroad.lab.verification.RunHistory.Counter;
 import tinroad.lab.verification.RunMetrics;
 import tinroad.lab.verification.Try;
 
@@ -98,22 +99,14 @@
                         latency.getValueAtPercentile(q) / 1000.0);
             }
         }
-        put(
-                "checks_s_gateway",
-                measures.mean(RunHistory.Counter.CHECKS, script.settle(), script.length()));
+        put("checks_s_gateway", measures.mean(Counter.CHECKS, script.settle(), script.length()));
         put(
                 "checks_s_fleet_most",
-                (double)
-                        measures.most(RunHistory.Counter.CHECKS, script.settle(), script.length())[
-                                1]);
+                (double) measures.most(Counter.CHECKS, script.settle(), script.length())[1]);
         put(
                 "connections_s_gateway_most",
-                (double)
-                        measures.most(
-                                        RunHistory.Counter.CONNECTIONS,
-                                        script.settle(),
-                                        script.length())[0]);
-        put("runs_s_gateway_fault", measures.mean(RunHistory.Counter.RUNS, from, to));
+                (double) measures.most(Counter.CONNECTIONS, script.settle(), script.length())[0]);
+        put("runs_s_gateway_fault", measures.mean(Counter.RUNS, from, to));
         put(
                 "memory_mb",
                 ledger.incarnations.stream().mapToDouble(l -> l.mostMemoryMb).max().orElse(0));
