--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -21,12 +21,12 @@
 import tinroad.lab.Lab;
 import tinroad.lab.Report;
 import tinroad.lab.capacity.CapacityPage;
-import tinroad.lab.fake.World;
+import tinroad.lab.fake.LabContext;
 import tinroad.lab.scale.Scale;
 import tinroad.lab.scale.ScaleReader;
 import tinroad.lab.scale.ScaleRun;
 import tinroad.lab.scale.Sweep;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
 import tinroad.lab.soak.SoakRun;
@@ -256,13 +256,13 @@
         Path workFolder = runFolder == null ? Files.createTempDirectory("tinroad-lab") : runFolder;
         try (Lab lab =
                 new Lab(
-                        Plan.of(labScript, runSeed),
+                        Schedule.of(labScript, runSeed),
                         new Lab.Options(
                                 jar(program),
                                 workFolder,
                                 operator(program),
                                 progress,
-                                World.Mutant.NONE))) {
+                                LabContext.Mutant.NONE))) {
             Report report = new Report(lab.play());
             if (runFolder != null) {
                 report.write(runFolder);
@@ -282,13 +282,15 @@
             long brokenRules = 0;
             for (long runSeed : seeds()) {
                 Report report =
-                        new Report(new FleetModel(Plan.of(labScript, runSeed), storesState).play());
+                        new Report(
+                                new FleetModel(Schedule.of(labScript, runSeed), storesState)
+                                        .play());
                 out.println(report.line());
                 brokenRules += report.broken().size();
             }
             return brokenRules == 0 ? SUCCESS : FAILURE;
         }
-        Report report = new Report(new FleetModel(Plan.of(script(), seed), storesState).play());
+        Report report = new Report(new FleetModel(Schedule.of(script(), seed), storesState).play());
         if (outFolder != null) {
             report.write(Path.of(outFolder));
         }
@@ -346,8 +348,9 @@
                 .limit(5)
                 .forEach(
                         violation -> {
-                            err.println("broken: " + violation.rule() + ": " + violation.what());
-                            violation.way().forEach(err::println);
+                            err.println(
+                                    "broken: " + violation.rule() + ": " + violation.description());
+                            violation.trace().forEach(err::println);
                         });
         out.println(report.fates());
         return report.broken().isEmpty() ? SUCCESS : FAILURE;
--- a/src/main/java/tinroad/lab/Lab.java
+++ b/src/main/java/tinroad/lab/Lab.java
@@ -29,29 +29,29 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import tinroad.lab.fake.Agenda;
-import tinroad.lab.fake.EngineStand;
-import tinroad.lab.fake.ProxyStand;
-import tinroad.lab.fake.RosterStand;
-import tinroad.lab.fake.World;
-import tinroad.lab.fake.World.Mutant;
+import tinroad.lab.fake.EventQueue;
+import tinroad.lab.fake.FakeClientProxy;
+import tinroad.lab.fake.FakeEngine;
+import tinroad.lab.fake.FakeRegistry;
+import tinroad.lab.fake.LabContext;
+import tinroad.lab.fake.LabContext.Mutant;
 import tinroad.lab.relay.DatagramRelay;
 import tinroad.lab.relay.LinkFaults;
 import tinroad.lab.relay.StreamRelay;
-import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.PlannedRequest;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Deed;
-import tinroad.lab.script.Script.Folder;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.Link;
-import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Ledger;
-import tinroad.lab.verification.Ledger.Excuse;
-import tinroad.lab.verification.Ledger.Life;
-import tinroad.lab.verification.Measures;
+import tinroad.lab.script.Script.RequestClass;
+import tinroad.lab.script.Script.StateRetention;
+import tinroad.lab.verification.RecoveryBound;
+import tinroad.lab.verification.RunHistory;
+import tinroad.lab.verification.RunHistory.ExcusedInterval;
+import tinroad.lab.verification.RunHistory.GatewayIncarnation;
+import tinroad.lab.verification.RunMetrics;
 import tinroad.lab.verification.Try;
 
 /**
@@ -63,7 +63,7 @@
      * A load that ran later than this, in ms, in more than one of 100 requests does not count: a
      * bin of arrivals.
      */
-    public static final double LATE = Measures.BIN;
+    public static final double LATE = RunMetrics.BIN;
 
     private static final int RELAY_THREADS = 3;
     private static final double TICK_MS = 1;
@@ -110,7 +110,7 @@
      * @param late 99th percentile of how late requests were sent, in ms
      * @param cpuLeft share of all cores that was idle
      */
-    public record Outcome(Ledger ledger, double late, double cpuLeft) {
+    public record RunOutcome(RunHistory ledger, double late, double cpuLeft) {
         /** Whether the load came in time; else it does not count. */
         public boolean counts() {
             return late <= LATE;
@@ -123,11 +123,11 @@
         private final Path folder;
         private final Path older;
         private final Map<Link, List<LinkFaults>> links = new EnumMap<>(Link.class);
-        private EngineStand engine;
+        private FakeEngine engine;
         private StreamRelay callersRelay;
         private StreamRelay engineRelay;
         private volatile GatewayProcess process;
-        private Life life;
+        private GatewayIncarnation life;
         private int enginePort = ENGINE_RELAY_PORT;
 
         /** Its process ends, or has ended, and the next one is to come: it can't end twice. */
@@ -155,7 +155,7 @@
     }
 
     private final Options options;
-    private final Plan plan;
+    private final Schedule plan;
     private final Script script;
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -170,20 +170,20 @@
                         return thread;
                     });
     private final List<Member> members = new ArrayList<>();
-    private final List<ProxyStand> proxies = new ArrayList<>();
-    private final Agenda agenda = new Agenda();
-    private final Ledger ledger;
+    private final List<FakeClientProxy> proxies = new ArrayList<>();
+    private final EventQueue agenda = new EventQueue();
+    private final RunHistory ledger;
     private final org.HdrHistogram.Histogram lateness =
             new org.HdrHistogram.Histogram(60_000_000, 3);
-    private World world;
-    private RosterStand roster;
+    private LabContext world;
+    private FakeRegistry roster;
     private LoopbackRange range;
     private long zeroNanos = System.nanoTime();
     private double lastTick = Double.NaN;
     private volatile boolean over;
 
     /** A lab for this plan. */
-    public Lab(Plan plan, Options options) {
+    public Lab(Schedule plan, Options options) {
         this.plan = plan;
         this.options = options;
         script = plan.script();
@@ -196,7 +196,7 @@
                             + MOST_PROXIES
                             + " proxies; larger fleets are for 'lab model'");
         }
-        ledger = new Ledger(plan);
+        ledger = new RunHistory(plan);
     }
 
     private double now() {
@@ -204,7 +204,7 @@
     }
 
     /** Plays the plan; blocks until it is over. */
-    public Outcome play() throws IOException, InterruptedException {
+    public RunOutcome play() throws IOException, InterruptedException {
         range = LoopbackRange.take(CALLERS_PORT);
         zeroNanos = System.nanoTime();
         Files.createDirectories(options.folder);
@@ -231,20 +231,20 @@
             }
         }
         long[] cpuAfter = cpu();
-        Thread.sleep((long) (tinroad.lab.verification.Rules.SLACK + 100));
+        Thread.sleep((long) (tinroad.lab.verification.HistoryChecker.SLACK + 100));
         leaveAll();
         over = true;
         onLoop(() -> members.forEach(m -> m.engine.end()));
         readLogs();
-        return new Outcome(
+        return new RunOutcome(
                 ledger,
                 lateness.getValueAtPercentile(99) / 1000.0,
                 (double) (cpuAfter[0] - cpuBefore[0]) / Math.max(1, cpuAfter[1] - cpuBefore[1]));
     }
 
     private double mostPatience() {
-        return script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0)
-                * Math.max(1, script.callers().inAll());
+        return script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
+                * Math.max(1, script.callers().totalTimeoutFactor());
     }
 
     private int waiting() throws InterruptedException {
@@ -283,12 +283,12 @@
     // --- the build ---
 
     private void build() throws IOException {
-        world = new World(loop, ledger, agenda, options.mutant, this::now);
+        world = new LabContext(loop, ledger, agenda, options.mutant, this::now);
         for (int g = 0; g < script.fleet().gateways(); g++) {
             Member m = new Member(g);
             members.add(m);
             m.engine =
-                    new EngineStand(
+                    new FakeEngine(
                             world,
                             g,
                             script.fleet().speeds().get(g % script.fleet().speeds().size()));
@@ -297,14 +297,14 @@
                 members.stream().map(m -> address(host(m.number), CALLERS_PORT)).toList();
         for (int p = 0; p < script.callers().proxies(); p++) {
             proxies.add(
-                    new ProxyStand(
+                    new FakeClientProxy(
                             world,
                             p,
                             address(FIRST_PROXY + p, 0),
                             address(FIRST_CHECKS + p, 0),
                             doors));
         }
-        roster = new RosterStand(world, proxies.stream().map(ProxyStand::proxy).toList());
+        roster = new FakeRegistry(world, proxies.stream().map(FakeClientProxy::proxy).toList());
     }
 
     private void open() throws InterruptedException {
@@ -402,7 +402,7 @@
         roster.allUp();
         agenda.at(now(), roster::begin);
         proxies.forEach(p -> agenda.at(now(), p::begin));
-        for (Asked asked : plan.requests()) {
+        for (PlannedRequest asked : plan.requests()) {
             agenda.at(
                     asked.at(),
                     () -> {
@@ -413,10 +413,10 @@
                                             60_000_000,
                                             Math.max(0, (long) (1000 * (now() - asked.at())))));
                         }
-                        proxies.get(asked.proxy()).proxy().ask(asked);
+                        proxies.get(asked.proxy()).proxy().submit(asked);
                     });
         }
-        for (Hit hit : plan.hits()) {
+        for (FaultEvent hit : plan.faultEvents()) {
             agenda.at(hit.at(), () -> begin(hit));
         }
         script.load().jumps().forEach(j -> agenda.at(j.at() + j.length(), () -> ended(now())));
@@ -442,7 +442,7 @@
                 GatewayProcess.start(jar, m.folder, options.operator == null ? null : operator(m));
         loop.execute(
                 () -> {
-                    Life life = ledger.begins(m.number);
+                    GatewayIncarnation life = ledger.addIncarnation(m.number);
                     life.begunAt = begunAt;
                     m.life = life;
                     m.process = process;
@@ -521,12 +521,12 @@
                                                                 + " "
                                                                 + System.nanoTime())
                                                 .nextLong()))
-                        .put("stop_ms", script.fleet().stop());
+                        .put("stop_ms", script.fleet().shutdownGraceMillis());
         c.putObject("limits")
                 .put("cores", 1.0)
                 .put("memory_mb", script.fleet().memoryMb())
                 .put("sockets", script.fleet().sockets());
-        c.set("settings", Settings.of(script, cold));
+        c.set("settings", PlatformSettings.of(script, cold));
         Files.writeString(m.folder.resolve("config.json"), c.toPrettyString());
     }
 
@@ -534,9 +534,10 @@
         while (!over) {
             for (Member m : members) {
                 GatewayProcess process = m.process;
-                Life life = m.life;
+                GatewayIncarnation life = m.life;
                 if (process != null) {
-                    life.seen(process.memoryMb(), process.descriptors(), now() / script.length());
+                    life.addSample(
+                            process.memoryMb(), process.descriptors(), now() / script.length());
                 }
             }
             try {
@@ -607,7 +608,7 @@
 
     // --- faults ---
 
-    private void begin(Hit hit) {
+    private void begin(FaultEvent hit) {
         if (hit.gateway() < 0) {
             roster.down(true);
             agenda.at(
@@ -619,24 +620,24 @@
             return;
         }
         Member m = members.get(hit.gateway());
-        String what = hit.trouble().deed().name().toLowerCase(Locale.ROOT);
+        String what = hit.fault().action().name().toLowerCase(Locale.ROOT);
         note(m, "fault: " + what);
-        if (hit.trouble().deed().toLinks()) {
+        if (hit.fault().action().toLinks()) {
             cutLinks(m, hit);
             return;
         }
-        if (hit.trouble().deed().ends()) {
+        if (hit.fault().action().ends()) {
             if (m.away) {
                 note(m, "away already");
                 return;
             }
             m.away = true;
         }
-        switch (hit.trouble().deed()) {
+        switch (hit.fault().action()) {
             case KILL, KILL_GATEWAY -> {
-                m.life.told = true;
+                m.life.endedByScript = true;
                 shut(m);
-                if (hit.trouble().deed() == Deed.KILL) {
+                if (hit.fault().action() == FaultAction.KILL) {
                     m.engine.crash();
                 }
                 keepers.execute(m.process::kill);
@@ -644,7 +645,7 @@
             }
             case NOTICE -> notice(m, hit);
             case STOP -> {
-                ledger.excuses.add(new Excuse(m.number, now(), hit.until()));
+                ledger.excusedIntervals.add(new ExcusedInterval(m.number, now(), hit.until()));
                 GatewayProcess process = m.process;
                 keepers.execute(() -> signal(process, "STOP"));
                 agenda.at(hit.until(), () -> keepers.execute(() -> signal(process, "CONT")));
@@ -655,11 +656,11 @@
             }
             case ENGINE_PAUSE -> lasting(hit, m.engine::pause);
             case ENGINE_SICK -> lasting(hit, m.engine::sick);
-            case ENGINE_SLOW -> lasting(hit, on -> m.engine.slow(on ? hit.trouble().factor() : 1));
+            case ENGINE_SLOW -> lasting(hit, on -> m.engine.slow(on ? hit.fault().factor() : 1));
             case ENGINE_MOVE -> move(m, hit);
             default -> throw new IllegalStateException(what);
         }
-        if (!hit.trouble().deed().ends()) {
+        if (!hit.fault().action().ends()) {
             agenda.at(Math.max(hit.at(), hit.until()), () -> ended(now()));
         }
     }
@@ -668,7 +669,7 @@
         ledger.faultEnd = Double.isNaN(ledger.faultEnd) ? at : Math.max(at, ledger.faultEnd);
     }
 
-    private void lasting(Hit hit, Consumer<Boolean> set) {
+    private void lasting(FaultEvent hit, Consumer<Boolean> set) {
         set.accept(true);
         agenda.at(hit.until(), () -> set.accept(false));
     }
@@ -681,19 +682,20 @@
         }
     }
 
-    private void notice(Member m, Hit hit) {
-        Life life = m.life;
+    private void notice(Member m, FaultEvent hit) {
+        GatewayIncarnation life = m.life;
         GatewayProcess process = m.process;
         life.noticedAt = now();
-        life.told = true;
+        life.endedByScript = true;
         keepers.execute(process::notice);
-        signalAfterNotice(process, hit.trouble());
+        signalAfterNotice(process, hit.fault());
         agenda.at(
-                now() + script.fleet().stop(),
+                now() + script.fleet().shutdownGraceMillis(),
                 () -> {
                     if (life.exit < 0) {
                         note(m, "did not end on notice: killed");
-                        ledger.excuses.add(new Excuse(m.number, now() - 1, now() + 1));
+                        ledger.excusedIntervals.add(
+                                new ExcusedInterval(m.number, now() - 1, now() + 1));
                         keepers.execute(process::kill);
                     }
                 });
@@ -707,7 +709,7 @@
     }
 
     /** Sends the signals that follow a notice, until its process has ended. */
-    private void signalAfterNotice(GatewayProcess process, Script.Trouble notice) {
+    private void signalAfterNotice(GatewayProcess process, Script.Fault notice) {
         for (int i = 0; i < notice.signals().size(); i++) {
             String name = notice.signals().get(i);
             agenda.at(
@@ -716,7 +718,7 @@
         }
     }
 
-    private void whenEnded(Member m, Life life, Runnable task) {
+    private void whenEnded(Member m, GatewayIncarnation life, Runnable task) {
         if (life.exit >= 0) {
             task.run();
         } else {
@@ -724,27 +726,28 @@
         }
     }
 
-    private void comeBack(Member m, Hit hit) {
-        Life life = m.life;
+    private void comeBack(Member m, FaultEvent hit) {
+        GatewayIncarnation life = m.life;
         double from = now();
         whenEnded(
                 m,
                 life,
                 () -> {
-                    ledger.excuses.add(new Excuse(m.number, from, life.endedAt + 50));
+                    ledger.excusedIntervals.add(
+                            new ExcusedInterval(m.number, from, life.endedAt + 50));
                     restart(m, hit);
                 });
     }
 
-    private void restart(Member m, Hit hit) {
+    private void restart(Member m, FaultEvent hit) {
         agenda.at(
-                now() + hit.away(),
+                now() + hit.awayMillis(),
                 () -> {
                     ended(now());
                     keepers.execute(
                             () -> {
-                                folder(m, hit.trouble().folder());
-                                String jar = hit.trouble().jar();
+                                folder(m, hit.fault().folder());
+                                String jar = hit.fault().jar();
                                 try {
                                     begin(m, true, jar.isEmpty() ? options.jar : jar);
                                 } catch (IOException e) {
@@ -759,7 +762,7 @@
                             });
                     if (!m.engine.up()) {
                         agenda.at(
-                                now() + Bound.ENGINE_AFTER,
+                                now() + RecoveryBound.ENGINE_AFTER,
                                 () -> {
                                     m.engine.start(true);
                                     roster.engineUp(m.number);
@@ -768,7 +771,7 @@
                 });
     }
 
-    private void folder(Member m, Folder folder) {
+    private void folder(Member m, StateRetention folder) {
         Path state = m.folder.resolve("tmp");
         try {
             switch (folder) {
@@ -813,7 +816,7 @@
     }
 
     /** The engine answers at another address from now on; the old one refuses. */
-    private void move(Member m, Hit hit) {
+    private void move(Member m, FaultEvent hit) {
         m.enginePort = m.enginePort == ENGINE_RELAY_PORT ? MOVED_RELAY_PORT : ENGINE_RELAY_PORT;
         GatewayProcess process = m.process;
         keepers.execute(
@@ -824,7 +827,7 @@
                         write(m, false);
                         before.refuse(true);
                         m.links.get(Link.ENGINE).get(0).resetAll();
-                        if (hit.heard()) {
+                        if (hit.notified()) {
                             process.signal("HUP");
                         }
                     } catch (IOException e) {
@@ -841,28 +844,28 @@
                 });
     }
 
-    private void cutLinks(Member m, Hit hit) {
+    private void cutLinks(Member m, FaultEvent hit) {
         List<LinkFaults> hitLinks = new ArrayList<>();
-        for (Link link : hit.trouble().links()) {
+        for (Link link : hit.fault().links()) {
             List<LinkFaults> all = m.links.get(link);
             hitLinks.addAll(
-                    all.size() == 1 || hit.trouble().callersZone() < 0
+                    all.size() == 1 || hit.fault().callersZone() < 0
                             ? all
-                            : List.of(all.get(hit.trouble().callersZone())));
+                            : List.of(all.get(hit.fault().callersZone())));
         }
         // First: a connection may be reset before the next reading of the clock.
         double begunAt = now();
-        hitLinks.forEach(l -> l.begin(hit.trouble()));
-        if (hit.trouble().links().contains(Link.CALLERS)) {
-            ledger.excuses.add(new Excuse(m.number, begunAt, hit.until()));
+        hitLinks.forEach(l -> l.begin(hit.fault()));
+        if (hit.fault().links().contains(Link.CALLERS)) {
+            ledger.excusedIntervals.add(new ExcusedInterval(m.number, begunAt, hit.until()));
         }
         refuse(m, hit, true);
         agenda.at(
                 hit.until(),
                 () -> {
                     refuse(m, hit, false);
-                    hitLinks.forEach(l -> l.end(hit.trouble()));
-                    note(m, "fault ends: " + hit.trouble().deed().name().toLowerCase(Locale.ROOT));
+                    hitLinks.forEach(l -> l.end(hit.fault()));
+                    note(m, "fault ends: " + hit.fault().action().name().toLowerCase(Locale.ROOT));
                     ended(now());
                 });
     }
@@ -871,15 +874,15 @@
      * Only a whole door can refuse; where but some of its links do, each connection is reset as it
      * comes.
      */
-    private void refuse(Member m, Hit hit, boolean on) {
-        if (hit.trouble().deed() == Deed.REFUSE) {
+    private void refuse(Member m, FaultEvent hit, boolean on) {
+        if (hit.fault().action() == FaultAction.REFUSE) {
             keepers.execute(
                     () -> {
-                        if (hit.trouble().links().contains(Link.ENGINE)) {
+                        if (hit.fault().links().contains(Link.ENGINE)) {
                             refuse(m.engineRelay, on);
                         }
-                        if (hit.trouble().links().containsAll(List.of(Link.CALLERS, Link.CHECKS))
-                                && hit.trouble().callersZone() < 0) {
+                        if (hit.fault().links().containsAll(List.of(Link.CALLERS, Link.CHECKS))
+                                && hit.fault().callersZone() < 0) {
                             refuse(m.callersRelay, on);
                         }
                     });
@@ -895,7 +898,7 @@
                         members.forEach(
                                 m -> {
                                     if (m.process != null && m.life.exit < 0) {
-                                        m.life.told = true;
+                                        m.life.endedByScript = true;
                                         m.life.noticedAt =
                                                 Math.min(
                                                         now(),
@@ -906,7 +909,7 @@
                                     }
                                 }));
         // Generous: how long a process takes to end that has left in order hangs on the machine.
-        double until = now() + script.fleet().stop() + END_PATIENCE;
+        double until = now() + script.fleet().shutdownGraceMillis() + END_PATIENCE;
         boolean[] all = new boolean[1];
         while (!all[0] && now() < until) {
             Thread.sleep(20);
@@ -949,8 +952,10 @@
         onLoop(
                 () -> {
                     long answered =
-                            ledger.fates.stream().filter(f -> f.end == Try.End.SERVED).count();
-                    long ended = ledger.fates.stream().filter(f -> f.end != null).count();
+                            ledger.requests.stream()
+                                    .filter(f -> f.end == Try.Outcome.SERVED)
+                                    .count();
+                    long ended = ledger.requests.stream().filter(f -> f.end != null).count();
                     options.progress.printf(
                             Locale.ROOT,
                             "%4.0f s  %d served of %d ended, %d tries, %d of %d gateways run%n",
--- a/src/main/java/tinroad/lab/Settings.java
+++ b/src/main/java/tinroad/lab/PlatformSettings.java
@@ -4,12 +4,12 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.stream.IntStream;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Kind;
+import tinroad.lab.script.Script.RequestClass;
 
 /** What the platform would tell the gateways of a script's fleet. */
-public final class Settings {
+public final class PlatformSettings {
     /**
      * What the gateways are told of the engines' warm-up, in ms: the platform's word, not the
      * script's truth.
@@ -18,7 +18,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Settings() {}
+    private PlatformSettings() {}
 
     /** The {@code settings} as text. */
     public static String text(Script script, boolean cold) {
@@ -32,7 +32,7 @@
     public static ObjectNode of(Script script, boolean cold) {
         ObjectNode s = JSON.createObjectNode();
         ArrayNode classes = s.putArray("classes");
-        for (Kind k : script.classes()) {
+        for (RequestClass k : script.classes()) {
             classes.addObject()
                     .put("name", k.name())
                     .put("objective", k.objective())
@@ -42,7 +42,7 @@
                     .put("semantics", k.free() ? "free" : "single_shot");
         }
         ArrayNode orgs = s.putArray("orgs");
-        double all = script.fleet().power() / Plan.meanCost(script) * 1000;
+        double all = script.fleet().power() / Schedule.meanCost(script) * 1000;
         double sum =
                 IntStream.rangeClosed(1, script.members().count())
                         .mapToDouble(i -> Math.pow(i, -script.members().skew()))
@@ -60,7 +60,7 @@
                         .put("callers", script.callers().proxies())
                         .put("memory_kb", 60_000.0)
                         .put("run_factor", 4.0)
-                        .put("idle", script.callers().idle())
+                        .put("idle", script.callers().idleTimeoutMillis())
                         .put("passes_deadline", false)
                         .put("just_started", cold)
                         .put("say", "none")
--- a/src/main/java/tinroad/lab/Report.java
+++ b/src/main/java/tinroad/lab/Report.java
@@ -11,13 +11,14 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
-import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Ledger;
-import tinroad.lab.verification.Measures;
-import tinroad.lab.verification.Rules;
+import tinroad.lab.verification.HistoryChecker;
+import tinroad.lab.verification.RecoveryBound;
+import tinroad.lab.verification.RunHistory;
+import tinroad.lab.verification.RunHistory.Counter;
+import tinroad.lab.verification.RunMetrics;
 import tinroad.lab.verification.Try;
 
 /** What is told of a run: figures by name, the broken rules, files and charts. */
@@ -36,28 +37,28 @@
 
     private static final double[] QUANTILES = {50, 99};
 
-    private final Lab.Outcome outcome;
-    private final Plan plan;
-    private final Measures measures;
-    private final List<Rules.Broken> broken;
-    private final Rules.Fates fates;
+    private final Lab.RunOutcome outcome;
+    private final Schedule plan;
+    private final RunMetrics measures;
+    private final List<HistoryChecker.Violation> broken;
+    private final HistoryChecker.OutcomeCounts fates;
     private final Map<String, Object> figures = new LinkedHashMap<>();
 
     /** The report of this run. */
-    public Report(Lab.Outcome outcome) {
+    public Report(Lab.RunOutcome outcome) {
         this.outcome = outcome;
         plan = outcome.ledger().plan;
-        measures = new Measures(outcome.ledger());
-        Rules.Verdict verdict = Rules.judge(outcome.ledger());
+        measures = new RunMetrics(outcome.ledger());
+        HistoryChecker.Verdict verdict = HistoryChecker.check(outcome.ledger());
         broken = verdict.broken();
-        fates = Rules.fates(outcome.ledger(), broken);
+        fates = HistoryChecker.fates(outcome.ledger(), broken);
         fill();
         put("excused_tries", (long) verdict.excused());
     }
 
     private void fill() {
         Script script = plan.script();
-        Ledger ledger = outcome.ledger();
+        RunHistory ledger = outcome.ledger();
         double from = Double.isNaN(plan.firstFault()) ? script.settle() : plan.firstFault();
         double to =
                 Double.isNaN(ledger.faultEnd)
@@ -70,14 +71,17 @@
         put("service_fault", measures.service(from, to));
         put("service_after", measures.service(to, script.length()));
         put("to_full_s", measures.toFullService() / 1000);
-        put("bound_s", new Bound(plan, 0).toFullService(ledger.faultEnd, measures.before()) / 1000);
+        put(
+                "bound_s",
+                new RecoveryBound(plan, 0).toFullService(ledger.faultEnd, measures.before())
+                        / 1000);
         put(
                 "bound_reached_s",
-                new Bound(
+                new RecoveryBound(
                                         plan,
                                         REACH_AFTER
-                                                + (script.roster().lateLeast()
-                                                                + script.roster().lateMost())
+                                                + (script.roster().minDelayMillis()
+                                                                + script.roster().maxDelayMillis())
                                                         / 2)
                                 .toFullService(ledger.faultEnd, measures.before())
                         / 1000);
@@ -95,19 +99,17 @@
                         latency.getValueAtPercentile(q) / 1000.0);
             }
         }
-        put(
-                "checks_s_gateway",
-                measures.mean(Ledger.Count.CHECKS, script.settle(), script.length()));
+        put("checks_s_gateway", measures.mean(Counter.CHECKS, script.settle(), script.length()));
         put(
                 "checks_s_fleet_most",
-                (double) measures.most(Ledger.Count.CHECKS, script.settle(), script.length())[1]);
+                (double) measures.most(Counter.CHECKS, script.settle(), script.length())[1]);
         put(
                 "connections_s_gateway_most",
-                (double)
-                        measures.most(Ledger.Count.CONNECTIONS, script.settle(), script.length())[
-                                0]);
-        put("runs_s_gateway_fault", measures.mean(Ledger.Count.RUNS, from, to));
-        put("memory_mb", ledger.lives.stream().mapToDouble(l -> l.mostMemoryMb).max().orElse(0));
+                (double) measures.most(Counter.CONNECTIONS, script.settle(), script.length())[0]);
+        put("runs_s_gateway_fault", measures.mean(Counter.RUNS, from, to));
+        put(
+                "memory_mb",
+                ledger.incarnations.stream().mapToDouble(l -> l.mostMemoryMb).max().orElse(0));
         put("late_p99_ms", outcome.late());
         put("cpu_left", outcome.cpuLeft());
         put("counts", outcome.counts());
@@ -136,12 +138,12 @@
     }
 
     /** What is broken. */
-    public List<Rules.Broken> broken() {
+    public List<HistoryChecker.Violation> broken() {
         return broken;
     }
 
     /** The last line. */
-    public Rules.Fates fates() {
+    public HistoryChecker.OutcomeCounts fates() {
         return fates;
     }
 
@@ -201,7 +203,7 @@
             double[] asked = measures.asked();
             double[] served = measures.served();
             int[] tries = measures.arrivals(0, plan.script().length());
-            int bins = (int) (Measures.WINDOW / Measures.BIN);
+            int bins = (int) (RunMetrics.WINDOW / RunMetrics.BIN);
             for (int w = 0; w < asked.length; w++) {
                 int sent = 0;
                 for (int b = w * bins; b < Math.min(tries.length, (w + 1) * bins); b++) {
@@ -209,7 +211,7 @@
                 }
                 out.println(
                         JSON.createObjectNode()
-                                .put("at_ms", w * Measures.WINDOW)
+                                .put("at_ms", w * RunMetrics.WINDOW)
                                 .put("asked", asked[w])
                                 .put("served", served[w])
                                 .put("tries", sent));
@@ -217,21 +219,21 @@
         }
         try (PrintWriter out =
                 new PrintWriter(Files.newBufferedWriter(folder.resolve("faults.jsonl")))) {
-            for (Hit h : plan.hits()) {
+            for (FaultEvent h : plan.faultEvents()) {
                 out.println(
                         JSON.createObjectNode()
                                 .put("at_ms", h.at())
                                 .put("until_ms", h.until())
                                 .put("gateway", h.gateway())
-                                .put("do", h.trouble().deed().name().toLowerCase(Locale.ROOT))
-                                .put("heard", h.heard()));
+                                .put("do", h.fault().action().name().toLowerCase(Locale.ROOT))
+                                .put("heard", h.notified()));
             }
         }
         try (PrintWriter out =
                 new PrintWriter(Files.newBufferedWriter(folder.resolve("broken.txt")))) {
-            for (Rules.Broken b : broken) {
-                out.println(b.rule() + ": " + b.what());
-                b.way().forEach(out::println);
+            for (HistoryChecker.Violation b : broken) {
+                out.println(b.rule() + ": " + b.description());
+                b.trace().forEach(out::println);
             }
         }
         tries(folder);
--- a/src/main/java/tinroad/lab/fake/Proxy.java
+++ b/src/main/java/tinroad/lab/fake/ClientProxyModel.java
@@ -3,28 +3,28 @@
 import java.util.BitSet;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
+import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Kind;
-import tinroad.lab.verification.Ledger;
-import tinroad.lab.verification.Rules;
+import tinroad.lab.script.Script.RequestClass;
+import tinroad.lab.verification.HistoryChecker;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /**
  * The requests of one client proxy: where each try goes, what came of it, whether there is another.
  * Knows no socket.
  */
-public final class Proxy {
+public final class ClientProxyModel {
     /** What becomes of a try on its way. */
-    public interface Told {
+    public interface TryListener {
         /** It was written whole. */
         void sent();
 
         /**
          * A whole answer; {@code served} is the engine's result, or null; {@code stayAway} in ms.
          */
-        void answered(Try.End end, String status, String served, double stayAway, boolean last);
+        void answered(Try.Outcome end, String status, String served, double stayAway, boolean last);
 
         /**
          * The connection is gone, with or without it having been written; the other side closed it
@@ -35,48 +35,49 @@
 
     /** What brings a try to its gateway. */
     @FunctionalInterface
-    public interface Carrier {
+    public interface TryTransport {
         /** Sends it; false where there is no connection for it, and nobody is told. */
-        boolean send(Asked asked, Try t, Kind kind, Told told);
+        boolean send(PlannedRequest asked, Try t, RequestClass kind, TryListener told);
     }
 
     /** A request while somebody waits for it. */
     private static final class Open {
-        private final Asked asked;
-        private final Ledger.Fate fate;
+        private final PlannedRequest asked;
+        private final RunHistory.RequestRecord fate;
         private final BitSet gateways = new BitSet();
         private final double until;
         private Try now;
 
-        Open(Asked asked, Ledger.Fate fate, double until) {
+        Open(PlannedRequest asked, RunHistory.RequestRecord fate, double until) {
             this.asked = asked;
             this.fate = fate;
             this.until = until;
         }
     }
 
-    private final World world;
+    private final LabContext world;
     private final Script script;
     private final int number;
-    private final Choosing choosing;
-    private final Repeating repeating;
+    private final GatewaySelector choosing;
+    private final RetryPolicy repeating;
     private final UniformRandomProvider ids;
-    private final Carrier carrier;
+    private final TryTransport carrier;
     private final boolean unaware;
     private int waiting;
 
     /** Proxy {@code number}, whose tries {@code carrier} brings on. */
-    public Proxy(World world, int number, Carrier carrier) {
+    public ClientProxyModel(LabContext world, int number, TryTransport carrier) {
         this.world = world;
         this.number = number;
         this.carrier = carrier;
         script = world.plan.script();
         UniformRandomProvider random = Draw.stream(world.plan.seed(), "proxy " + number);
-        double heed = script.callers().heed();
+        double heed = script.callers().heedingShare();
         boolean heeds = isAmong(heed);
-        unaware = isAmong(script.callers().unaware());
-        choosing = new Choosing(script.callers().choice(), script.fleet().gateways(), random);
-        repeating = new Repeating(script.callers(), heeds, random);
+        unaware = isAmong(script.callers().unawareShare());
+        choosing =
+                new GatewaySelector(script.callers().choice(), script.fleet().gateways(), random);
+        repeating = new RetryPolicy(script.callers(), heeds, random);
         ids = Draw.stream(world.plan.seed(), "ids " + number);
     }
 
@@ -105,14 +106,14 @@
     }
 
     /** A request comes to this proxy. */
-    public void ask(Asked asked) {
-        Kind kind = script.classes().get(asked.kind());
+    public void submit(PlannedRequest asked) {
+        RequestClass kind = script.classes().get(asked.kind());
         waiting++;
         attempt(
                 new Open(
                         asked,
-                        world.ledger.fates.get(asked.number()),
-                        asked.at() + script.callers().inAll() * kind.deadline()),
+                        world.ledger.requests.get(asked.number()),
+                        asked.at() + script.callers().totalTimeoutFactor() * kind.deadline()),
                 1);
     }
 
@@ -126,8 +127,8 @@
         }
         if (gateway < 0) {
             double at = repeating.wait(nowMillis, o.until, choosing.freeAt());
-            if (at == Repeating.NEVER) {
-                finish(o, o.now == null ? Try.End.UNSENT : o.now.end);
+            if (at == RetryPolicy.NEVER) {
+                finish(o, o.now == null ? Try.Outcome.UNSENT : o.now.end);
             } else {
                 world.agenda.at(at, () -> attempt(o, tryNumber));
             }
@@ -138,7 +139,7 @@
     }
 
     private void send(Open o, int tryNumber, int gateway) {
-        Kind kind = script.classes().get(o.asked.kind());
+        RequestClass kind = script.classes().get(o.asked.kind());
         double nowMillis = world.now();
         Try t =
                 new Try(
@@ -152,35 +153,35 @@
                         nowMillis + kind.deadline());
         o.now = t;
         o.fate.tries = tryNumber;
-        t.life = world.life(gateway);
+        t.incarnation = world.life(gateway);
         world.byId.put(t.id, t);
         world.ledger.tries.add(t);
         choosing.open(gateway, 1);
         world.agenda.at(
-                Math.min(o.until, nowMillis + script.callers().patience() * kind.deadline()),
-                () -> ended(o, t, Try.End.GIVEN_UP, 0, false));
+                Math.min(o.until, nowMillis + script.callers().tryTimeoutShare() * kind.deadline()),
+                () -> ended(o, t, Try.Outcome.GIVEN_UP, 0, false));
         if (!carrier.send(o.asked, t, kind, told(o, t))) {
-            ended(o, t, Try.End.UNSENT, 0, false);
+            ended(o, t, Try.Outcome.UNSENT, 0, false);
         }
     }
 
-    private Told told(Open o, Try t) {
-        return new Told() {
+    private TryListener told(Open o, Try t) {
+        return new TryListener() {
             @Override
             public void sent() {
                 t.sentAt = world.now();
-                t.step(t.sentAt, "proxy " + number, "sent");
+                t.addStep(t.sentAt, "proxy " + number, "sent");
             }
 
             @Override
             public void answered(
-                    Try.End end, String status, String served, double stayAway, boolean last) {
+                    Try.Outcome end, String status, String served, double stayAway, boolean last) {
                 t.answers++;
                 if (t.answers == 1) {
                     t.answeredAt = world.now();
                     t.answer = end;
                     t.served = served;
-                    t.step(t.answeredAt, "proxy " + number, "answered " + status);
+                    t.addStep(t.answeredAt, "proxy " + number, "answered " + status);
                 }
                 ended(o, t, t.answer, stayAway, last);
             }
@@ -188,15 +189,17 @@
             @Override
             public void lost(boolean wasSent, double at) {
                 t.brokenAt = at;
-                t.step(
+                t.addStep(
                         t.brokenAt,
                         "proxy " + number,
                         wasSent ? "connection lost" : "no connection");
-                boolean crossed = wasSent && t.brokenAt - t.sentAt <= Rules.CROSSING;
+                boolean crossed = wasSent && t.brokenAt - t.sentAt <= HistoryChecker.CROSSING;
                 ended(
                         o,
                         t,
-                        !wasSent ? Try.End.UNSENT : crossed ? Try.End.CROSSED : Try.End.BROKEN,
+                        !wasSent
+                                ? Try.Outcome.UNSENT
+                                : crossed ? Try.Outcome.CROSSED : Try.Outcome.BROKEN,
                         0,
                         false);
             }
@@ -204,7 +207,7 @@
     }
 
     /** A try ends for its caller, who may have given it up before. */
-    private void ended(Open o, Try t, Try.End end, double stayAway, boolean last) {
+    private void ended(Open o, Try t, Try.Outcome end, double stayAway, boolean last) {
         if (t.end != null) {
             return;
         }
@@ -212,9 +215,9 @@
         choosing.open(t.gateway, -1);
         double nowMillis = world.now();
         if (stayAway > 0 && repeating.heeds()) {
-            choosing.stayAway(t.gateway, nowMillis + stayAway);
+            choosing.avoidUntil(t.gateway, nowMillis + stayAway);
         }
-        boolean unproven = world.mutant == World.Mutant.CALLER_REPEATS_UNPROVEN;
+        boolean unproven = world.mutant == LabContext.Mutant.CALLER_REPEATS_UNPROVEN;
         double next =
                 repeating.after(
                         end,
@@ -224,14 +227,14 @@
                         o.until,
                         choosing.left(nowMillis, o.gateways),
                         last);
-        if (next == Repeating.NEVER) {
+        if (next == RetryPolicy.NEVER) {
             finish(o, end);
         } else {
             world.agenda.at(next, () -> attempt(o, t.number + 1));
         }
     }
 
-    private void finish(Open o, Try.End end) {
+    private void finish(Open o, Try.Outcome end) {
         o.fate.end = end;
         o.fate.endedAt = world.now();
         waiting--;
--- a/src/main/java/tinroad/lab/fake/Cores.java
+++ b/src/main/java/tinroad/lab/fake/CoreModel.java
@@ -13,7 +13,7 @@
  * beside the runs; the rest wait unread. Times in ms, work in ms of a core at speed 1. Between two
  * calls the speed is held.
  */
-public final class Cores {
+public final class CoreModel {
     /** Time constant of the busy share, in ms. */
     private static final double USE_OVER = 500;
 
@@ -21,7 +21,7 @@
 
     private record Job(String id, double endsAt) {}
 
-    private final Script.Work law;
+    private final Script.EngineModel law;
     private final int cores;
     private final double speed;
     private final PriorityQueue<Job> jobs =
@@ -41,7 +41,8 @@
     private long reads;
 
     /** Cores that start at {@code now}: cold, or warm for good. */
-    public Cores(Script.Work law, int cores, double speed, double nowMillis, boolean cold) {
+    public CoreModel(
+            Script.EngineModel law, int cores, double speed, double nowMillis, boolean cold) {
         this.law = law;
         this.cores = cores;
         this.speed = speed;
--- a/src/main/java/tinroad/lab/fake/ProxyStand.java
+++ b/src/main/java/tinroad/lab/fake/FakeClientProxy.java
@@ -7,25 +7,25 @@
 import java.util.Locale;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import tinroad.lab.schedule.Asked;
 import tinroad.lab.schedule.Draw;
+import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Kind;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.script.Script.RequestClass;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /** One client proxy: its connections, its tries, its health checks. */
-public final class ProxyStand {
+public final class FakeClientProxy {
     private static final double CHECK_PATIENCE = 1000;
     private static final double SWEEP_MS = 500;
     private static final int REFUSED = 503;
     private static final int TOO_MANY = 429;
     private static final int OK = 200;
 
-    private final World world;
+    private final LabContext world;
     private final Script script;
     private final int number;
-    private final Proxy proxy;
+    private final ClientProxyModel proxy;
     private final InetSocketAddress from;
     private final InetSocketAddress checksFrom;
     private final List<InetSocketAddress> gateways;
@@ -33,8 +33,8 @@
     private final Connection[] checks;
 
     /** Proxy {@code number}, which connects from these addresses to those of the gateways. */
-    public ProxyStand(
-            World world,
+    public FakeClientProxy(
+            LabContext world,
             int number,
             InetSocketAddress from,
             InetSocketAddress checksFrom,
@@ -45,7 +45,7 @@
         this.checksFrom = checksFrom;
         this.gateways = gateways;
         script = world.plan.script();
-        proxy = new Proxy(world, number, this::send);
+        proxy = new ClientProxyModel(world, number, this::send);
         checks = new Connection[gateways.size()];
         gateways.forEach(g -> pools.add(new ArrayList<>()));
     }
@@ -53,23 +53,24 @@
     /** Begins to check, and to close what is idle. */
     public void begin() {
         UniformRandomProvider random = Draw.stream(world.plan.seed(), "checks " + number);
-        for (int g = 0; g < checks.length && script.callers().checks() > 0; g++) {
+        for (int g = 0; g < checks.length && script.callers().healthCheckPeriodMillis() > 0; g++) {
             int gateway = g;
             world.agenda.at(
-                    world.now() + random.nextDouble() * script.callers().checks(),
+                    world.now() + random.nextDouble() * script.callers().healthCheckPeriodMillis(),
                     () -> check(gateway));
         }
         sweep();
     }
 
     /** What decides of its requests. */
-    public Proxy proxy() {
+    public ClientProxyModel proxy() {
         return proxy;
     }
 
     // --- requests ---
 
-    private boolean send(Asked asked, Try t, Kind kind, Proxy.Told told) {
+    private boolean send(
+            PlannedRequest asked, Try t, RequestClass kind, ClientProxyModel.TryListener told) {
         Connection connection = connection(t.gateway);
         if (connection == null) {
             return false;
@@ -86,16 +87,16 @@
 
                     @Override
                     public void answered(Wire.Response response) {
-                        Try.End end =
+                        Try.Outcome end =
                                 switch (response.status()) {
-                                    case OK -> Try.End.SERVED;
-                                    case REFUSED, TOO_MANY -> Try.End.REFUSED;
-                                    default -> Try.End.FAILED;
+                                    case OK -> Try.Outcome.SERVED;
+                                    case REFUSED, TOO_MANY -> Try.Outcome.REFUSED;
+                                    default -> Try.Outcome.FAILED;
                                 };
                         told.answered(
                                 end,
                                 Integer.toString(response.status()),
-                                end == Try.End.SERVED ? response.body() : null,
+                                end == Try.Outcome.SERVED ? response.body() : null,
                                 response.stayAway(),
                                 response.last());
                     }
@@ -109,7 +110,7 @@
         return true;
     }
 
-    private Map<String, String> fields(Asked asked, Try t, Kind kind) {
+    private Map<String, String> fields(PlannedRequest asked, Try t, RequestClass kind) {
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("REQUEST_METHOD", "POST");
         fields.put("SCRIPT_NAME", "/v1/" + kind.name());
@@ -159,7 +160,7 @@
 
     private void sweep() {
         world.agenda.at(world.now() + SWEEP_MS, this::sweep);
-        double then = world.now() - script.callers().idle();
+        double then = world.now() - script.callers().idleTimeoutMillis();
         pools.forEach(
                 pool ->
                         List.copyOf(pool).stream()
@@ -170,7 +171,8 @@
     // --- health checks ---
 
     private void check(int gateway) {
-        world.agenda.at(world.now() + script.callers().checks(), () -> check(gateway));
+        world.agenda.at(
+                world.now() + script.callers().healthCheckPeriodMillis(), () -> check(gateway));
         if (checks[gateway] == null) {
             checks[gateway] = open(gateway, checksFrom, c -> checks[gateway] = null);
         }
@@ -191,7 +193,7 @@
                 new Connection.Waiter() {
                     @Override
                     public void sent() {
-                        world.ledger.count(Ledger.Count.CHECKS, gateway, world.now());
+                        world.ledger.count(RunHistory.Counter.CHECKS, gateway, world.now());
                         world.engine(gateway).takeIn(script.engine().check());
                     }
 
--- a/src/main/java/tinroad/lab/fake/EngineStand.java
+++ b/src/main/java/tinroad/lab/fake/FakeEngine.java
@@ -22,16 +22,16 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
-import tinroad.lab.schedule.Asked;
+import tinroad.lab.schedule.PlannedRequest;
 import tinroad.lab.script.Script;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
 /**
  * An engine: the protocol of its link over the model of its cores. What it ran, and what it made,
  * it notes in the ledger.
  */
-public final class EngineStand {
+public final class FakeEngine {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int STORED = 4000;
     private static final int LONGEST_LINE = 64 * 1024;
@@ -47,12 +47,12 @@
 
     private record Running(Try t, double since, String result, boolean sick, int life) {}
 
-    private final World world;
+    private final LabContext world;
     private final int gateway;
     private final double speed;
     private final ArrayDeque<String> stored = new ArrayDeque<>();
     private final Map<String, Running> running = new HashMap<>();
-    private Cores cores;
+    private CoreModel cores;
     private double upSince;
     private boolean up;
     private boolean fresh;
@@ -68,7 +68,7 @@
     private long waitingAfter;
 
     /** The engine of this gateway; it listens once {@link #listen} was called. */
-    public EngineStand(World world, int gateway, double speed) {
+    public FakeEngine(LabContext world, int gateway, double speed) {
         this.world = world;
         this.gateway = gateway;
         this.speed = speed;
@@ -100,7 +100,9 @@
     /** The engine comes up, cold or as one that was up all the time. */
     public void start(boolean cold) {
         Script.Fleet fleet = world.plan.script().fleet();
-        cores = new Cores(world.plan.script().engine(), fleet.cores(), speed, world.now(), cold);
+        cores =
+                new CoreModel(
+                        world.plan.script().engine(), fleet.cores(), speed, world.now(), cold);
         upSince = cold ? world.now() : world.now() - UP_BEFORE;
         fresh = cold;
         up = true;
@@ -196,7 +198,7 @@
     }
 
     /** A request, which costs the cores a share of its class's work to read. */
-    void read(Asked asked) {
+    void read(PlannedRequest asked) {
         Script script = world.plan.script();
         takeIn(script.engine().read() * script.classes().get(asked.kind()).work());
     }
@@ -220,7 +222,7 @@
     }
 
     private void done(Try t, String state, double took, String result) {
-        t.step(world.now(), "engine " + gateway, state + " after " + Math.round(took) + " ms");
+        t.addStep(world.now(), "engine " + gateway, state + " after " + Math.round(took) + " ms");
         ObjectNode line =
                 JSON.createObjectNode()
                         .put("type", "DONE")
@@ -270,7 +272,7 @@
             no(ctx, id);
             return;
         }
-        Asked asked = world.plan.requests().get(t.request);
+        PlannedRequest asked = world.plan.requests().get(t.request);
         if (!world.plan
                         .script()
                         .classes()
@@ -283,24 +285,24 @@
             no(ctx, id);
             return;
         }
-        if (running.containsKey(id) && world.mutant != World.Mutant.ENGINE_RUNS_TWICE) {
+        if (running.containsKey(id) && world.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
             return;
         }
-        if (t.runs > 0 && world.mutant != World.Mutant.ENGINE_RUNS_TWICE) {
+        if (t.runs > 0 && world.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
             done(t, "stale", 0, null);
             return;
         }
         begin(t, asked);
-        if (world.mutant == World.Mutant.ENGINE_RUNS_TWICE && t.request % 97 == 5) {
+        if (world.mutant == LabContext.Mutant.ENGINE_RUNS_TWICE && t.request % 97 == 5) {
             begin(t, asked);
         }
     }
 
-    private void begin(Try t, Asked asked) {
+    private void begin(Try t, PlannedRequest asked) {
         t.runs++;
         t.ranAt = world.now();
-        t.step(world.now(), "engine " + gateway, "run " + t.runs + " begins");
-        world.ledger.count(Ledger.Count.RUNS, gateway, world.now());
+        t.addStep(world.now(), "engine " + gateway, "run " + t.runs + " begins");
+        world.ledger.count(RunHistory.Counter.RUNS, gateway, world.now());
         String result =
                 "result " + t.runs + " of " + t.id + " at " + gateway + " for " + asked.number();
         running.put(t.id, new Running(t, world.now(), result, sick, world.life(gateway)));
--- a/src/main/java/tinroad/lab/fake/Repeating.java
+++ b/src/main/java/tinroad/lab/fake/RetryPolicy.java
@@ -8,7 +8,7 @@
  * Whether and when a client proxy tries a request again. What may run only once is repeated only
  * where it is proven that the last try never ran. Times in ms.
  */
-public final class Repeating {
+public final class RetryPolicy {
     /** No other try. */
     public static final double NEVER = Double.POSITIVE_INFINITY;
 
@@ -20,7 +20,7 @@
     private final UniformRandomProvider random;
 
     /** The habits of one proxy. */
-    public Repeating(Callers callers, boolean heeds, UniformRandomProvider random) {
+    public RetryPolicy(Callers callers, boolean heeds, UniformRandomProvider random) {
         this.callers = callers;
         this.heeds = heeds;
         this.random = random;
@@ -40,7 +40,7 @@
      * @param last the refusal asked that no other gateway be tried
      */
     public double after(
-            Try.End end,
+            Try.Outcome end,
             boolean free,
             int tries,
             double nowMillis,
@@ -48,15 +48,19 @@
             boolean othersLeft,
             boolean last) {
         boolean again =
-                end != Try.End.SERVED
+                end != Try.Outcome.SERVED
                         && (free || end.provenUnrun())
-                        && (callers.tries() == 0 || tries < callers.tries())
+                        && (callers.maxTries() == 0 || tries < callers.maxTries())
                         && !(last && heeds);
         if (!again) {
             return NEVER;
         }
-        boolean walks = callers.walk() && othersLeft && end != Try.End.FAILED;
-        double at = walks ? nowMillis : nowMillis + callers.pause() * (0.5 + random.nextDouble());
+        boolean walks =
+                callers.triesNextAfterRejection() && othersLeft && end != Try.Outcome.FAILED;
+        double at =
+                walks
+                        ? nowMillis
+                        : nowMillis + callers.retryPauseMillis() * (0.5 + random.nextDouble());
         return at < until ? at : NEVER;
     }
 
@@ -68,7 +72,7 @@
         double at =
                 Math.min(
                         Math.max(freeAt, nowMillis + LEAST_WAIT),
-                        nowMillis + callers.pause() * (0.5 + random.nextDouble()));
+                        nowMillis + callers.retryPauseMillis() * (0.5 + random.nextDouble()));
         return at < until ? at : NEVER;
     }
 }
--- a/src/main/java/tinroad/lab/script/Script.java
+++ b/src/main/java/tinroad/lab/script/Script.java
@@ -15,14 +15,14 @@
         double length,
         double settle,
         Fleet fleet,
-        Work engine,
-        List<Kind> classes,
-        Crowd members,
-        Crowd subjects,
+        EngineModel engine,
+        List<RequestClass> classes,
+        Population members,
+        Population subjects,
         Callers callers,
         Load load,
         Roster roster,
-        List<Trouble> faults) {
+        List<Fault> faults) {
 
     /**
      * The gateways and their engines.
@@ -31,7 +31,7 @@
      * @param speeds of the engines' cores, in turn over the gateways
      * @param memoryMb a gateway's limit
      * @param sockets a gateway's limit of descriptors
-     * @param stop time from the notice to the kill
+     * @param shutdownGraceMillis time from the notice to the kill
      * @param sameName gateways that bear the name of gateway 0, by mistake
      */
     public record Fleet(
@@ -41,7 +41,7 @@
             List<Double> speeds,
             int memoryMb,
             int sockets,
-            double stop,
+            double shutdownGraceMillis,
             List<Integer> sameName) {
         /** What all cores can do, in ms of work a ms. */
         public double power() {
@@ -66,8 +66,8 @@
      * @param check work of a health check
      * @param handshake work of a new connection
      */
-    public record Work(
-            Law law,
+    public record EngineModel(
+            ServiceTimeLaw law,
             double sigma,
             double knee,
             double crowding,
@@ -78,7 +78,7 @@
             double handshake) {}
 
     /** Laws of service time. */
-    public enum Law {
+    public enum ServiceTimeLaw {
         CONSTANT,
         EXPONENTIAL,
         LOGNORMAL
@@ -91,7 +91,7 @@
      * @param work mean
      * @param free whether it may run twice
      */
-    public record Kind(
+    public record RequestClass(
             String name,
             double part,
             double work,
@@ -101,42 +101,43 @@
             boolean free) {}
 
     /** Members or subjects: how many, and the exponent of their Zipf law; 0 is even. */
-    public record Crowd(int count, double skew) {}
+    public record Population(int count, double skew) {}
 
     /**
      * The client proxies.
      *
      * @param connections to one gateway, at most
      * @param streams open requests that a connection carries before another is opened
-     * @param patience for one try, as a share of its class's deadline
-     * @param inAll for all tries together, as a multiple of the class's deadline
-     * @param tries at most; 0 is without limit
-     * @param pause before another try where nothing tells when
-     * @param heed share of the proxies that heed advice
-     * @param walk whether they go down the list after a refusal, without a pause, until all were
-     *     asked
-     * @param checks period of health checks by each proxy at each gateway; 0 is none
-     * @param idle connections are closed after so long
-     * @param unaware share of the proxies that follow neither the roster's news nor health checks:
-     *     they use each gateway for as long as it has a connection to give
+     * @param tryTimeoutShare for one try, as a share of its class's deadline
+     * @param totalTimeoutFactor for all tries together, as a multiple of the class's deadline
+     * @param maxTries at most; 0 is without limit
+     * @param retryPauseMillis before another try where nothing tells when
+     * @param heedingShare share of the proxies that heed advice
+     * @param triesNextAfterRejection whether they go down the list after a refusal, without a
+     *     pause, until all were asked
+     * @param healthCheckPeriodMillis period of health checks by each proxy at each gateway; 0 is
+     *     none
+     * @param idleTimeoutMillis connections are closed after so long
+     * @param unawareShare share of the proxies that follow neither the roster's news nor health
+     *     checks: they use each gateway for as long as it has a connection to give
      */
     public record Callers(
             int proxies,
-            Choice choice,
+            Selection choice,
             int connections,
             int streams,
-            double patience,
-            double inAll,
-            int tries,
-            double pause,
-            double heed,
-            boolean walk,
-            double checks,
-            double idle,
-            double unaware) {}
+            double tryTimeoutShare,
+            double totalTimeoutFactor,
+            int maxTries,
+            double retryPauseMillis,
+            double heedingShare,
+            boolean triesNextAfterRejection,
+            double healthCheckPeriodMillis,
+            double idleTimeoutMillis,
+            double unawareShare) {}
 
     /** How a proxy chooses a gateway. */
-    public enum Choice {
+    public enum Selection {
         TURN,
         LEAST,
         SUBJECT
@@ -145,9 +146,9 @@
     /**
      * Load in open loop, as shares of what the cores can do.
      *
-     * @param height of a wave about the level, as a share of it
+     * @param waveAmplitude of a wave about the level, as a share of it
      */
-    public record Load(double level, double height, double period, List<Jump> jumps) {
+    public record Load(double level, double waveAmplitude, double wavePeriod, List<Jump> jumps) {
         /** The share asked for at this time. */
         public double at(double t) {
             for (Jump jump : jumps) {
@@ -155,13 +156,14 @@
                     return jump.level;
                 }
             }
-            return level * (1 + height * Math.sin(2 * Math.PI * t / period));
+            return level * (1 + waveAmplitude * Math.sin(2 * Math.PI * t / wavePeriod));
         }
 
         /** The most that is asked for at any time. */
-        public double most() {
+        public double peak() {
             return Math.max(
-                    level * (1 + height), jumps.stream().mapToDouble(Jump::level).max().orElse(0));
+                    level * (1 + waveAmplitude),
+                    jumps.stream().mapToDouble(Jump::level).max().orElse(0));
         }
     }
 
@@ -169,10 +171,11 @@
     public record Jump(double at, double length, double level) {}
 
     /** The roster: news reach each proxy so late; an entry lapses so long after the last report. */
-    public record Roster(double lateLeast, double lateMost, double lapse) {}
+    public record Roster(
+            double minDelayMillis, double maxDelayMillis, double entryLifetimeMillis) {}
 
     /** What a fault does. */
-    public enum Deed {
+    public enum FaultAction {
         /** Gateway and engine are killed, and come back. */
         KILL,
         /** The gateway is killed, its engine lives; it comes back. */
@@ -189,7 +192,10 @@
         ENGINE_SICK,
         /** The engine has {@code factor} of its speed. */
         ENGINE_SLOW,
-        /** The engine moves; the gateways are told by SIGHUP, but for {@code missed} of them. */
+        /**
+         * The engine moves; the gateways are told by SIGHUP, but for {@code unnotifiedShare} of
+         * them.
+         */
         ENGINE_MOVE,
         /** The roster is down. */
         ROSTER_DOWN,
@@ -234,14 +240,14 @@
     }
 
     /** Directions of a link: towards the gateway, away from it, or both. */
-    public enum Way {
+    public enum LinkDirection {
         IN,
         OUT,
         BOTH
     }
 
     /** What becomes of a gateway's folder when it is started again. */
-    public enum Folder {
+    public enum StateRetention {
         KEEP,
         LOSE,
         OLD
@@ -250,41 +256,95 @@
     /**
      * A fault.
      *
-     * @param deed what is done
+     * @param action what is done
      * @param at when
      * @param length for how long, where it has an end
-     * @param within the targets are hit at moments spread over this time
+     * @param spreadMillis the targets are hit at moments spread over this time
      * @param gateways by number; empty: see zone and share
      * @param zone all gateways of this zone; -1 is any
      * @param share of the gateways that are left, drawn by the seed
      * @param links which, where it is done to links
      * @param callersZone only links from proxies of this zone; -1 is any
-     * @param backLeast gone for so long, at least; counted from the end of the process
+     * @param minAwayMillis gone for so long, at least; counted from the end of the process
      * @param jar the program that comes back; "" is the same
      * @param signals with a notice: names of the signals that follow it, in this order
      * @param signalGap between two of them, in ms; 0: in the same instant
      */
-    public record Trouble(
-            Deed deed,
+    public record Fault(
+            FaultAction action,
             double at,
             double length,
-            double within,
+            double spreadMillis,
             List<Integer> gateways,
             int zone,
             double share,
             List<Link> links,
-            Way way,
+            LinkDirection direction,
             int callersZone,
-            double backLeast,
-            double backMost,
-            Folder folder,
+            double minAwayMillis,
+            double maxAwayMillis,
+            StateRetention folder,
             String jar,
             double factor,
-            double missed,
+            double unnotifiedShare,
             double delay,
             double jitter,
             double rate,
             double chance,
             List<String> signals,
-            double signalGap) {}
+            double signalGap) {
+        /**
+         * The text that enters the digest of a schedule. Digests compare results of different
+         * builds, so this text keeps the names that it had first.
+         */
+        @Override
+        public String toString() {
+            return "Trouble["
+                    + "deed="
+                    + action
+                    + ", at="
+                    + at
+                    + ", length="
+                    + length
+                    + ", within="
+                    + spreadMillis
+                    + ", gateways="
+                    + gateways
+                    + ", zone="
+                    + zone
+                    + ", share="
+                    + share
+                    + ", links="
+                    + links
+                    + ", way="
+                    + direction
+                    + ", callersZone="
+                    + callersZone
+                    + ", backLeast="
+                    + minAwayMillis
+                    + ", backMost="
+                    + maxAwayMillis
+                    + ", folder="
+                    + folder
+                    + ", jar="
+                    + jar
+                    + ", factor="
+                    + factor
+                    + ", missed="
+                    + unnotifiedShare
+                    + ", delay="
+                    + delay
+                    + ", jitter="
+                    + jitter
+                    + ", rate="
+                    + rate
+                    + ", chance="
+                    + chance
+                    + ", signals="
+                    + signals
+                    + ", signalGap="
+                    + signalGap
+                    + "]";
+        }
+    }
 }
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -12,20 +12,20 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import tinroad.lab.script.Script.Callers;
-import tinroad.lab.script.Script.Choice;
-import tinroad.lab.script.Script.Crowd;
-import tinroad.lab.script.Script.Deed;
+import tinroad.lab.script.Script.EngineModel;
+import tinroad.lab.script.Script.Fault;
+import tinroad.lab.script.Script.FaultAction;
 import tinroad.lab.script.Script.Fleet;
-import tinroad.lab.script.Script.Folder;
 import tinroad.lab.script.Script.Jump;
-import tinroad.lab.script.Script.Kind;
-import tinroad.lab.script.Script.Law;
 import tinroad.lab.script.Script.Link;
+import tinroad.lab.script.Script.LinkDirection;
 import tinroad.lab.script.Script.Load;
+import tinroad.lab.script.Script.Population;
+import tinroad.lab.script.Script.RequestClass;
 import tinroad.lab.script.Script.Roster;
-import tinroad.lab.script.Script.Trouble;
-import tinroad.lab.script.Script.Way;
-import tinroad.lab.script.Script.Work;
+import tinroad.lab.script.Script.Selection;
+import tinroad.lab.script.Script.ServiceTimeLaw;
+import tinroad.lab.script.Script.StateRetention;
 import tinroad.operator.OperatorException;
 import tinroad.operator.ValidatedFile;
 import tinroad.operator.ValidationError;
@@ -89,9 +89,9 @@
                 c.getIntList("same-name"));
     }
 
-    private static Work work(Config c) {
-        return new Work(
-                word(Law.class, c, "law"),
+    private static EngineModel work(Config c) {
+        return new EngineModel(
+                word(ServiceTimeLaw.class, c, "law"),
                 c.getDouble("sigma"),
                 c.getDouble("knee"),
                 c.getDouble("crowding"),
@@ -102,11 +102,11 @@
                 ms(c, "handshake"));
     }
 
-    private List<Kind> classes() {
+    private List<RequestClass> classes() {
         return items("classes").stream()
                 .map(
                         c ->
-                                new Kind(
+                                new RequestClass(
                                         c.getString("name"),
                                         c.getDouble("part"),
                                         ms(c, "work"),
@@ -124,14 +124,14 @@
                 .toList();
     }
 
-    private Crowd crowd(String key) {
-        return new Crowd(all.getInt(key + ".count"), all.getDouble(key + ".skew"));
+    private Population crowd(String key) {
+        return new Population(all.getInt(key + ".count"), all.getDouble(key + ".skew"));
     }
 
     private static Callers callers(Config c) {
         return new Callers(
                 c.getInt("proxies"),
-                word(Choice.class, c, "choice"),
+                word(Selection.class, c, "choice"),
                 c.getInt("connections"),
                 c.getInt("streams"),
                 c.getDouble("patience"),
@@ -159,12 +159,12 @@
         return new Roster(ms(c, "late-least"), ms(c, "late-most"), ms(c, "lapse"));
     }
 
-    private List<Trouble> troubles() {
+    private List<Fault> troubles() {
         return items("faults").stream()
                 .map(
                         c ->
-                                new Trouble(
-                                        word(Deed.class, c, "do"),
+                                new Fault(
+                                        word(FaultAction.class, c, "do"),
                                         ms(c, "at"),
                                         ms(c, "for"),
                                         ms(c, "within"),
@@ -174,11 +174,11 @@
                                         c.getStringList("links").stream()
                                                 .map(l -> Link.valueOf(l.toUpperCase(Locale.ROOT)))
                                                 .toList(),
-                                        word(Way.class, c, "way"),
+                                        word(LinkDirection.class, c, "way"),
                                         c.getInt("callers-zone"),
                                         ms(c, "back-least"),
                                         ms(c, "back-most"),
-                                        word(Folder.class, c, "folder"),
+                                        word(StateRetention.class, c, "folder"),
                                         c.getString("jar"),
                                         c.getDouble("factor"),
                                         c.getDouble("missed"),
@@ -203,12 +203,12 @@
         if (s.fleet().sameName().stream().anyMatch(g -> g >= s.fleet().gateways())) {
             wrong("fleet.same-name", "must be from 0 to " + (s.fleet().gateways() - 1));
         }
-        if (s.roster().lateLeast() > s.roster().lateMost()) {
+        if (s.roster().minDelayMillis() > s.roster().maxDelayMillis()) {
             wrong("roster.late-least", "must be no more than late-most");
         }
         Set<String> names = new HashSet<>();
         for (int i = 0; i < s.classes().size(); i++) {
-            Kind k = s.classes().get(i);
+            RequestClass k = s.classes().get(i);
             if (!names.add(k.name())) {
                 wrong("classes", i, "name", "must differ from the names of the other classes");
             }
@@ -221,7 +221,7 @@
         }
     }
 
-    private void check(Script s, int i, Trouble t) {
+    private void check(Script s, int i, Fault t) {
         if (t.at() >= s.length()) {
             wrong("faults", i, "at", "must be before the end of the load, length");
         }
@@ -235,10 +235,10 @@
                     t.zone() >= s.fleet().zones() ? "zone" : "callers-zone",
                     "must be from 0 to " + (s.fleet().zones() - 1));
         }
-        if (t.backLeast() > t.backMost()) {
+        if (t.minAwayMillis() > t.maxAwayMillis()) {
             wrong("faults", i, "back-least", "must be no more than back-most");
         }
-        if (t.deed().toLinks() == t.links().isEmpty()) {
+        if (t.action().toLinks() == t.links().isEmpty()) {
             wrong(
                     "faults",
                     i,
@@ -248,13 +248,15 @@
                             : "must go with a fault of links");
         }
         boolean datagrams =
-                t.deed() == Deed.LOSE || t.deed() == Deed.REPEAT || t.deed() == Deed.REORDER;
+                t.action() == FaultAction.LOSE
+                        || t.action() == FaultAction.REPEAT
+                        || t.action() == FaultAction.REORDER;
         boolean streams =
-                t.deed() == Deed.RESET
-                        || t.deed() == Deed.HALF
-                        || t.deed() == Deed.REFUSE
-                        || t.deed() == Deed.THROTTLE
-                        || t.deed() == Deed.MUTE;
+                t.action() == FaultAction.RESET
+                        || t.action() == FaultAction.HALF
+                        || t.action() == FaultAction.REFUSE
+                        || t.action() == FaultAction.THROTTLE
+                        || t.action() == FaultAction.MUTE;
         if ((datagrams && t.links().stream().anyMatch(l -> l != Link.ROSTER))
                 || (streams && t.links().contains(Link.ROSTER))) {
             wrong(
--- a/src/main/java/tinroad/lab/soak/SoakRun.java
+++ b/src/main/java/tinroad/lab/soak/SoakRun.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 import tinroad.lab.Lab;
 import tinroad.lab.Report;
-import tinroad.lab.fake.World;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.fake.LabContext;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 import tinroad.operator.OperatorException;
 
@@ -31,10 +31,14 @@
         Path script = Files.writeString(folder.resolve("script.conf"), SoakScript.of(seed));
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(script), seed),
+                        Schedule.of(ScriptReader.read(script), seed),
                         new Lab.Options(
-                                program, folder.resolve("run"), null, null, World.Mutant.NONE))) {
-            Lab.Outcome outcome = lab.play();
+                                program,
+                                folder.resolve("run"),
+                                null,
+                                null,
+                                LabContext.Mutant.NONE))) {
+            Lab.RunOutcome outcome = lab.play();
             Report report = new Report(outcome);
             report.write(folder);
             return new SoakRun(seed, SoakVerdict.of(outcome, report), report.fates().asked());
--- a/src/main/java/tinroad/lab/verification/Bound.java
+++ b/src/main/java/tinroad/lab/verification/RecoveryBound.java
@@ -2,23 +2,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Deed;
+import tinroad.lab.script.Script.FaultAction;
 
 /**
  * What no program could better on a day: the service that the engines' own warm-up allows, where
  * everything asked for is read once, nothing is tried twice and each core has its even part of the
  * load. Of what ends engines and processes; other faults do not lower it. Times in ms.
  */
-public final class Bound {
+public final class RecoveryBound {
     /** An engine is up this long after its gateway's process was started. */
     public static final double ENGINE_AFTER = 1000;
 
     private record Away(int gateway, double from, double engineAt, double listedAt) {}
 
-    private final Plan plan;
+    private final Schedule plan;
     private final List<Away> away = new ArrayList<>();
 
     /**
@@ -27,17 +27,20 @@
      * @param reachAfter how long after the start of its process a gateway is reached by callers: 0
      *     for the engines' warm-up alone
      */
-    public Bound(Plan plan, double reachAfter) {
+    public RecoveryBound(Schedule plan, double reachAfter) {
         this.plan = plan;
-        for (Hit hit : plan.hits()) {
-            Deed deed = hit.trouble().deed();
-            if (deed == Deed.ENGINE_CRASH) {
+        for (FaultEvent hit : plan.faultEvents()) {
+            FaultAction deed = hit.fault().action();
+            if (deed == FaultAction.ENGINE_CRASH) {
                 away.add(new Away(hit.gateway(), hit.at(), hit.until(), hit.until()));
             } else if (deed.ends()) {
-                boolean engineToo = deed != Deed.KILL_GATEWAY;
+                boolean engineToo = deed != FaultAction.KILL_GATEWAY;
                 // On a notice the gateway takes all of its time to leave, as it is told to answer
                 // all that it read.
-                double leave = deed == Deed.NOTICE ? plan.script().fleet().stop() : 0;
+                double leave =
+                        deed == FaultAction.NOTICE
+                                ? plan.script().fleet().shutdownGraceMillis()
+                                : 0;
                 double back = hit.until() + leave;
                 away.add(
                         new Away(
@@ -85,15 +88,15 @@
 
     /**
      * Time from {@code faultEnd} to the first moment from which service can stay at {@link
-     * Measures#FULL} of {@code before}; NaN where no process or engine ended.
+     * RunMetrics#FULL} of {@code before}; NaN where no process or engine ended.
      */
     public double toFullService(double faultEnd, double before) {
         if (away.isEmpty() || Double.isNaN(faultEnd)) {
             return Double.NaN;
         }
         double last = faultEnd;
-        for (double t = faultEnd; t < plan.script().length(); t += Measures.WINDOW) {
-            last = service(t) < Measures.FULL * before ? t + Measures.WINDOW : last;
+        for (double t = faultEnd; t < plan.script().length(); t += RunMetrics.WINDOW) {
+            last = service(t) < RunMetrics.FULL * before ? t + RunMetrics.WINDOW : last;
         }
         return last - faultEnd;
     }
--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -15,22 +15,22 @@
 import tinroad.core.IncomingRequest;
 import tinroad.core.Response;
 import tinroad.lab.Lab;
-import tinroad.lab.Settings;
-import tinroad.lab.fake.Agenda;
-import tinroad.lab.fake.Proxy;
-import tinroad.lab.fake.RosterStand;
-import tinroad.lab.fake.World;
-import tinroad.lab.schedule.Asked;
+import tinroad.lab.PlatformSettings;
+import tinroad.lab.fake.ClientProxyModel;
+import tinroad.lab.fake.EventQueue;
+import tinroad.lab.fake.FakeRegistry;
+import tinroad.lab.fake.LabContext;
 import tinroad.lab.schedule.Draw;
-import tinroad.lab.schedule.Hit;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.FaultEvent;
+import tinroad.lab.schedule.PlannedRequest;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Deed;
-import tinroad.lab.script.Script.Kind;
-import tinroad.lab.verification.Bound;
-import tinroad.lab.verification.Ledger;
-import tinroad.lab.verification.Ledger.Excuse;
-import tinroad.lab.verification.Rules;
+import tinroad.lab.script.Script.FaultAction;
+import tinroad.lab.script.Script.RequestClass;
+import tinroad.lab.verification.HistoryChecker;
+import tinroad.lab.verification.RecoveryBound;
+import tinroad.lab.verification.RunHistory;
+import tinroad.lab.verification.RunHistory.ExcusedInterval;
 import tinroad.lab.verification.Try;
 
 /**
@@ -59,16 +59,16 @@
     /** Before the load begins the gateways stand up. */
     private static final double BEFORE = 1000;
 
-    private final Plan plan;
+    private final Schedule plan;
     private final boolean remembers;
     private final Script script;
-    private final Ledger ledger;
-    private final Agenda agenda = new Agenda();
-    private final World world;
+    private final RunHistory ledger;
+    private final EventQueue agenda = new EventQueue();
+    private final LabContext world;
     private final List<ModelEngine> engines = new ArrayList<>();
     private final List<ModelGateway> gateways = new ArrayList<>();
-    private final List<Proxy> proxies = new ArrayList<>();
-    private final RosterStand roster;
+    private final List<ClientProxyModel> proxies = new ArrayList<>();
+    private final FakeRegistry roster;
     private final UniformRandomProvider starts;
     private double now = -BEFORE;
 
@@ -76,20 +76,20 @@
      * A fleet that will live through this plan; refuses what needs links. {@code remembers}: state
      * lasts over restarts.
      */
-    public FleetModel(Plan plan, boolean remembers) throws IOException {
+    public FleetModel(Schedule plan, boolean remembers) throws IOException {
         this.plan = plan;
         this.remembers = remembers;
         script = plan.script();
-        for (Hit hit : plan.hits()) {
-            Deed deed = hit.trouble().deed();
-            if (deed.toLinks() || deed == Deed.STOP || deed == Deed.ENGINE_MOVE) {
+        for (FaultEvent hit : plan.faultEvents()) {
+            FaultAction deed = hit.fault().action();
+            if (deed.toLinks() || deed == FaultAction.STOP || deed == FaultAction.ENGINE_MOVE) {
                 throw new IllegalArgumentException(
                         "the model has no links and no processes: it can't play "
                                 + deed.name().toLowerCase(Locale.ROOT).replace('_', '-'));
             }
         }
-        ledger = new Ledger(plan);
-        world = new World(null, ledger, agenda, World.Mutant.NONE, () -> now);
+        ledger = new RunHistory(plan);
+        world = new LabContext(null, ledger, agenda, LabContext.Mutant.NONE, () -> now);
         world.begins(ZERO);
         starts = Draw.stream(plan.seed(), "starts");
         Site warm = site(false);
@@ -100,19 +100,19 @@
             gateways.add(new ModelGateway(this, g, engine, warm, cold));
         }
         for (int p = 0; p < script.callers().proxies(); p++) {
-            proxies.add(new Proxy(world, p, this::carry));
+            proxies.add(new ClientProxyModel(world, p, this::carry));
         }
-        roster = new RosterStand(world, proxies);
+        roster = new FakeRegistry(world, proxies);
     }
 
     private Site site(boolean cold) throws IOException {
-        try (JsonParser in = new JsonFactory().createParser(Settings.text(script, cold))) {
+        try (JsonParser in = new JsonFactory().createParser(PlatformSettings.text(script, cold))) {
             in.nextToken();
             return SiteReader.read(in);
         }
     }
 
-    Plan plan() {
+    Schedule plan() {
         return plan;
     }
 
@@ -120,11 +120,11 @@
         return remembers;
     }
 
-    Ledger ledger() {
+    RunHistory ledger() {
         return ledger;
     }
 
-    World world() {
+    LabContext world() {
         return world;
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** Plays the day. */
-    public Lab.Outcome play() {
+    public Lab.RunOutcome play() {
         gateways.forEach(g -> g.begin(false));
         agenda.at(
                 0,
@@ -154,11 +154,13 @@
         plan.requests()
                 .forEach(
                         asked ->
-                                agenda.at(asked.at(), () -> proxies.get(asked.proxy()).ask(asked)));
-        plan.hits().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
+                                agenda.at(
+                                        asked.at(),
+                                        () -> proxies.get(asked.proxy()).submit(asked)));
+        plan.faultEvents().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
         double patience =
-                script.classes().stream().mapToDouble(Kind::deadline).max().orElse(0)
-                        * Math.max(1, script.callers().inAll());
+                script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
+                        * Math.max(1, script.callers().totalTimeoutFactor());
         double end = script.length() + patience + 500;
         while (now < script.length()
                 || (now < end && proxies.stream().anyMatch(p -> p.waiting() > 0))) {
@@ -167,13 +169,13 @@
         // Callers may have gone; what they sent, and what is on its way, is owed an answer all the
         // same.
         step();
-        for (double last = now + patience + Rules.SLACK;
+        for (double last = now + patience + HistoryChecker.SLACK;
                 now < last && gateways.stream().anyMatch(ModelGateway::owes); ) {
             step();
         }
         step();
         engines.forEach(ModelEngine::end);
-        return new Lab.Outcome(ledger, 0, 1);
+        return new Lab.RunOutcome(ledger, 0, 1);
     }
 
     private void step() {
@@ -184,7 +186,8 @@
 
     // --- callers ---
 
-    private boolean carry(Asked asked, Try t, Kind kind, Proxy.Told told) {
+    private boolean carry(
+            PlannedRequest asked, Try t, RequestClass kind, ClientProxyModel.TryListener told) {
         ModelGateway g = gateways.get(t.gateway);
         if (!g.listens()) {
             agenda.at(now + 2 * WAY, () -> told.lost(false, now));
@@ -208,15 +211,15 @@
     }
 
     /** What an answer says to a caller, on its way back. */
-    void answer(Response a, Proxy.Told told) {
-        Try.End end =
+    void answer(Response a, ClientProxyModel.TryListener told) {
+        Try.Outcome end =
                 switch (a.kind()) {
-                    case SERVED -> Try.End.SERVED;
-                    case REJECTED -> Try.End.REFUSED;
-                    case FAILED, INVALID -> Try.End.FAILED;
+                    case SERVED -> Try.Outcome.SERVED;
+                    case REJECTED -> Try.Outcome.REFUSED;
+                    case FAILED, INVALID -> Try.Outcome.FAILED;
                 };
         String served =
-                end == Try.End.SERVED ? a.result().toString(StandardCharsets.ISO_8859_1) : null;
+                end == Try.Outcome.SERVED ? a.result().toString(StandardCharsets.ISO_8859_1) : null;
         agenda.at(
                 now + WAY,
                 () ->
@@ -229,7 +232,7 @@
     }
 
     private void checks() {
-        double period = script.callers().checks();
+        double period = script.callers().healthCheckPeriodMillis();
         for (int p = 0; p < proxies.size() && period > 0; p++) {
             UniformRandomProvider random = Draw.stream(plan.seed(), "checks " + p);
             for (int g = 0; g < gateways.size(); g++) {
@@ -244,7 +247,7 @@
         agenda.at(now + period, () -> check(proxy, gateway, period));
         boolean there = gateways.get(gateway).listens();
         if (there) {
-            ledger.count(Ledger.Count.CHECKS, gateway, now);
+            ledger.count(RunHistory.Counter.CHECKS, gateway, now);
             engines.get(gateway).takeIn(script.engine().check());
         }
         boolean good = there && gateways.get(gateway).healthy();
@@ -253,7 +256,7 @@
 
     // --- faults ---
 
-    private void begin(Hit hit) {
+    private void begin(FaultEvent hit) {
         if (hit.gateway() < 0) {
             roster.down(true);
             agenda.at(
@@ -266,24 +269,24 @@
         }
         ModelGateway g = gateways.get(hit.gateway());
         ModelEngine engine = engines.get(hit.gateway());
-        if (hit.trouble().deed().ends() && !g.leaves()) {
+        if (hit.fault().action().ends() && !g.leaves()) {
             return;
         }
-        switch (hit.trouble().deed()) {
+        switch (hit.fault().action()) {
             case KILL, KILL_GATEWAY -> {
-                g.life().told = true;
-                if (hit.trouble().deed() == Deed.KILL) {
+                g.life().endedByScript = true;
+                if (hit.fault().action() == FaultAction.KILL) {
                     engine.crash();
                 }
                 g.end();
-                ledger.excuses.add(new Excuse(hit.gateway(), now, now + 50));
+                ledger.excusedIntervals.add(new ExcusedInterval(hit.gateway(), now, now + 50));
                 restart(g, engine, hit);
             }
             case NOTICE -> {
-                g.life().told = true;
-                g.notice(script.fleet().stop());
+                g.life().endedByScript = true;
+                g.notice(script.fleet().shutdownGraceMillis());
                 agenda.at(
-                        now + script.fleet().stop(),
+                        now + script.fleet().shutdownGraceMillis(),
                         () -> {
                             g.end();
                             engine.crash();
@@ -296,31 +299,31 @@
             }
             case ENGINE_PAUSE -> lasting(hit, engine::pause);
             case ENGINE_SICK -> lasting(hit, engine::sick);
-            case ENGINE_SLOW -> lasting(hit, on -> engine.slow(on ? hit.trouble().factor() : 1));
-            default -> throw new IllegalStateException(hit.trouble().deed().name());
+            case ENGINE_SLOW -> lasting(hit, on -> engine.slow(on ? hit.fault().factor() : 1));
+            default -> throw new IllegalStateException(hit.fault().action().name());
         }
-        if (!hit.trouble().deed().ends()) {
+        if (!hit.fault().action().ends()) {
             agenda.at(Math.max(hit.at(), hit.until()), this::ended);
         }
     }
 
-    private void lasting(Hit hit, Consumer<Boolean> set) {
+    private void lasting(FaultEvent hit, Consumer<Boolean> set) {
         set.accept(true);
         agenda.at(hit.until(), () -> set.accept(false));
     }
 
-    private void restart(ModelGateway g, ModelEngine engine, Hit hit) {
+    private void restart(ModelGateway g, ModelEngine engine, FaultEvent hit) {
         agenda.at(
-                now + hit.away(),
+                now + hit.awayMillis(),
                 () -> {
                     ended();
-                    g.folder(hit.trouble().folder());
+                    g.folder(hit.fault().folder());
                     agenda.at(
                             now + START_LEAST + (START_MOST - START_LEAST) * starts.nextDouble(),
                             () -> g.begin(true));
                     if (!engine.up()) {
                         agenda.at(
-                                now + Bound.ENGINE_AFTER,
+                                now + RecoveryBound.ENGINE_AFTER,
                                 () -> {
                                     engine.start(true);
                                     roster.engineUp(hit.gateway());
--- a/src/main/java/tinroad/simulation/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -9,10 +9,10 @@
 import tinroad.core.Gateway;
 import tinroad.core.IncomingRequest;
 import tinroad.discovery.LoadReporter;
-import tinroad.lab.fake.Proxy;
+import tinroad.lab.fake.ClientProxyModel;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
-import tinroad.lab.verification.Ledger;
+import tinroad.lab.verification.RunHistory;
 import tinroad.overload.Controller.Estimate;
 import tinroad.overload.OverloadController;
 import tinroad.recovery.JitteredInterval;
@@ -37,7 +37,7 @@
     private final ModelEngine engine;
     private final Site warm;
     private final Site cold;
-    private final Set<Proxy.Told> open = new LinkedHashSet<>();
+    private final Set<ClientProxyModel.TryListener> open = new LinkedHashSet<>();
     private Gateway gateway;
     private StateRestorer remembrance;
 
@@ -45,7 +45,7 @@
     private Snapshot folder;
 
     private Snapshot older;
-    private Ledger.Life life;
+    private RunHistory.GatewayIncarnation life;
     private boolean good;
     private boolean leaving;
 
@@ -58,7 +58,7 @@
     }
 
     /** What became of the folder while the process was gone. */
-    void folder(Script.Folder what) {
+    void folder(Script.StateRetention what) {
         switch (what) {
             case KEEP -> older = folder;
             case LOSE -> folder = null;
@@ -68,12 +68,12 @@
 
     /** Another life begins, and listens at once. */
     void begin(boolean justStarted) {
-        life = model.ledger().begins(number);
+        life = model.ledger().addIncarnation(number);
         model.world().lives(number, life.number);
         long seed =
                 Draw.stream(model.plan().seed(), "gateway " + number + " " + life.number)
                         .nextLong();
-        Ledger.Life mine = life;
+        RunHistory.GatewayIncarnation mine = life;
         good = false;
         leaving = false;
         gateway =
@@ -124,7 +124,7 @@
         report(mine, LoadReporter.reportInterval("g" + number, seed));
     }
 
-    private void save(Ledger.Life mine) {
+    private void save(RunHistory.GatewayIncarnation mine) {
         if (life == mine && gateway != null) {
             Map<String, Estimate> values = gateway.learnedEstimates();
             if (!values.isEmpty()) {
@@ -141,14 +141,14 @@
         }
     }
 
-    private void report(Ledger.Life mine, JitteredInterval pace) {
+    private void report(RunHistory.GatewayIncarnation mine, JitteredInterval pace) {
         if (life == mine && gateway != null) {
             model.reports(number, good);
             model.at(model.now() + pace.nextMillis(), () -> report(mine, pace));
         }
     }
 
-    Ledger.Life life() {
+    RunHistory.GatewayIncarnation life() {
         return life;
     }
 
@@ -174,13 +174,13 @@
         return gateway != null && gateway.healthy();
     }
 
-    void request(IncomingRequest in, Proxy.Told told) {
+    void request(IncomingRequest in, ClientProxyModel.TryListener told) {
         if (gateway == null) {
             told.lost(true, model.now());
             return;
         }
         open.add(told);
-        Ledger.Life mine = life;
+        RunHistory.GatewayIncarnation mine = life;
         gateway.handle(
                 in,
                 answer -> {
@@ -202,7 +202,7 @@
         life.exit = 0;
         gateway = null;
         engine.attach(null);
-        List<Proxy.Told> lost = List.copyOf(open);
+        List<ClientProxyModel.TryListener> lost = List.copyOf(open);
         open.clear();
         lost.forEach(told -> told.lost(true, model.now()));
     }
--- a/src/test/java/tinroad/lab/LabTest.java
+++ b/src/test/java/tinroad/lab/LabTest.java
@@ -13,27 +13,27 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
-import tinroad.lab.fake.World.Mutant;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.fake.LabContext.Mutant;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.verification.Ledger;
-import tinroad.lab.verification.Rules;
-import tinroad.lab.verification.Rules.Rule;
+import tinroad.lab.verification.HistoryChecker;
+import tinroad.lab.verification.HistoryChecker.Rule;
+import tinroad.lab.verification.RunHistory;
 
 /** Real processes with faults between them: the rules only, no figure that hangs on the clock. */
 @Timeout(240)
 class LabTest {
     @TempDir private Path dir;
-    private Ledger ledger;
+    private RunHistory ledger;
 
     private Report play(String script, long seed, Mutant mutant) throws Exception {
         Path file = Files.writeString(dir.resolve("s.conf"), script);
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(file), seed),
+                        Schedule.of(ScriptReader.read(file), seed),
                         new Lab.Options(
                                 Program.CLASS_PATH, dir.resolve("run"), null, null, mutant))) {
-            Lab.Outcome outcome = lab.play();
+            Lab.RunOutcome outcome = lab.play();
             ledger = outcome.ledger();
             Report report = new Report(outcome);
             report.write(dir.resolve("out"));
@@ -46,14 +46,20 @@
                 + "\n"
                 + report.broken().stream()
                         .limit(3)
-                        .map(b -> b.rule() + ": " + b.what() + "\n" + String.join("\n", b.way()))
+                        .map(
+                                b ->
+                                        b.rule()
+                                                + ": "
+                                                + b.description()
+                                                + "\n"
+                                                + String.join("\n", b.trace()))
                         .collect(Collectors.joining("\n"));
     }
 
     private Report kept(String script) throws Exception {
         Report report = play(script, 1, Mutant.NONE);
         assertEquals(List.of(), report.broken(), () -> told(report));
-        Rules.Fates f = report.fates();
+        HistoryChecker.OutcomeCounts f = report.fates();
         assertTrue(
                 f.served() > 0 && f.asked() == f.served() + f.refused() + f.failed(), f::toString);
         return report;
@@ -134,7 +140,7 @@
                 ]
                 """);
         // What was to happen did happen.
-        assertEquals(6 + 2, ledger.lives.size());
+        assertEquals(6 + 2, ledger.incarnations.size());
         assertEquals(List.of(128 + 9, 128 + 15), exits(1));
         assertEquals(List.of(128 + 9, 128 + 15), exits(3));
         assertTrue(
@@ -156,14 +162,17 @@
     }
 
     private List<Integer> exits(int gateway) {
-        return ledger.lives.stream().filter(l -> l.gateway == gateway).map(l -> l.exit).toList();
+        return ledger.incarnations.stream()
+                .filter(l -> l.gateway == gateway)
+                .map(l -> l.exit)
+                .toList();
     }
 
     private void caught(Mutant mutant, Rule rule, String words, String script) throws Exception {
         Report report = play(script, 1, mutant);
         assertTrue(
                 report.broken().stream()
-                        .anyMatch(b -> b.rule() == rule && b.what().contains(words)),
+                        .anyMatch(b -> b.rule() == rule && b.description().contains(words)),
                 () -> told(report));
     }
 
--- a/src/test/java/tinroad/lab/RememberingTest.java
+++ b/src/test/java/tinroad/lab/RememberingTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import tinroad.Program;
-import tinroad.lab.fake.World.Mutant;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.fake.LabContext.Mutant;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 
 /** Real processes whose state lasts, is lost, and is rolled back under them. */
@@ -53,7 +53,7 @@
                             + " \"@SECOND@:7001\"], zone = \"@ZONE@\", key-file = \"@KEYS@\" }\n");
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(script), 1),
+                        Schedule.of(ScriptReader.read(script), 1),
                         new Lab.Options(
                                 Program.CLASS_PATH,
                                 dir.resolve("run"),
@@ -63,7 +63,7 @@
             Report report = new Report(lab.play());
             assertEquals(
                     List.of(),
-                    report.broken().stream().map(b -> b.rule() + ": " + b.what()).toList());
+                    report.broken().stream().map(b -> b.rule() + ": " + b.description()).toList());
         }
         for (int g = 0; g < 2; g++) {
             String log = Files.readString(dir.resolve("run/g" + g + "/log"));
@@ -103,7 +103,7 @@
                         "state { folder = tmp/state, fence = fence, every = 100ms }");
         try (Lab lab =
                 new Lab(
-                        Plan.of(ScriptReader.read(script), 1),
+                        Schedule.of(ScriptReader.read(script), 1),
                         new Lab.Options(
                                 Program.CLASS_PATH,
                                 dir.resolve("run"),
@@ -113,7 +113,7 @@
             Report report = new Report(lab.play());
             assertEquals(
                     List.of(),
-                    report.broken().stream().map(b -> b.rule() + ": " + b.what()).toList());
+                    report.broken().stream().map(b -> b.rule() + ": " + b.description()).toList());
         }
         assertEquals("incarnation 1 started without stored state", lives(0).get(0));
         assertEquals("incarnation 2 started from incarnation 1, saved N s ago", lives(0).get(1));
--- a/src/test/java/tinroad/lab/fake/CallersTest.java
+++ b/src/test/java/tinroad/lab/fake/CallersTest.java
@@ -10,27 +10,27 @@
 import org.junit.jupiter.api.Test;
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script.Callers;
-import tinroad.lab.script.Script.Choice;
-import tinroad.lab.verification.Try.End;
+import tinroad.lab.script.Script.Selection;
+import tinroad.lab.verification.Try.Outcome;
 
 /** What a client proxy decides: where, whether and when; and what the roster lists. */
 class CallersTest {
     private static final BitSet NONE = new BitSet();
 
-    private static Choosing choosing(Choice choice) {
-        return new Choosing(choice, 4, Draw.stream(1, "test"));
+    private static GatewaySelector choosing(Selection choice) {
+        return new GatewaySelector(choice, 4, Draw.stream(1, "test"));
     }
 
-    private static Repeating repeating(int tries, boolean walk, boolean heeds) {
-        return new Repeating(
-                new Callers(1, Choice.TURN, 1, 1, 1, 2, tries, 100, 1, walk, 0, 1000, 0),
+    private static RetryPolicy repeating(int tries, boolean walk, boolean heeds) {
+        return new RetryPolicy(
+                new Callers(1, Selection.TURN, 1, 1, 1, 2, tries, 100, 1, walk, 0, 1000, 0),
                 heeds,
                 Draw.stream(1, "test"));
     }
 
     @Test
     void inTurnEachGatewayComesOnce() {
-        Choosing choosing = choosing(Choice.TURN);
+        GatewaySelector choosing = choosing(Selection.TURN);
         Set<Integer> seen = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             seen.add(choosing.next(0, NONE, 0));
@@ -40,7 +40,7 @@
 
     @Test
     void leastOpenTakesTheEmptyOne() {
-        Choosing choosing = choosing(Choice.LEAST);
+        GatewaySelector choosing = choosing(Selection.LEAST);
         for (int g : new int[] {0, 1, 3, 0, 1, 3}) {
             choosing.open(g, 1);
         }
@@ -52,7 +52,7 @@
 
     @Test
     void aSubjectKeepsItsGatewayAndOnlyThoseOfOneThatGoesMove() {
-        Choosing choosing = choosing(Choice.SUBJECT);
+        GatewaySelector choosing = choosing(Selection.SUBJECT);
         int[] home = new int[1000];
         for (int s = 0; s < home.length; s++) {
             home[s] = choosing.next(0, NONE, s);
@@ -69,15 +69,15 @@
 
     @Test
     void whatIsOffBadOrAskedToBeLeftAloneIsNotChosen() {
-        Choosing choosing = choosing(Choice.LEAST);
+        GatewaySelector choosing = choosing(Selection.LEAST);
         choosing.listed(0, false);
         choosing.checked(1, false);
-        choosing.stayAway(2, 500);
+        choosing.avoidUntil(2, 500);
         assertEquals(3, choosing.next(499, NONE, 0));
         assertFalse(choosing.left(499, BitSet.valueOf(new long[] {8})));
         assertEquals(0, choosing.freeAt());
-        choosing.stayAway(3, 800);
-        choosing.stayAway(3, 600);
+        choosing.avoidUntil(3, 800);
+        choosing.avoidUntil(3, 600);
         assertEquals(-1, choosing.next(499, NONE, 0));
         assertEquals(500, choosing.freeAt());
         assertEquals(2, choosing.next(500, NONE, 0));
@@ -88,46 +88,50 @@
 
     @Test
     void whatMayRunOnceIsRepeatedOnProofOnly() {
-        Repeating repeating = repeating(0, true, false);
-        for (End end : End.values()) {
-            boolean proven = end == End.REFUSED || end == End.UNSENT;
+        RetryPolicy repeating = repeating(0, true, false);
+        for (Outcome end : Outcome.values()) {
+            boolean proven = end == Outcome.REFUSED || end == Outcome.UNSENT;
             assertEquals(
                     proven,
-                    repeating.after(end, false, 1, 0, 5000, true, false) != Repeating.NEVER,
+                    repeating.after(end, false, 1, 0, 5000, true, false) != RetryPolicy.NEVER,
                     end::name);
             assertEquals(
-                    end != End.SERVED,
-                    repeating.after(end, true, 1, 0, 5000, true, false) != Repeating.NEVER,
+                    end != Outcome.SERVED,
+                    repeating.after(end, true, 1, 0, 5000, true, false) != RetryPolicy.NEVER,
                     end::name);
         }
     }
 
     @Test
     void triesPausesAndTimeAreKeptTo() {
-        Repeating repeating = repeating(3, true, true);
-        assertEquals(70, repeating.after(End.REFUSED, true, 2, 70, 5000, true, false));
-        assertEquals(Repeating.NEVER, repeating.after(End.REFUSED, true, 3, 70, 5000, true, false));
-        assertEquals(Repeating.NEVER, repeating.after(End.REFUSED, true, 1, 70, 5000, true, true));
+        RetryPolicy repeating = repeating(3, true, true);
+        assertEquals(70, repeating.after(Outcome.REFUSED, true, 2, 70, 5000, true, false));
         assertEquals(
-                Repeating.NEVER, repeating.after(End.REFUSED, true, 1, 5000, 5000, true, false));
-        double paused = repeating.after(End.REFUSED, true, 1, 70, 5000, false, false);
+                RetryPolicy.NEVER,
+                repeating.after(Outcome.REFUSED, true, 3, 70, 5000, true, false));
+        assertEquals(
+                RetryPolicy.NEVER, repeating.after(Outcome.REFUSED, true, 1, 70, 5000, true, true));
+        assertEquals(
+                RetryPolicy.NEVER,
+                repeating.after(Outcome.REFUSED, true, 1, 5000, 5000, true, false));
+        double paused = repeating.after(Outcome.REFUSED, true, 1, 70, 5000, false, false);
         assertTrue(paused >= 120 && paused <= 220, "" + paused);
         assertTrue(
-                repeating(3, false, true).after(End.REFUSED, true, 1, 70, 5000, true, false)
+                repeating(3, false, true).after(Outcome.REFUSED, true, 1, 70, 5000, true, false)
                         >= 120);
         // An answer 500 says that the same may happen anywhere: with a pause.
-        assertTrue(repeating.after(End.FAILED, true, 1, 70, 5000, true, false) >= 120);
+        assertTrue(repeating.after(Outcome.FAILED, true, 1, 70, 5000, true, false) >= 120);
         assertTrue(
-                repeating(3, true, false).after(End.REFUSED, true, 1, 0, 5000, true, true)
-                        < Repeating.NEVER);
+                repeating(3, true, false).after(Outcome.REFUSED, true, 1, 0, 5000, true, true)
+                        < RetryPolicy.NEVER);
         assertEquals(10, repeating.wait(0, 5000, 0));
-        assertEquals(Repeating.NEVER, repeating.wait(4995, 5000, 0));
+        assertEquals(RetryPolicy.NEVER, repeating.wait(4995, 5000, 0));
         assertTrue(repeating.wait(0, 5000, 900) <= 150);
     }
 
     @Test
     void theRosterListsOnAWordAndForgetsWithoutOne() {
-        RosterList list = new RosterList(2, 3000);
+        RegistryEntries list = new RegistryEntries(2, 3000);
         assertFalse(list.takes(0));
         list.engineUp(0, 0);
         list.heard(1, true, 0);
--- a/src/test/java/tinroad/lab/script/ScriptTest.java
+++ b/src/test/java/tinroad/lab/script/ScriptTest.java
@@ -139,8 +139,8 @@
                                     + " 1s, deadline = 2s } ]"));
         assertEquals(3, s.fleet().gateways());
         assertEquals(6.0, s.fleet().power());
-        assertEquals(new Script.Kind("a", 1, 5, 1000, 2000, 1, true), s.classes().get(0));
-        assertEquals(Script.Deed.ENGINE_SICK, s.faults().get(0).deed());
+        assertEquals(new Script.RequestClass("a", 1, 5, 1000, 2000, 1, true), s.classes().get(0));
+        assertEquals(Script.FaultAction.ENGINE_SICK, s.faults().get(0).action());
         assertEquals(1500, s.faults().get(0).length());
         assertEquals(1, s.faults().get(0).share());
     }
@@ -184,6 +184,6 @@
         assertEquals(0.7, load.at(2000), 1e-9);
         assertEquals(0.3, load.at(6000), 1e-9);
         assertEquals(2, load.at(1499));
-        assertEquals(2, load.most());
+        assertEquals(2, load.peak());
     }
 }
--- a/src/test/java/tinroad/lab/verification/RulesTest.java
+++ b/src/test/java/tinroad/lab/verification/RulesTest.java
@@ -8,20 +8,20 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tinroad.lab.schedule.Plan;
+import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
-import tinroad.lab.verification.Ledger.Excuse;
-import tinroad.lab.verification.Rules.Rule;
+import tinroad.lab.verification.HistoryChecker.Rule;
+import tinroad.lab.verification.RunHistory.ExcusedInterval;
 
 /** Each rule: a ledger that keeps it, and one that breaks it. */
 class RulesTest {
-    private Ledger ledger;
+    private RunHistory ledger;
 
     @BeforeEach
     void empty() throws Exception {
-        ledger = new Ledger(Plan.of(ScriptReader.read(Path.of("lab/first.conf")), 1));
-        ledger.begins(0);
+        ledger = new RunHistory(Schedule.of(ScriptReader.read(Path.of("lab/first.conf")), 1));
+        ledger.addIncarnation(0);
     }
 
     /** A try of a read, sent at 1 s, run and served 50 ms later; due at 4.7 s. */
@@ -30,13 +30,13 @@
         t.sentAt = 1000;
         t.answeredAt = 1050;
         t.answers = 1;
-        t.answer = Try.End.SERVED;
-        t.end = Try.End.SERVED;
+        t.answer = Try.Outcome.SERVED;
+        t.end = Try.Outcome.SERVED;
         t.runs = 1;
         t.ranAt = 1001;
         t.result = "made for " + id;
         t.served = t.result;
-        t.step(1000, "proxy 0", "sent");
+        t.addStep(1000, "proxy 0", "sent");
         change.accept(t);
         ledger.tries.add(t);
         return t;
@@ -52,7 +52,9 @@
     private void broken(Rule... rules) {
         assertEquals(
                 List.of(rules),
-                Rules.judge(ledger).broken().stream().map(Rules.Broken::rule).toList());
+                HistoryChecker.check(ledger).broken().stream()
+                        .map(HistoryChecker.Violation::rule)
+                        .toList());
     }
 
     @Test
@@ -74,14 +76,20 @@
     void aTryWithoutAnAnswerIsLostUnlessTheScriptTookIt() {
         Try lost = add("a", 0, true, this::unanswered);
         broken(Rule.LOST);
-        assertTrue(Rules.judge(ledger).broken().get(0).way().get(1).contains("proxy 0: sent"));
-        ledger.excuses.add(new Excuse(1, 0, 9000));
+        assertTrue(
+                HistoryChecker.check(ledger)
+                        .broken()
+                        .get(0)
+                        .trace()
+                        .get(1)
+                        .contains("proxy 0: sent"));
+        ledger.excusedIntervals.add(new ExcusedInterval(1, 0, 9000));
         broken(Rule.LOST);
-        assertEquals(0, Rules.judge(ledger).excused());
-        ledger.excuses.add(new Excuse(0, 3000, 3500));
+        assertEquals(0, HistoryChecker.check(ledger).excused());
+        ledger.excusedIntervals.add(new ExcusedInterval(0, 3000, 3500));
         broken();
-        assertEquals(1, Rules.judge(ledger).excused());
-        ledger.excuses.clear();
+        assertEquals(1, HistoryChecker.check(ledger).excused());
+        ledger.excusedIntervals.clear();
         lost.brokenAt = 1049;
         broken();
         lost.brokenAt = 1051;
@@ -124,16 +132,16 @@
 
     @Test
     void whatWasRefusedNeverRan() {
-        add("a", 0, true, t -> t.answer = Try.End.REFUSED);
+        add("a", 0, true, t -> t.answer = Try.Outcome.REFUSED);
         broken(Rule.REFUSED_BUT_RAN);
     }
 
     @Test
     void nothingRunsThatCameLongAfterTheNotice() {
-        ledger.lives.get(0).noticedAt = 1000 - Rules.GRACE;
+        ledger.incarnations.get(0).noticedAt = 1000 - HistoryChecker.GRACE;
         add("a", 0, true, t -> {});
         broken();
-        ledger.lives.get(0).noticedAt -= 1;
+        ledger.incarnations.get(0).noticedAt -= 1;
         broken(Rule.RAN_AFTER_NOTICE);
     }
 
@@ -141,8 +149,8 @@
     void memoryThatGrowsOverALongDayIsToldAndWarmingUpIsNot() throws Exception {
         Script day = ledger.plan.script();
         ledger =
-                new Ledger(
-                        Plan.of(
+                new RunHistory(
+                        Schedule.of(
                                 new Script(
                                         "",
                                         60_000,
@@ -157,31 +165,32 @@
                                         day.roster(),
                                         day.faults()),
                                 1));
-        Ledger.Life warms = ledger.begins(0);
-        Ledger.Life grows = ledger.begins(1);
+        RunHistory.GatewayIncarnation warms = ledger.addIncarnation(0);
+        RunHistory.GatewayIncarnation grows = ledger.addIncarnation(1);
         for (double part = 0; part < 1; part += 0.01) {
-            warms.seen(Math.min(70, 40 + 300 * part), 50, part);
-            grows.seen(50 + 25 * part, 50, part);
+            warms.addSample(Math.min(70, 40 + 300 * part), 50, part);
+            grows.addSample(50 + 25 * part, 50, part);
         }
         broken(Rule.LIMIT);
         assertEquals(15, grows.grownMb(), 0.5);
         assertEquals(
-                "gateway 1 grew by 15 MB over the day", Rules.judge(ledger).broken().get(0).what());
+                "gateway 1 grew by 15 MB over the day",
+                HistoryChecker.check(ledger).broken().get(0).description());
     }
 
     @Test
     void anEndThatNobodyAskedForIsACrashAndLimitsHold() {
-        ledger.lives.get(0).endedAt = 500;
-        ledger.lives.get(0).exit = 3;
+        ledger.incarnations.get(0).endedAt = 500;
+        ledger.incarnations.get(0).exit = 3;
         broken(Rule.CRASHED);
-        ledger.lives.get(0).told = true;
+        ledger.incarnations.get(0).endedByScript = true;
         broken();
-        ledger.lives.get(0).mostMemoryMb = 193;
+        ledger.incarnations.get(0).mostMemoryMb = 193;
         broken(Rule.LIMIT);
         ledger.strange.add("what nobody knows");
         broken(Rule.LIMIT, Rule.STRANGE);
         assertTrue(
-                Rules.fates(ledger, Rules.judge(ledger).broken())
+                HistoryChecker.fates(ledger, HistoryChecker.check(ledger).broken())
                         .toString()
                         .endsWith("lost 0, twice 0, wrong 0"));
     }
--- a/src/test/java/tinroad/recovery/SlowStartTest.java
+++ b/src/test/java/tinroad/recovery/SlowStartTest.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tinroad.lab.fake.Cores;
+import tinroad.lab.fake.CoreModel;
 import tinroad.lab.script.Script;
-import tinroad.lab.script.Script.Law;
+import tinroad.lab.script.Script.ServiceTimeLaw;
 import tinroad.recovery.SlowStart.Phase;
 
 /** Tests slow start against the lab's model of cores, on virtual time. */
@@ -67,10 +67,10 @@
             double hungUntilMillis,
             double lengthMillis,
             boolean limited) {
-        Cores cores =
-                new Cores(
-                        new Script.Work(
-                                Law.LOGNORMAL,
+        CoreModel cores =
+                new CoreModel(
+                        new Script.EngineModel(
+                                ServiceTimeLaw.LOGNORMAL,
                                 0.5,
                                 3,
                                 0.1,
