--- a/src/main/java/tinroad/lab/capacity/Figures.java
+++ b/src/main/java/tinroad/lab/capacity/Figures.java
@@ -116,7 +116,7 @@
         try {
             List<String> guessed = new ArrayList<>(List.of(c.getString("assumed")));
             double value =
-                    Formula.value(
+                    Formula.evaluate(
                             size,
                             other -> {
                                 guessed.add(size(other).assumed());
@@ -204,7 +204,10 @@
                             .filter(e -> !Double.isNaN(e))
                             .max()
                             .orElse(Double.NaN);
-            Kind kind = terms.values().stream().map(Term::kind).reduce(Kind.COMPUTED, Kind::and);
+            Kind kind =
+                    terms.values().stream()
+                            .map(Term::kind)
+                            .reduce(Kind.COMPUTED, Kind::lessCertain);
             kind = figures.stream().anyMatch(this::guessed) ? Kind.ASSUMED : kind;
             if (kind != row.kind()) {
                 wrong(
@@ -253,7 +256,7 @@
             Row row, String key, String text, Map<String, Term> terms, Set<String> used) {
         try {
             double value =
-                    Formula.value(
+                    Formula.evaluate(
                             text,
                             name -> {
                                 used.add(name);
@@ -307,7 +310,7 @@
                             c.getDouble(key),
                             Kind.ASSUMED,
                             "assumed "
-                                    + Numbers.text(c.getDouble(key))
+                                    + Numbers.format(c.getDouble(key))
                                     + " ("
                                     + c.getString("source")
                                     + ")");
@@ -323,18 +326,18 @@
     }
 
     private static Term ofCode(double value, String name) {
-        return Term.of(value, Kind.COMPUTED, "`" + name + "` = " + Numbers.text(value));
+        return Term.of(value, Kind.COMPUTED, "`" + name + "` = " + Numbers.format(value));
     }
 
     private double size(Config c, String key) {
-        return Formula.value(c.getString(key), name -> size(name).value());
+        return Formula.evaluate(c.getString(key), name -> size(name).value());
     }
 
     /** No surer than the sizes that its settings name. */
     private Term among(Term term, Config c, String... keys) {
         Set<String> names = new TreeSet<>();
         for (String key : keys) {
-            Formula.value(
+            Formula.evaluate(
                     c.getString(key),
                     name -> {
                         names.add(name);
@@ -356,7 +359,7 @@
     private Term fit(Row row, Config c) {
         String id = c.getString("fit");
         double at = size(c, "at");
-        String text = "fit `" + id + "` at " + Numbers.text(at);
+        String text = "fit `" + id + "` at " + Numbers.format(at);
         Results.Fit fit = results.fit(id);
         fit = fit != null && fit.runs().stream().anyMatch(rejected::containsKey) ? null : fit;
         if (fit == null && row.missing().isEmpty()) {
@@ -380,7 +383,7 @@
                     "fit "
                             + id
                             + " comes to less than nothing at "
-                            + Numbers.text(at)
+                            + Numbers.format(at)
                             + ": it is no slope there");
         } else if (fit.at(at) < 0) {
             return Term.missing(text, "less than nothing by " + id);
@@ -390,7 +393,7 @@
                 fit.at(at),
                 Kind.EXTRAPOLATED,
                 fit.error(),
-                text + ", run up to " + Numbers.text(fit.largest()),
+                text + ", run up to " + Numbers.format(fit.largest()),
                 "",
                 false);
     }
@@ -399,7 +402,7 @@
     private Term point(Row row, Config c) {
         String id = c.getString("point");
         double at = size(c, "at");
-        String text = "point `" + id + "` at " + Numbers.text(at);
+        String text = "point `" + id + "` at " + Numbers.format(at);
         List<Results.Point> there =
                 results.at(id, at).stream().filter(p -> !rejected.containsKey(p.run())).toList();
         double[] values =
@@ -413,21 +416,21 @@
                     "no point "
                             + id
                             + " at "
-                            + Numbers.text(at)
+                            + Numbers.format(at)
                             + " in the results"
                             + there.stream()
                                     .map(p -> ": refused there, " + p.note())
                                     .findFirst()
                                     .orElse("; there are " + list(id, results.measured())));
         } else if (values.length == 0) {
-            return Term.missing(text, "wants " + id + " at " + Numbers.text(at));
+            return Term.missing(text, "wants " + id + " at " + Numbers.format(at));
         }
         String sweep = id.replaceAll("/.*", "");
         String whole = all.hasPath("sweeps." + sweep) ? all.getString("sweeps." + sweep) : "";
         if (!c.getString("at").equals(whole)) {
             throw new IllegalArgumentException(
                     "is measured at "
-                            + Numbers.text(at)
+                            + Numbers.format(at)
                             + ", which is not "
                             + (whole.isEmpty()
                                     ? "a size of the target that 'sweeps' names"
@@ -484,9 +487,9 @@
                 "tenant with a quota of `"
                         + c.getString(key)
                         + "` a second, asking "
-                        + Numbers.text(times)
+                        + Numbers.format(times)
                         + " times as much, places that count: "
-                        + Numbers.text(places)
+                        + Numbers.format(places)
                         + ", simulated");
     }
 
@@ -525,7 +528,7 @@
             throw new IllegalArgumentException(
                     "no constant " + c.getString("name") + " in " + source.getFileName());
         }
-        return Formula.value(found.group(1), name -> size(name).value());
+        return Formula.evaluate(found.group(1), name -> size(name).value());
     }
 
     // --- what the page reads ---
--- a/src/main/java/tinroad/lab/capacity/Formula.java
+++ b/src/main/java/tinroad/lab/capacity/Formula.java
@@ -5,9 +5,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Arithmetic over names: {@code + - * /}, parentheses, and the functions {@code sqrt ln exp ceil
- * harmonic}. Guards against figures that nobody can work out again: what a row is computed from
- * stands on the page as it is evaluated.
+ * Evaluates arithmetic expressions over named variables: {@code + - * /}, parentheses, and the
+ * functions {@code sqrt ln exp ceil harmonic}. The page shows each expression exactly as it is
+ * evaluated, so that a reader can recompute the figure.
  */
 final class Formula {
     private static final Pattern TOKEN =
@@ -15,121 +15,127 @@
                     "\\s*([0-9][0-9_]*(?:\\.[0-9]+)?(?:[eE]-?[0-9]+)?|[a-z][a-z0-9_]*|[-+*/()])");
 
     private final String text;
-    private final ToDoubleFunction<String> names;
+    private final ToDoubleFunction<String> variables;
     private final Matcher tokens;
-    private String next;
-    private int read;
+    private String token;
+    private int position;
 
-    private Formula(String text, ToDoubleFunction<String> names) {
+    private Formula(String text, ToDoubleFunction<String> variables) {
         this.text = text;
-        this.names = names;
+        this.variables = variables;
         tokens = TOKEN.matcher(text);
         advance();
     }
 
     /**
-     * The value; throws {@link IllegalArgumentException} in words where the text is no formula, or
-     * as {@code names} does.
+     * Returns the value of the expression. Throws {@link IllegalArgumentException} with a message
+     * for the user if the text is not a valid formula, and whatever {@code variables} throws for an
+     * unknown name.
      */
-    static double value(String text, ToDoubleFunction<String> names) {
-        Formula f = new Formula(text, names);
-        double value = f.sum();
-        if (f.next != null) {
-            throw f.wrong("an operator or the end");
+    static double evaluate(String text, ToDoubleFunction<String> variables) {
+        Formula formula = new Formula(text, variables);
+        double value = formula.parseSum();
+        if (formula.token != null) {
+            throw formula.syntaxError("an operator or the end");
         }
         return value;
     }
 
     private void advance() {
-        int rest = read;
-        while (rest < text.length() && Character.isWhitespace(text.charAt(rest))) {
-            rest++;
+        int start = position;
+        while (start < text.length() && Character.isWhitespace(text.charAt(start))) {
+            start++;
         }
-        if (rest == text.length()) {
-            next = null;
+        if (start == text.length()) {
+            token = null;
             return;
         }
-        if (!tokens.find(read) || tokens.start() != read) {
-            next = text.substring(rest);
-            throw wrong("a number, a name, an operator or a parenthesis");
+        if (!tokens.find(position) || tokens.start() != position) {
+            token = text.substring(start);
+            throw syntaxError("a number, a name, an operator or a parenthesis");
         }
-        next = tokens.group(1);
-        read = tokens.end();
+        token = tokens.group(1);
+        position = tokens.end();
     }
 
-    private IllegalArgumentException wrong(String wanted) {
+    private IllegalArgumentException syntaxError(String expected) {
         return new IllegalArgumentException(
                 "must be a formula such as 'gateways * 4': expected "
-                        + wanted
+                        + expected
                         + " at "
-                        + (next == null ? "the end" : "'" + next + "'"));
+                        + (token == null ? "the end" : "'" + token + "'"));
     }
 
-    private boolean takes(String token) {
-        boolean found = token.equals(next);
-        if (found) {
+    private boolean accept(String expected) {
+        boolean matches = expected.equals(token);
+        if (matches) {
             advance();
         }
-        return found;
+        return matches;
     }
 
-    private double sum() {
-        double value = product();
-        while ("+".equals(next) || "-".equals(next)) {
-            value += takes("+") ? product() : takes("-") ? -product() : 0;
+    private double parseSum() {
+        double value = parseProduct();
+        while ("+".equals(token) || "-".equals(token)) {
+            value += accept("+") ? parseProduct() : accept("-") ? -parseProduct() : 0;
         }
         return value;
     }
 
-    private double product() {
-        double value = factor();
-        while ("*".equals(next) || "/".equals(next)) {
-            value = takes("*") ? value * factor() : takes("/") ? value / factor() : value;
+    private double parseProduct() {
+        double value = parseFactor();
+        while ("*".equals(token) || "/".equals(token)) {
+            value =
+                    accept("*")
+                            ? value * parseFactor()
+                            : accept("/") ? value / parseFactor() : value;
         }
         return value;
     }
 
-    private double factor() {
-        if (takes("-")) {
-            return -factor();
+    private double parseFactor() {
+        if (accept("-")) {
+            return -parseFactor();
         }
-        if (takes("(")) {
-            return closed();
+        if (accept("(")) {
+            return parseParenthesized();
         }
-        if (next == null || !Character.isLetterOrDigit(next.charAt(0))) {
-            throw wrong("a number or a name");
+        if (token == null || !Character.isLetterOrDigit(token.charAt(0))) {
+            throw syntaxError("a number or a name");
         }
-        String word = next;
+        String operand = token;
         advance();
-        if (Character.isDigit(word.charAt(0))) {
-            return Double.parseDouble(word.replace("_", ""));
+        if (Character.isDigit(operand.charAt(0))) {
+            return Double.parseDouble(operand.replace("_", ""));
         }
-        return takes("(") ? function(word, closed()) : names.applyAsDouble(word);
+        return accept("(")
+                ? applyFunction(operand, parseParenthesized())
+                : variables.applyAsDouble(operand);
     }
 
-    private double closed() {
-        double value = sum();
-        if (!takes(")")) {
-            throw wrong("')'");
+    private double parseParenthesized() {
+        double value = parseSum();
+        if (!accept(")")) {
+            throw syntaxError("')'");
         }
         return value;
     }
 
-    private static double function(String name, double x) {
+    private static double applyFunction(String name, double x) {
         return switch (name) {
             case "sqrt" -> Math.sqrt(x);
             case "ln" -> StrictMath.log(x);
             case "exp" -> StrictMath.exp(x);
             case "ceil" -> Math.ceil(x);
-            case "harmonic" -> harmonic(x);
+            case "harmonic" -> harmonicNumber(x);
             default ->
                     throw new IllegalArgumentException(
                             "no function '" + name + "': known are sqrt, ln, exp, ceil, harmonic");
         };
     }
 
-    /** What the weights of a Zipf law with exponent 1 over so many add up to. */
-    private static double harmonic(double n) {
+    /** The sum of the weights 1/i of a Zipf distribution with exponent 1 over n items. */
+    private static double harmonicNumber(double n) {
         double sum = 0;
         for (int i = 1; i <= n; i++) {
             sum += 1.0 / i;
--- a/src/main/java/tinroad/lab/capacity/Kind.java
+++ b/src/main/java/tinroad/lab/capacity/Kind.java
@@ -3,24 +3,24 @@
 import java.util.Locale;
 
 /**
- * How a figure is known, the surest first. A figure is as sure as the least sure thing that it
- * rests on.
+ * How a figure was obtained, in order of decreasing certainty. A figure is only as certain as the
+ * least certain of its inputs.
  */
 enum Kind {
-    /** Arithmetic over the target's sizes and what stands in the code. */
+    /** Calculated from the target's sizes and constants of the code. */
     COMPUTED,
-    /** A run at that size. */
+    /** Measured in a run at the target size. */
     MEASURED,
-    /** A fit over smaller sizes, with the error at the largest size that was run. */
+    /** From a fit over smaller sizes, with the error at the largest size that was run. */
     EXTRAPOLATED,
-    /** Nothing was run: a source or a reason stands beside it. */
+    /** Not measured: taken from a cited source, or assumed for a stated reason. */
     ASSUMED;
 
-    Kind and(Kind other) {
+    Kind lessCertain(Kind other) {
         return compareTo(other) < 0 ? other : this;
     }
 
-    /** The name on the page and in its file. */
+    /** The name on the page and in the file of formulas. */
     String text() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/tinroad/lab/capacity/Numbers.java
+++ b/src/main/java/tinroad/lab/capacity/Numbers.java
@@ -6,26 +6,28 @@
 import java.text.DecimalFormatSymbols;
 import java.util.Locale;
 
-/** How numbers stand on the page: whole ones as they are, others to three figures. */
+/** Formats numbers for the page: whole numbers in full, others to three significant digits. */
 final class Numbers {
-    private static final double EXACT = 1e15;
+    private static final double MAX_WHOLE_NUMBER = 1e15;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private Numbers() {}
 
-    /** The number as text; a dash where there is none. */
-    static String text(double x) {
+    /** Returns the number as text, or a dash if it is infinite or NaN. */
+    static String format(double x) {
         if (!Double.isFinite(x)) {
             return "-";
         }
-        BigDecimal shown =
-                x == Math.rint(x) && Math.abs(x) < EXACT
+        BigDecimal rounded =
+                x == Math.rint(x) && Math.abs(x) < MAX_WHOLE_NUMBER
                         ? BigDecimal.valueOf(x)
-                        : new BigDecimal(x).round(new MathContext(3));
+                        : new BigDecimal(x).round(new MathContext(SIGNIFICANT_DIGITS));
         return new DecimalFormat("#,##0.##########", DecimalFormatSymbols.getInstance(Locale.ROOT))
-                .format(shown);
+                .format(rounded);
     }
 
-    static String percent(double part) {
-        return text(100 * part) + "%";
+    /** Returns a share as a percentage: 0.25 becomes "25%". */
+    static String formatPercent(double share) {
+        return format(100 * share) + "%";
     }
 }
--- a/src/main/java/tinroad/lab/capacity/Results.java
+++ b/src/main/java/tinroad/lab/capacity/Results.java
@@ -71,7 +71,7 @@
             double x) {
         /** At which size, in words. */
         String where() {
-            return Double.isNaN(x) ? "" : " (at " + Numbers.text(x) + ")";
+            return Double.isNaN(x) ? "" : " (at " + Numbers.format(x) + ")";
         }
     }
 
--- a/src/main/java/tinroad/lab/capacity/Tables.java
+++ b/src/main/java/tinroad/lab/capacity/Tables.java
@@ -40,7 +40,7 @@
                     rows(
                             List.of("size", "figure", "as"),
                             figures.sizes(),
-                            s -> List.of(s.text(), Numbers.text(s.value()), as(s)));
+                            s -> List.of(s.text(), Numbers.format(s.value()), as(s)));
             case "order" -> order();
             case "ratios" ->
                     rows(
@@ -106,7 +106,7 @@
                 ? figure(row)
                 : figures.sizes().stream()
                         .filter(s -> s.name().equals(id))
-                        .map(s -> Numbers.text(s.value()))
+                        .map(s -> Numbers.format(s.value()))
                         .findFirst()
                         .orElse(null);
     }
@@ -198,18 +198,18 @@
                         List.of(
                                 "`" + f.id() + "`",
                                 f.form().equals("worse")
-                                        ? "power " + Numbers.text(f.exponent())
+                                        ? "power " + Numbers.format(f.exponent())
                                         : f.form(),
-                                (f.form().equals("flat") ? "none" : Numbers.text(f.b()))
+                                (f.form().equals("flat") ? "none" : Numbers.format(f.b()))
                                         + " ("
-                                        + Numbers.text(f.low())
+                                        + Numbers.format(f.low())
                                         + " to "
-                                        + Numbers.text(f.high())
+                                        + Numbers.format(f.high())
                                         + ")",
-                                Numbers.text(f.largest()),
-                                Numbers.text(f.foretold()) + " " + f.unit(),
-                                Numbers.text(f.measured()) + " " + f.unit(),
-                                Numbers.percent(f.error())
+                                Numbers.format(f.largest()),
+                                Numbers.format(f.foretold()) + " " + f.unit(),
+                                Numbers.format(f.measured()) + " " + f.unit(),
+                                Numbers.formatPercent(f.error())
                                         + (f.error() > figures.mostError() ? ", no slope" : ""),
                                 String.join(", ", f.runs())));
     }
@@ -247,11 +247,11 @@
                                     / 2;
                     return List.of(
                             e.getKey(),
-                            Numbers.text(all.size()),
-                            Numbers.percent(median),
-                            Numbers.percent(worst.off()) + worst.where(),
-                            Numbers.text(worst.hollow()),
-                            Numbers.text(worst.real()),
+                            Numbers.format(all.size()),
+                            Numbers.formatPercent(median),
+                            Numbers.formatPercent(worst.off()) + worst.where(),
+                            Numbers.format(worst.hollow()),
+                            Numbers.format(worst.real()),
                             all.stream()
                                     .map(Results.Off::run)
                                     .distinct()
@@ -266,7 +266,7 @@
 
     private static String figure(Row.Worked r) {
         return r.known()
-                ? (Numbers.text(r.value()) + " " + r.row().unit()).strip()
+                ? (Numbers.format(r.value()) + " " + r.row().unit()).strip()
                 : "not measured";
     }
 
@@ -278,7 +278,7 @@
                 Double.isNaN(r.error())
                         ? ""
                         : " ("
-                                + Numbers.percent(r.error())
+                                + Numbers.formatPercent(r.error())
                                 + (r.error() > figures.mostError() ? ": forecast failed" : "")
                                 + ")";
         return "*" + r.row().kind().text() + "*" + error + (r.noted() ? ", noted" : "");
@@ -287,12 +287,12 @@
     private static String budget(Row.Worked r) {
         return Double.isNaN(r.budget())
                 ? NOTHING
-                : (Numbers.text(r.budget()) + " " + r.row().unit()).strip()
+                : (Numbers.format(r.budget()) + " " + r.row().unit()).strip()
                         + (r.guessed() ? " (*assumed*)" : "");
     }
 
     private static String ratio(Row.Worked r) {
-        return r.known() && !Double.isNaN(r.budget()) ? Numbers.text(r.ratio()) : NOTHING;
+        return r.known() && !Double.isNaN(r.budget()) ? Numbers.format(r.ratio()) : NOTHING;
     }
 
     private static String carrier(Row.Worked r) {
--- a/src/test/java/tinroad/lab/capacity/FormulaTest.java
+++ b/src/test/java/tinroad/lab/capacity/FormulaTest.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Arithmetic as it stands on the page. */
+/** Evaluation of the formulas that the capacity page's rows are calculated by. */
 class FormulaTest {
-    private static double value(String text) {
-        return Formula.value(text, Map.of("a", 3.0, "of_two", 2.0)::get);
+    private static double evaluate(String text) {
+        return Formula.evaluate(text, Map.of("a", 3.0, "of_two", 2.0)::get);
     }
 
     @Test
-    void itIsWorkedOutAsItReads() {
-        Map<String, Double> all =
+    void operatorsAndFunctionsFollowTheUsualPrecedence() {
+        Map<String, Double> expected =
                 Map.of(
                         "1 + 2 * a",
                         7.0,
@@ -36,16 +36,18 @@
                         2.0,
                         "harmonic(a)",
                         1 + 1 / 2.0 + 1 / 3.0);
-        all.forEach((text, value) -> assertEquals(value, value(text), 1e-9, text));
+        expected.forEach((text, value) -> assertEquals(value, evaluate(text), 1e-9, text));
     }
 
     @Test
-    void whatIsNoFormulaIsTold() {
+    void invalidFormulasAreRejectedWithAMessage() {
         for (String text : List.of("", "1 +", "(1", "1 2", "a b", "$", "* 2", "root(4)")) {
-            String told =
-                    assertThrows(IllegalArgumentException.class, () -> value(text), text)
+            String message =
+                    assertThrows(IllegalArgumentException.class, () -> evaluate(text), text)
                             .getMessage();
-            assertTrue(told.contains("must be a formula") || told.contains("no function"), told);
+            assertTrue(
+                    message.contains("must be a formula") || message.contains("no function"),
+                    message);
         }
     }
 }
