--- a/src/main/java/tinroad/lab/capacity/CapacityPage.java
+++ b/src/main/java/tinroad/lab/capacity/CapacityPage.java
@@ -13,26 +13,26 @@
 import tinroad.operator.ValidationError;
 
 /**
- * A page whose tables are written from result files: between {@code <!-- table NAME -->} and {@code
- * <!-- end -->}, and, in a sentence, {@code <!-- figure ID -->} and {@code <!-- end -->}. Guards
- * against figures that nobody measured: outside of these, of code and of links, no number may stand
- * on it.
+ * Generates the capacity page. The tables between {@code <!-- table NAME -->} and {@code <!-- end
+ * -->} and the figures in sentences between {@code <!-- figure ID -->} and {@code <!-- end -->} are
+ * written from the result files. So that every figure has a source, a number anywhere else on the
+ * page is an error, except in code and in the targets of links.
  */
 public final class CapacityPage {
-    private static final String END = "<!-- end -->";
-    private static final Pattern TABLE = Pattern.compile("<!-- table ([a-z-]+) -->");
-    private static final Pattern FIGURE =
-            Pattern.compile("<!-- figure ([a-z0-9_]+) -->(.*?)" + END);
-    private static final Pattern MARKER = Pattern.compile("<!-- (table|figure|end)\\b");
+    private static final String END_MARKER = "<!-- end -->";
+    private static final Pattern TABLE_MARKER = Pattern.compile("<!-- table ([a-z-]+) -->");
+    private static final Pattern INLINE_FIGURE =
+            Pattern.compile("<!-- figure ([a-z0-9_]+) -->(.*?)" + END_MARKER);
+    private static final Pattern ANY_MARKER = Pattern.compile("<!-- (table|figure|end)\\b");
     private static final Pattern NUMBER = Pattern.compile("(?<![A-Za-z0-9_])\\d[\\d.,]*");
 
-    /** Code, and the addresses of links. */
-    private static final Pattern NO_PROSE = Pattern.compile("`[^`]*`|\\]\\([^)]*\\)");
+    /** Code spans and link targets, where numbers are allowed. */
+    private static final Pattern CODE_OR_LINK_TARGET = Pattern.compile("`[^`]*`|\\]\\([^)]*\\)");
 
     private final Path file;
     private final Tables tables;
-    private final List<String> out = new ArrayList<>();
-    private final List<ValidationError> faults = new ArrayList<>();
+    private final List<String> output = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
 
     private CapacityPage(Path file, Tables tables) {
         this.file = file;
@@ -40,123 +40,130 @@
     }
 
     /**
-     * Writes the tables of this page anew; throws with all that is wrong in it, in its figures'
-     * file or in the results.
+     * Regenerates the tables and figures of the page. Throws with all errors found in the page, in
+     * its file of formulas or in the results.
      */
     public static void write(Path page) throws OperatorException, IOException {
-        CapacityPage made = make(page);
-        if (!made.faults.isEmpty()) {
-            throw new OperatorException(made.faults.stream().sorted().toList());
+        CapacityPage generated = generate(page);
+        if (!generated.errors.isEmpty()) {
+            throw new OperatorException(generated.errors.stream().sorted().toList());
         }
-        Files.writeString(page, String.join("\n", made.out) + "\n");
+        Files.writeString(page, String.join("\n", generated.output) + "\n");
     }
 
     /**
-     * What of the page is not as it would be written, a fault for each place; throws where the
-     * figures themselves are wrong.
+     * Returns the errors of the page, including the first line that differs from the generated
+     * page. Throws if the file of formulas or the results have errors.
      */
     public static List<ValidationError> check(Path page) throws OperatorException, IOException {
-        CapacityPage made = make(page);
-        List<String> found = Files.readAllLines(page);
-        for (int i = 0; i < Math.max(found.size(), made.out.size()); i++) {
-            String is = i < found.size() ? found.get(i) : "the end of the page";
-            String would = i < made.out.size() ? made.out.get(i) : "the end of the page";
-            if (!is.equals(would)) {
-                made.fault(
-                        i + 1, "out of step with the results: found " + is + "; would be " + would);
+        CapacityPage generated = generate(page);
+        List<String> actualLines = Files.readAllLines(page);
+        for (int i = 0; i < Math.max(actualLines.size(), generated.output.size()); i++) {
+            String actual = i < actualLines.size() ? actualLines.get(i) : "the end of the page";
+            String expected =
+                    i < generated.output.size() ? generated.output.get(i) : "the end of the page";
+            if (!actual.equals(expected)) {
+                generated.addError(
+                        i + 1,
+                        "out of step with the results: found " + actual + "; would be " + expected);
                 break;
             }
         }
-        return made.faults.stream().sorted().toList();
+        return generated.errors.stream().sorted().toList();
     }
 
-    private static CapacityPage make(Path page) throws OperatorException, IOException {
-        Path figures = page.resolveSibling("capacity.conf");
-        CapacityPage made = new CapacityPage(page, new Tables(Figures.read(figures)));
-        made.make(Files.readAllLines(page));
-        return made;
+    private static CapacityPage generate(Path page) throws OperatorException, IOException {
+        Path formulaFile = page.resolveSibling("capacity.conf");
+        CapacityPage generated = new CapacityPage(page, new Tables(Figures.read(formulaFile)));
+        generated.generate(Files.readAllLines(page));
+        return generated;
     }
 
-    private void fault(int line, String text) {
-        faults.add(new ValidationError(file.toString(), line, "", text));
+    private void addError(int line, String text) {
+        errors.add(new ValidationError(file.toString(), line, "", text));
     }
 
-    private void make(List<String> lines) {
-        Set<String> seen = new HashSet<>();
-        boolean code = false;
+    private void generate(List<String> lines) {
+        Set<String> tablesFound = new HashSet<>();
+        boolean inCodeBlock = false;
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
-            Matcher table = TABLE.matcher(line);
+            Matcher table = TABLE_MARKER.matcher(line);
             if (table.matches()) {
-                out.add(line);
-                i = table(lines, i, table.group(1));
-                if (!seen.add(table.group(1))) {
-                    fault(i + 1, "the table " + table.group(1) + " stands there twice");
+                output.add(line);
+                i = replaceTable(lines, i, table.group(1));
+                if (!tablesFound.add(table.group(1))) {
+                    addError(i + 1, "the table " + table.group(1) + " appears twice");
                 }
                 continue;
             }
-            code ^= line.startsWith("```");
-            out.add(figures(line, i + 1));
-            if (!code && !line.startsWith("    ")) {
-                prose(line, i + 1);
+            inCodeBlock ^= line.startsWith("```");
+            output.add(replaceFigures(line, i + 1));
+            if (!inCodeBlock && !line.startsWith("    ")) {
+                checkProse(line, i + 1);
             }
         }
-        tables.names().stream()
-                .filter(name -> !seen.contains(name))
-                .forEach(name -> fault(Math.max(1, lines.size()), "has no table " + name));
+        tables.tableNames().stream()
+                .filter(name -> !tablesFound.contains(name))
+                .forEach(name -> addError(Math.max(1, lines.size()), "has no table " + name));
     }
 
-    /** Writes a table in place of what stands between its markers; returns the line of its end. */
-    private int table(List<String> lines, int start, String name) {
-        if (tables.names().contains(name)) {
-            out.addAll(tables.table(name));
+    /** Replaces the lines between the markers of a table; returns the index of its end marker. */
+    private int replaceTable(List<String> lines, int start, String name) {
+        if (tables.tableNames().contains(name)) {
+            output.addAll(tables.render(name));
         } else {
-            fault(
+            addError(
                     start + 1,
-                    "no table " + name + "; there are " + String.join(", ", tables.names()));
+                    "no table " + name + "; there are " + String.join(", ", tables.tableNames()));
         }
         for (int i = start + 1; i < lines.size(); i++) {
-            if (lines.get(i).equals(END)) {
-                out.add(END);
+            if (lines.get(i).equals(END_MARKER)) {
+                output.add(END_MARKER);
                 return i;
             }
-            if (MARKER.matcher(lines.get(i)).find()) {
+            if (ANY_MARKER.matcher(lines.get(i)).find()) {
                 break;
             }
         }
-        fault(start + 1, "the table " + name + " has no " + END);
+        addError(start + 1, "the table " + name + " has no " + END_MARKER);
         return start;
     }
 
-    private String figures(String line, int number) {
-        return FIGURE.matcher(line)
+    private String replaceFigures(String line, int lineNumber) {
+        return INLINE_FIGURE
+                .matcher(line)
                 .replaceAll(
                         m -> {
-                            String text = tables.inline(m.group(1));
+                            String text = tables.inlineText(m.group(1));
                             if (text == null) {
-                                fault(number, "no figure " + m.group(1));
+                                addError(lineNumber, "no figure " + m.group(1));
                             }
                             return Matcher.quoteReplacement(
                                     "<!-- figure "
                                             + m.group(1)
                                             + " -->"
                                             + (text == null ? m.group(2) : text)
-                                            + END);
+                                            + END_MARKER);
                         });
     }
 
-    private void prose(String line, int number) {
-        String rest = NO_PROSE.matcher(FIGURE.matcher(line).replaceAll("")).replaceAll("]");
-        Matcher found = NUMBER.matcher(rest);
+    /** Reports a number or a stray marker outside of generated text, code and link targets. */
+    private void checkProse(String line, int lineNumber) {
+        String prose =
+                CODE_OR_LINK_TARGET
+                        .matcher(INLINE_FIGURE.matcher(line).replaceAll(""))
+                        .replaceAll("]");
+        Matcher found = NUMBER.matcher(prose);
         if (found.find()) {
-            fault(
-                    number,
+            addError(
+                    lineNumber,
                     "a number outside of the generator's output: "
                             + found.group()
                             + "; make it a row and name it by <!-- figure ID -->");
         }
-        if (MARKER.matcher(rest).find()) {
-            fault(number, "a marker that begins or ends nothing: " + line.strip());
+        if (ANY_MARKER.matcher(prose).find()) {
+            addError(lineNumber, "a marker without its counterpart: " + line.strip());
         }
     }
 }
--- a/src/main/java/tinroad/lab/capacity/Figures.java
+++ b/src/main/java/tinroad/lab/capacity/Figures.java
@@ -26,29 +26,41 @@
 import tinroad.operator.ValidationError;
 
 /**
- * All figures of the page, worked out from its file, the result files and the constants of the
- * code. Guards against figures with nothing behind them: what a row names has to be there, and a
- * row is no surer than the least sure thing that it names.
+ * Calculates all figures of the page from the file of formulas, the result files and constants of
+ * the code. Rejects figures without a basis: every input that a row names must exist, and a row
+ * must not claim more certainty than its least certain input has.
  */
 final class Figures {
     /**
      * A size of the target.
      *
-     * @param formula over sizes above it, or empty
-     * @param source who gave it, empty for the operators
-     * @param assumed why it is taken to be so where nobody gave it, else empty
+     * @param formula formula over the sizes above it in the file, or empty for a plain number
+     * @param source where the number comes from; empty means that the operators gave it
+     * @param assumptionReason why the number is assumed, or empty if it is not
      */
-    record Size(
+    record TargetSize(
             String name,
             double value,
             String formula,
-            String text,
+            String description,
             String source,
-            String assumed) {}
+            String assumptionReason) {}
 
-    /** What a term came to. */
+    /**
+     * The evaluated term of a row.
+     *
+     * @param relativeError relative error of the fit that it was read from, or NaN
+     * @param text description of the term for the page
+     * @param missingReason why there is no value, or empty
+     * @param hasNotes whether a run that it was read from has a note at its point
+     */
     private record Term(
-            double value, Kind kind, double error, String text, String missing, boolean noted) {
+            double value,
+            Kind kind,
+            double relativeError,
+            String text,
+            String missingReason,
+            boolean hasNotes) {
         static Term of(double value, Kind kind, String text) {
             return new Term(value, kind, Double.NaN, text, "", false);
         }
@@ -58,149 +70,163 @@
         }
     }
 
-    private static final Set<String> READ_FROM =
+    /** The keys that say what a term is read from; each term has exactly one of them. */
+    private static final Set<String> TERM_SOURCES =
             new TreeSet<>(
                     Set.of("fit", "point", "assumed", "code", "tuning", "row", "beyond", "worth"));
 
-    private final Config all;
+    private final Config root;
     private final Path folder;
     private final Results results;
-    private final Map<String, Size> sizes = new LinkedHashMap<>();
-    private final Map<String, Row.Worked> rows = new LinkedHashMap<>();
-    private final Set<String> fits = new TreeSet<>();
+    private final Map<String, TargetSize> sizes = new LinkedHashMap<>();
+    private final Map<String, Row.Evaluated> rows = new LinkedHashMap<>();
+    private final Set<String> usedFits = new TreeSet<>();
 
-    /** Runs that count for no row, and why. */
-    private final Map<String, String> rejected = new LinkedHashMap<>();
+    /** Runs that no row may use, and why. */
+    private final Map<String, String> rejectedRuns = new LinkedHashMap<>();
 
-    private final List<ValidationError> faults = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
 
-    private Figures(Config all, Path folder) throws IOException {
-        this.all = all;
+    private Figures(Config root, Path folder) throws IOException {
+        this.root = root;
         this.folder = folder;
-        results = new Results(files("points"), files("fits"), files("hollow-real"));
-        faults.addAll(results.faults());
-        for (ConfigValue one : all.getList("rejected")) {
-            Config c = ((ConfigObject) one).toConfig();
-            rejected.put(c.getString("run"), c.getString("why"));
+        results =
+                new Results(
+                        resolveFiles("points"), resolveFiles("fits"), resolveFiles("hollow-real"));
+        errors.addAll(results.errors());
+        for (ConfigValue run : root.getList("rejected")) {
+            Config config = ((ConfigObject) run).toConfig();
+            rejectedRuns.put(config.getString("run"), config.getString("why"));
         }
     }
 
-    /** The figures of this file; throws with all that is wrong in it. */
+    /** Reads and calculates the figures of a file; throws with all errors found in it. */
     static Figures read(Path file) throws OperatorException, IOException {
-        Config all = ValidatedFile.read(file, Figures.class);
-        Figures figures = new Figures(all, file.toAbsolutePath().getParent());
-        for (ConfigValue size : all.getList("target")) {
-            figures.size((ConfigObject) size);
+        Config root = ValidatedFile.read(file, Figures.class);
+        Figures figures = new Figures(root, file.toAbsolutePath().getParent());
+        for (ConfigValue size : root.getList("target")) {
+            figures.readTargetSize((ConfigObject) size);
         }
-        for (ConfigValue row : (ConfigList) all.getValue("rows")) {
-            figures.row((ConfigObject) row);
+        for (ConfigValue row : (ConfigList) root.getValue("rows")) {
+            figures.readRow((ConfigObject) row);
         }
-        if (!figures.faults.isEmpty()) {
-            throw new OperatorException(figures.faults.stream().distinct().sorted().toList());
+        if (!figures.errors.isEmpty()) {
+            throw new OperatorException(figures.errors.stream().distinct().sorted().toList());
         }
         return figures;
     }
 
-    private List<Path> files(String key) {
-        return all.getStringList(key).stream().map(folder::resolve).toList();
+    private List<Path> resolveFiles(String key) {
+        return root.getStringList(key).stream().map(folder::resolve).toList();
     }
 
-    private void wrong(ConfigObject at, String key, String text) {
-        faults.add(ValidatedFile.errorAt(at.getOrDefault(key, at), key, text));
+    private void addError(ConfigObject definition, String key, String text) {
+        errors.add(ValidatedFile.errorAt(definition.getOrDefault(key, definition), key, text));
     }
 
-    private void size(ConfigObject at) {
-        Config c = at.toConfig().withFallback(all.getConfig("each.target"));
-        String name = c.getString("name");
-        String size = c.getString("size");
+    private void readTargetSize(ConfigObject definition) {
+        Config config = definition.toConfig().withFallback(root.getConfig("each.target"));
+        String name = config.getString("name");
+        String sizeFormula = config.getString("size");
         try {
-            List<String> guessed = new ArrayList<>(List.of(c.getString("assumed")));
+            List<String> assumptionReasons = new ArrayList<>(List.of(config.getString("assumed")));
             double value =
                     Formula.evaluate(
-                            size,
-                            other -> {
-                                guessed.add(size(other).assumed());
-                                return size(other).value();
+                            sizeFormula,
+                            otherName -> {
+                                assumptionReasons.add(sizeNamed(otherName).assumptionReason());
+                                return sizeNamed(otherName).value();
                             });
-            String formula = size.matches("[0-9._eE-]+") ? "" : size;
+            String formula = sizeFormula.matches("[0-9._eE-]+") ? "" : sizeFormula;
             if (sizes.put(
                             name,
-                            new Size(
+                            new TargetSize(
                                     name,
                                     value,
                                     formula,
-                                    c.getString("text"),
-                                    c.getString("source"),
-                                    joined(guessed)))
+                                    config.getString("text"),
+                                    config.getString("source"),
+                                    joinDistinct(assumptionReasons)))
                     != null) {
-                wrong(at, "name", "must differ from the names of the other sizes");
+                addError(definition, "name", "must differ from the names of the other sizes");
             }
         } catch (IllegalArgumentException e) {
-            wrong(at, "size", e.getMessage());
+            addError(definition, "size", e.getMessage());
         }
     }
 
-    private Size size(String name) {
+    private TargetSize sizeNamed(String name) {
         if (!sizes.containsKey(name)) {
             throw new IllegalArgumentException(
-                    "names " + name + ", which is no size of the target and no term of this row");
+                    "names "
+                            + name
+                            + ", which is neither a size of the target nor a term of this row");
         }
         return sizes.get(name);
     }
 
     // --- rows ---
 
-    private void row(ConfigObject at) {
-        Config c = at.toConfig().withFallback(all.getConfig("each.rows"));
-        Map<String, ConfigObject> named = new LinkedHashMap<>();
-        c.getObject("terms").entrySet().stream()
+    private void readRow(ConfigObject definition) {
+        Config config = definition.toConfig().withFallback(root.getConfig("each.rows"));
+        Map<String, ConfigObject> termDefinitions = new LinkedHashMap<>();
+        config.getObject("terms").entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
-                .forEach(e -> named.put(e.getKey(), (ConfigObject) e.getValue()));
+                .forEach(e -> termDefinitions.put(e.getKey(), (ConfigObject) e.getValue()));
         Row row =
                 new Row(
-                        at,
-                        c.getString("id"),
-                        c.getString("table"),
-                        c.getString("what"),
-                        c.getString("unit"),
-                        c.getString("figure"),
-                        named,
-                        Kind.valueOf(c.getString("kind").toUpperCase(Locale.ROOT)),
-                        c.getString("budget"),
-                        c.getString("mechanism"),
-                        c.getString("wants"),
-                        c.getString("missing"));
+                        definition,
+                        config.getString("id"),
+                        config.getString("table"),
+                        config.getString("what"),
+                        config.getString("unit"),
+                        config.getString("figure"),
+                        termDefinitions,
+                        Kind.valueOf(config.getString("kind").toUpperCase(Locale.ROOT)),
+                        config.getString("budget"),
+                        config.getString("mechanism"),
+                        config.getString("wants"),
+                        config.getString("missing"));
         if (rows.containsKey(row.id()) || sizes.containsKey(row.id())) {
-            wrong(at, "id", "must differ from the ids of the other rows and the names of sizes");
+            addError(
+                    definition,
+                    "id",
+                    "must differ from the ids of the other rows and the names of sizes");
             return;
         }
         Map<String, Term> terms = new LinkedHashMap<>();
-        named.forEach((name, term) -> terms.put(name, term(row, term)));
-        Set<String> used = new TreeSet<>();
-        // What a budget names has to be known; where a run is missing, it rests on none.
+        termDefinitions.forEach(
+                (name, termDefinition) -> terms.put(name, readTerm(row, termDefinition)));
+        Set<String> usedNames = new TreeSet<>();
+        // A budget must not use a term whose run is missing: it would be NaN, which is an error.
         double budget =
-                row.budget().isEmpty()
+                row.budgetFormula().isEmpty()
                         ? Double.NaN
-                        : formula(row, "budget", row.budget(), terms, used);
-        boolean guessed = used.stream().anyMatch(this::guessed);
-        if (!row.budget().isEmpty() && row.mechanism().isEmpty() == row.wants().isEmpty()) {
-            wrong(
-                    at,
+                        : evaluate(row, "budget", row.budgetFormula(), terms, usedNames);
+        boolean budgetAssumed = usedNames.stream().anyMatch(this::isAssumed);
+        if (!row.budgetFormula().isEmpty()
+                && row.mechanism().isEmpty() == row.wantedMechanism().isEmpty()) {
+            addError(
+                    definition,
                     "budget",
-                    "must have either a mechanism that carries it, or the one that it wants");
+                    "must have either a mechanism that keeps it, or wants, naming the missing one");
         }
-        String missing = joined(terms.values().stream().map(Term::missing).toList());
-        if (missing.isEmpty() && !row.missing().isEmpty()) {
-            wrong(at, "missing", "stands as missing, but all that it names is there");
+        String missingReasons =
+                joinDistinct(terms.values().stream().map(Term::missingReason).toList());
+        if (missingReasons.isEmpty() && !row.missingReason().isEmpty()) {
+            addError(
+                    definition,
+                    "missing",
+                    "is declared missing, but everything that it names exists");
         }
         double value = Double.NaN;
-        double error = Double.NaN;
-        if (missing.isEmpty()) {
-            Set<String> figures = new TreeSet<>();
-            value = formula(row, "figure", row.figure(), terms, figures);
-            error =
+        double maxError = Double.NaN;
+        if (missingReasons.isEmpty()) {
+            Set<String> namesInFormula = new TreeSet<>();
+            value = evaluate(row, "figure", row.formula(), terms, namesInFormula);
+            maxError =
                     terms.values().stream()
-                            .mapToDouble(Term::error)
+                            .mapToDouble(Term::relativeError)
                             .filter(e -> !Double.isNaN(e))
                             .max()
                             .orElse(Double.NaN);
@@ -208,43 +234,46 @@
                     terms.values().stream()
                             .map(Term::kind)
                             .reduce(Kind.COMPUTED, Kind::lessCertain);
-            kind = figures.stream().anyMatch(this::guessed) ? Kind.ASSUMED : kind;
-            if (kind != row.kind()) {
-                wrong(
-                        at,
+            kind = namesInFormula.stream().anyMatch(this::isAssumed) ? Kind.ASSUMED : kind;
+            if (kind != row.declaredKind()) {
+                addError(
+                        definition,
                         "kind",
                         "must be "
                                 + kind.text()
-                                + ", by what it names; found "
-                                + row.kind().text());
+                                + " because of its inputs; found "
+                                + row.declaredKind().text());
             }
-            used.addAll(figures);
+            usedNames.addAll(namesInFormula);
             terms.keySet().stream()
-                    .filter(name -> !used.contains(name))
-                    .forEach(name -> wrong(at, "figure", "does not use its term " + name));
+                    .filter(name -> !usedNames.contains(name))
+                    .forEach(
+                            name ->
+                                    addError(
+                                            definition, "figure", "does not use its term " + name));
         }
-        List<String> texts =
+        List<String> termTexts =
                 terms.entrySet().stream()
                         .map(e -> e.getKey() + ": " + e.getValue().text())
                         .toList();
         rows.put(
                 row.id(),
-                new Row.Worked(
+                new Row.Evaluated(
                         row,
                         value,
-                        error,
-                        row.missing().isEmpty() ? missing : row.missing(),
-                        texts,
+                        maxError,
+                        row.missingReason().isEmpty() ? missingReasons : row.missingReason(),
+                        termTexts,
                         budget,
-                        guessed,
-                        terms.values().stream().anyMatch(Term::noted)));
+                        budgetAssumed,
+                        terms.values().stream().anyMatch(Term::hasNotes)));
     }
 
-    private boolean guessed(String name) {
-        return sizes.containsKey(name) && !sizes.get(name).assumed().isEmpty();
+    private boolean isAssumed(String name) {
+        return sizes.containsKey(name) && !sizes.get(name).assumptionReason().isEmpty();
     }
 
-    private static String joined(List<String> texts) {
+    private static String joinDistinct(List<String> texts) {
         return texts.stream()
                 .filter(t -> !t.isEmpty())
                 .distinct()
@@ -252,248 +281,263 @@
                 .orElse("");
     }
 
-    private double formula(
-            Row row, String key, String text, Map<String, Term> terms, Set<String> used) {
+    private double evaluate(
+            Row row, String key, String formula, Map<String, Term> terms, Set<String> usedNames) {
         try {
             double value =
                     Formula.evaluate(
-                            text,
+                            formula,
                             name -> {
-                                used.add(name);
+                                usedNames.add(name);
                                 return terms.containsKey(name)
                                         ? terms.get(name).value()
-                                        : size(name).value();
+                                        : sizeNamed(name).value();
                             });
             if (!Double.isFinite(value)) {
-                wrong(row.at(), key, "comes to no number");
+                addError(row.definition(), key, "has no finite value");
             }
             return value;
         } catch (IllegalArgumentException e) {
-            wrong(row.at(), key, e.getMessage());
+            addError(row.definition(), key, e.getMessage());
             return Double.NaN;
         }
     }
 
     // --- terms ---
 
-    private Term term(Row row, ConfigObject at) {
-        Set<String> from = new TreeSet<>(at.keySet());
-        from.retainAll(READ_FROM);
-        if (from.size() != 1) {
-            wrong(at, "", "must have one of " + String.join(", ", READ_FROM));
+    private Term readTerm(Row row, ConfigObject definition) {
+        Set<String> sources = new TreeSet<>(definition.keySet());
+        sources.retainAll(TERM_SOURCES);
+        if (sources.size() != 1) {
+            addError(definition, "", "must have one of " + String.join(", ", TERM_SOURCES));
             return Term.of(Double.NaN, Kind.COMPUTED, "");
         }
-        String key = from.iterator().next();
+        String key = sources.iterator().next();
         try {
-            return term(row, key, at.toConfig());
+            return evaluateTerm(row, key, definition.toConfig());
         } catch (ConfigException.Missing e) {
-            wrong(
-                    at,
+            addError(
+                    definition,
                     key,
-                    "must stand beside what belongs to it: "
+                    "is incomplete: "
                             + e.getMessage().replaceAll(".*setting found for key '(\\w+)'.*", "$1")
                             + " is missing");
         } catch (IllegalArgumentException e) {
-            wrong(at, key, e.getMessage());
+            addError(definition, key, e.getMessage());
         } catch (IOException e) {
-            wrong(at, key, "can't be read: " + e.getMessage());
+            addError(definition, key, "can't be read: " + e.getMessage());
         }
-        return Term.of(Double.NaN, row.kind(), "");
+        return Term.of(Double.NaN, row.declaredKind(), "");
     }
 
-    private Term term(Row row, String key, Config c) throws IOException {
+    private Term evaluateTerm(Row row, String key, Config config) throws IOException {
         return switch (key) {
-            case "fit" -> among(fit(row, c), c, "at");
-            case "point" -> among(point(row, c), c, "at");
+            case "fit" -> withKindOfSizes(fitTerm(row, config), config, "at");
+            case "point" -> withKindOfSizes(pointTerm(row, config), config, "at");
             case "assumed" ->
                     Term.of(
-                            c.getDouble(key),
+                            config.getDouble(key),
                             Kind.ASSUMED,
                             "assumed "
-                                    + Numbers.format(c.getDouble(key))
+                                    + Numbers.format(config.getDouble(key))
                                     + " ("
-                                    + c.getString("source")
+                                    + config.getString("source")
                                     + ")");
             case "code" ->
-                    ofCode(
-                            constant(c),
-                            c.getString(key).replaceAll(".*/", "") + "." + c.getString("name"));
+                    constantTerm(
+                            sourceConstant(config),
+                            config.getString(key).replaceAll(".*/", "")
+                                    + "."
+                                    + config.getString("name"));
             case "tuning" ->
-                    ofCode(tuning(c.getString(key)), "MembershipConfig." + c.getString(key));
-            case "row" -> other(c.getString(key));
-            default -> among(sharing(c, key), c, key, "places");
+                    constantTerm(
+                            membershipDefault(config.getString(key)),
+                            "MembershipConfig." + config.getString(key));
+            case "row" -> rowTerm(config.getString(key));
+            default -> withKindOfSizes(quotaTerm(config, key), config, key, "places");
         };
     }
 
-    private static Term ofCode(double value, String name) {
+    private static Term constantTerm(double value, String name) {
         return Term.of(value, Kind.COMPUTED, "`" + name + "` = " + Numbers.format(value));
     }
 
-    private double size(Config c, String key) {
-        return Formula.evaluate(c.getString(key), name -> size(name).value());
+    private double evaluateSize(Config config, String key) {
+        return Formula.evaluate(config.getString(key), name -> sizeNamed(name).value());
     }
 
-    /** No surer than the sizes that its settings name. */
-    private Term among(Term term, Config c, String... keys) {
+    /** Marks the term as assumed if one of the sizes that these settings name is assumed. */
+    private Term withKindOfSizes(Term term, Config config, String... keys) {
         Set<String> names = new TreeSet<>();
         for (String key : keys) {
             Formula.evaluate(
-                    c.getString(key),
+                    config.getString(key),
                     name -> {
                         names.add(name);
-                        return size(name).value();
+                        return sizeNamed(name).value();
                     });
         }
-        boolean assumed = names.stream().anyMatch(this::guessed);
+        boolean assumed = names.stream().anyMatch(this::isAssumed);
         return assumed
                 ? new Term(
                         term.value(),
                         Kind.ASSUMED,
-                        term.error(),
+                        term.relativeError(),
                         term.text(),
-                        term.missing(),
-                        term.noted())
+                        term.missingReason(),
+                        term.hasNotes())
                 : term;
     }
 
-    private Term fit(Row row, Config c) {
-        String id = c.getString("fit");
-        double at = size(c, "at");
-        String text = "fit `" + id + "` at " + Numbers.format(at);
+    private Term fitTerm(Row row, Config config) {
+        String id = config.getString("fit");
+        double size = evaluateSize(config, "at");
+        String text = "fit `" + id + "` at " + Numbers.format(size);
         Results.Fit fit = results.fit(id);
-        fit = fit != null && fit.runs().stream().anyMatch(rejected::containsKey) ? null : fit;
-        if (fit == null && row.missing().isEmpty()) {
+        fit = fit != null && fit.runs().stream().anyMatch(rejectedRuns::containsKey) ? null : fit;
+        if (fit == null && row.missingReason().isEmpty()) {
             throw new IllegalArgumentException(
                     "no fit "
                             + id
                             + " in the results; there are "
-                            + list(id, results.fits().keySet()));
+                            + idsOfSameSweep(id, results.fits().keySet()));
         } else if (fit == null) {
             return Term.missing(text, "wants " + id);
         }
-        if (Double.isNaN(fit.error())) {
+        if (Double.isNaN(fit.relativeError())) {
             throw new IllegalArgumentException(
-                    "fit "
-                            + id
-                            + " foretold no size that was run: it has no error, and is no slope");
+                    "fit " + id + " was not tested at a larger size: its error is unknown");
         }
-        // Guards against a form that the sizes beyond the largest run no longer follow.
-        if (fit.at(at) < 0 && row.missing().isEmpty()) {
+        // A negative value shows that the form no longer holds beyond the largest run.
+        if (fit.valueAt(size) < 0 && row.missingReason().isEmpty()) {
             throw new IllegalArgumentException(
                     "fit "
                             + id
-                            + " comes to less than nothing at "
-                            + Numbers.format(at)
-                            + ": it is no slope there");
-        } else if (fit.at(at) < 0) {
+                            + " has a negative value at "
+                            + Numbers.format(size)
+                            + ": it is not valid there");
+        } else if (fit.valueAt(size) < 0) {
             return Term.missing(text, "less than nothing by " + id);
         }
-        fits.add(id);
+        usedFits.add(id);
         return new Term(
-                fit.at(at),
+                fit.valueAt(size),
                 Kind.EXTRAPOLATED,
-                fit.error(),
-                text + ", run up to " + Numbers.format(fit.largest()),
+                fit.relativeError(),
+                text + ", run up to " + Numbers.format(fit.largestSize()),
                 "",
                 false);
     }
 
-    /** The median of the runs at this size, each of them named, with what they noted. */
-    private Term point(Row row, Config c) {
-        String id = c.getString("point");
-        double at = size(c, "at");
-        String text = "point `" + id + "` at " + Numbers.format(at);
-        List<Results.Point> there =
-                results.at(id, at).stream().filter(p -> !rejected.containsKey(p.run())).toList();
+    /** Returns the median of the points at this size; the text names the runs and their notes. */
+    private Term pointTerm(Row row, Config config) {
+        String id = config.getString("point");
+        double size = evaluateSize(config, "at");
+        String text = "point `" + id + "` at " + Numbers.format(size);
+        List<Results.Point> points =
+                results.pointsAt(id, size).stream()
+                        .filter(p -> !rejectedRuns.containsKey(p.run()))
+                        .toList();
         double[] values =
-                there.stream()
+                points.stream()
                         .mapToDouble(Results.Point::value)
                         .filter(v -> !Double.isNaN(v))
                         .sorted()
                         .toArray();
-        if (values.length == 0 && row.missing().isEmpty()) {
+        if (values.length == 0 && row.missingReason().isEmpty()) {
             throw new IllegalArgumentException(
                     "no point "
                             + id
                             + " at "
-                            + Numbers.format(at)
+                            + Numbers.format(size)
                             + " in the results"
-                            + there.stream()
-                                    .map(p -> ": refused there, " + p.note())
+                            + points.stream()
+                                    .map(
+                                            p ->
+                                                    ": the machine could not handle this size, "
+                                                            + p.note())
                                     .findFirst()
-                                    .orElse("; there are " + list(id, results.measured())));
+                                    .orElse(
+                                            "; there are "
+                                                    + idsOfSameSweep(id, results.pointIds())));
         } else if (values.length == 0) {
-            return Term.missing(text, "wants " + id + " at " + Numbers.format(at));
+            return Term.missing(text, "wants " + id + " at " + Numbers.format(size));
         }
         String sweep = id.replaceAll("/.*", "");
-        String whole = all.hasPath("sweeps." + sweep) ? all.getString("sweeps." + sweep) : "";
-        if (!c.getString("at").equals(whole)) {
+        String targetSize =
+                root.hasPath("sweeps." + sweep) ? root.getString("sweeps." + sweep) : "";
+        if (!config.getString("at").equals(targetSize)) {
             throw new IllegalArgumentException(
                     "is measured at "
-                            + Numbers.format(at)
+                            + Numbers.format(size)
                             + ", which is not "
-                            + (whole.isEmpty()
+                            + (targetSize.isEmpty()
                                     ? "a size of the target that 'sweeps' names"
-                                    : whole + ", the target's size of this sweep")
+                                    : targetSize + ", the target's size of this sweep")
                             + ": name a fit");
         }
         double median = (values[(values.length - 1) / 2] + values[values.length / 2]) / 2;
-        String noted = joined(there.stream().map(Results.Point::note).toList());
+        String notes = joinDistinct(points.stream().map(Results.Point::note).toList());
         String runs =
-                there.stream().map(Results.Point::run).distinct().collect(Collectors.joining(", "));
+                points.stream()
+                        .map(Results.Point::run)
+                        .distinct()
+                        .collect(Collectors.joining(", "));
         return new Term(
                 median,
                 Kind.MEASURED,
                 Double.NaN,
-                text + ", run " + runs + (noted.isEmpty() ? "" : " (" + noted + ")"),
+                text + ", run " + runs + (notes.isEmpty() ? "" : " (" + notes + ")"),
                 "",
-                !noted.isEmpty());
+                !notes.isEmpty());
     }
 
-    /** What there is of the same sweep. */
-    private static String list(String id, Set<String> names) {
+    /** Lists the ids that belong to the same sweep, for an error message. */
+    private static String idsOfSameSweep(String id, Set<String> allIds) {
         String sweep = id.replaceAll("/.*", "/");
-        String same =
-                names.stream().filter(n -> n.startsWith(sweep)).collect(Collectors.joining(", "));
-        return same.isEmpty() ? "none of " + sweep.replace("/", "") : same;
+        String ids =
+                allIds.stream().filter(n -> n.startsWith(sweep)).collect(Collectors.joining(", "));
+        return ids.isEmpty() ? "none of " + sweep.replace("/", "") : ids;
     }
 
-    private Term other(String id) {
-        Row.Worked other = rows.get(id);
+    private Term rowTerm(String id) {
+        Row.Evaluated other = rows.get(id);
         if (other == null) {
             throw new IllegalArgumentException("no row " + id + " above this one");
         }
-        return other.known()
+        return other.hasValue()
                 ? new Term(
                         other.value(),
-                        other.row().kind(),
-                        other.error(),
+                        other.row().declaredKind(),
+                        other.relativeError(),
                         "row `" + id + "`",
                         "",
-                        other.noted())
+                        other.hasNotes())
                 : Term.missing("row `" + id + "`", "wants the row " + id);
     }
 
-    private Term sharing(Config c, String key) throws IOException {
-        double quota = size(c, key);
-        double places = size(c, "places");
-        double times = c.getDouble("times");
-        Sharing.Verdict verdict =
-                new Sharing(constant(all.getConfig("window")), constant(all.getConfig("spread")))
-                        .judge(quota, times, places);
+    private Term quotaTerm(Config config, String key) throws IOException {
+        double quota = evaluateSize(config, key);
+        double counters = evaluateSize(config, "places");
+        double demandFactor = config.getDouble("times");
+        TenantQuotaSimulation.Outcome outcome =
+                new TenantQuotaSimulation(
+                                sourceConstant(root.getConfig("window")),
+                                sourceConstant(root.getConfig("spread")))
+                        .simulate(quota, demandFactor, counters);
         return Term.of(
-                key.equals("beyond") ? verdict.over() : verdict.worth(),
+                key.equals("beyond") ? outcome.overShare() : outcome.meanWeight(),
                 Kind.COMPUTED,
                 "tenant with a quota of `"
-                        + c.getString(key)
+                        + config.getString(key)
                         + "` a second, asking "
-                        + Numbers.format(times)
+                        + Numbers.format(demandFactor)
                         + " times as much, places that count: "
-                        + Numbers.format(places)
+                        + Numbers.format(counters)
                         + ", simulated");
     }
 
-    private static double tuning(String name) {
+    private static double membershipDefault(String name) {
         RecordComponent component =
                 Arrays.stream(MembershipConfig.class.getRecordComponents())
                         .filter(r -> r.getName().equals(name))
@@ -506,64 +550,68 @@
             return ((Number) component.getAccessor().invoke(MembershipConfig.DEFAULT))
                     .doubleValue();
         } catch (ReflectiveOperationException e) {
-            // Can't happen: a record's accessors are public.
+            // Can't happen: the accessors of a public record are public.
             throw new IllegalStateException(e);
         }
     }
 
     /**
-     * A constant of the code, read from its source: the page is out of step as soon as it changes
-     * there.
+     * Reads a constant from the source code, so that the page is out of date as soon as the
+     * constant changes there.
      */
-    private double constant(Config c) throws IOException {
+    private double sourceConstant(Config config) throws IOException {
         Path source =
-                folder.resolve(all.getString("sources")).resolve(c.getString("code") + ".java");
+                folder.resolve(root.getString("sources"))
+                        .resolve(config.getString("code") + ".java");
         Matcher found =
                 Pattern.compile(
                                 "\\b"
-                                        + Pattern.quote(c.getString("name"))
+                                        + Pattern.quote(config.getString("name"))
                                         + " = ([-0-9_.* ()/+]+);")
                         .matcher(Files.readString(source));
         if (!found.find()) {
             throw new IllegalArgumentException(
-                    "no constant " + c.getString("name") + " in " + source.getFileName());
+                    "no constant " + config.getString("name") + " in " + source.getFileName());
         }
-        return Formula.evaluate(found.group(1), name -> size(name).value());
+        return Formula.evaluate(found.group(1), name -> sizeNamed(name).value());
     }
 
-    // --- what the page reads ---
+    // --- access by the tables ---
 
-    List<Size> sizes() {
+    /** Returns the sizes of the target, in the order of the file. */
+    List<TargetSize> sizes() {
         return List.copyOf(sizes.values());
     }
 
-    /** All rows, in the order of the file. */
-    List<Row.Worked> rows() {
+    /** Returns all rows, in the order of the file. */
+    List<Row.Evaluated> rows() {
         return List.copyOf(rows.values());
     }
 
-    /** A row by its id, or null. */
-    Row.Worked row(String id) {
+    /** Returns the row with this id, or null. */
+    Row.Evaluated row(String id) {
         return rows.get(id);
     }
 
-    /** The fits that rows rest on. */
+    /** Returns the fits that rows use. */
     List<Results.Fit> fits() {
-        return fits.stream().map(results::fit).toList();
+        return usedFits.stream().map(results::fit).toList();
     }
 
-    /** How far hollow ones are off, in runs that count. */
-    List<Results.Off> offs() {
-        return results.offs().stream().filter(o -> !rejected.containsKey(o.run())).toList();
+    /** Returns the deviations of hollow gateways in all runs that are not rejected. */
+    List<Results.Deviation> deviations() {
+        return results.deviations().stream()
+                .filter(d -> !rejectedRuns.containsKey(d.run()))
+                .toList();
     }
 
-    /** Runs that count for no row, and why. */
-    Map<String, String> rejected() {
-        return rejected;
+    /** Returns the runs that no row may use, and why. */
+    Map<String, String> rejectedRuns() {
+        return rejectedRuns;
     }
 
-    /** A forecast that was off by more than this is no slope. */
-    double mostError() {
-        return all.getDouble("most-error");
+    /** Returns the relative forecast error above which a fit is not accepted as a slope. */
+    double maxForecastError() {
+        return root.getDouble("most-error");
     }
 }
--- a/src/main/java/tinroad/lab/capacity/Results.java
+++ b/src/main/java/tinroad/lab/capacity/Results.java
@@ -17,20 +17,31 @@
 import tinroad.operator.ValidationError;
 
 /**
- * What runs have measured, and the fits over it, as the result files hold them. A file that is not
- * there has no lines. Guards against a fit that names a run of which there is no point: such a fit
- * is a fault of the file.
+ * The contents of the result files: measured points, the fits over them, and comparisons of hollow
+ * and real gateways. A missing file counts as empty. A fit or a comparison that names a run without
+ * any point is an error.
  */
 final class Results {
     /**
-     * A measured value; {@code value} is NaN where the machine could not carry the size, and {@code
-     * note} says why.
+     * A measured value. {@code value} is NaN if the machine could not handle the size; {@code note}
+     * then says why.
      */
     record Point(String run, double x, double value, String unit, String note) {}
 
     /**
-     * A slope: the form, what it foretold of the largest size that was run, and how far off that
-     * was.
+     * A function fitted to the measured points.
+     *
+     * @param form how a value grows with the size: flat, log, linear or worse (a power law)
+     * @param a constant term; for a power law the logarithm of its coefficient
+     * @param b slope
+     * @param low lower bound of the 95% interval of the slope
+     * @param high upper bound of the 95% interval of the slope
+     * @param exponent exponent of a power law
+     * @param largestSize largest size that was run
+     * @param predicted value that the fit over the smaller sizes predicted at the largest size
+     * @param measured value measured at the largest size
+     * @param relativeError error of the prediction; NaN if no prediction was tested
+     * @param runs runs whose points were fitted
      */
     record Fit(
             String id,
@@ -41,13 +52,14 @@
             double low,
             double high,
             double exponent,
-            double largest,
-            double foretold,
+            double largestSize,
+            double predicted,
             double measured,
-            double error,
+            double relativeError,
             List<String> runs) {
 
-        double at(double x) {
+        /** Returns the fitted value at size {@code x}. */
+        double valueAt(double x) {
             return switch (form) {
                 case "flat" -> a;
                 case "log" -> a + b * StrictMath.log(x);
@@ -58,19 +70,22 @@
     }
 
     /**
-     * How far a hollow gateway is off from a real one in the same fleet; {@code off} is relative,
-     * the sweep and its size may not be told.
+     * The deviation of a hollow gateway from a real one in the same fleet.
+     *
+     * @param relative deviation relative to the real gateway; NaN if unknown
+     * @param sweep name of the sweep, or empty if unknown
+     * @param x size in this sweep, or NaN if unknown
      */
-    record Off(
+    record Deviation(
             String run,
             String metric,
             double hollow,
             double real,
-            double off,
+            double relative,
             String sweep,
             double x) {
-        /** At which size, in words. */
-        String where() {
+        /** Returns the size as a suffix for a table cell, or an empty string if it is unknown. */
+        String sizeText() {
             return Double.isNaN(x) ? "" : " (at " + Numbers.format(x) + ")";
         }
     }
@@ -80,31 +95,33 @@
 
     private final Map<String, List<Point>> points = new LinkedHashMap<>();
     private final Map<String, Fit> fits = new TreeMap<>();
-    private final List<Off> offs = new ArrayList<>();
+    private final List<Deviation> deviations = new ArrayList<>();
     private final Set<String> runs = new TreeSet<>();
-    private final List<ValidationError> faults = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
 
-    /** Reads the three files. */
-    Results(List<Path> pointFiles, List<Path> fitFiles, List<Path> offFiles) throws IOException {
+    /** Reads the three kinds of result files. */
+    Results(List<Path> pointFiles, List<Path> fitFiles, List<Path> deviationFiles)
+            throws IOException {
         for (Path file : pointFiles) {
-            read(file, this::point);
+            read(file, this::parsePoint);
         }
         for (Path file : fitFiles) {
-            read(file, this::fit);
+            read(file, this::parseFit);
         }
-        for (Path file : offFiles) {
-            read(file, this::off);
+        for (Path file : deviationFiles) {
+            read(file, this::parseDeviation);
         }
     }
 
-    private interface Line {
+    private interface LineParser {
         /**
-         * Takes a line; throws {@link IllegalArgumentException} in words where it is no such line.
+         * Parses a line. Throws {@link IllegalArgumentException} with a message for the user if the
+         * line is invalid.
          */
-        void take(JsonNode line, int number);
+        void parse(JsonNode line, int lineNumber);
     }
 
-    private void read(Path file, Line take) throws IOException {
+    private void read(Path file, LineParser parser) throws IOException {
         if (!Files.exists(file)) {
             return;
         }
@@ -112,23 +129,23 @@
         for (int i = 0; i < lines.size(); i++) {
             try {
                 if (!lines.get(i).isBlank()) {
-                    take.take(JSON.readTree(lines.get(i)), i + 1);
+                    parser.parse(JSON.readTree(lines.get(i)), i + 1);
                 }
             } catch (JsonProcessingException e) {
-                faults.add(
+                errors.add(
                         new ValidationError(
                                 file.toString(), i + 1, "", "not JSON: " + e.getOriginalMessage()));
             } catch (IllegalArgumentException e) {
-                faults.add(new ValidationError(file.toString(), i + 1, "", e.getMessage()));
+                errors.add(new ValidationError(file.toString(), i + 1, "", e.getMessage()));
             }
         }
     }
 
-    private static double number(JsonNode line, String key) {
+    private static double numberOrNaN(JsonNode line, String key) {
         return line.path(key).asDouble(Double.NaN);
     }
 
-    private void point(JsonNode line, int number) {
+    private void parsePoint(JsonNode line, int lineNumber) {
         for (String key : List.of("run", "sweep", "x", "role", "metric", "unit")) {
             if (!line.hasNonNull(key)) {
                 throw new IllegalArgumentException("a point must have " + key);
@@ -147,34 +164,34 @@
                         new Point(
                                 run,
                                 line.get("x").asDouble(),
-                                number(line, "value"),
+                                numberOrNaN(line, "value"),
                                 line.get("unit").asText(),
                                 line.path("note").asText("")));
     }
 
-    private void fit(JsonNode line, int number) {
-        List<String> of = new ArrayList<>();
-        line.path("runs").forEach(r -> of.add(r.asText()));
+    private void parseFit(JsonNode line, int lineNumber) {
+        List<String> fitRuns = new ArrayList<>();
+        line.path("runs").forEach(r -> fitRuns.add(r.asText()));
         Fit fit =
                 new Fit(
                         line.path("id").asText(),
                         line.path("unit").asText(),
                         line.path("form").asText(),
-                        number(line, "a"),
-                        number(line, "b"),
-                        number(line, "low"),
-                        number(line, "high"),
-                        number(line, "exponent"),
-                        number(line, "largest"),
-                        number(line, "foretold"),
-                        number(line, "measured"),
-                        number(line, "error"),
-                        of);
+                        numberOrNaN(line, "a"),
+                        numberOrNaN(line, "b"),
+                        numberOrNaN(line, "low"),
+                        numberOrNaN(line, "high"),
+                        numberOrNaN(line, "exponent"),
+                        numberOrNaN(line, "largest"),
+                        numberOrNaN(line, "foretold"),
+                        numberOrNaN(line, "measured"),
+                        numberOrNaN(line, "error"),
+                        fitRuns);
         if (fit.id().isEmpty() || !FORMS.contains(fit.form()) || Double.isNaN(fit.a())) {
             throw new IllegalArgumentException(
                     "a fit must have id, a, and as form one of flat, log, linear, worse");
         }
-        of.stream()
+        fitRuns.stream()
                 .filter(run -> !runs.contains(run))
                 .findFirst()
                 .ifPresent(
@@ -184,60 +201,61 @@
                                             + fit.id()
                                             + " names the run "
                                             + run
-                                            + ", of which there is no point");
+                                            + ", which has no points");
                         });
-        if (of.isEmpty()) {
+        if (fitRuns.isEmpty()) {
             throw new IllegalArgumentException("fit " + fit.id() + " names no run");
         }
         if (fits.put(fit.id(), fit) != null) {
-            throw new IllegalArgumentException("fit " + fit.id() + " stands there twice");
+            throw new IllegalArgumentException("fit " + fit.id() + " appears twice");
         }
     }
 
-    private void off(JsonNode line, int number) {
+    private void parseDeviation(JsonNode line, int lineNumber) {
         String run = line.path("run").asText();
         if (!runs.contains(run)) {
-            throw new IllegalArgumentException(
-                    "names the run " + run + ", of which there is no point");
+            throw new IllegalArgumentException("names the run " + run + ", which has no points");
         }
-        offs.add(
-                new Off(
+        deviations.add(
+                new Deviation(
                         run,
                         line.path("metric").asText(),
-                        number(line, "hollow"),
-                        number(line, "real"),
-                        number(line, "off"),
+                        numberOrNaN(line, "hollow"),
+                        numberOrNaN(line, "real"),
+                        numberOrNaN(line, "off"),
                         line.path("sweep").asText(),
-                        number(line, "x")));
+                        numberOrNaN(line, "x")));
     }
 
-    /** What is wrong in the files. */
-    List<ValidationError> faults() {
-        return faults;
+    /** Returns the errors found in the files. */
+    List<ValidationError> errors() {
+        return errors;
     }
 
-    /** The fit of this name, or null. */
+    /** Returns the fit with this id, or null. */
     Fit fit(String id) {
         return fits.get(id);
     }
 
-    /** All fits, by name. */
+    /** Returns all fits by their ids. */
     Map<String, Fit> fits() {
         return Collections.unmodifiableMap(fits);
     }
 
-    /** Names of all that has points. */
-    Set<String> measured() {
+    /** Returns the ids ({@code SWEEP/ROLE/METRIC}) that have points. */
+    Set<String> pointIds() {
         return points.keySet();
     }
 
-    /** What was measured at exactly this size, those that could not be carried included. */
-    List<Point> at(String id, double x) {
+    /**
+     * Returns the points at exactly this size, including those that the machine could not handle.
+     */
+    List<Point> pointsAt(String id, double x) {
         return points.getOrDefault(id, List.of()).stream().filter(p -> p.x() == x).toList();
     }
 
-    /** How far hollow ones are off. */
-    List<Off> offs() {
-        return offs;
+    /** Returns the deviations of hollow gateways from real ones. */
+    List<Deviation> deviations() {
+        return deviations;
     }
 }
--- a/src/main/java/tinroad/lab/capacity/Row.java
+++ b/src/main/java/tinroad/lab/capacity/Row.java
@@ -5,59 +5,59 @@
 import java.util.Map;
 
 /**
- * One figure of the page, as its file asks for it.
+ * One row of the page, as the file of formulas defines it.
  *
- * @param at where it stands in the file
- * @param table of the page that it is in
- * @param figure formula over the target's names and the terms
- * @param terms what else the formula names, each with what it is read from
- * @param kind how its author holds it to be known
- * @param budget formula, or empty where nothing is given
- * @param mechanism what carries it; empty for none yet
- * @param wants the mechanism that would carry it, where there is none yet
- * @param missing why nothing was run for it; empty where something was
+ * @param definition the row's object in the file, for the position of errors
+ * @param table the table of the page that shows the row
+ * @param description what the row's figure is
+ * @param formula formula of the figure, over the names of the target's sizes and the terms
+ * @param terms further names in the formula, each with the source that it is read from
+ * @param declaredKind the kind that the file states for the figure
+ * @param budgetFormula formula of the budget, or empty for none
+ * @param mechanism the existing mechanism that keeps the figure within its budget, or empty
+ * @param wantedMechanism the mechanism that would do so if none exists yet, or empty
+ * @param missingReason why nothing was measured for the row, or empty if something was
  */
 record Row(
-        ConfigObject at,
+        ConfigObject definition,
         String id,
         String table,
-        String what,
+        String description,
         String unit,
-        String figure,
+        String formula,
         Map<String, ConfigObject> terms,
-        Kind kind,
-        String budget,
+        Kind declaredKind,
+        String budgetFormula,
         String mechanism,
-        String wants,
-        String missing) {
+        String wantedMechanism,
+        String missingReason) {
 
     /**
-     * The figure, worked out.
+     * A row with its calculated values.
      *
-     * @param value NaN where nothing was run for it
-     * @param error the largest one of the fits that it rests on, relative; NaN where it rests on
-     *     none
-     * @param missing why there is no value
-     * @param terms what each term is, in words
-     * @param budget NaN for none
-     * @param guessed whether nobody gave this budget
-     * @param noted whether a run that it rests on noted something beside its point
+     * @param value the figure, or NaN if a measurement is missing
+     * @param relativeError the largest relative error of the fits it uses, or NaN if it uses none
+     * @param missingReason why there is no value, or empty
+     * @param termTexts a description of each term
+     * @param budget the budget, or NaN for none
+     * @param budgetAssumed whether the budget uses an assumed size
+     * @param hasNotes whether a run that it uses has a note at its point
      */
-    record Worked(
+    record Evaluated(
             Row row,
             double value,
-            double error,
-            String missing,
-            List<String> terms,
+            double relativeError,
+            String missingReason,
+            List<String> termTexts,
             double budget,
-            boolean guessed,
-            boolean noted) {
-        /** Whether there is a figure. */
-        boolean known() {
+            boolean budgetAssumed,
+            boolean hasNotes) {
+        /** Returns whether the figure has a value. */
+        boolean hasValue() {
             return !Double.isNaN(value);
         }
 
-        /** Figure over budget: beyond 1 it does not fit. */
+        /** Returns the figure divided by its budget: above 1 the budget is exceeded. */
         double ratio() {
             return value / budget;
         }
--- a/src/main/java/tinroad/lab/capacity/Tables.java
+++ b/src/main/java/tinroad/lab/capacity/Tables.java
@@ -11,14 +11,14 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The page's tables as text, from the figures. Same figures, same text. */
+/** Renders the page's tables as Markdown. The same figures always give the same text. */
 final class Tables {
-    /** Tables that are not the rows of one name. */
-    private static final List<String> SUMMARIES =
+    /** Tables that summarize all figures; any other table shows the rows that name it. */
+    private static final List<String> SUMMARY_TABLES =
             List.of("target", "order", "ratios", "missing", "rejected", "slopes", "hollow-real");
 
-    private static final String NONE_YET = "**none yet**";
-    private static final String NOTHING = "-";
+    private static final String NO_MECHANISM = "**none yet**";
+    private static final String EMPTY_CELL = "-";
 
     private final Figures figures;
 
@@ -26,24 +26,28 @@
         this.figures = figures;
     }
 
-    /** Names of all tables that a page has to have. */
-    Set<String> names() {
-        Set<String> names = new LinkedHashSet<>(SUMMARIES);
+    /** Returns the names of all tables that a page must contain. */
+    Set<String> tableNames() {
+        Set<String> names = new LinkedHashSet<>(SUMMARY_TABLES);
         figures.rows().forEach(r -> names.add(r.row().table()));
         return names;
     }
 
-    /** The lines of a table. */
-    List<String> table(String name) {
+    /** Returns the lines of a table. */
+    List<String> render(String name) {
         return switch (name) {
             case "target" ->
-                    rows(
+                    markdownTable(
                             List.of("size", "figure", "as"),
                             figures.sizes(),
-                            s -> List.of(s.text(), Numbers.format(s.value()), as(s)));
-            case "order" -> order();
+                            s ->
+                                    List.of(
+                                            s.description(),
+                                            Numbers.format(s.value()),
+                                            provenance(s)));
+            case "order" -> missingMechanismsTable();
             case "ratios" ->
-                    rows(
+                    markdownTable(
                             List.of(
                                     "ratio",
                                     "role",
@@ -52,30 +56,35 @@
                                     "budget",
                                     "kind",
                                     "carried by"),
-                            judged(),
+                            rowsWithBudget(),
                             r ->
                                     List.of(
-                                            ratio(r),
+                                            ratioText(r),
                                             r.row().table(),
-                                            r.row().what(),
-                                            figure(r),
-                                            budget(r),
-                                            kind(r),
-                                            carrier(r)));
+                                            r.row().description(),
+                                            figureText(r),
+                                            budgetText(r),
+                                            kindText(r),
+                                            mechanismText(r)));
             case "missing" ->
-                    rows(
+                    markdownTable(
                             List.of("role", "figure", "budget", "why"),
-                            figures.rows().stream().filter(r -> !r.known()).toList(),
-                            r -> List.of(r.row().table(), what(r), budget(r), r.missing()));
+                            figures.rows().stream().filter(r -> !r.hasValue()).toList(),
+                            r ->
+                                    List.of(
+                                            r.row().table(),
+                                            description(r),
+                                            budgetText(r),
+                                            r.missingReason()));
             case "rejected" ->
-                    rows(
+                    markdownTable(
                             List.of("run", "why it counts for no row"),
-                            List.copyOf(figures.rejected().entrySet()),
+                            List.copyOf(figures.rejectedRuns().entrySet()),
                             e -> List.of(e.getKey(), e.getValue()));
-            case "slopes" -> slopes();
-            case "hollow-real" -> hollowReal();
+            case "slopes" -> fitsTable();
+            case "hollow-real" -> hollowDeviationsTable();
             default ->
-                    rows(
+                    markdownTable(
                             List.of(
                                     "what",
                                     "figure",
@@ -89,21 +98,21 @@
                                     .toList(),
                             r ->
                                     List.of(
-                                            r.row().what(),
-                                            figure(r),
-                                            kind(r),
-                                            budget(r),
-                                            ratio(r),
-                                            carrier(r),
-                                            from(r)));
+                                            r.row().description(),
+                                            figureText(r),
+                                            kindText(r),
+                                            budgetText(r),
+                                            ratioText(r),
+                                            mechanismText(r),
+                                            sourcesText(r)));
         };
     }
 
-    /** A figure or a size for a sentence, or null where there is none of this name. */
-    String inline(String id) {
-        Row.Worked row = figures.row(id);
+    /** Returns a figure or a size for use in a sentence, or null if no row or size has this id. */
+    String inlineText(String id) {
+        Row.Evaluated row = figures.row(id);
         return row != null
-                ? figure(row)
+                ? figureText(row)
                 : figures.sizes().stream()
                         .filter(s -> s.name().equals(id))
                         .map(s -> Numbers.format(s.value()))
@@ -111,79 +120,83 @@
                         .orElse(null);
     }
 
-    private static <T> List<String> rows(
-            List<String> names, List<T> items, Function<T, List<String>> cells) {
+    private static <T> List<String> markdownTable(
+            List<String> headers, List<T> items, Function<T, List<String>> cells) {
         List<String> lines = new ArrayList<>();
-        lines.add(line(names));
-        lines.add(line(names.stream().map(n -> "---").toList()));
-        items.forEach(item -> lines.add(line(cells.apply(item))));
+        lines.add(markdownRow(headers));
+        lines.add(markdownRow(headers.stream().map(n -> "---").toList()));
+        items.forEach(item -> lines.add(markdownRow(cells.apply(item))));
         return lines;
     }
 
-    private static String line(List<String> cells) {
+    private static String markdownRow(List<String> cells) {
         return cells.stream()
                 .map(c -> c.replace("|", "\\|"))
                 .collect(Collectors.joining(" | ", "| ", " |"));
     }
 
-    private static String as(Figures.Size s) {
-        String given =
-                s.formula().isEmpty()
-                        ? "given" + (s.source().isEmpty() ? "" : ": " + s.source())
-                        : "`" + s.formula() + "`";
-        return s.assumed().isEmpty()
-                ? given
-                : "*assumed*: " + s.assumed() + (s.formula().isEmpty() ? "" : "; " + given);
+    private static String provenance(Figures.TargetSize size) {
+        String origin =
+                size.formula().isEmpty()
+                        ? "given" + (size.source().isEmpty() ? "" : ": " + size.source())
+                        : "`" + size.formula() + "`";
+        return size.assumptionReason().isEmpty()
+                ? origin
+                : "*assumed*: "
+                        + size.assumptionReason()
+                        + (size.formula().isEmpty() ? "" : "; " + origin);
     }
 
-    /** What has a figure and a budget, the worst first. */
-    private List<Row.Worked> judged() {
+    /** Returns the rows with a figure and a budget, the highest ratio first. */
+    private List<Row.Evaluated> rowsWithBudget() {
         return figures.rows().stream()
-                .filter(r -> r.known() && !Double.isNaN(r.budget()))
-                .sorted(Comparator.comparingDouble(Row.Worked::ratio).reversed())
+                .filter(r -> r.hasValue() && !Double.isNaN(r.budget()))
+                .sorted(Comparator.comparingDouble(Row.Evaluated::ratio).reversed())
                 .toList();
     }
 
-    /** Mechanisms that are missing, by the worst figure that each is to carry. */
-    private List<String> order() {
-        Map<String, List<Row.Worked>> missing = new LinkedHashMap<>();
-        judged().stream()
-                .filter(r -> !r.row().wants().isEmpty())
+    /** Lists the missing mechanisms, ordered by the highest ratio that each has to bring down. */
+    private List<String> missingMechanismsTable() {
+        Map<String, List<Row.Evaluated>> rowsByMechanism = new LinkedHashMap<>();
+        rowsWithBudget().stream()
+                .filter(r -> !r.row().wantedMechanism().isEmpty())
                 .forEach(
                         r ->
-                                missing.computeIfAbsent(r.row().wants(), w -> new ArrayList<>())
+                                rowsByMechanism
+                                        .computeIfAbsent(
+                                                r.row().wantedMechanism(), w -> new ArrayList<>())
                                         .add(r));
-        return rows(
+        return markdownTable(
                 List.of(
                         "missing mechanism",
                         "ratio",
                         "by the figure",
                         "kind",
                         "other ratios beyond one that it is to carry"),
-                List.copyOf(missing.entrySet()),
+                List.copyOf(rowsByMechanism.entrySet()),
                 e -> {
-                    Row.Worked worst = e.getValue().get(0);
+                    Row.Evaluated worst = e.getValue().get(0);
                     return List.of(
                             e.getKey(),
-                            ratio(worst),
-                            worst.row().what() + ": " + figure(worst),
-                            kind(worst),
-                            others(e.getValue()));
+                            ratioText(worst),
+                            worst.row().description() + ": " + figureText(worst),
+                            kindText(worst),
+                            otherRatiosOverBudget(e.getValue()));
                 });
     }
 
-    private static String others(List<Row.Worked> ofOne) {
-        String text =
-                ofOne.stream()
+    private static String otherRatiosOverBudget(List<Row.Evaluated> rows) {
+        String ratios =
+                rows.stream()
                         .skip(1)
                         .filter(r -> r.ratio() > 1)
-                        .map(r -> ratio(r) + " (" + r.row().what() + ")")
+                        .map(r -> ratioText(r) + " (" + r.row().description() + ")")
                         .collect(Collectors.joining("; "));
-        return text.isEmpty() ? NOTHING : text;
+        return ratios.isEmpty() ? EMPTY_CELL : ratios;
     }
 
-    private List<String> slopes() {
-        return rows(
+    private List<String> fitsTable() {
+        return markdownTable(
                 List.of(
                         "fit",
                         "form",
@@ -206,26 +219,28 @@
                                         + " to "
                                         + Numbers.format(f.high())
                                         + ")",
-                                Numbers.format(f.largest()),
-                                Numbers.format(f.foretold()) + " " + f.unit(),
+                                Numbers.format(f.largestSize()),
+                                Numbers.format(f.predicted()) + " " + f.unit(),
                                 Numbers.format(f.measured()) + " " + f.unit(),
-                                Numbers.formatPercent(f.error())
-                                        + (f.error() > figures.mostError() ? ", no slope" : ""),
+                                Numbers.formatPercent(f.relativeError())
+                                        + (f.relativeError() > figures.maxForecastError()
+                                                ? ", no slope"
+                                                : ""),
                                 String.join(", ", f.runs())));
     }
 
-    /** Of each figure how far hollow ones are off over all sizes that both were run at. */
-    private List<String> hollowReal() {
-        Map<String, List<Results.Off>> byFigure = new TreeMap<>();
-        figures.offs().stream()
-                .filter(o -> Double.isFinite(o.off()))
+    /** Shows for each metric how far hollow gateways deviate from real ones over all sizes. */
+    private List<String> hollowDeviationsTable() {
+        Map<String, List<Results.Deviation>> byMetric = new TreeMap<>();
+        figures.deviations().stream()
+                .filter(d -> Double.isFinite(d.relative()))
                 .forEach(
-                        o ->
-                                byFigure.computeIfAbsent(
-                                                o.sweep() + " `" + o.metric() + "`",
+                        d ->
+                                byMetric.computeIfAbsent(
+                                                d.sweep() + " `" + d.metric() + "`",
                                                 m -> new ArrayList<>())
-                                        .add(o));
-        return rows(
+                                        .add(d));
+        return markdownTable(
                 List.of(
                         "sweep, figure",
                         "sizes",
@@ -234,82 +249,90 @@
                         "there hollow",
                         "there real",
                         "runs"),
-                List.copyOf(byFigure.entrySet()),
+                List.copyOf(byMetric.entrySet()),
                 e -> {
-                    List<Results.Off> all =
+                    List<Results.Deviation> sorted =
                             e.getValue().stream()
-                                    .sorted(Comparator.comparingDouble(o -> Math.abs(o.off())))
+                                    .sorted(Comparator.comparingDouble(d -> Math.abs(d.relative())))
                                     .toList();
-                    Results.Off worst = all.get(all.size() - 1);
+                    Results.Deviation worst = sorted.get(sorted.size() - 1);
                     double median =
-                            (Math.abs(all.get((all.size() - 1) / 2).off())
-                                            + Math.abs(all.get(all.size() / 2).off()))
+                            (Math.abs(sorted.get((sorted.size() - 1) / 2).relative())
+                                            + Math.abs(sorted.get(sorted.size() / 2).relative()))
                                     / 2;
                     return List.of(
                             e.getKey(),
-                            Numbers.format(all.size()),
+                            Numbers.format(sorted.size()),
                             Numbers.formatPercent(median),
-                            Numbers.formatPercent(worst.off()) + worst.where(),
+                            Numbers.formatPercent(worst.relative()) + worst.sizeText(),
                             Numbers.format(worst.hollow()),
                             Numbers.format(worst.real()),
-                            all.stream()
-                                    .map(Results.Off::run)
+                            sorted.stream()
+                                    .map(Results.Deviation::run)
                                     .distinct()
                                     .sorted()
                                     .collect(Collectors.joining(", ")));
                 });
     }
 
-    private static String what(Row.Worked r) {
-        return r.row().what();
+    private static String description(Row.Evaluated r) {
+        return r.row().description();
     }
 
-    private static String figure(Row.Worked r) {
-        return r.known()
+    private static String figureText(Row.Evaluated r) {
+        return r.hasValue()
                 ? (Numbers.format(r.value()) + " " + r.row().unit()).strip()
                 : "not measured";
     }
 
-    private String kind(Row.Worked r) {
-        if (!r.known()) {
+    private String kindText(Row.Evaluated r) {
+        if (!r.hasValue()) {
             return "missing";
         }
-        String error =
-                Double.isNaN(r.error())
+        String errorText =
+                Double.isNaN(r.relativeError())
                         ? ""
                         : " ("
-                                + Numbers.formatPercent(r.error())
-                                + (r.error() > figures.mostError() ? ": forecast failed" : "")
+                                + Numbers.formatPercent(r.relativeError())
+                                + (r.relativeError() > figures.maxForecastError()
+                                        ? ": forecast failed"
+                                        : "")
                                 + ")";
-        return "*" + r.row().kind().text() + "*" + error + (r.noted() ? ", noted" : "");
+        return "*"
+                + r.row().declaredKind().text()
+                + "*"
+                + errorText
+                + (r.hasNotes() ? ", noted" : "");
     }
 
-    private static String budget(Row.Worked r) {
+    private static String budgetText(Row.Evaluated r) {
         return Double.isNaN(r.budget())
-                ? NOTHING
+                ? EMPTY_CELL
                 : (Numbers.format(r.budget()) + " " + r.row().unit()).strip()
-                        + (r.guessed() ? " (*assumed*)" : "");
+                        + (r.budgetAssumed() ? " (*assumed*)" : "");
     }
 
-    private static String ratio(Row.Worked r) {
-        return r.known() && !Double.isNaN(r.budget()) ? Numbers.format(r.ratio()) : NOTHING;
+    private static String ratioText(Row.Evaluated r) {
+        return r.hasValue() && !Double.isNaN(r.budget()) ? Numbers.format(r.ratio()) : EMPTY_CELL;
     }
 
-    private static String carrier(Row.Worked r) {
+    private static String mechanismText(Row.Evaluated r) {
         return !r.row().mechanism().isEmpty()
                 ? r.row().mechanism()
-                : r.row().wants().isEmpty() ? NOTHING : NONE_YET + ": " + r.row().wants();
+                : r.row().wantedMechanism().isEmpty()
+                        ? EMPTY_CELL
+                        : NO_MECHANISM + ": " + r.row().wantedMechanism();
     }
 
-    private static String from(Row.Worked r) {
+    private static String sourcesText(Row.Evaluated r) {
         List<String> parts = new ArrayList<>();
-        if (!r.row().terms().containsKey(r.row().figure())) {
-            parts.add("`" + r.row().figure() + "`");
+        if (!r.row().terms().containsKey(r.row().formula())) {
+            parts.add("`" + r.row().formula() + "`");
         }
-        if (r.row().budget().matches(".*[-+*/].*")) {
-            parts.add("budget `" + r.row().budget() + "`");
+        if (r.row().budgetFormula().matches(".*[-+*/].*")) {
+            parts.add("budget `" + r.row().budgetFormula() + "`");
         }
-        parts.addAll(r.terms());
-        return (r.known() ? "" : r.missing() + ": ") + String.join("; ", parts);
+        parts.addAll(r.termTexts());
+        return (r.hasValue() ? "" : r.missingReason() + ": ") + String.join("; ", parts);
     }
 }
--- a/src/test/java/tinroad/lab/capacity/CapacityPageTest.java
+++ b/src/test/java/tinroad/lab/capacity/CapacityPageTest.java
@@ -20,13 +20,13 @@
 import tinroad.operator.ValidationError;
 
 /**
- * No figure without a run behind it, and no page out of step with its results: this repository's
- * own, and made-up ones that must fail.
+ * Checks that every figure on a capacity page has a source and that the page matches its results:
+ * on this repository's own page, and on made-up pages that must be rejected.
  */
 class CapacityPageTest {
-    private static final Path OWN = Path.of("docs/CAPACITY.md");
+    private static final Path REPOSITORY_PAGE = Path.of("docs/CAPACITY.md");
 
-    /** Made up, as all results here. */
+    /** Made-up results, like all others in this test. */
     private static final List<String> POINTS =
             List.of(
                     "{'run':'g-1','sweep':'gateways','x':25,'role':'hollow','metric':'cpu_part','unit':'part"
@@ -44,7 +44,7 @@
                     "{'id':'gateways/hollow/bytes','form':'log','a':1,'b':2,'largest':800,'foretold':1,'measured':2,'error':0.5,'runs':['g-1']}",
                     "{'id':'gateways/hollow/falling','form':'log','a':1,'b':-0.2,'largest':100,'foretold':0.08,'measured':0.08,'error':0.01,'runs':['g-1']}",
                     "{'id':'gateways/hollow/untried','form':'flat','a':1,'runs':['g-1']}");
-    private static final String TARGET =
+    private static final String SETTINGS =
             "points = [p.jsonl], fits = [f.jsonl], hollow-real = [h.jsonl], sweeps { gateways ="
                 + " gateways }\n"
                 + "target = [ { name = gateways, size = 1300, text = gateways }, { name = cores,"
@@ -52,14 +52,14 @@
                 + "  { name = guess, size = 2, text = guess, assumed = \"nobody said\" }, { name ="
                 + " twice, size = \"2 * guess\", text = twice }\n"
                 + "  { name = peers, size = \"gateways - 1\", text = \"other gateways\" } ]\n";
-    private static final String CPU =
+    private static final String CPU_ROW =
             "{ id = cpu, table = gateway, what = \"processor time\", unit = \"%\", figure = \"100 *"
                     + " m\", kind = extrapolated, terms { m { fit = gateways/hollow/cpu_part, at ="
                     + " gateways } }, budget = cores, mechanism = SWIM }";
-    private static final String FILES =
+    private static final String DESCRIPTORS_ROW =
             "{ id = files, table = gateway, what = descriptors, unit = \"\", figure = m, kind ="
                 + " measured, terms { m { point = gateways/hollow/descriptors, at = gateways } } }";
-    private static final String MISSING =
+    private static final String MISSING_ROW =
             "{ id = real, table = gateway, what = \"of a real one\", unit = \"%\", figure = m, kind"
                 + " = measured, budget = 1, wants = nets, missing = \"no room\", terms { m { point"
                 + " = gateways/real/cpu_part, at = gateways } } }";
@@ -82,52 +82,53 @@
     private Path page;
 
     @BeforeEach
-    void lay() throws IOException {
+    void writeFiles() throws IOException {
         page = dir.resolve("PAGE.md");
-        lay(POINTS, FITS);
-        rows(CPU, FILES, MISSING);
+        writeResults(POINTS, FITS);
+        writeRows(CPU_ROW, DESCRIPTORS_ROW, MISSING_ROW);
         Files.writeString(page, PAGE);
     }
 
-    private void lay(List<String> points, List<String> fits) throws IOException {
+    private void writeResults(List<String> points, List<String> fits) throws IOException {
         Files.write(
                 dir.resolve("p.jsonl"), points.stream().map(l -> l.replace('\'', '"')).toList());
         Files.write(dir.resolve("f.jsonl"), fits.stream().map(l -> l.replace('\'', '"')).toList());
     }
 
-    private void rows(String... rows) throws IOException {
+    private void writeRows(String... rows) throws IOException {
         Files.writeString(
                 dir.resolve("capacity.conf"),
-                TARGET + "rows = [\n" + String.join("\n", rows) + "\n]\n");
+                SETTINGS + "rows = [\n" + String.join("\n", rows) + "\n]\n");
     }
 
-    private void fails(String text) {
-        List<ValidationError> faults =
+    private void assertWriteFails(String text) {
+        List<ValidationError> errors =
                 assertThrows(OperatorException.class, () -> CapacityPage.write(page)).errors();
-        assertTrue(faults.stream().anyMatch(f -> f.toString().contains(text)), faults::toString);
+        assertTrue(errors.stream().anyMatch(f -> f.toString().contains(text)), errors::toString);
     }
 
-    private void outOfStep(String text) throws Exception {
-        List<ValidationError> faults = CapacityPage.check(page);
-        assertTrue(faults.stream().anyMatch(f -> f.toString().contains(text)), faults::toString);
+    private void assertCheckReports(String text) throws Exception {
+        List<ValidationError> errors = CapacityPage.check(page);
+        assertTrue(errors.stream().anyMatch(f -> f.toString().contains(text)), errors::toString);
     }
 
-    private void changed(String from, String to) throws IOException {
+    private void replaceInPage(String from, String to) throws IOException {
         String all = Files.readString(page);
         assertTrue(all.contains(from), all);
         Files.writeString(page, all.replace(from, to));
     }
 
     @Test
-    void thisRepositorysPageIsWhatItsResultsSay() throws Exception {
-        assertEquals(List.of(), CapacityPage.check(OWN));
+    void thisRepositorysPageMatchesItsResults() throws Exception {
+        assertEquals(List.of(), CapacityPage.check(REPOSITORY_PAGE));
     }
 
     @Test
-    void theRoadmapNamesWhatIsMissingWithItsRatio() throws Exception {
-        String roadmap = Files.readString(OWN.resolveSibling("ROADMAP.md"));
+    void theRoadmapNamesEveryMissingMechanismWithItsRatio() throws Exception {
+        String roadmap = Files.readString(REPOSITORY_PAGE.resolveSibling("ROADMAP.md"));
         List<String> order =
-                new Tables(Figures.read(OWN.resolveSibling("capacity.conf"))).table("order");
+                new Tables(Figures.read(REPOSITORY_PAGE.resolveSibling("capacity.conf")))
+                        .render("order");
         for (String line : order.subList(2, order.size())) {
             String[] cells = line.split(" \\| |\\| ");
             assertTrue(roadmap.contains("- " + cells[1] + " (ratio " + cells[2]), line);
@@ -135,21 +136,21 @@
     }
 
     /**
-     * Each fit and each run that the page rests on, taken out of the results by itself, must fail
-     * it.
+     * Removes each fit and each run that the page uses from the results in turn; each removal must
+     * be reported.
      */
     @Test
     void thisRepositorysPageFailsWithoutAnyOneOfItsRuns() throws Exception {
-        Figures own = Figures.read(OWN.resolveSibling("capacity.conf"));
+        Figures figures = Figures.read(REPOSITORY_PAGE.resolveSibling("capacity.conf"));
         Files.writeString(
                 dir.resolve("capacity.conf"),
-                Files.readString(OWN.resolveSibling("capacity.conf"))
+                Files.readString(REPOSITORY_PAGE.resolveSibling("capacity.conf"))
                         .replace(
                                 "\"../src/main/java\"",
                                 "\"" + Path.of("src/main/java").toAbsolutePath() + "\""));
-        Files.copy(OWN, page, StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(REPOSITORY_PAGE, page, StandardCopyOption.REPLACE_EXISTING);
         Path results = Files.createDirectories(dir.resolve("results"));
-        try (Stream<Path> files = Files.list(OWN.resolveSibling("results"))) {
+        try (Stream<Path> files = Files.list(REPOSITORY_PAGE.resolveSibling("results"))) {
             for (Path file :
                     files.filter(f -> f.getFileName().toString().startsWith("scale")).toList()) {
                 Files.copy(file, results.resolve(file.getFileName()));
@@ -157,12 +158,12 @@
         }
         assertEquals(List.of(), CapacityPage.check(page));
         Path fits = results.resolve("scale-fits.jsonl");
-        for (Results.Fit fit : own.fits()) {
+        for (Results.Fit fit : figures.fits()) {
             List<String> all = Files.readAllLines(fits);
             Files.write(
                     fits,
                     all.stream().filter(line -> !line.contains("\"" + fit.id() + "\"")).toList());
-            fails("no fit " + fit.id() + " in the results");
+            assertWriteFails("no fit " + fit.id() + " in the results");
             Files.write(fits, all);
         }
         Path points = results.resolve("scale.jsonl");
@@ -176,12 +177,12 @@
             Files.write(
                     points,
                     all.stream().filter(line -> !line.contains("\"" + run + "\"")).toList());
-            assertTrue(isBroken(), run);
+            assertTrue(hasErrors(), run);
             Files.write(points, all);
         }
     }
 
-    private boolean isBroken() throws IOException {
+    private boolean hasErrors() throws IOException {
         try {
             return !CapacityPage.check(page).isEmpty();
         } catch (OperatorException e) {
@@ -190,7 +191,7 @@
     }
 
     @Test
-    void tablesAreWrittenFromTheResultsAndThenInStep() throws Exception {
+    void writtenTablesShowTheResultsAndPassTheCheck() throws Exception {
         CapacityPage.write(page);
         String all = Files.readString(page);
         assertTrue(
@@ -218,164 +219,167 @@
     }
 
     @Test
-    void aStaleTableFails() throws Exception {
+    void aTableOlderThanTheResultsFails() throws Exception {
         CapacityPage.write(page);
-        lay(
+        writeResults(
                 POINTS,
                 List.of(
                         FITS.get(0).replace("'a':0.01", "'a':0.02"),
                         FITS.get(1),
                         FITS.get(2),
                         FITS.get(3)));
-        outOfStep("PAGE.md:16: out of step with the results: found | processor time | 2.3 %");
+        assertCheckReports(
+                "PAGE.md:16: out of step with the results: found | processor time | 2.3 %");
     }
 
     @Test
     void aHandEditedFigureFails() throws Exception {
         CapacityPage.write(page);
-        changed("| 2.3 % |", "| 2.2 % |");
-        outOfStep("would be | processor time | 2.3 %");
+        replaceInPage("| 2.3 % |", "| 2.2 % |");
+        assertCheckReports("would be | processor time | 2.3 %");
         CapacityPage.write(page);
-        changed("1,299<!-- end -->", "1,300<!-- end -->");
-        outOfStep("would be To all <!-- figure peers -->1,299");
+        replaceInPage("1,299<!-- end -->", "1,300<!-- end -->");
+        assertCheckReports("would be To all <!-- figure peers -->1,299");
     }
 
     @Test
     void aNumberOutsideOfTheGeneratorsOutputFails() throws Exception {
         for (String line : List.of("| cpu | 2.3 % |", "It takes 5 ms.", "- 1,300 of them")) {
             Files.writeString(page, PAGE + line + "\n");
-            fails("a number outside of the generator's output: ");
+            assertWriteFails("a number outside of the generator's output: ");
         }
         Files.writeString(page, PAGE + "See `x = 5`, [there](a.md#12), p99.\n\n    tinroad 7\n");
         CapacityPage.write(page);
     }
 
     @Test
-    void markersThatDoNotFitFail() throws Exception {
+    void unknownOrUnpairedMarkersFail() throws Exception {
         for (Map.Entry<String, String> wrong :
                 Map.of(
                                 "<!-- table other -->\n<!-- end -->\n",
                                 "no table other; there are",
                                 "<!-- table order -->\n<!-- end -->\n",
-                                "stands there twice",
+                                "appears twice",
                                 "<!-- figure none -->x<!-- end -->\n",
                                 "no figure none",
                                 "<!-- end -->\n",
-                                "begins or ends nothing")
+                                "a marker without its counterpart")
                         .entrySet()) {
             Files.writeString(page, PAGE + wrong.getKey());
-            fails(wrong.getValue());
+            assertWriteFails(wrong.getValue());
         }
         Files.writeString(page, PAGE.replace("table order -->\n<!-- end -->", "table order -->\n"));
-        fails("the table order has no");
+        assertWriteFails("the table order has no");
         Files.writeString(page, "nothing\n");
-        fails("has no table gateway");
+        assertWriteFails("has no table gateway");
     }
 
     /**
-     * Rows that name what isn't there, or claim to be surer than that: the file, the line and why.
+     * Rows that name missing inputs, or claim more certainty than their inputs have, are reported
+     * with file, line and reason.
      */
     @Test
-    void rowsWithNothingBehindThemFail() throws Exception {
+    void rowsWithInvalidInputsFail() throws Exception {
         Map<String, String> wrong =
                 Map.ofEntries(
                         Map.entry(
-                                CPU.replace("hollow/cpu_part", "hollow/cpu"),
+                                CPU_ROW.replace("hollow/cpu_part", "hollow/cpu"),
                                 "no fit gateways/hollow/cpu in the results; there are"
                                         + " gateways/hollow/bytes"),
                         Map.entry(
-                                CPU.replace("hollow/cpu_part", "hollow/untried"),
-                                "foretold no size that was run"),
+                                CPU_ROW.replace("hollow/cpu_part", "hollow/untried"),
+                                "was not tested at a larger size"),
                         Map.entry(
-                                CPU.replace("hollow/cpu_part", "hollow/falling"),
-                                "comes to less than nothing at 1,300: it is no slope there"),
+                                CPU_ROW.replace("hollow/cpu_part", "hollow/falling"),
+                                "has a negative value at 1,300: it is not valid there"),
                         Map.entry(
-                                CPU.replace("kind = extrapolated", "kind = measured"),
-                                "kind: must be extrapolated, by what it names; found measured"),
+                                CPU_ROW.replace("kind = extrapolated", "kind = measured"),
+                                "kind: must be extrapolated because of its inputs; found measured"),
                         Map.entry(
-                                CPU.replace("kind = extrapolated", "kind = guessed"),
+                                CPU_ROW.replace("kind = extrapolated", "kind = guessed"),
                                 "kind: must be one of measured, extrapolated"),
                         Map.entry(
-                                CPU.replace("100 * m", "100 * m * x"),
-                                "names x, which is no size of the target"),
-                        Map.entry(CPU.replace("100 * m", "100"), "does not use its term m"),
-                        Map.entry(CPU.replace("100 * m", "100 * (m"), "expected ')' at the end"),
-                        Map.entry(CPU.replace("100 * m", "m / 0"), "comes to no number"),
-                        Map.entry(CPU.replace(", at = gateways", ""), "at is missing"),
+                                CPU_ROW.replace("100 * m", "100 * m * x"),
+                                "names x, which is neither a size of the target"),
+                        Map.entry(CPU_ROW.replace("100 * m", "100"), "does not use its term m"),
                         Map.entry(
-                                FILES.replace("at = gateways", "at = 25"),
+                                CPU_ROW.replace("100 * m", "100 * (m"), "expected ')' at the end"),
+                        Map.entry(CPU_ROW.replace("100 * m", "m / 0"), "has no finite value"),
+                        Map.entry(CPU_ROW.replace(", at = gateways", ""), "at is missing"),
+                        Map.entry(
+                                DESCRIPTORS_ROW.replace("at = gateways", "at = 25"),
                                 "no point gateways/hollow/descriptors at 25"),
                         Map.entry(
-                                FILES.replace("hollow/descriptors", "hollow/cpu_part")
+                                DESCRIPTORS_ROW
+                                        .replace("hollow/descriptors", "hollow/cpu_part")
                                         .replace("at = gateways", "at = 25"),
                                 "which is not gateways, the target's size of this sweep"),
                         Map.entry(
-                                FILES.replace("at = gateways", "at = 1300"),
+                                DESCRIPTORS_ROW.replace("at = gateways", "at = 1300"),
                                 "which is not gateways, the target's size of this sweep"),
                         Map.entry(
-                                FILES.replace("hollow/descriptors", "real/cpu_part"),
-                                "refused there, no room"),
+                                DESCRIPTORS_ROW.replace("hollow/descriptors", "real/cpu_part"),
+                                "the machine could not handle this size, no room"),
                         Map.entry(
-                                FILES.replace(
+                                DESCRIPTORS_ROW.replace(
                                         "point = gateways/hollow/descriptors, at = gateways",
                                         "assumed = 3"),
                                 "source is missing"),
                         Map.entry(
-                                FILES.replace(
+                                DESCRIPTORS_ROW.replace(
                                         "point = gateways/hollow/descriptors, at = gateways",
                                         "row = none"),
                                 "no row none above this one"),
                         Map.entry(
-                                FILES.replace(
+                                DESCRIPTORS_ROW.replace(
                                         "point = gateways/hollow/descriptors, at = gateways",
                                         "tuning = none"),
                                 "no none in MembershipConfig"),
                         Map.entry(
-                                FILES.replace(
+                                DESCRIPTORS_ROW.replace(
                                         "point = gateways/hollow/descriptors, at = gateways",
                                         "at = 5"),
                                 "must have one of assumed, "),
                         Map.entry(
-                                FILES.replace(" } }", " } }, missing = \"not yet\""),
-                                "stands as missing, but all that it names is there"),
+                                DESCRIPTORS_ROW.replace(" } }", " } }, missing = \"not yet\""),
+                                "is declared missing, but everything that it names exists"),
                         Map.entry(
-                                CPU.replace(", mechanism = SWIM", ""),
-                                "budget: must have either a mechanism that carries it, or the one"
-                                        + " that it wants"),
+                                CPU_ROW.replace(", mechanism = SWIM", ""),
+                                "budget: must have either a mechanism that keeps it, or wants,"
+                                        + " naming the missing one"),
                         Map.entry(
-                                CPU.replace("100 * m", "twice * m"),
-                                "kind: must be assumed, by what it names; found extrapolated"),
-                        Map.entry(CPU.replace("id = cpu", "id = gateways"), "must differ"));
+                                CPU_ROW.replace("100 * m", "twice * m"),
+                                "kind: must be assumed because of its inputs; found extrapolated"),
+                        Map.entry(CPU_ROW.replace("id = cpu", "id = gateways"), "must differ"));
         for (Map.Entry<String, String> w : wrong.entrySet()) {
-            rows(w.getKey(), MISSING);
-            fails(w.getValue());
-            fails("capacity.conf:6: ");
+            writeRows(w.getKey(), MISSING_ROW);
+            assertWriteFails(w.getValue());
+            assertWriteFails("capacity.conf:6: ");
         }
     }
 
     @Test
-    void resultsThatDoNotHoldTogetherFail() throws Exception {
-        lay(POINTS.subList(0, 1), FITS.subList(0, 1));
-        fails(
-                "f.jsonl:1: fit gateways/hollow/cpu_part names the run g-2, of which there is no"
-                        + " point");
-        lay(POINTS, List.of(FITS.get(0), FITS.get(0)));
-        fails("f.jsonl:2: fit gateways/hollow/cpu_part stands there twice");
-        lay(List.of(POINTS.get(0), "{'run'"), FITS);
-        fails("p.jsonl:2: not JSON");
-        lay(POINTS, FITS);
+    void inconsistentResultsFail() throws Exception {
+        writeResults(POINTS.subList(0, 1), FITS.subList(0, 1));
+        assertWriteFails(
+                "f.jsonl:1: fit gateways/hollow/cpu_part names the run g-2, which has no points");
+        writeResults(POINTS, List.of(FITS.get(0), FITS.get(0)));
+        assertWriteFails("f.jsonl:2: fit gateways/hollow/cpu_part appears twice");
+        writeResults(List.of(POINTS.get(0), "{'run'"), FITS);
+        assertWriteFails("p.jsonl:2: not JSON");
+        writeResults(POINTS, FITS);
         Files.writeString(
                 dir.resolve("h.jsonl"),
                 "{\"run\":\"g-9\",\"metric\":\"cpu_part\",\"hollow\":1,\"real\":1,\"off\":0}");
-        fails("h.jsonl:1: names the run g-9, of which there is no point");
+        assertWriteFails("h.jsonl:1: names the run g-9, which has no points");
         Files.delete(dir.resolve("p.jsonl"));
-        fails("of which there is no point");
+        assertWriteFails("which has no points");
     }
 
     @Test
-    void whatWasNotMeasuredIsNoFigureAndNeitherIsWhatRestsOnIt() throws Exception {
-        rows(
-                MISSING,
+    void rowsThatUseAMissingMeasurementHaveNoFigure() throws Exception {
+        writeRows(
+                MISSING_ROW,
                 "{ id = both, table = gateway, what = both, unit = \"%\", figure = \"2 * r\", kind"
                         + " = measured, terms { r { row = real } } }");
         CapacityPage.write(page);
@@ -388,14 +392,14 @@
     }
 
     /**
-     * A run that does not count is named with why, and only that run: another one makes the row a
-     * figure, which has to be told.
+     * A rejected run is listed with its reason and not used. As soon as another run gives the row a
+     * figure, its declaration as missing is an error.
      */
     @Test
-    void aRunThatDoesNotCountIsNoFigure() throws Exception {
-        String missing = FILES.replace(" } }", " } }, missing = \"nobody was served\"");
+    void aRejectedRunGivesNoFigure() throws Exception {
+        String missing = DESCRIPTORS_ROW.replace(" } }", " } }, missing = \"nobody was served\"");
         String conf =
-                TARGET
+                SETTINGS
                         + "rejected = [ { run = g-2, why = trial }, { run = g-3, why = failed } ]\n"
                         + "rows = [\n"
                         + missing
@@ -411,22 +415,22 @@
                 all);
         Files.writeString(
                 dir.resolve("capacity.conf"), conf.replace("{ run = g-2, why = trial }, ", ""));
-        fails("stands as missing, but all that it names is there");
+        assertWriteFails("is declared missing, but everything that it names exists");
         Files.writeString(
                 dir.resolve("capacity.conf"), conf.replace("why = trial", "where = here"));
-        fails("rejected.0.why: must have why");
+        assertWriteFails("rejected.0.why: must have why");
         Files.writeString(
                 dir.resolve("capacity.conf"),
-                conf.replace("rows = [\n" + missing, "rows = [\n" + CPU));
-        fails("no fit gateways/hollow/cpu_part in the results");
+                conf.replace("rows = [\n" + missing, "rows = [\n" + CPU_ROW));
+        assertWriteFails("no fit gateways/hollow/cpu_part in the results");
     }
 
     @Test
-    void whatIsMissingIsOrderedByTheWorstFigureOfEach() throws Exception {
+    void missingMechanismsAreOrderedByTheirHighestRatio() throws Exception {
         String row =
                 "{ id = a, table = gateway, what = a, unit = x, figure = gateways, kind = computed,"
                         + " budget = 100, wants = nets }";
-        rows(
+        writeRows(
                 row,
                 row.replace("id = a, ", "id = b, ")
                         .replace("what = a,", "what = b,")
@@ -449,7 +453,7 @@
     }
 
     @Test
-    void howFarHollowOnesAreOffIsToldByFigure() throws Exception {
+    void deviationsOfHollowGatewaysAreShownByMetric() throws Exception {
         Files.writeString(
                 dir.resolve("h.jsonl"),
                 String.join(
@@ -468,8 +472,8 @@
     }
 
     @Test
-    void aForecastThatFailedIsTold() throws Exception {
-        rows(CPU.replace("hollow/cpu_part", "hollow/bytes"));
+    void aFailedForecastIsMarked() throws Exception {
+        writeRows(CPU_ROW.replace("hollow/cpu_part", "hollow/bytes"));
         CapacityPage.write(page);
         assertTrue(
                 Files.readString(page).contains("*extrapolated* (50%: forecast failed)"),
