--- a/src/main/java/tinroad/cli/LabCommand.java
+++ b/src/main/java/tinroad/cli/LabCommand.java
@@ -22,10 +22,10 @@
 import tinroad.lab.Report;
 import tinroad.lab.capacity.CapacityPage;
 import tinroad.lab.fake.LabContext;
-import tinroad.lab.scale.Scale;
 import tinroad.lab.scale.ScaleReader;
 import tinroad.lab.scale.ScaleRun;
-import tinroad.lab.scale.Sweep;
+import tinroad.lab.scale.ScaleScript;
+import tinroad.lab.scale.SweepResult;
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
@@ -184,12 +184,14 @@
         try (Stream<Path> files = Files.list(Path.of(SCRIPTS_FOLDER))) {
             for (Path file : files.filter(f -> f.toString().endsWith(SUFFIX)).sorted().toList()) {
                 if (file.getFileName().toString().startsWith(SCALE_SCRIPT_PREFIX)) {
-                    Scale scaleScript = ScaleReader.read(file);
+                    ScaleScript scaleScript = ScaleReader.read(file);
                     rows.add(
                             List.of(
                                     file.getFileName().toString().replace(SUFFIX, ""),
-                                    scaleScript.held().gateways(),
-                                    scaleScript.sizes().size() * scaleScript.seconds() / 1000,
+                                    scaleScript.baseline().gateways(),
+                                    scaleScript.sizes().size()
+                                            * scaleScript.measuredMillis()
+                                            / 1000,
                                     scaleScript.title()));
                     continue;
                 }
@@ -414,11 +416,11 @@
     /** Runs a sweep; with --out, its points, fits and charts are added to those in the folder. */
     private int scale(PrintStream out, PrintStream err)
             throws IOException, InterruptedException, OperatorException {
-        Scale scaleScript = ScaleReader.read(scriptFile());
+        ScaleScript scaleScript = ScaleReader.read(scriptFile());
         List<String> programs = jars.isEmpty() ? List.of(ownJar()) : jars;
         Path workFolder = Files.createTempDirectory("tinroad-scale");
         try {
-            Sweep sweep =
+            SweepResult sweep =
                     new ScaleRun(
                                     scaleScript,
                                     new ScaleRun.Options(
@@ -429,19 +431,19 @@
                                                     .toList(),
                                             workFolder,
                                             err))
-                            .play();
+                            .run();
             if (outFolder != null) {
                 sweep.write(Path.of(outFolder));
             }
             if (output == Output.JSON) {
-                sweep.json().forEach(out::println);
+                sweep.measurementsAsJson().forEach(out::println);
             } else {
                 output.print(
                         List.of("x", "role", "metric", "value", "unit", "n", "note"),
-                        sweep.rows(),
+                        sweep.tableRows(),
                         out);
             }
-            return sweep.refused() ? FAILURE : SUCCESS;
+            return sweep.hasUnplayedSize() ? FAILURE : SUCCESS;
         } finally {
             Lab.delete(workFolder);
         }
