--- a/src/main/java/tinroad/lab/relay/DatagramRelay.java
+++ b/src/main/java/tinroad/lab/relay/DatagramRelay.java
@@ -15,30 +15,33 @@
 import tinroad.lab.script.Script.LinkDirection;
 
 /**
- * Brings datagrams on from one address to another: loses, repeats, delays, swaps them, as its link
- * has it.
+ * Forwards datagrams from one address to another. Loses, repeats, delays or reorders them according
+ * to the faults of its link.
  */
 public final class DatagramRelay {
     private final LinkFaults faults;
-    private final InetSocketAddress to;
+    private final InetSocketAddress targetAddress;
     private final SplittableRandom random;
-    private ByteBuf swapped;
+    private ByteBuf postponed;
 
-    private DatagramRelay(LinkFaults faults, InetSocketAddress to, long seed) {
+    private DatagramRelay(LinkFaults faults, InetSocketAddress targetAddress, long seed) {
         this.faults = faults;
-        this.to = to;
+        this.targetAddress = targetAddress;
         random = new SplittableRandom(seed);
     }
 
-    /** A relay from {@code at} to {@code to}; blocks until it is open. */
+    /**
+     * Opens a relay from {@code listenAddress} to {@code targetAddress}; blocks until the socket is
+     * bound.
+     */
     public static void open(
             EventLoopGroup group,
-            InetSocketAddress at,
-            InetSocketAddress to,
+            InetSocketAddress listenAddress,
+            InetSocketAddress targetAddress,
             LinkFaults faults,
             long seed)
             throws InterruptedException {
-        DatagramRelay relay = new DatagramRelay(faults, to, seed);
+        DatagramRelay relay = new DatagramRelay(faults, targetAddress, seed);
         new Bootstrap()
                 .group(group)
                 .channel(NioDatagramChannel.class)
@@ -47,49 +50,49 @@
                             @Override
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, DatagramPacket packet) {
-                                relay.bring(ctx.channel(), packet.content().retainedDuplicate());
+                                relay.forward(ctx.channel(), packet.content().retainedDuplicate());
                             }
 
-                            /** Whoever is not there: datagrams get lost. */
+                            /** Ignored: datagrams to an unreachable receiver are lost. */
                             @Override
                             public void exceptionCaught(
                                     ChannelHandlerContext ctx, Throwable cause) {}
                         })
-                .bind(at)
+                .bind(listenAddress)
                 .sync();
     }
 
-    /** What comes here goes away from the gateway. */
-    private void bring(Channel by, ByteBuf content) {
-        if (faults.cut(LinkDirection.OUT)
+    /** Forwards one datagram. All datagrams of a relay leave the gateway: direction OUT. */
+    private void forward(Channel channel, ByteBuf content) {
+        if (faults.isCut(LinkDirection.OUT)
                 || random.nextDouble() < faults.chance(FaultAction.LOSE)) {
             content.release();
             return;
         }
-        if (swapped == null && random.nextDouble() < faults.chance(FaultAction.REORDER)) {
-            swapped = content;
+        if (postponed == null && random.nextDouble() < faults.chance(FaultAction.REORDER)) {
+            postponed = content;
             return;
         }
         if (random.nextDouble() < faults.chance(FaultAction.REPEAT)) {
-            send(by, content.retainedDuplicate());
+            send(channel, content.retainedDuplicate());
         }
-        send(by, content);
-        if (swapped != null) {
-            send(by, swapped);
-            swapped = null;
+        send(channel, content);
+        if (postponed != null) {
+            send(channel, postponed);
+            postponed = null;
         }
     }
 
-    private void send(Channel by, ByteBuf content) {
-        double delay = faults.delay(LinkDirection.OUT, random.nextDouble());
-        DatagramPacket packet = new DatagramPacket(content, to);
-        if (delay <= 0) {
-            by.writeAndFlush(packet);
+    private void send(Channel channel, ByteBuf content) {
+        double delayMillis = faults.delay(LinkDirection.OUT, random.nextDouble());
+        DatagramPacket packet = new DatagramPacket(content, targetAddress);
+        if (delayMillis <= 0) {
+            channel.writeAndFlush(packet);
         } else {
-            by.eventLoop()
+            channel.eventLoop()
                     .schedule(
-                            () -> by.writeAndFlush(packet),
-                            (long) (delay * 1e6),
+                            () -> channel.writeAndFlush(packet),
+                            (long) (delayMillis * 1e6),
                             TimeUnit.NANOSECONDS);
         }
     }
--- a/src/main/java/tinroad/lab/relay/LinkFaults.java
+++ b/src/main/java/tinroad/lab/relay/LinkFaults.java
@@ -9,92 +9,95 @@
 import tinroad.lab.script.Script.LinkDirection;
 
 /**
- * What is wrong with one link at this moment. Faults may overlap: a stream is held while any of
- * them cuts it, and their delays add up. Set by one thread, read by those of the relays.
+ * The faults that are active on one link. Faults may overlap: a stream is stopped while any of them
+ * cuts it, and their delays add up. Changed by one thread, read by the threads of the relays.
  */
 public final class LinkFaults {
     private final List<Fault> active = new CopyOnWriteArrayList<>();
     private final Set<Pipe> pipes = ConcurrentHashMap.newKeySet();
 
-    /** A fault begins. */
-    public void begin(Fault t) {
-        active.add(t);
-        pipes.forEach(t.action() == FaultAction.RESET ? Pipe::reset : Pipe::changed);
+    /** Activates a fault. */
+    public void begin(Fault fault) {
+        active.add(fault);
+        pipes.forEach(fault.action() == FaultAction.RESET ? Pipe::reset : Pipe::onFaultsChanged);
     }
 
-    /** It ends: what was held goes on. */
-    public void end(Fault t) {
-        active.remove(t);
-        pipes.forEach(Pipe::changed);
+    /** Ends a fault: data that it stopped is forwarded. */
+    public void end(Fault fault) {
+        active.remove(fault);
+        pipes.forEach(Pipe::onFaultsChanged);
     }
 
-    /** All that goes through it is reset. */
+    /** Resets all streams of this link. */
     public void resetAll() {
         pipes.forEach(Pipe::reset);
     }
 
-    void opened(Pipe pipe) {
+    void addPipe(Pipe pipe) {
         pipes.add(pipe);
     }
 
-    void closed(Pipe pipe) {
+    void removePipe(Pipe pipe) {
         pipes.remove(pipe);
     }
 
-    private static boolean goes(Fault t, LinkDirection way) {
-        return t.direction() == LinkDirection.BOTH || t.direction() == way;
+    private static boolean appliesTo(Fault fault, LinkDirection direction) {
+        return fault.direction() == LinkDirection.BOTH || fault.direction() == direction;
     }
 
-    /** Whether this fault is there in this direction. */
-    boolean has(FaultAction deed, LinkDirection way) {
-        for (Fault t : active) {
-            if (t.action() == deed && goes(t, way)) {
+    /** Whether a fault with this action is active in this direction. */
+    boolean isActive(FaultAction action, LinkDirection direction) {
+        for (Fault fault : active) {
+            if (fault.action() == action && appliesTo(fault, direction)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether a new connection is held, reset or swallowed: a connection needs both directions. */
-    boolean hasEither(FaultAction deed) {
-        return has(deed, LinkDirection.IN) || has(deed, LinkDirection.OUT);
+    /**
+     * Whether a fault with this action is active in at least one direction. Decides over new
+     * connections, which need both directions.
+     */
+    boolean isActiveInEitherDirection(FaultAction action) {
+        return isActive(action, LinkDirection.IN) || isActive(action, LinkDirection.OUT);
     }
 
-    /** Whether nothing goes on in this direction. */
-    boolean cut(LinkDirection way) {
-        return has(FaultAction.CUT, way);
+    /** Whether nothing is forwarded in this direction. */
+    boolean isCut(LinkDirection direction) {
+        return isActive(FaultAction.CUT, direction);
     }
 
-    /** Delay in ms; {@code chance} is a random number from 0 to 1. */
-    double delay(LinkDirection way, double chance) {
-        double sum = 0;
-        for (Fault t : active) {
-            sum +=
-                    t.action() == FaultAction.DELAY && goes(t, way)
-                            ? t.delay() + chance * t.jitter()
+    /** Delay in ms; {@code jitterShare}, from 0 to 1, is the share of each jitter that is added. */
+    double delay(LinkDirection direction, double jitterShare) {
+        double delayMillis = 0;
+        for (Fault fault : active) {
+            delayMillis +=
+                    fault.action() == FaultAction.DELAY && appliesTo(fault, direction)
+                            ? fault.delay() + jitterShare * fault.jitter()
                             : 0;
         }
-        return sum;
+        return delayMillis;
     }
 
-    /** Bytes in a ms; infinite where nothing throttles. */
-    double rate(LinkDirection way) {
-        double least = Double.POSITIVE_INFINITY;
-        for (Fault t : active) {
-            least =
-                    t.action() == FaultAction.THROTTLE && goes(t, way)
-                            ? Math.min(least, t.rate() / 1000)
-                            : least;
+    /** Bytes per ms, the lowest of all active throttles; infinite where there is none. */
+    double rate(LinkDirection direction) {
+        double minRate = Double.POSITIVE_INFINITY;
+        for (Fault fault : active) {
+            minRate =
+                    fault.action() == FaultAction.THROTTLE && appliesTo(fault, direction)
+                            ? Math.min(minRate, fault.rate() / 1000)
+                            : minRate;
         }
-        return least;
+        return minRate;
     }
 
-    /** Chance that this happens to a datagram. */
-    double chance(FaultAction deed) {
-        double most = 0;
-        for (Fault t : active) {
-            most = t.action() == deed ? Math.max(most, t.chance()) : most;
+    /** Probability, from 0 to 1, that this action is applied to a datagram. */
+    double chance(FaultAction action) {
+        double maxChance = 0;
+        for (Fault fault : active) {
+            maxChance = fault.action() == action ? Math.max(maxChance, fault.chance()) : maxChance;
         }
-        return most;
+        return maxChance;
     }
 }
--- a/src/main/java/tinroad/lab/relay/Pipe.java
+++ b/src/main/java/tinroad/lab/relay/Pipe.java
@@ -16,17 +16,18 @@
 import tinroad.lab.script.Script.LinkDirection;
 
 /**
- * One stream through a relay, both directions, on one event loop. What a cut holds, the end of a
- * stream included, goes on once it has healed, as in a network that delivers late; no other bytes
- * are lost than those of a reset or a mute.
+ * One stream through a relay, in both directions, on one event loop. The near end is the accepted
+ * connection, the far end the one that the relay opens to the target. Data that a cut stops, and
+ * the end of a stream as well, is forwarded after the cut ends, as in a network that delivers late.
+ * Only a reset or a mute loses bytes.
  */
 final class Pipe {
-    /** Bytes held for one direction before the source is read no more. */
-    private static final int MOST_HELD = 256 * 1024;
+    /** Bytes buffered for one direction before reading from the source stops. */
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
     private final LinkFaults faults;
     private final Channel near;
-    private final boolean changesBytes;
+    private final boolean corruptsBytes;
     private Channel far;
     private final Direction in = new Direction(LinkDirection.IN);
     private final Direction out = new Direction(LinkDirection.OUT);
@@ -35,49 +36,51 @@
     private boolean connecting;
 
     /**
-     * A stream that was accepted as {@code near}; {@code connect} opens the other end, and {@code
-     * onFarClosed} hears of its end.
+     * Creates the pipe of the accepted connection {@code near}. {@code connect} opens the far end;
+     * {@code onFarClosed} is called when the far end has ended its output or closed.
      */
     Pipe(
             LinkFaults faults,
             Channel near,
-            boolean changesBytes,
+            boolean corruptsBytes,
             Runnable connect,
             Runnable onFarClosed) {
         this.onFarClosed = onFarClosed;
         this.faults = faults;
         this.near = near;
-        this.changesBytes = changesBytes;
+        this.corruptsBytes = corruptsBytes;
         this.connect = connect;
     }
 
-    /** Begins: a connection needs both directions, and waits for them. */
-    void begin() {
-        faults.opened(this);
-        near.closeFuture().addListener(closed -> faults.closed(this));
-        if (faults.hasEither(FaultAction.RESET) || faults.hasEither(FaultAction.REFUSE)) {
+    /** Starts the pipe. A connection needs both directions and waits until both work. */
+    void start() {
+        faults.addPipe(this);
+        near.closeFuture().addListener(done -> faults.removePipe(this));
+        if (faults.isActiveInEitherDirection(FaultAction.RESET)
+                || faults.isActiveInEitherDirection(FaultAction.REFUSE)) {
             reset();
         } else {
-            connectIfFree();
+            connectIfAllowed();
         }
     }
 
-    private void connectIfFree() {
+    private void connectIfAllowed() {
         if (!connecting
                 && near.isActive()
-                && !faults.hasEither(FaultAction.CUT)
-                && !faults.hasEither(FaultAction.MUTE)) {
+                && !faults.isActiveInEitherDirection(FaultAction.CUT)
+                && !faults.isActiveInEitherDirection(FaultAction.MUTE)) {
             connecting = true;
             connect.run();
-        } else if (!connecting && faults.hasEither(FaultAction.MUTE)) {
+        } else if (!connecting && faults.isActiveInEitherDirection(FaultAction.MUTE)) {
             near.config().setAutoRead(true);
         }
     }
 
-    /** The other end is there. */
-    void connected(Channel channel) {
+    /** The far end is connected. */
+    void onConnected(Channel channel) {
         if (!near.isOpen()) {
-            // Reset while this end was on its way: it sees the reset, too, and no orderly end.
+            // The near end was reset while the far end connected: the far end sees a reset, too,
+            // and no orderly end.
             abort(channel);
             return;
         }
@@ -88,28 +91,28 @@
         out.from = far;
         near.config().setAutoRead(true);
         far.config().setAutoRead(true);
-        in.pump();
-        out.pump();
+        in.forward();
+        out.forward();
     }
 
-    /** The faults have changed. */
-    void changed() {
+    /** Continues or stops after a change of the active faults. */
+    void onFaultsChanged() {
         near.eventLoop()
                 .execute(
                         () -> {
-                            connectIfFree();
-                            in.healed();
-                            out.healed();
+                            connectIfAllowed();
+                            in.onFaultsChanged();
+                            out.onFaultsChanged();
                         });
     }
 
-    /** Both ends see a reset. */
+    /** Resets both ends. */
     void reset() {
         near.eventLoop()
                 .execute(
                         () -> {
-                            in.drop();
-                            out.drop();
+                            in.discardBuffers();
+                            out.discardBuffers();
                             abort(near);
                             if (far != null) {
                                 abort(far);
@@ -124,25 +127,25 @@
         }
     }
 
-    /** What reads one end. */
-    ChannelInboundHandlerAdapter end(boolean isNear) {
+    /** Returns the handler that reads from the near or from the far end. */
+    ChannelInboundHandlerAdapter handler(boolean isNear) {
         Direction direction = isNear ? in : out;
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object msg) {
-                direction.take((ByteBuf) msg);
+                direction.onData((ByteBuf) msg);
             }
 
             @Override
             public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
                 if (event instanceof ChannelInputShutdownEvent) {
-                    direction.ended(false);
+                    direction.onEnd(false);
                 }
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                direction.ended(true);
+                direction.onEnd(true);
             }
 
             @Override
@@ -150,127 +153,130 @@
                 (isNear ? out : in).readIfRoom();
             }
 
-            /** A reset at one end is one at the other: later, where the link is cut. */
+            /** Passes a reset on to the other end; while the link is cut, only after the cut. */
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                direction.aborted = true;
+                direction.sourceReset = true;
                 ctx.close();
             }
         };
     }
 
-    /** One direction. */
+    /** Forwards the bytes of one direction. */
     private final class Direction {
-        private final LinkDirection way;
-        private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
-        private final ArrayDeque<Runnable> delayed = new ArrayDeque<>();
+        private final LinkDirection linkDirection;
+        private final ArrayDeque<ByteBuf> buffers = new ArrayDeque<>();
+        private final ArrayDeque<Runnable> delayedTasks = new ArrayDeque<>();
         private Channel from;
         private Channel to;
-        private int bytes;
+        private int bufferedBytes;
         private boolean halted;
         private boolean inputEnded;
-        private boolean closed;
-        private boolean aborted;
-        private double freeAt;
+        private boolean sourceClosed;
+        private boolean sourceReset;
+        private double nextSendMillis;
 
-        Direction(LinkDirection way) {
-            this.way = way;
+        Direction(LinkDirection linkDirection) {
+            this.linkDirection = linkDirection;
         }
 
-        void take(ByteBuf buf) {
-            if (faults.has(FaultAction.MUTE, way)) {
+        void onData(ByteBuf buf) {
+            if (faults.isActive(FaultAction.MUTE, linkDirection)) {
                 buf.release();
                 return;
             }
-            if (changesBytes && way == LinkDirection.IN && buf.readableBytes() > 1) {
+            if (corruptsBytes && linkDirection == LinkDirection.IN && buf.readableBytes() > 1) {
                 int last = buf.writerIndex() - 1 - buf.readableBytes() / 8;
                 buf.setByte(last, buf.getByte(last) ^ 1);
             }
-            held.add(buf);
-            bytes += buf.readableBytes();
-            pump();
+            buffers.add(buf);
+            bufferedBytes += buf.readableBytes();
+            forward();
             readIfRoom();
         }
 
-        void ended(boolean whole) {
-            if (!inputEnded && way == LinkDirection.OUT) {
+        void onEnd(boolean isClosed) {
+            if (!inputEnded && linkDirection == LinkDirection.OUT) {
                 onFarClosed.run();
             }
             inputEnded = true;
-            closed |= whole;
-            pump();
+            sourceClosed |= isClosed;
+            forward();
         }
 
-        void healed() {
-            halted &= faults.has(FaultAction.HALF, way);
-            pump();
+        void onFaultsChanged() {
+            halted &= faults.isActive(FaultAction.HALF, linkDirection);
+            forward();
             readIfRoom();
         }
 
         void readIfRoom() {
             if (from != null && from.isOpen()) {
-                from.config().setAutoRead(bytes < MOST_HELD && to.isWritable());
+                from.config().setAutoRead(bufferedBytes < MAX_BUFFERED_BYTES && to.isWritable());
             }
         }
 
-        void drop() {
-            held.forEach(ByteBuf::release);
-            held.clear();
-            bytes = 0;
+        void discardBuffers() {
+            buffers.forEach(ByteBuf::release);
+            buffers.clear();
+            bufferedBytes = 0;
         }
 
-        void pump() {
-            if (to == null || halted || faults.cut(way)) {
+        void forward() {
+            if (to == null || halted || faults.isCut(linkDirection)) {
                 return;
             }
-            while (!held.isEmpty() && !halted) {
-                ByteBuf next = held.peek();
-                if (faults.has(FaultAction.HALF, way)) {
+            while (!buffers.isEmpty() && !halted) {
+                ByteBuf next = buffers.peek();
+                if (faults.isActive(FaultAction.HALF, linkDirection)) {
                     halted = true;
                     int half = next.readableBytes() / 2;
-                    bytes -= half;
+                    bufferedBytes -= half;
                     write(next.readRetainedSlice(half));
                 } else {
-                    bytes -= next.readableBytes();
-                    write(held.poll());
+                    bufferedBytes -= next.readableBytes();
+                    write(buffers.poll());
                 }
             }
-            if (held.isEmpty() && inputEnded) {
-                later(this::finish);
+            if (buffers.isEmpty() && inputEnded) {
+                runInOrder(this::propagateEnd);
             }
         }
 
         private void write(ByteBuf buf) {
-            double rate = faults.rate(way);
-            double delay = faults.delay(way, ThreadLocalRandom.current().nextDouble());
+            double bytesPerMilli = faults.rate(linkDirection);
+            double delayMillis =
+                    faults.delay(linkDirection, ThreadLocalRandom.current().nextDouble());
             double nowMillis = System.nanoTime() / 1e6;
-            // Order is kept: nothing overtakes what was delayed before.
-            freeAt =
-                    Math.max(freeAt, nowMillis + delay)
-                            + (rate == Double.POSITIVE_INFINITY ? 0 : buf.readableBytes() / rate);
-            later(() -> to.writeAndFlush(buf));
+            // Nothing may overtake data that was delayed before.
+            nextSendMillis =
+                    Math.max(nextSendMillis, nowMillis + delayMillis)
+                            + (bytesPerMilli == Double.POSITIVE_INFINITY
+                                    ? 0
+                                    : buf.readableBytes() / bytesPerMilli);
+            runInOrder(() -> to.writeAndFlush(buf));
         }
 
-        private void later(Runnable task) {
-            double wait = freeAt - System.nanoTime() / 1e6;
-            if (wait <= 0 && delayed.isEmpty()) {
+        private void runInOrder(Runnable task) {
+            double waitMillis = nextSendMillis - System.nanoTime() / 1e6;
+            if (waitMillis <= 0 && delayedTasks.isEmpty()) {
                 task.run();
             } else {
-                // Whichever timer fires first, the first in the row goes: timers of one moment come
-                // in no order.
-                delayed.add(task);
+                // Each timer runs the oldest task: timers with equal deadlines fire in no defined
+                // order.
+                delayedTasks.add(task);
                 to.eventLoop()
                         .schedule(
-                                () -> delayed.remove().run(),
-                                (long) (Math.max(0, wait) * 1e6),
+                                () -> delayedTasks.remove().run(),
+                                (long) (Math.max(0, waitMillis) * 1e6),
                                 TimeUnit.NANOSECONDS);
             }
         }
 
-        private void finish() {
-            if (aborted) {
+        private void propagateEnd() {
+            if (sourceReset) {
                 abort(to);
-            } else if (closed) {
+            } else if (sourceClosed) {
                 to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             } else if (to instanceof DuplexChannel duplex
                     && to.isActive()
--- a/src/main/java/tinroad/lab/relay/StreamRelay.java
+++ b/src/main/java/tinroad/lab/relay/StreamRelay.java
@@ -16,50 +16,51 @@
 import java.util.function.Function;
 
 /**
- * Accepts streams at one address and brings them on to another. Whose a stream is, its source
- * address tells.
+ * Accepts TCP streams at one address and forwards them to another. The source address of a stream
+ * determines which link it belongs to.
  */
 public final class StreamRelay {
     private static final int BACKLOG = 1024;
-    private static final int CONNECT_MS = 2000;
-    private static final long NEXT_LOOK_MS = 5;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
+    private static final long SELECTOR_RUN_WAIT_MS = 5;
 
     private final EventLoopGroup group;
-    private final InetSocketAddress at;
-    private final InetSocketAddress to;
-    private final Function<InetSocketAddress, LinkFaults> links;
-    private final boolean changesBytes;
-    private final Runnable onNobody;
+    private final InetSocketAddress listenAddress;
+    private final InetSocketAddress targetAddress;
+    private final Function<InetSocketAddress, LinkFaults> faultsBySource;
+    private final boolean corruptsBytes;
+    private final Runnable onConnectFailed;
     private final Consumer<InetSocketAddress> onClosed;
     private Channel listener;
 
     /**
-     * A relay from {@code at} to {@code to}.
+     * Creates a relay from {@code listenAddress} to {@code targetAddress}; {@link #listen} opens
+     * it.
      *
-     * @param links the link of a source
-     * @param changesBytes a relay that spoils what it brings on, for tests of the checker
-     * @param onNobody hears that nobody listens at {@code to}
-     * @param onClosed hears which source's stream the far end has closed, before that source can
-     *     know
+     * @param faultsBySource returns the faults of the link that a source address belongs to
+     * @param corruptsBytes whether the relay alters data that it forwards, for tests of the checker
+     * @param onConnectFailed called when no connection to {@code targetAddress} could be opened
+     * @param onClosed called with the source address of a stream whose far end has ended, before
+     *     that source can notice it
      */
     public StreamRelay(
             EventLoopGroup group,
-            InetSocketAddress at,
-            InetSocketAddress to,
-            Function<InetSocketAddress, LinkFaults> links,
-            boolean changesBytes,
-            Runnable onNobody,
+            InetSocketAddress listenAddress,
+            InetSocketAddress targetAddress,
+            Function<InetSocketAddress, LinkFaults> faultsBySource,
+            boolean corruptsBytes,
+            Runnable onConnectFailed,
             Consumer<InetSocketAddress> onClosed) {
         this.group = group;
-        this.at = at;
-        this.to = to;
-        this.links = links;
-        this.changesBytes = changesBytes;
-        this.onNobody = onNobody;
+        this.listenAddress = listenAddress;
+        this.targetAddress = targetAddress;
+        this.faultsBySource = faultsBySource;
+        this.corruptsBytes = corruptsBytes;
+        this.onConnectFailed = onConnectFailed;
         this.onClosed = onClosed;
     }
 
-    /** Listens; blocks until it does. */
+    /** Opens the listening socket; blocks until it is bound. */
     public synchronized StreamRelay listen() throws InterruptedException {
         listener =
                 new ServerBootstrap()
@@ -77,18 +78,18 @@
                                         Pipe[] pipe = new Pipe[1];
                                         pipe[0] =
                                                 new Pipe(
-                                                        links.apply(near.remoteAddress()),
+                                                        faultsBySource.apply(near.remoteAddress()),
                                                         near,
-                                                        changesBytes,
+                                                        corruptsBytes,
                                                         () -> connect(near, pipe[0]),
                                                         () ->
                                                                 onClosed.accept(
                                                                         near.remoteAddress()));
-                                        near.pipeline().addLast(pipe[0].end(true));
-                                        pipe[0].begin();
+                                        near.pipeline().addLast(pipe[0].handler(true));
+                                        pipe[0].start();
                                     }
                                 })
-                        .bind(at)
+                        .bind(listenAddress)
                         .sync()
                         .channel();
         return this;
@@ -101,33 +102,35 @@
                 .option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel far) {
-                                far.pipeline().addLast(pipe.end(false));
+                                far.pipeline().addLast(pipe.handler(false));
                             }
                         })
-                .connect(to)
+                .connect(targetAddress)
                 .addListener(
-                        (ChannelFuture done) -> {
-                            if (done.isSuccess()) {
-                                pipe.connected(done.channel());
+                        (ChannelFuture future) -> {
+                            if (future.isSuccess()) {
+                                pipe.onConnected(future.channel());
                             } else {
                                 pipe.reset();
-                                onNobody.run();
+                                onConnectFailed.run();
                             }
                         });
     }
 
-    /** Refuses connections, or accepts them again. */
+    /** Stops accepting new connections, or accepts them again. */
     public synchronized void refuse(boolean refuses) throws InterruptedException {
         if (refuses) {
             listener.close().sync();
-            // Guards against a port that listens on: Java lets go of a socket only in its
-            // selector's next look.
-            listener.eventLoop().schedule(() -> {}, NEXT_LOOK_MS, TimeUnit.MILLISECONDS).sync();
+            // Guards against a port that still listens: Java releases a closed socket only at the
+            // next run of its selector.
+            listener.eventLoop()
+                    .schedule(() -> {}, SELECTOR_RUN_WAIT_MS, TimeUnit.MILLISECONDS)
+                    .sync();
         } else if (!listener.isOpen()) {
             listen();
         }
--- a/src/main/java/tinroad/lab/relay/package-info.java
+++ b/src/main/java/tinroad/lab/relay/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What stands between two processes of a run and can fail: streams and datagrams, link by link.
- * Used by {@code tinroad.lab} only; knows no protocol.
+ * Relays between the processes of a lab run, which inject faults into streams and datagrams, link
+ * by link. Used by {@code tinroad.lab} only; independent of the protocols that pass through.
  */
 package tinroad.lab.relay;
--- a/src/test/java/tinroad/lab/relay/RelayTest.java
+++ b/src/test/java/tinroad/lab/relay/RelayTest.java
@@ -31,28 +31,25 @@
 import tinroad.lab.script.Script.Fault;
 import tinroad.lab.script.ScriptReader;
 
-/** What stands between two processes, and each way in which it fails. */
+/** The relays between two processes, and each fault that they inject. */
 @Timeout(60)
 class RelayTest {
-    private static final int HUNG_MS = 30_000;
+    private static final int READ_TIMEOUT_MS = 30_000;
 
-    /**
-     * So long nothing must come, in ms; what comes later than that is found by the next read all
-     * the same.
-     */
-    private static final int QUIET_MS = 100;
+    /** Time during which nothing may arrive; later data is still found by the next read. */
+    private static final int SILENCE_MS = 100;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final LinkFaults link = new LinkFaults();
+    private final LinkFaults faults = new LinkFaults();
     private ServerSocket target;
     private StreamRelay relay;
-    private InetSocketAddress door;
+    private InetSocketAddress relayAddress;
     private Socket near;
     private Socket far;
     @TempDir private Path dir;
 
-    private Fault trouble(String text) throws Exception {
+    private Fault fault(String text) throws Exception {
         return ScriptReader.read(
                         Files.writeString(
                                 dir.resolve("s.conf"), "faults = [ { at = 1s, " + text + " } ]"))
@@ -63,28 +60,28 @@
     @BeforeEach
     void connect() throws Exception {
         target = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        target.setSoTimeout(HUNG_MS);
+        target.setSoTimeout(READ_TIMEOUT_MS);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            door = (InetSocketAddress) free.getLocalSocketAddress();
+            relayAddress = (InetSocketAddress) free.getLocalSocketAddress();
         }
         relay =
                 new StreamRelay(
                                 group,
-                                door,
+                                relayAddress,
                                 (InetSocketAddress) target.getLocalSocketAddress(),
-                                from -> link,
+                                from -> faults,
                                 false,
                                 () -> {},
                                 from -> {})
                         .listen();
-        near = dial();
+        near = openConnection();
         far = target.accept();
-        far.setSoTimeout(HUNG_MS);
+        far.setSoTimeout(READ_TIMEOUT_MS);
     }
 
-    private Socket dial() throws IOException {
-        Socket socket = new Socket(door.getAddress(), door.getPort());
-        socket.setSoTimeout(HUNG_MS);
+    private Socket openConnection() throws IOException {
+        Socket socket = new Socket(relayAddress.getAddress(), relayAddress.getPort());
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         return socket;
     }
 
@@ -104,51 +101,51 @@
         return new String(from.getInputStream().readNBytes(bytes), StandardCharsets.US_ASCII);
     }
 
-    private static void quiet(Socket at) throws IOException {
-        at.setSoTimeout(QUIET_MS);
+    private static void assertNothingArrives(Socket at) throws IOException {
+        at.setSoTimeout(SILENCE_MS);
         assertThrows(SocketTimeoutException.class, () -> at.getInputStream().read());
-        at.setSoTimeout(HUNG_MS);
+        at.setSoTimeout(READ_TIMEOUT_MS);
     }
 
     @Test
-    void aCutHoldsWhatComesAndTheEndOfItAndBringsAllOnceHealed() throws Exception {
-        Fault cut = trouble("do = cut, links = [engine]");
+    void aCutStopsDataAndEndOfStreamUntilItEnds() throws Exception {
+        Fault cut = fault("do = cut, links = [engine]");
         write(near, "before");
         assertEquals("before", read(far, 6));
-        link.begin(cut);
+        faults.begin(cut);
         write(near, "held");
         write(far, "answer");
         near.shutdownOutput();
-        quiet(far);
-        quiet(near);
-        link.end(cut);
+        assertNothingArrives(far);
+        assertNothingArrives(near);
+        faults.end(cut);
         assertEquals("held", read(far, 5));
         assertEquals("answer", read(near, 6));
     }
 
     @Test
-    void aCutOfOneWayLeavesTheOther() throws Exception {
-        Fault cut = trouble("do = cut, way = out, links = [engine]");
-        link.begin(cut);
+    void aCutInOneDirectionLeavesTheOtherWorking() throws Exception {
+        Fault cut = fault("do = cut, way = out, links = [engine]");
+        faults.begin(cut);
         write(near, "in");
         assertEquals("in", read(far, 2));
         write(far, "out");
         far.close();
-        quiet(near);
-        link.end(cut);
+        assertNothingArrives(near);
+        faults.end(cut);
         assertEquals("out", read(near, 4));
     }
 
     @Test
     void aNewConnectionWaitsForTheEndOfACut() throws Exception {
-        Fault cut = trouble("do = cut, links = [engine]");
-        link.begin(cut);
-        try (Socket second = dial()) {
+        Fault cut = fault("do = cut, links = [engine]");
+        faults.begin(cut);
+        try (Socket second = openConnection()) {
             write(second, "hello");
-            target.setSoTimeout(QUIET_MS);
+            target.setSoTimeout(SILENCE_MS);
             assertThrows(SocketTimeoutException.class, () -> target.accept());
-            target.setSoTimeout(HUNG_MS);
-            link.end(cut);
+            target.setSoTimeout(READ_TIMEOUT_MS);
+            faults.end(cut);
             try (Socket other = target.accept()) {
                 assertEquals("hello", read(other, 5));
             }
@@ -156,34 +153,34 @@
     }
 
     @Test
-    void halfOfAMessageGoesOnAndTheRestOnceHealed() throws Exception {
-        Fault half = trouble("do = half, way = in, links = [engine]");
-        link.begin(half);
+    void halfOfAMessageIsForwardedAndTheRestAfterTheFaultEnds() throws Exception {
+        Fault half = fault("do = half, way = in, links = [engine]");
+        faults.begin(half);
         write(near, "12345678");
         assertEquals("1234", read(far, 4));
         write(near, "9");
-        quiet(far);
+        assertNothingArrives(far);
         write(far, "x");
         assertEquals("x", read(near, 1));
-        link.end(half);
+        faults.end(half);
         assertEquals("56789", read(far, 5));
     }
 
     @Test
-    void aResetIsSeenAtBothEndsAndByWhoeverComesUntilItEnds() throws Exception {
-        Fault reset = trouble("do = reset, links = [engine]");
-        link.begin(reset);
+    void aResetReachesBothEndsAndNewConnectionsUntilItEnds() throws Exception {
+        Fault reset = fault("do = reset, links = [engine]");
+        faults.begin(reset);
         assertThrows(SocketException.class, () -> near.getInputStream().read());
         assertThrows(SocketException.class, () -> far.getInputStream().read());
         assertThrows(
                 SocketException.class,
                 () -> {
-                    try (Socket second = dial()) {
+                    try (Socket second = openConnection()) {
                         second.getInputStream().read();
                     }
                 });
-        link.end(reset);
-        try (Socket third = dial();
+        faults.end(reset);
+        try (Socket third = openConnection();
                 Socket other = target.accept()) {
             write(third, "ok");
             assertEquals("ok", read(other, 2));
@@ -191,7 +188,7 @@
     }
 
     @Test
-    void aResetOfOneEndIsOneOfTheOther() throws Exception {
+    void aResetOfOneEndResetsTheOther() throws Exception {
         write(near, "x");
         assertEquals("x", read(far, 1));
         far.setSoLinger(true, 0);
@@ -200,34 +197,34 @@
     }
 
     @Test
-    void aMuteLinkTakesAllAndSaysNothing() throws Exception {
-        Fault mute = trouble("do = mute, links = [engine]");
-        link.begin(mute);
-        try (Socket second = dial()) {
+    void aMutedLinkAcceptsDataAndDiscardsIt() throws Exception {
+        Fault mute = fault("do = mute, links = [engine]");
+        faults.begin(mute);
+        try (Socket second = openConnection()) {
             write(second, "x".repeat(100_000));
             write(near, "lost");
-            quiet(far);
-            quiet(second);
+            assertNothingArrives(far);
+            assertNothingArrives(second);
         }
-        link.end(mute);
+        faults.end(mute);
         write(near, "heard");
         assertEquals("heard", read(far, 5));
     }
 
     @Test
-    void refusedIsRefusedUntilItIsNot() throws Exception {
+    void refusesNewConnectionsUntilAllowedAgain() throws Exception {
         relay.refuse(true);
-        assertThrows(ConnectException.class, this::dial);
+        assertThrows(ConnectException.class, this::openConnection);
         write(near, "there");
         assertEquals("there", read(far, 5));
         relay.refuse(false);
-        dial().close();
+        openConnection().close();
     }
 
     @Test
     void jitterAndThrottleKeepTheOrderAndEveryByte() throws Exception {
-        link.begin(trouble("do = delay, delay = 1ms, jitter = 5ms, links = [engine]"));
-        link.begin(trouble("do = throttle, rate = 400000, links = [engine]"));
+        faults.begin(fault("do = delay, delay = 1ms, jitter = 5ms, links = [engine]"));
+        faults.begin(fault("do = throttle, rate = 400000, links = [engine]"));
         byte[] bytes = new byte[50_000];
         new Random(1).nextBytes(bytes);
         for (int at = 0; at < bytes.length; at += 1000) {
@@ -238,32 +235,33 @@
     }
 
     @Test
-    void datagramsAreLostRepeatedAndSwapped() throws Exception {
-        try (DatagramSocket heard = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramSocket says = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+    void datagramsAreLostRepeatedAndReordered() throws Exception {
+        try (DatagramSocket receiver = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+                DatagramSocket sender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             InetSocketAddress at = freeAddress();
-            heard.setSoTimeout(HUNG_MS);
+            receiver.setSoTimeout(READ_TIMEOUT_MS);
             DatagramRelay.open(
-                    group, at, (InetSocketAddress) heard.getLocalSocketAddress(), link, 1);
-            Fault lose = trouble("do = lose, chance = 1, links = [roster]");
-            Fault repeat = trouble("do = repeat, chance = 1, links = [roster]");
-            Fault reorder = trouble("do = reorder, chance = 1, links = [roster]");
-            link.begin(repeat);
-            say(says, at, "a");
-            assertEquals("aa", hear(heard) + hear(heard));
-            link.end(repeat);
-            link.begin(reorder);
-            say(says, at, "b");
-            say(says, at, "c");
-            assertEquals("cb", hear(heard) + hear(heard));
-            link.end(reorder);
-            link.begin(lose);
-            say(says, at, "d");
-            // In the relay's hands before the fault ends: it reads one datagram after the other.
-            Thread.sleep(QUIET_MS);
-            link.end(lose);
-            say(says, at, "e");
-            assertEquals("e", hear(heard));
+                    group, at, (InetSocketAddress) receiver.getLocalSocketAddress(), faults, 1);
+            Fault lose = fault("do = lose, chance = 1, links = [roster]");
+            Fault repeat = fault("do = repeat, chance = 1, links = [roster]");
+            Fault reorder = fault("do = reorder, chance = 1, links = [roster]");
+            faults.begin(repeat);
+            send(sender, at, "a");
+            assertEquals("aa", receive(receiver) + receive(receiver));
+            faults.end(repeat);
+            faults.begin(reorder);
+            send(sender, at, "b");
+            send(sender, at, "c");
+            assertEquals("cb", receive(receiver) + receive(receiver));
+            faults.end(reorder);
+            faults.begin(lose);
+            send(sender, at, "d");
+            // The relay has to read the datagram before the fault ends; it reads them one after the
+            // other.
+            Thread.sleep(SILENCE_MS);
+            faults.end(lose);
+            send(sender, at, "e");
+            assertEquals("e", receive(receiver));
         }
     }
 
@@ -273,12 +271,13 @@
         }
     }
 
-    private static void say(DatagramSocket by, InetSocketAddress to, String text)
+    private static void send(DatagramSocket sender, InetSocketAddress to, String text)
             throws IOException {
-        by.send(new DatagramPacket(text.getBytes(StandardCharsets.US_ASCII), text.length(), to));
+        sender.send(
+                new DatagramPacket(text.getBytes(StandardCharsets.US_ASCII), text.length(), to));
     }
 
-    private static String hear(DatagramSocket at) throws IOException {
+    private static String receive(DatagramSocket at) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[64], 64);
         at.receive(packet);
         return new String(packet.getData(), 0, packet.getLength(), StandardCharsets.US_ASCII);
@@ -286,16 +285,16 @@
 
     @Test
     void faultsOfOneLinkAddUp() throws Exception {
-        Fault slow = trouble("do = delay, delay = 20ms, jitter = 10ms, way = in, links = [engine]");
-        link.begin(slow);
-        link.begin(trouble("do = delay, delay = 5ms, jitter = 0ms, links = [engine]"));
-        assertEquals(30, link.delay(tinroad.lab.script.Script.LinkDirection.IN, 0.5));
-        assertEquals(5, link.delay(tinroad.lab.script.Script.LinkDirection.OUT, 0.5));
-        link.begin(trouble("do = throttle, rate = 3000, links = [engine]"));
-        link.begin(trouble("do = throttle, rate = 2000, links = [engine]"));
-        assertEquals(2, link.rate(tinroad.lab.script.Script.LinkDirection.IN));
-        link.end(slow);
-        assertEquals(5, link.delay(tinroad.lab.script.Script.LinkDirection.IN, 0.5));
-        assertTrue(!link.cut(tinroad.lab.script.Script.LinkDirection.IN));
+        Fault slow = fault("do = delay, delay = 20ms, jitter = 10ms, way = in, links = [engine]");
+        faults.begin(slow);
+        faults.begin(fault("do = delay, delay = 5ms, jitter = 0ms, links = [engine]"));
+        assertEquals(30, faults.delay(tinroad.lab.script.Script.LinkDirection.IN, 0.5));
+        assertEquals(5, faults.delay(tinroad.lab.script.Script.LinkDirection.OUT, 0.5));
+        faults.begin(fault("do = throttle, rate = 3000, links = [engine]"));
+        faults.begin(fault("do = throttle, rate = 2000, links = [engine]"));
+        assertEquals(2, faults.rate(tinroad.lab.script.Script.LinkDirection.IN));
+        faults.end(slow);
+        assertEquals(5, faults.delay(tinroad.lab.script.Script.LinkDirection.IN, 0.5));
+        assertTrue(!faults.isCut(tinroad.lab.script.Script.LinkDirection.IN));
     }
 }
