--- a/src/main/java/tinroad/lab/fake/ClientProxyModel.java
+++ b/src/main/java/tinroad/lab/fake/ClientProxyModel.java
@@ -12,178 +12,212 @@
 import tinroad.lab.verification.Try;
 
 /**
- * The requests of one client proxy: where each try goes, what came of it, whether there is another.
- * Knows no socket.
+ * The requests of one client proxy: chooses the gateway of each try, records its outcome and
+ * decides whether to try again. Independent of sockets.
  */
 public final class ClientProxyModel {
-    /** What becomes of a try on its way. */
+    /** Is notified of what happens to a try. */
     public interface TryListener {
-        /** It was written whole. */
+        /** The request was written whole. */
         void sent();
 
         /**
-         * A whole answer; {@code served} is the engine's result, or null; {@code stayAway} in ms.
+         * A complete response arrived.
+         *
+         * @param served the engine's result, or null
+         * @param stayAwayMillis how long the gateway asks not to be chosen, or 0
+         * @param noRetry whether the response asks that the request not be tried again
          */
-        void answered(Try.Outcome end, String status, String served, double stayAway, boolean last);
+        void answered(
+                Try.Outcome end,
+                String status,
+                String served,
+                double stayAwayMillis,
+                boolean noRetry);
 
         /**
-         * The connection is gone, with or without it having been written; the other side closed it
-         * at this time.
+         * The connection is gone.
+         *
+         * @param wasSent whether the request had been written
+         * @param at when the other side closed the connection
          */
         void lost(boolean wasSent, double at);
     }
 
-    /** What brings a try to its gateway. */
+    /** Sends tries to their gateways. */
     @FunctionalInterface
     public interface TryTransport {
-        /** Sends it; false where there is no connection for it, and nobody is told. */
-        boolean send(PlannedRequest asked, Try t, RequestClass kind, TryListener told);
+        /**
+         * Sends a try. Returns false where no connection is available for it; the listener is not
+         * notified then.
+         */
+        boolean send(
+                PlannedRequest request, Try t, RequestClass requestClass, TryListener listener);
     }
 
-    /** A request while somebody waits for it. */
-    private static final class Open {
-        private final PlannedRequest asked;
-        private final RunHistory.RequestRecord fate;
-        private final BitSet gateways = new BitSet();
-        private final double until;
-        private Try now;
-
-        Open(PlannedRequest asked, RunHistory.RequestRecord fate, double until) {
-            this.asked = asked;
-            this.fate = fate;
-            this.until = until;
+    /** A request whose caller still waits for it. */
+    private static final class PendingRequest {
+        private final PlannedRequest request;
+        private final RunHistory.RequestRecord record;
+        private final BitSet triedGateways = new BitSet();
+        private final double deadlineMillis;
+        private Try currentTry;
+
+        PendingRequest(
+                PlannedRequest request, RunHistory.RequestRecord record, double deadlineMillis) {
+            this.request = request;
+            this.record = record;
+            this.deadlineMillis = deadlineMillis;
         }
     }
 
-    private final LabContext world;
+    private final LabContext context;
     private final Script script;
     private final int number;
-    private final GatewaySelector choosing;
-    private final RetryPolicy repeating;
+    private final GatewaySelector selector;
+    private final RetryPolicy retryPolicy;
     private final UniformRandomProvider ids;
-    private final TryTransport carrier;
+    private final TryTransport transport;
+
+    /** Whether this proxy ignores the registry and its health checks. */
     private final boolean unaware;
+
     private int waiting;
 
-    /** Proxy {@code number}, whose tries {@code carrier} brings on. */
-    public ClientProxyModel(LabContext world, int number, TryTransport carrier) {
-        this.world = world;
+    /** Creates proxy {@code number}, whose tries {@code transport} sends. */
+    public ClientProxyModel(LabContext context, int number, TryTransport transport) {
+        this.context = context;
         this.number = number;
-        this.carrier = carrier;
-        script = world.plan.script();
-        UniformRandomProvider random = Draw.stream(world.plan.seed(), "proxy " + number);
-        double heed = script.callers().heedingShare();
-        boolean heeds = isAmong(heed);
-        unaware = isAmong(script.callers().unawareShare());
-        choosing =
+        this.transport = transport;
+        script = context.schedule.script();
+        UniformRandomProvider random = Draw.stream(context.schedule.seed(), "proxy " + number);
+        double heedingShare = script.callers().heedingShare();
+        boolean heedsAdvice = isInShare(heedingShare);
+        unaware = isInShare(script.callers().unawareShare());
+        selector =
                 new GatewaySelector(script.callers().choice(), script.fleet().gateways(), random);
-        repeating = new RetryPolicy(script.callers(), heeds, random);
-        ids = Draw.stream(world.plan.seed(), "ids " + number);
+        retryPolicy = new RetryPolicy(script.callers(), heedsAdvice, random);
+        ids = Draw.stream(context.schedule.seed(), "ids " + number);
     }
 
-    /** Whether this proxy is among this share of them, spread over their numbers. */
-    private boolean isAmong(double share) {
+    /**
+     * Whether this proxy belongs to this share of all proxies, spread evenly over their numbers.
+     */
+    private boolean isInShare(double share) {
         return Math.floor((number + 1) * share + 0.5) > Math.floor(number * share + 0.5);
     }
 
-    /** The roster's news reached this proxy. */
+    /** An update of the registry reached this proxy. */
     public void listed(int gateway, boolean takesWork) {
         if (!unaware) {
-            choosing.listed(gateway, takesWork);
+            selector.listed(gateway, takesWork);
         }
     }
 
     /** A health check ended. */
     public void checked(int gateway, boolean good) {
         if (!unaware) {
-            choosing.checked(gateway, good);
+            selector.checked(gateway, good);
         }
     }
 
-    /** How many requests somebody waits for. */
+    /** Number of requests whose callers still wait. */
     public int waiting() {
         return waiting;
     }
 
-    /** A request comes to this proxy. */
-    public void submit(PlannedRequest asked) {
-        RequestClass kind = script.classes().get(asked.kind());
+    /** Accepts a request of a caller. */
+    public void submit(PlannedRequest request) {
+        RequestClass requestClass = script.classes().get(request.kind());
         waiting++;
-        attempt(
-                new Open(
-                        asked,
-                        world.ledger.requests.get(asked.number()),
-                        asked.at() + script.callers().totalTimeoutFactor() * kind.deadline()),
+        startTry(
+                new PendingRequest(
+                        request,
+                        context.history.requests.get(request.number()),
+                        request.at()
+                                + script.callers().totalTimeoutFactor() * requestClass.deadline()),
                 1);
     }
 
-    private void attempt(Open o, int tryNumber) {
-        double nowMillis = world.now();
-        int gateway = choosing.next(nowMillis, o.gateways, o.asked.subject());
-        if (gateway < 0 && !o.gateways.isEmpty()) {
-            // All were asked: from the top of the list again.
-            o.gateways.clear();
-            gateway = choosing.next(nowMillis, o.gateways, o.asked.subject());
+    private void startTry(PendingRequest pending, int tryNumber) {
+        double nowMillis = context.now();
+        int gateway = selector.next(nowMillis, pending.triedGateways, pending.request.subject());
+        if (gateway < 0 && !pending.triedGateways.isEmpty()) {
+            // Every available gateway was tried: all may be chosen again.
+            pending.triedGateways.clear();
+            gateway = selector.next(nowMillis, pending.triedGateways, pending.request.subject());
         }
         if (gateway < 0) {
-            double at = repeating.wait(nowMillis, o.until, choosing.freeAt());
+            double at =
+                    retryPolicy.nextSearchMillis(
+                            nowMillis, pending.deadlineMillis, selector.nextAvailableMillis());
             if (at == RetryPolicy.NEVER) {
-                finish(o, o.now == null ? Try.Outcome.UNSENT : o.now.end);
+                finish(
+                        pending,
+                        pending.currentTry == null ? Try.Outcome.UNSENT : pending.currentTry.end);
             } else {
-                world.agenda.at(at, () -> attempt(o, tryNumber));
+                context.events.at(at, () -> startTry(pending, tryNumber));
             }
             return;
         }
-        o.gateways.set(gateway);
-        send(o, tryNumber, gateway);
+        pending.triedGateways.set(gateway);
+        send(pending, tryNumber, gateway);
     }
 
-    private void send(Open o, int tryNumber, int gateway) {
-        RequestClass kind = script.classes().get(o.asked.kind());
-        double nowMillis = world.now();
+    private void send(PendingRequest pending, int tryNumber, int gateway) {
+        RequestClass requestClass = script.classes().get(pending.request.kind());
+        double nowMillis = context.now();
         Try t =
                 new Try(
                         String.format(Locale.ROOT, "%016x", ids.nextLong()),
-                        o.asked.number(),
+                        pending.request.number(),
                         tryNumber,
                         number,
                         gateway,
-                        kind.free(),
-                        kind.free() ? kind.name() + " " + o.asked.subject() : null,
-                        nowMillis + kind.deadline());
-        o.now = t;
-        o.fate.tries = tryNumber;
-        t.incarnation = world.life(gateway);
-        world.byId.put(t.id, t);
-        world.ledger.tries.add(t);
-        choosing.open(gateway, 1);
-        world.agenda.at(
-                Math.min(o.until, nowMillis + script.callers().tryTimeoutShare() * kind.deadline()),
-                () -> ended(o, t, Try.Outcome.GIVEN_UP, 0, false));
-        if (!carrier.send(o.asked, t, kind, told(o, t))) {
-            ended(o, t, Try.Outcome.UNSENT, 0, false);
+                        requestClass.free(),
+                        requestClass.free()
+                                ? requestClass.name() + " " + pending.request.subject()
+                                : null,
+                        nowMillis + requestClass.deadline());
+        pending.currentTry = t;
+        pending.record.tries = tryNumber;
+        t.incarnation = context.incarnation(gateway);
+        context.triesById.put(t.id, t);
+        context.history.tries.add(t);
+        selector.addOpenTries(gateway, 1);
+        context.events.at(
+                Math.min(
+                        pending.deadlineMillis,
+                        nowMillis + script.callers().tryTimeoutShare() * requestClass.deadline()),
+                () -> endTry(pending, t, Try.Outcome.GIVEN_UP, 0, false));
+        if (!transport.send(pending.request, t, requestClass, listener(pending, t))) {
+            endTry(pending, t, Try.Outcome.UNSENT, 0, false);
         }
     }
 
-    private TryListener told(Open o, Try t) {
+    private TryListener listener(PendingRequest pending, Try t) {
         return new TryListener() {
             @Override
             public void sent() {
-                t.sentAt = world.now();
+                t.sentAt = context.now();
                 t.addStep(t.sentAt, "proxy " + number, "sent");
             }
 
             @Override
             public void answered(
-                    Try.Outcome end, String status, String served, double stayAway, boolean last) {
+                    Try.Outcome end,
+                    String status,
+                    String served,
+                    double stayAwayMillis,
+                    boolean noRetry) {
                 t.answers++;
                 if (t.answers == 1) {
-                    t.answeredAt = world.now();
+                    t.answeredAt = context.now();
                     t.answer = end;
                     t.served = served;
                     t.addStep(t.answeredAt, "proxy " + number, "answered " + status);
                 }
-                ended(o, t, t.answer, stayAway, last);
+                endTry(pending, t, t.answer, stayAwayMillis, noRetry);
             }
 
             @Override
@@ -194,8 +228,8 @@
                         "proxy " + number,
                         wasSent ? "connection lost" : "no connection");
                 boolean crossed = wasSent && t.brokenAt - t.sentAt <= HistoryChecker.CROSSING;
-                ended(
-                        o,
+                endTry(
+                        pending,
                         t,
                         !wasSent
                                 ? Try.Outcome.UNSENT
@@ -206,37 +240,42 @@
         };
     }
 
-    /** A try ends for its caller, who may have given it up before. */
-    private void ended(Open o, Try t, Try.Outcome end, double stayAway, boolean last) {
+    /** Ends a try. Does nothing where it has ended before, as after a timeout of the caller. */
+    private void endTry(
+            PendingRequest pending,
+            Try t,
+            Try.Outcome end,
+            double stayAwayMillis,
+            boolean noRetry) {
         if (t.end != null) {
             return;
         }
         t.end = end;
-        choosing.open(t.gateway, -1);
-        double nowMillis = world.now();
-        if (stayAway > 0 && repeating.heeds()) {
-            choosing.avoidUntil(t.gateway, nowMillis + stayAway);
+        selector.addOpenTries(t.gateway, -1);
+        double nowMillis = context.now();
+        if (stayAwayMillis > 0 && retryPolicy.heedsAdvice()) {
+            selector.avoidUntil(t.gateway, nowMillis + stayAwayMillis);
         }
-        boolean unproven = world.mutant == LabContext.Mutant.CALLER_REPEATS_UNPROVEN;
+        boolean retriesUnproven = context.mutant == LabContext.Mutant.CALLER_REPEATS_UNPROVEN;
         double next =
-                repeating.after(
+                retryPolicy.nextTryMillis(
                         end,
-                        t.free || unproven,
+                        t.free || retriesUnproven,
                         t.number,
                         nowMillis,
-                        o.until,
-                        choosing.left(nowMillis, o.gateways),
-                        last);
+                        pending.deadlineMillis,
+                        selector.hasAvailable(nowMillis, pending.triedGateways),
+                        noRetry);
         if (next == RetryPolicy.NEVER) {
-            finish(o, end);
+            finish(pending, end);
         } else {
-            world.agenda.at(next, () -> attempt(o, t.number + 1));
+            context.events.at(next, () -> startTry(pending, t.number + 1));
         }
     }
 
-    private void finish(Open o, Try.Outcome end) {
-        o.fate.end = end;
-        o.fate.endedAt = world.now();
+    private void finish(PendingRequest pending, Try.Outcome end) {
+        pending.record.end = end;
+        pending.record.endedAt = context.now();
         waiting--;
     }
 }
--- a/src/main/java/tinroad/lab/fake/Connection.java
+++ b/src/main/java/tinroad/lab/fake/Connection.java
@@ -19,52 +19,57 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One connection of a client proxy: requests out under numbers, answers in, in any order. */
+/**
+ * One FastCGI connection of a client proxy. Requests are multiplexed under numbers; responses come
+ * in any order.
+ */
 final class Connection {
-    private static final int CONNECT_MS = 1000;
-    private static final int LARGEST = 70_000;
-    private static final int LARGEST_NUMBER = 65_535;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final int MAX_RECORD_BYTES = 70_000;
+    private static final int MAX_REQUEST_NUMBER = 65_535;
 
-    /** Who waits for an answer. */
-    interface Waiter {
+    /** Is notified of what happens to one request. */
+    interface ResponseListener {
         /** The request was written whole. */
         void sent();
 
-        /** A whole answer. */
+        /** The complete response. */
         void answered(Wire.Response response);
 
         /**
-         * The connection is gone, with or without the request having been written; the other side
-         * closed it at this time.
+         * The connection is gone.
+         *
+         * @param wasSent whether the request had been written
+         * @param at when the other side closed the connection
          */
         void lost(boolean wasSent, double at);
     }
 
-    private final LabContext world;
+    private final LabContext context;
     private final Consumer<Connection> onEnd;
-    private final Map<Integer, Waiter> open = new HashMap<>();
-    private final Map<Integer, StringBuilder> partial = new HashMap<>();
-    private final List<Runnable> untilConnected = new ArrayList<>();
+    private final Map<Integer, ResponseListener> pending = new HashMap<>();
+    private final Map<Integer, StringBuilder> partialResponses = new HashMap<>();
+    private final List<Runnable> queuedWrites = new ArrayList<>();
     private Channel channel;
-    private InetSocketAddress local;
+    private InetSocketAddress localAddress;
     private boolean connected;
     private boolean ended;
-    private int numbers;
-    private double lastUsed;
+    private int lastNumber;
+    private double lastUsedMillis;
 
-    /** Begins to connect; {@code onEnd} hears once that it is gone. */
+    /** Starts to connect; {@code onEnd} is called once, when the connection has ended. */
     Connection(
-            LabContext world,
+            LabContext context,
             InetSocketAddress from,
             InetSocketAddress to,
             Consumer<Connection> onEnd) {
-        this.world = world;
+        this.context = context;
         this.onEnd = onEnd;
         new Bootstrap()
-                .group(world.loop)
+                .group(context.loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
@@ -72,48 +77,50 @@
                                 ch.pipeline()
                                         .addLast(
                                                 new LengthFieldBasedFrameDecoder(
-                                                        LARGEST, 4, 2, 2, 0),
-                                                new Records());
+                                                        MAX_RECORD_BYTES, 4, 2, 2, 0),
+                                                new RecordReader());
                             }
                         })
                 .connect(to, from)
                 .addListener(
-                        (ChannelFuture done) -> {
-                            channel = done.channel();
-                            connected = done.isSuccess();
-                            local = (InetSocketAddress) channel.localAddress();
+                        (ChannelFuture future) -> {
+                            channel = future.channel();
+                            connected = future.isSuccess();
+                            localAddress = (InetSocketAddress) channel.localAddress();
                             if (connected && !ended) {
-                                untilConnected.forEach(Runnable::run);
+                                queuedWrites.forEach(Runnable::run);
                             } else {
-                                end();
+                                finish();
                             }
                         });
     }
 
-    int open() {
-        return open.size();
+    int openRequests() {
+        return pending.size();
     }
 
-    boolean idleSince(double then) {
-        return open.isEmpty() && connected && lastUsed < then;
+    boolean isIdleSince(double sinceMillis) {
+        return pending.isEmpty() && connected && lastUsedMillis < sinceMillis;
     }
 
-    /** Sends a request, now or once connected. */
-    void send(Map<String, String> fields, byte[] body, Waiter waiter, double nowMillis) {
-        lastUsed = nowMillis;
-        numbers = numbers % LARGEST_NUMBER + 1;
-        int number = numbers;
-        open.put(number, waiter);
+    /** Sends a request, at once or when connected. */
+    void send(
+            Map<String, String> fields, byte[] body, ResponseListener listener, double nowMillis) {
+        lastUsedMillis = nowMillis;
+        lastNumber = lastNumber % MAX_REQUEST_NUMBER + 1;
+        int number = lastNumber;
+        pending.put(number, listener);
         if (connected) {
-            write(number, fields, body, waiter);
+            write(number, fields, body, listener);
         } else {
-            untilConnected.add(() -> write(number, fields, body, waiter));
+            queuedWrites.add(() -> write(number, fields, body, listener));
         }
     }
 
-    private void write(int number, Map<String, String> fields, byte[] body, Waiter waiter) {
+    private void write(
+            int number, Map<String, String> fields, byte[] body, ResponseListener listener) {
         channel.writeAndFlush(Wire.request(channel.alloc(), number, fields, body));
-        waiter.sent();
+        listener.sent();
     }
 
     void close() {
@@ -122,42 +129,43 @@
         }
     }
 
-    private void end() {
+    private void finish() {
         if (!ended) {
             ended = true;
-            List<Waiter> waiters = List.copyOf(open.values());
-            open.clear();
+            List<ResponseListener> listeners = List.copyOf(pending.values());
+            pending.clear();
             onEnd.accept(this);
-            double at = world.closedAt(local);
-            waiters.forEach(w -> w.lost(connected, at));
+            double at = context.closedAt(localAddress);
+            listeners.forEach(listener -> listener.lost(connected, at));
         }
     }
 
-    /** Reads answers. */
-    private final class Records extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Reads the records of responses. */
+    private final class RecordReader extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf record) {
             int type = record.getUnsignedByte(1);
             int number = record.getUnsignedShort(2);
             int length = record.getUnsignedShort(4);
             if (record.readableBytes() != Wire.HEADER + length) {
-                // Padding is not what this gateway writes: the framing is lost.
+                // The gateway writes no padding, so the framing is wrong here.
                 ctx.close();
             } else if (type == Wire.STDOUT) {
-                partial.computeIfAbsent(number, n -> new StringBuilder())
+                partialResponses
+                        .computeIfAbsent(number, n -> new StringBuilder())
                         .append(record.toString(Wire.HEADER, length, StandardCharsets.ISO_8859_1));
             } else if (type == Wire.END_REQUEST) {
-                StringBuilder text = partial.remove(number);
-                Waiter waiter = open.remove(number);
-                if (waiter != null) {
-                    waiter.answered(Wire.Response.read(text == null ? "" : text.toString()));
+                StringBuilder text = partialResponses.remove(number);
+                ResponseListener listener = pending.remove(number);
+                if (listener != null) {
+                    listener.answered(Wire.Response.read(text == null ? "" : text.toString()));
                 }
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end();
+            finish();
         }
 
         @Override
--- a/src/main/java/tinroad/lab/fake/CoreModel.java
+++ b/src/main/java/tinroad/lab/fake/CoreModel.java
@@ -8,84 +8,94 @@
 import tinroad.lab.script.Script;
 
 /**
- * The cores of one engine: all that runs shares them evenly, and nothing gets more than one core.
- * Too much at once costs work, and a cold start is slow. Each core reads one request at a time
- * beside the runs; the rest wait unread. Times in ms, work in ms of a core at speed 1. Between two
- * calls the speed is held.
+ * Model of the cores of one engine. All jobs share the cores evenly, and none gets more than one
+ * core. Too many jobs at once slow all of them down, and a cold engine is slow at first. Each core
+ * reads one request at a time beside the runs; further requests wait unread. Times are in ms, work
+ * in ms of a core at speed 1. Between two calls the speed stays constant.
  */
 public final class CoreModel {
-    /** Time constant of the busy share, in ms. */
-    private static final double USE_OVER = 500;
+    /** Time constant with which the busy share is averaged. */
+    private static final double USE_TIME_CONSTANT_MILLIS = 500;
 
-    private static final String READ = "read ";
+    private static final String READ_PREFIX = "read ";
 
+    /**
+     * A job in progress, which ends once each job has attained {@code endsAt}; for a job that waits
+     * unread {@code endsAt} is its work.
+     */
     private record Job(String id, double endsAt) {}
 
-    private final Script.EngineModel law;
+    private final Script.EngineModel model;
     private final int cores;
     private final double speed;
     private final PriorityQueue<Job> jobs =
             new PriorityQueue<>(Comparator.comparingDouble(Job::endsAt).thenComparing(Job::id));
     private final ArrayDeque<Job> unread = new ArrayDeque<>();
-    private int reading;
-    private double now;
-    private double startedAt;
-    private double factor = 1;
+    private int readsInProgress;
+    private double timeMillis;
+    private double startedAtMillis;
+    private double speedFactor = 1;
     private boolean paused;
 
-    /** Work that each job present since the beginning has got. */
+    /** Work that a job would have received that was present since these cores started. */
     private double attained;
 
-    private double use;
-    private double done;
-    private long reads;
+    private double busyShare;
+    private double workDone;
+    private long readCount;
 
-    /** Cores that start at {@code now}: cold, or warm for good. */
+    /** Creates cores that start at {@code nowMillis}, either cold or fully warmed up. */
     public CoreModel(
-            Script.EngineModel law, int cores, double speed, double nowMillis, boolean cold) {
-        this.law = law;
+            Script.EngineModel model, int cores, double speed, double nowMillis, boolean cold) {
+        this.model = model;
         this.cores = cores;
         this.speed = speed;
-        this.now = nowMillis;
-        startedAt = cold ? nowMillis : Double.NEGATIVE_INFINITY;
+        this.timeMillis = nowMillis;
+        startedAtMillis = cold ? nowMillis : Double.NEGATIVE_INFINITY;
     }
 
-    /** How much of its speed a core has at this moment. */
-    public double warmth() {
-        return Math.min(1, law.cold() + (1 - law.cold()) * (now - startedAt) / law.warmup());
+    /** Share of its full speed that warm-up allows a core now. */
+    public double warmUpFactor() {
+        return Math.min(
+                1,
+                model.cold()
+                        + (1 - model.cold()) * (timeMillis - startedAtMillis) / model.warmup());
     }
 
-    /** Work that each job gets in a ms. */
+    /** Work that each job receives per ms. */
     private double rate() {
-        int n = jobs.size();
-        if (n == 0 || paused) {
+        int jobCount = jobs.size();
+        if (jobCount == 0 || paused) {
             return 0;
         }
-        double each = (double) n / cores;
-        double slowed = 1 / (1 + law.crowding() * Math.max(0, each - law.knee()));
-        return speed * factor * warmth() * slowed * Math.min(1, 1 / each);
+        double jobsPerCore = (double) jobCount / cores;
+        double crowdingFactor =
+                1 / (1 + model.crowding() * Math.max(0, jobsPerCore - model.knee()));
+        return speed * speedFactor * warmUpFactor() * crowdingFactor * Math.min(1, 1 / jobsPerCore);
     }
 
-    /** Brings the cores to {@code to}; returns what ended meanwhile, in that order. */
-    public List<String> advance(double to) {
+    /** Advances the cores to {@code untilMillis}; returns the runs that ended, in order. */
+    public List<String> advance(double untilMillis) {
         List<String> ended = new ArrayList<>();
-        while (now < to) {
+        while (timeMillis < untilMillis) {
             double rate = rate();
             double next =
                     rate == 0
-                            ? to
-                            : Math.min(to, now + Math.max(0, jobs.peek().endsAt - attained) / rate);
-            double part = Math.exp(-(next - now) / USE_OVER);
-            use = use * part + (1 - part) * Math.min(1, (double) jobs.size() / cores);
-            attained += rate * (next - now);
-            done += rate * (next - now) * jobs.size();
-            now = next;
-            // A hair's breadth: else rounding may leave the first job with a rest that takes no
-            // time.
+                            ? untilMillis
+                            : Math.min(
+                                    untilMillis,
+                                    timeMillis + Math.max(0, jobs.peek().endsAt - attained) / rate);
+            double decay = Math.exp(-(next - timeMillis) / USE_TIME_CONSTANT_MILLIS);
+            busyShare = busyShare * decay + (1 - decay) * Math.min(1, (double) jobs.size() / cores);
+            attained += rate * (next - timeMillis);
+            workDone += rate * (next - timeMillis) * jobs.size();
+            timeMillis = next;
+            // The tolerance covers rounding, which may leave the first job with a remainder too
+            // small to advance the time.
             while (rate > 0 && !jobs.isEmpty() && jobs.peek().endsAt <= attained + 1e-9) {
                 Job job = jobs.poll();
-                if (job.id.startsWith(READ)) {
-                    reading--;
+                if (job.id.startsWith(READ_PREFIX)) {
+                    readsInProgress--;
                     readNext();
                 } else {
                     ended.add(job.id);
@@ -95,62 +105,62 @@
         return ended;
     }
 
-    /** Begins work; the caller has advanced to now. */
+    /** Starts a run; the caller has advanced the cores to the present time. */
     public void start(String id, double work) {
         jobs.add(new Job(id, attained + work));
     }
 
     /**
-     * A request, a check or a new connection comes, which costs this work to take in; the caller
-     * has advanced to now.
+     * Adds the work of reading a request, a check or a new connection; the caller has advanced the
+     * cores to the present time.
      */
     public void read(double work) {
-        unread.add(new Job(READ + ++reads, work));
+        unread.add(new Job(READ_PREFIX + ++readCount, work));
         readNext();
     }
 
     private void readNext() {
-        while (reading < cores && !unread.isEmpty()) {
+        while (readsInProgress < cores && !unread.isEmpty()) {
             Job next = unread.poll();
-            reading++;
+            readsInProgress++;
             start(next.id, next.endsAt);
         }
     }
 
-    /** How much waits to be read. */
+    /** Number of items that wait to be read. */
     public int unread() {
         return unread.size();
     }
 
-    /** All that is under way is lost. */
+    /** Discards all jobs, unread ones included. */
     public void clear() {
         jobs.clear();
         unread.clear();
-        reading = 0;
+        readsInProgress = 0;
     }
 
-    /** Stops all work, or goes on with it. */
+    /** Pauses all work, or resumes it. */
     public void pause(boolean on) {
         paused = on;
     }
 
-    /** Sets the share of the speed that is left. */
+    /** Sets the share of the speed at which the cores run. */
     public void slow(double share) {
-        factor = share;
+        speedFactor = share;
     }
 
-    /** How much is under way. */
+    /** Number of jobs in progress, reads included. */
     public int present() {
         return jobs.size();
     }
 
-    /** Busy share of the cores, over the last half second or so. */
+    /** Busy share of the cores, averaged over about half a second. */
     public double use() {
-        return use;
+        return busyShare;
     }
 
     /** Work done so far, in ms of a core at speed 1. */
     public double done() {
-        return done;
+        return workDone;
     }
 }
--- a/src/main/java/tinroad/lab/fake/EventQueue.java
+++ b/src/main/java/tinroad/lab/fake/EventQueue.java
@@ -3,29 +3,29 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What is to be done when, in ms; of two things for one moment the first one noted comes first. */
+/** Tasks by due time, in ms. Tasks with the same due time run in the order of scheduling. */
 public final class EventQueue {
-    private record Item(double at, long number, Runnable task) {}
+    private record Event(double dueMillis, long number, Runnable task) {}
 
-    private final PriorityQueue<Item> items =
+    private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Item::at).thenComparingLong(Item::number));
-    private long numbers;
+                    Comparator.comparingDouble(Event::dueMillis).thenComparingLong(Event::number));
+    private long nextNumber;
 
-    /** Notes a task. */
-    public void at(double at, Runnable task) {
-        items.add(new Item(at, numbers++, task));
+    /** Schedules a task. */
+    public void at(double dueMillis, Runnable task) {
+        events.add(new Event(dueMillis, nextNumber++, task));
     }
 
-    /** Nothing is noted any more. */
+    /** Drops all tasks. */
     public void clear() {
-        items.clear();
+        events.clear();
     }
 
-    /** Does what is due, also what it brings about. */
+    /** Runs all tasks that are due, also those that they schedule. */
     public void run(double nowMillis) {
-        while (!items.isEmpty() && items.peek().at <= nowMillis) {
-            items.poll().task.run();
+        while (!events.isEmpty() && events.peek().dueMillis <= nowMillis) {
+            events.poll().task.run();
         }
     }
 }
--- a/src/main/java/tinroad/lab/fake/FakeClientProxy.java
+++ b/src/main/java/tinroad/lab/fake/FakeClientProxy.java
@@ -14,15 +14,16 @@
 import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
-/** One client proxy: its connections, its tries, its health checks. */
+/** A client proxy over sockets: its connections, tries and health checks. */
 public final class FakeClientProxy {
-    private static final double CHECK_PATIENCE = 1000;
-    private static final double SWEEP_MS = 500;
-    private static final int REFUSED = 503;
-    private static final int TOO_MANY = 429;
+    private static final double CHECK_TIMEOUT_MILLIS = 1000;
+    private static final double IDLE_SWEEP_PERIOD_MILLIS = 500;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final int OK = 200;
+    private static final int MAX_REQUESTS_PER_CONNECTION = 32;
 
-    private final LabContext world;
+    private final LabContext context;
     private final Script script;
     private final int number;
     private final ClientProxyModel proxy;
@@ -30,39 +31,42 @@
     private final InetSocketAddress checksFrom;
     private final List<InetSocketAddress> gateways;
     private final List<List<Connection>> pools = new ArrayList<>();
-    private final Connection[] checks;
+    private final Connection[] checkConnections;
 
-    /** Proxy {@code number}, which connects from these addresses to those of the gateways. */
+    /** Creates proxy {@code number}, which connects from these addresses to the gateways. */
     public FakeClientProxy(
-            LabContext world,
+            LabContext context,
             int number,
             InetSocketAddress from,
             InetSocketAddress checksFrom,
             List<InetSocketAddress> gateways) {
-        this.world = world;
+        this.context = context;
         this.number = number;
         this.from = from;
         this.checksFrom = checksFrom;
         this.gateways = gateways;
-        script = world.plan.script();
-        proxy = new ClientProxyModel(world, number, this::send);
-        checks = new Connection[gateways.size()];
+        script = context.schedule.script();
+        proxy = new ClientProxyModel(context, number, this::send);
+        checkConnections = new Connection[gateways.size()];
         gateways.forEach(g -> pools.add(new ArrayList<>()));
     }
 
-    /** Begins to check, and to close what is idle. */
+    /** Starts the health checks and the closing of idle connections. */
     public void begin() {
-        UniformRandomProvider random = Draw.stream(world.plan.seed(), "checks " + number);
-        for (int g = 0; g < checks.length && script.callers().healthCheckPeriodMillis() > 0; g++) {
+        UniformRandomProvider random = Draw.stream(context.schedule.seed(), "checks " + number);
+        for (int g = 0;
+                g < checkConnections.length && script.callers().healthCheckPeriodMillis() > 0;
+                g++) {
             int gateway = g;
-            world.agenda.at(
-                    world.now() + random.nextDouble() * script.callers().healthCheckPeriodMillis(),
+            context.events.at(
+                    context.now()
+                            + random.nextDouble() * script.callers().healthCheckPeriodMillis(),
                     () -> check(gateway));
         }
         sweep();
     }
 
-    /** What decides of its requests. */
+    /** The model that decides about its requests. */
     public ClientProxyModel proxy() {
         return proxy;
     }
@@ -70,19 +74,22 @@
     // --- requests ---
 
     private boolean send(
-            PlannedRequest asked, Try t, RequestClass kind, ClientProxyModel.TryListener told) {
+            PlannedRequest request,
+            Try t,
+            RequestClass requestClass,
+            ClientProxyModel.TryListener listener) {
         Connection connection = connection(t.gateway);
         if (connection == null) {
             return false;
         }
         connection.send(
-                fields(asked, t, kind),
-                Bodies.of(asked),
-                new Connection.Waiter() {
+                fields(request, t, requestClass),
+                Bodies.of(request),
+                new Connection.ResponseListener() {
                     @Override
                     public void sent() {
-                        told.sent();
-                        world.engine(t.gateway).read(asked);
+                        listener.sent();
+                        context.engine(t.gateway).readRequest(request);
                     }
 
                     @Override
@@ -90,40 +97,41 @@
                         Try.Outcome end =
                                 switch (response.status()) {
                                     case OK -> Try.Outcome.SERVED;
-                                    case REFUSED, TOO_MANY -> Try.Outcome.REFUSED;
+                                    case SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS ->
+                                            Try.Outcome.REFUSED;
                                     default -> Try.Outcome.FAILED;
                                 };
-                        told.answered(
+                        listener.answered(
                                 end,
                                 Integer.toString(response.status()),
                                 end == Try.Outcome.SERVED ? response.body() : null,
-                                response.stayAway(),
-                                response.last());
+                                response.stayAwayMillis(),
+                                response.noRetry());
                     }
 
                     @Override
                     public void lost(boolean wasSent, double at) {
-                        told.lost(wasSent, at);
+                        listener.lost(wasSent, at);
                     }
                 },
-                world.now());
+                context.now());
         return true;
     }
 
-    private Map<String, String> fields(PlannedRequest asked, Try t, RequestClass kind) {
+    private Map<String, String> fields(PlannedRequest request, Try t, RequestClass requestClass) {
         Map<String, String> fields = new LinkedHashMap<>();
         fields.put("REQUEST_METHOD", "POST");
-        fields.put("SCRIPT_NAME", "/v1/" + kind.name());
+        fields.put("SCRIPT_NAME", "/v1/" + requestClass.name());
         fields.put("HTTP_REQ_ID", t.id);
-        fields.put("HTTP_REQ_TIME", Long.toString(world.unix(world.now())));
+        fields.put("HTTP_REQ_TIME", Long.toString(context.unixMillis(context.now())));
         fields.put("HTTP_REQ_FROM", Integer.toString(number));
-        fields.put("HTTP_REQ_OWNER", "m" + asked.member());
-        fields.put("HTTP_REQ_KB", String.format(Locale.ROOT, "%.1f", asked.memoryKb()));
+        fields.put("HTTP_REQ_OWNER", "m" + request.member());
+        fields.put("HTTP_REQ_KB", String.format(Locale.ROOT, "%.1f", request.memoryKb()));
         fields.put(
                 "HTTP_REQ_RANK",
-                String.format(Locale.ROOT, "%.4f", Math.min(0.9999, asked.rank())));
-        if (kind.free()) {
-            fields.put("HTTP_REQ_KEY", String.format(Locale.ROOT, "%016x", asked.subject()));
+                String.format(Locale.ROOT, "%.4f", Math.min(0.9999, request.rank())));
+        if (requestClass.free()) {
+            fields.put("HTTP_REQ_KEY", String.format(Locale.ROOT, "%016x", request.subject()));
         }
         return fields;
     }
@@ -132,57 +140,64 @@
 
     private Connection connection(int gateway) {
         List<Connection> pool = pools.get(gateway);
-        Connection least = null;
+        Connection leastLoaded = null;
         for (Connection c : pool) {
-            least = least == null || c.open() < least.open() ? c : least;
+            leastLoaded =
+                    leastLoaded == null || c.openRequests() < leastLoaded.openRequests()
+                            ? c
+                            : leastLoaded;
         }
-        boolean full = least == null || least.open() >= script.callers().streams();
+        boolean full =
+                leastLoaded == null || leastLoaded.openRequests() >= script.callers().streams();
         if (full && pool.size() < script.callers().connections()) {
-            least = open(gateway, from, pool::remove);
-            pool.add(least);
+            leastLoaded = open(gateway, from, pool::remove);
+            pool.add(leastLoaded);
         }
-        return least == null || least.open() >= 32 ? null : least;
+        return leastLoaded == null || leastLoaded.openRequests() >= MAX_REQUESTS_PER_CONNECTION
+                ? null
+                : leastLoaded;
     }
 
     private Connection open(
             int gateway, InetSocketAddress source, java.util.function.Consumer<Connection> onEnd) {
-        world.connections(gateway, 1);
-        world.engine(gateway).takeIn(script.engine().handshake());
+        context.connections(gateway, 1);
+        context.engine(gateway).addOverhead(script.engine().handshake());
         return new Connection(
-                world,
+                context,
                 source,
                 gateways.get(gateway),
                 c -> {
-                    world.connections(gateway, -1);
+                    context.connections(gateway, -1);
                     onEnd.accept(c);
                 });
     }
 
     private void sweep() {
-        world.agenda.at(world.now() + SWEEP_MS, this::sweep);
-        double then = world.now() - script.callers().idleTimeoutMillis();
+        context.events.at(context.now() + IDLE_SWEEP_PERIOD_MILLIS, this::sweep);
+        double sinceMillis = context.now() - script.callers().idleTimeoutMillis();
         pools.forEach(
                 pool ->
                         List.copyOf(pool).stream()
-                                .filter(c -> c.idleSince(then))
+                                .filter(c -> c.isIdleSince(sinceMillis))
                                 .forEach(Connection::close));
     }
 
     // --- health checks ---
 
     private void check(int gateway) {
-        world.agenda.at(
-                world.now() + script.callers().healthCheckPeriodMillis(), () -> check(gateway));
-        if (checks[gateway] == null) {
-            checks[gateway] = open(gateway, checksFrom, c -> checks[gateway] = null);
+        context.events.at(
+                context.now() + script.callers().healthCheckPeriodMillis(), () -> check(gateway));
+        if (checkConnections[gateway] == null) {
+            checkConnections[gateway] =
+                    open(gateway, checksFrom, c -> checkConnections[gateway] = null);
         }
-        Connection connection = checks[gateway];
-        boolean[] over = new boolean[1];
-        world.agenda.at(
-                world.now() + CHECK_PATIENCE,
+        Connection connection = checkConnections[gateway];
+        boolean[] concluded = new boolean[1];
+        context.events.at(
+                context.now() + CHECK_TIMEOUT_MILLIS,
                 () -> {
-                    if (!over[0]) {
-                        over[0] = true;
+                    if (!concluded[0]) {
+                        concluded[0] = true;
                         proxy.checked(gateway, false);
                         connection.close();
                     }
@@ -190,11 +205,11 @@
         connection.send(
                 Map.of("REQUEST_METHOD", "GET", "SCRIPT_NAME", "/healthz"),
                 new byte[0],
-                new Connection.Waiter() {
+                new Connection.ResponseListener() {
                     @Override
                     public void sent() {
-                        world.ledger.count(RunHistory.Counter.CHECKS, gateway, world.now());
-                        world.engine(gateway).takeIn(script.engine().check());
+                        context.history.count(RunHistory.Counter.CHECKS, gateway, context.now());
+                        context.engine(gateway).addOverhead(script.engine().check());
                     }
 
                     @Override
@@ -208,12 +223,12 @@
                     }
 
                     private void conclude(boolean good) {
-                        if (!over[0]) {
-                            over[0] = true;
+                        if (!concluded[0]) {
+                            concluded[0] = true;
                             proxy.checked(gateway, good);
                         }
                     }
                 },
-                world.now());
+                context.now());
     }
 }
--- a/src/main/java/tinroad/lab/fake/FakeEngine.java
+++ b/src/main/java/tinroad/lab/fake/FakeEngine.java
@@ -28,58 +28,59 @@
 import tinroad.lab.verification.Try;
 
 /**
- * An engine: the protocol of its link over the model of its cores. What it ran, and what it made,
- * it notes in the ledger.
+ * A fake engine: speaks the protocol of the engine link and runs requests on a model of its cores.
+ * Records runs and results in the run's history.
  */
 public final class FakeEngine {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int STORED = 4000;
-    private static final int LONGEST_LINE = 64 * 1024;
+    private static final int MAX_STORED_NOTICES = 4000;
+    private static final int MAX_LINE_BYTES = 64 * 1024;
 
-    /** Share of its work that a run does before what lies behind the engine fails it. */
+    /** Share of its work that a run does before a failing dependency of the engine fails it. */
     public static final double SICK_PART = 0.2;
 
-    /** So long, in ms, an engine that is not cold has been up. */
+    /** How long an engine that is not cold has been up, in ms. */
     public static final double UP_BEFORE = 3_600_000;
 
-    private static final double MEMORY_KB = 60_000;
-    private static final double RUN_KB = 96;
+    private static final double ENGINE_MEMORY_KB = 60_000;
+    private static final double MEMORY_PER_RUN_KB = 96;
 
-    private record Running(Try t, double since, String result, boolean sick, int life) {}
+    private record Running(Try t, double startedAt, String result, boolean sick, int incarnation) {}
 
-    private final LabContext world;
+    private final LabContext context;
     private final int gateway;
     private final double speed;
-    private final ArrayDeque<String> stored = new ArrayDeque<>();
+    private final ArrayDeque<String> storedNotices = new ArrayDeque<>();
     private final Map<String, Running> running = new HashMap<>();
     private CoreModel cores;
     private double upSince;
     private boolean up;
-    private boolean fresh;
+    private boolean startedCold;
     private boolean paused;
     private boolean pausesAtNextRun;
     private boolean sick;
-    private long notices;
+    private long lastNotice;
     private ChannelHandlerContext link;
 
-    /** Attached while the engine is not up, with the number of its last notice. */
-    private ChannelHandlerContext waiting;
+    /** The link that attached while the engine was down, or null. */
+    private ChannelHandlerContext pendingLink;
 
-    private long waitingAfter;
+    /** Number of the last notice that the pending link has received. */
+    private long pendingLastNotice;
 
-    /** The engine of this gateway; it listens once {@link #listen} was called. */
-    public FakeEngine(LabContext world, int gateway, double speed) {
-        this.world = world;
+    /** Creates the engine of this gateway, up and warm; {@link #listen} opens its socket. */
+    public FakeEngine(LabContext context, int gateway, double speed) {
+        this.context = context;
         this.gateway = gateway;
         this.speed = speed;
-        world.engine(gateway, this);
+        context.engine(gateway, this);
         start(false);
     }
 
-    /** Listens; blocks until it does. */
+    /** Opens the listening socket; blocks until it is bound. */
     public void listen(InetSocketAddress at) throws InterruptedException {
         new ServerBootstrap()
-                .group(world.loop)
+                .group(context.loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -89,7 +90,7 @@
                             protected void initChannel(SocketChannel channel) {
                                 channel.pipeline()
                                         .addLast(
-                                                new LineBasedFrameDecoder(LONGEST_LINE),
+                                                new LineBasedFrameDecoder(MAX_LINE_BYTES),
                                                 new Commands());
                             }
                         })
@@ -97,62 +98,67 @@
                 .sync();
     }
 
-    /** The engine comes up, cold or as one that was up all the time. */
+    /** Starts the engine, cold or as if it had been up for long. */
     public void start(boolean cold) {
-        Script.Fleet fleet = world.plan.script().fleet();
+        Script.Fleet fleet = context.schedule.script().fleet();
         cores =
                 new CoreModel(
-                        world.plan.script().engine(), fleet.cores(), speed, world.now(), cold);
-        upSince = cold ? world.now() : world.now() - UP_BEFORE;
-        fresh = cold;
+                        context.schedule.script().engine(),
+                        fleet.cores(),
+                        speed,
+                        context.now(),
+                        cold);
+        upSince = cold ? context.now() : context.now() - UP_BEFORE;
+        startedCold = cold;
         up = true;
-        if (waiting != null) {
-            ChannelHandlerContext ctx = waiting;
-            waiting = null;
-            hello(ctx, waitingAfter);
+        if (pendingLink != null) {
+            ChannelHandlerContext ctx = pendingLink;
+            pendingLink = null;
+            sendHello(ctx, pendingLastNotice);
         }
     }
 
     /**
-     * What happened before the load is forgotten, but for the start of the engine; time has moved
-     * by {@code shift} ms.
+     * Discards what happened before the load, except the time of the engine's start; the origin of
+     * time has moved by {@code shift} ms.
      */
     public void rebased(double shift) {
-        double since = upSince - shift;
+        double originalStart = upSince - shift;
         start(false);
-        upSince = since;
+        upSince = originalStart;
     }
 
-    /** The engine's process dies: all runs are lost, and the link. */
+    /** The engine's process crashes: all runs and the link are lost. */
     public void crash() {
-        account();
+        recordWork();
         up = false;
         paused = false;
         pausesAtNextRun = false;
         running.clear();
         cores.clear();
-        // Numbers go on: each start of the gateway, not of the engine, begins them anew.
-        stored.clear();
+        // The numbers of notices continue: they restart with the gateway, not with the engine.
+        storedNotices.clear();
         if (link != null) {
             link.close();
             link = null;
         }
-        waiting = null;
+        pendingLink = null;
     }
 
-    private void account() {
-        world.ledger.engineWork += cores.done();
+    private void recordWork() {
+        context.history.engineWork += cores.done();
     }
 
-    /** A new process of the gateway begins: notices are numbered anew. */
+    /** A new process of the gateway starts: the numbers of notices start again. */
     public void restartNotices() {
-        notices = 0;
-        stored.clear();
+        lastNotice = 0;
+        storedNotices.clear();
     }
 
     /**
-     * Does and says nothing for a while, from the moment on at which a run is under way: at once,
-     * or when the next one begins. Guards scripts against a pause that no run happens to be in.
+     * Pauses the engine, or resumes it. The pause starts when a run is in progress: at once, or
+     * when the next one starts. Guards against scripts whose pause falls between two runs and has
+     * no effect.
      */
     public void pause(boolean on) {
         advance();
@@ -165,161 +171,165 @@
         cores.pause(on);
     }
 
-    /** What lies behind fails, or works again. */
+    /** Makes the dependencies of the engine fail, or work again. */
     public void sick(boolean on) {
         sick = on;
     }
 
-    /** Goes on with this share of its speed. */
+    /** Continues with this share of its speed. */
     public void slow(double factor) {
         advance();
         cores.slow(factor);
     }
 
-    /** Whether it is up. */
+    /** Whether the engine is up. */
     public boolean up() {
         return up;
     }
 
-    /** The run is over: what it did so far is counted. */
+    /** Counts the work done so far, at the end of the lab run. */
     public void end() {
         advance();
         if (up) {
-            account();
+            recordWork();
         }
     }
 
-    /** A check or a new connection, which costs the cores this work to take in. */
-    void takeIn(double work) {
+    /** Adds the work that a check or a new connection costs the cores. */
+    void addOverhead(double work) {
         if (up && work > 0) {
             advance();
             cores.read(work);
         }
     }
 
-    /** A request, which costs the cores a share of its class's work to read. */
-    void read(PlannedRequest asked) {
-        Script script = world.plan.script();
-        takeIn(script.engine().read() * script.classes().get(asked.kind()).work());
+    /** Adds the work of reading a request, a share of its class's work. */
+    void readRequest(PlannedRequest request) {
+        Script script = context.schedule.script();
+        addOverhead(script.engine().read() * script.classes().get(request.kind()).work());
     }
 
-    /** Brings the cores to now, and tells what ended. */
+    /** Advances the cores to the present time and reports the runs that ended. */
     public void advance() {
         if (!up) {
             return;
         }
-        for (String id : cores.advance(world.now())) {
+        for (String id : cores.advance(context.now())) {
             Running run = running.remove(id);
-            // What an earlier process ordered ends, too: nobody is told.
-            if (run != null && run.life == world.life(gateway)) {
-                done(
+            // Runs that an earlier process of the gateway ordered end without a notice.
+            if (run != null && run.incarnation == context.incarnation(gateway)) {
+                complete(
                         run.t,
                         run.sick ? "crashed" : "done",
-                        world.now() - run.since,
+                        context.now() - run.startedAt,
                         run.sick ? null : run.result);
             }
         }
     }
 
-    private void done(Try t, String state, double took, String result) {
-        t.addStep(world.now(), "engine " + gateway, state + " after " + Math.round(took) + " ms");
+    private void complete(Try t, String state, double elapsedMillis, String result) {
+        t.addStep(
+                context.now(),
+                "engine " + gateway,
+                state + " after " + Math.round(elapsedMillis) + " ms");
         ObjectNode line =
                 JSON.createObjectNode()
                         .put("type", "DONE")
-                        .put("n", ++notices)
+                        .put("n", ++lastNotice)
                         .put("job", t.id)
                         .put("state", state)
-                        .put("took", took);
+                        .put("took", elapsedMillis);
         if (result != null) {
             t.result = result;
             line.put("data", result.getBytes(StandardCharsets.ISO_8859_1));
         }
-        stored.add(line.toString());
-        if (stored.size() > STORED) {
-            stored.poll();
+        storedNotices.add(line.toString());
+        if (storedNotices.size() > MAX_STORED_NOTICES) {
+            storedNotices.poll();
         }
-        tell(link, line.toString());
+        send(link, line.toString());
     }
 
-    private static void tell(ChannelHandlerContext to, String line) {
+    private static void send(ChannelHandlerContext to, String line) {
         if (to != null) {
             to.writeAndFlush(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8));
         }
     }
 
-    private void hello(ChannelHandlerContext ctx, long after) {
+    private void sendHello(ChannelHandlerContext ctx, long lastReceived) {
         if (link != null && link != ctx) {
             link.close();
         }
         link = ctx;
-        tell(
+        send(
                 ctx,
                 JSON.createObjectNode()
                         .put("type", "HELLO")
-                        .put("state", fresh ? "fresh" : "seasoned")
-                        .put("took", world.now() - upSince)
+                        .put("state", startedCold ? "fresh" : "seasoned")
+                        .put("took", context.now() - upSince)
                         .toString());
-        long first = notices - stored.size() + 1;
-        int skip = (int) Math.max(0, Math.min(stored.size(), after - first + 1));
-        stored.stream().skip(skip).forEach(line -> tell(ctx, line));
+        long first = lastNotice - storedNotices.size() + 1;
+        int skip = (int) Math.max(0, Math.min(storedNotices.size(), lastReceived - first + 1));
+        storedNotices.stream().skip(skip).forEach(line -> send(ctx, line));
     }
 
-    private void run(ChannelHandlerContext ctx, JsonNode command) throws IOException {
+    private void onRun(ChannelHandlerContext ctx, JsonNode command) throws IOException {
         String id = command.path("job").asText();
-        Try t = world.byId.get(id);
+        Try t = context.triesById.get(id);
         byte[] body = command.path("data").binaryValue();
         if (t == null || t.gateway != gateway) {
-            no(ctx, id);
+            rejectRun(ctx, id);
             return;
         }
-        PlannedRequest asked = world.plan.requests().get(t.request);
-        if (!world.plan
+        PlannedRequest request = context.schedule.requests().get(t.request);
+        if (!context.schedule
                         .script()
                         .classes()
-                        .get(asked.kind())
+                        .get(request.kind())
                         .name()
                         .equals(command.path("kind").asText())
-                || !Arrays.equals(body, Bodies.of(asked))) {
-            world.ledger.strange.add(
-                    "engine " + gateway + " was told to run " + id + " with another class or body");
-            no(ctx, id);
+                || !Arrays.equals(body, Bodies.of(request))) {
+            context.history.strange.add(
+                    "engine " + gateway + " received run " + id + " with another class or body");
+            rejectRun(ctx, id);
             return;
         }
-        if (running.containsKey(id) && world.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
+        if (running.containsKey(id) && context.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
             return;
         }
-        if (t.runs > 0 && world.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
-            done(t, "stale", 0, null);
+        if (t.runs > 0 && context.mutant != LabContext.Mutant.ENGINE_RUNS_TWICE) {
+            complete(t, "stale", 0, null);
             return;
         }
-        begin(t, asked);
-        if (world.mutant == LabContext.Mutant.ENGINE_RUNS_TWICE && t.request % 97 == 5) {
-            begin(t, asked);
+        startRun(t, request);
+        if (context.mutant == LabContext.Mutant.ENGINE_RUNS_TWICE && t.request % 97 == 5) {
+            startRun(t, request);
         }
     }
 
-    private void begin(Try t, PlannedRequest asked) {
+    private void startRun(Try t, PlannedRequest request) {
         t.runs++;
-        t.ranAt = world.now();
-        t.addStep(world.now(), "engine " + gateway, "run " + t.runs + " begins");
-        world.ledger.count(RunHistory.Counter.RUNS, gateway, world.now());
+        t.ranAt = context.now();
+        t.addStep(context.now(), "engine " + gateway, "run " + t.runs + " begins");
+        context.history.count(RunHistory.Counter.RUNS, gateway, context.now());
         String result =
-                "result " + t.runs + " of " + t.id + " at " + gateway + " for " + asked.number();
-        running.put(t.id, new Running(t, world.now(), result, sick, world.life(gateway)));
-        cores.start(t.id, asked.work() * (sick ? SICK_PART : 1));
+                "result " + t.runs + " of " + t.id + " at " + gateway + " for " + request.number();
+        running.put(
+                t.id, new Running(t, context.now(), result, sick, context.incarnation(gateway)));
+        cores.start(t.id, request.work() * (sick ? SICK_PART : 1));
         if (pausesAtNextRun) {
             pausesAtNextRun = false;
             setPaused(true);
         }
     }
 
-    /** The gauge of memory with so many runs. */
+    /** Gauge of memory, from 0 to 1, with this number of runs. */
     public static double memoryShare(int runs) {
-        return Math.min(1, RUN_KB * runs / MEMORY_KB);
+        return Math.min(1, MEMORY_PER_RUN_KB * runs / ENGINE_MEMORY_KB);
     }
 
-    private static void no(ChannelHandlerContext ctx, String id) {
-        tell(
+    private static void rejectRun(ChannelHandlerContext ctx, String id) {
+        send(
                 ctx,
                 JSON.createObjectNode()
                         .put("type", "NO")
@@ -328,24 +338,24 @@
                         .toString());
     }
 
-    private void stats(ChannelHandlerContext ctx, String ref) {
+    private void sendStats(ChannelHandlerContext ctx, String ref) {
         ObjectNode line = JSON.createObjectNode().put("type", "STATS").put("ref", ref);
         line.putArray("gauges")
                 .add(cores.use())
                 .add((double) cores.present())
                 .add(memoryShare(running.size()))
-                .add((double) world.connections(gateway));
-        tell(ctx, line.toString());
+                .add((double) context.connections(gateway));
+        send(ctx, line.toString());
     }
 
-    /** One link. */
+    /** Reads the commands of one link. */
     private final class Commands extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) throws IOException {
             if (paused) {
-                // Read once it goes on: in the kernel's hands until then.
-                ByteBuf kept = line.retainedDuplicate();
-                world.agenda.at(world.now() + 1, () -> again(ctx, kept));
+                // Handled when the engine resumes, as if it had waited in the socket until then.
+                ByteBuf retained = line.retainedDuplicate();
+                context.events.at(context.now() + 1, () -> handleDeferred(ctx, retained));
                 return;
             }
             JsonNode command;
@@ -359,19 +369,19 @@
             switch (command.path("type").asText()) {
                 case "ATTACH" -> {
                     if (up) {
-                        hello(ctx, command.path("n").asLong());
+                        sendHello(ctx, command.path("n").asLong());
                     } else {
-                        waiting = ctx;
-                        waitingAfter = command.path("n").asLong();
+                        pendingLink = ctx;
+                        pendingLastNotice = command.path("n").asLong();
                     }
                 }
-                case "RUN" -> run(ctx, command);
-                case "STAT" -> stats(ctx, command.path("ref").asText());
+                case "RUN" -> onRun(ctx, command);
+                case "STAT" -> sendStats(ctx, command.path("ref").asText());
                 default -> ctx.close();
             }
         }
 
-        private void again(ChannelHandlerContext ctx, ByteBuf line) {
+        private void handleDeferred(ChannelHandlerContext ctx, ByteBuf line) {
             try {
                 channelRead0(ctx, line);
             } catch (IOException e) {
@@ -384,7 +394,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             link = link == ctx ? null : link;
-            waiting = waiting == ctx ? null : waiting;
+            pendingLink = pendingLink == ctx ? null : pendingLink;
         }
 
         @Override
--- a/src/main/java/tinroad/lab/fake/FakeRegistry.java
+++ b/src/main/java/tinroad/lab/fake/FakeRegistry.java
@@ -12,71 +12,76 @@
 import tinroad.lab.schedule.Draw;
 import tinroad.lab.script.Script;
 
-/** The roster: hears reports over UDP, and has its news reach each proxy late. */
+/**
+ * A fake service registry. Receives reports over UDP and passes changes on to each client proxy
+ * with a random delay.
+ */
 public final class FakeRegistry {
-    private static final double LOOK_MS = 50;
-    private static final String WORD = "HERE";
+    private static final double POLL_PERIOD_MILLIS = 50;
+    private static final String REPORT_PREFIX = "HERE";
 
-    private final LabContext world;
+    private final LabContext context;
     private final List<ClientProxyModel> proxies;
-    private final RegistryEntries list;
+    private final RegistryEntries entries;
     private final UniformRandomProvider random;
-    private final boolean[] told;
-    private final long[][] newest;
-    private long news;
+    private final boolean[] announced;
+    private final long[][] lastDelivered;
+    private long lastUpdate;
 
-    /** A roster on which all gateways stand, each up to now. */
-    public FakeRegistry(LabContext world, List<ClientProxyModel> proxies) {
-        this.world = world;
+    /** Creates a registry on which all gateways are listed as taking work. */
+    public FakeRegistry(LabContext context, List<ClientProxyModel> proxies) {
+        this.context = context;
         this.proxies = proxies;
-        Script script = world.plan.script();
-        list =
+        Script script = context.schedule.script();
+        entries =
                 new RegistryEntries(
                         script.fleet().gateways(), script.roster().entryLifetimeMillis());
-        random = Draw.stream(world.plan.seed(), "roster");
-        told = new boolean[script.fleet().gateways()];
-        newest = new long[proxies.size()][script.fleet().gateways()];
+        random = Draw.stream(context.schedule.seed(), "roster");
+        announced = new boolean[script.fleet().gateways()];
+        lastDelivered = new long[proxies.size()][script.fleet().gateways()];
         allUp();
     }
 
     /**
-     * The day begins: all gateways are up, every proxy knows it, and older news that are on their
-     * way count no more.
+     * Lists all gateways as taking work and notifies every proxy at once, as the load starts.
+     * Updates that are still on their way don't count any more: the lab clears the event queue
+     * before.
      */
     public void allUp() {
-        for (int g = 0; g < told.length; g++) {
+        for (int g = 0; g < announced.length; g++) {
             int gateway = g;
-            told[g] = true;
-            list.engineUp(g, world.now());
+            announced[g] = true;
+            entries.engineUp(g, context.now());
             proxies.forEach(p -> p.listed(gateway, true));
         }
     }
 
-    /** Hears reports; blocks until it does. */
+    /** Opens the socket for reports; blocks until it is bound. */
     public void listen(InetSocketAddress at) throws InterruptedException {
         new Bootstrap()
-                .group(world.loop)
+                .group(context.loop)
                 .channel(NioDatagramChannel.class)
                 .handler(
                         new SimpleChannelInboundHandler<DatagramPacket>() {
                             @Override
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, DatagramPacket packet) {
-                                String[] words =
+                                String[] fields =
                                         packet.content()
                                                 .toString(StandardCharsets.US_ASCII)
                                                 .split(" ");
                                 int gateway =
-                                        words.length == 3
-                                                        && words[0].equals(WORD)
-                                                        && words[1].matches("g\\d{1,2}")
-                                                ? Integer.parseInt(words[1].substring(1))
-                                                : told.length;
-                                if (gateway < told.length) {
-                                    heard(gateway, words[2].equals("on"));
+                                        fields.length == 3
+                                                        && fields[0].equals(REPORT_PREFIX)
+                                                        && fields[1].matches("g\\d{1,2}")
+                                                ? Integer.parseInt(fields[1].substring(1))
+                                                : announced.length;
+                                if (gateway < announced.length) {
+                                    heard(gateway, fields[2].equals("on"));
                                 } else {
-                                    world.ledger.strange.add(
-                                            "the roster was told: " + String.join(" ", words));
+                                    context.history.strange.add(
+                                            "the registry received an unknown report: "
+                                                    + String.join(" ", fields));
                                 }
                             }
 
@@ -88,52 +93,52 @@
                 .sync();
     }
 
-    /** A report came. */
+    /** A report of a gateway arrived. */
     public void heard(int gateway, boolean takesWork) {
-        list.heard(gateway, takesWork, world.now());
+        entries.heard(gateway, takesWork, context.now());
         if (takesWork) {
-            world.ledger.listed(gateway, world.now());
+            context.history.listed(gateway, context.now());
         }
     }
 
-    /** Looks for changes from now on. */
+    /** Passes changes of the entries on to the proxies, now and periodically from then on. */
     public void begin() {
-        list.expire(world.now());
-        Script.Roster late = world.plan.script().roster();
-        for (int g = 0; g < told.length; g++) {
-            if (list.takes(g) != told[g]) {
-                told[g] = list.takes(g);
+        entries.expire(context.now());
+        Script.Roster roster = context.schedule.script().roster();
+        for (int g = 0; g < announced.length; g++) {
+            if (entries.takesWork(g) != announced[g]) {
+                announced[g] = entries.takesWork(g);
                 int gateway = g;
-                boolean takes = told[g];
-                long number = ++news;
+                boolean takesWork = announced[g];
+                long number = ++lastUpdate;
                 for (int p = 0; p < proxies.size(); p++) {
                     int proxy = p;
-                    double after =
-                            late.minDelayMillis()
+                    double delayMillis =
+                            roster.minDelayMillis()
                                     + random.nextDouble()
-                                            * (late.maxDelayMillis() - late.minDelayMillis());
-                    world.agenda.at(
-                            world.now() + after,
+                                            * (roster.maxDelayMillis() - roster.minDelayMillis());
+                    context.events.at(
+                            context.now() + delayMillis,
                             () -> {
-                                // News that a later one overtook is no news.
-                                if (number > newest[proxy][gateway]) {
-                                    newest[proxy][gateway] = number;
-                                    proxies.get(proxy).listed(gateway, takes);
+                                // A newer update may have arrived first; this one is outdated then.
+                                if (number > lastDelivered[proxy][gateway]) {
+                                    lastDelivered[proxy][gateway] = number;
+                                    proxies.get(proxy).listed(gateway, takesWork);
                                 }
                             });
                 }
             }
         }
-        world.agenda.at(world.now() + LOOK_MS, this::begin);
+        context.events.at(context.now() + POLL_PERIOD_MILLIS, this::begin);
     }
 
-    /** An engine came up. */
+    /** The engine of a gateway came up. */
     public void engineUp(int gateway) {
-        list.engineUp(gateway, world.now());
+        entries.engineUp(gateway, context.now());
     }
 
-    /** The roster is down, or back. */
+    /** Takes the registry down, or brings it back. */
     public void down(boolean down) {
-        list.down(down, world.now());
+        entries.down(down, context.now());
     }
 }
--- a/src/main/java/tinroad/lab/fake/GatewaySelector.java
+++ b/src/main/java/tinroad/lab/fake/GatewaySelector.java
@@ -7,70 +7,69 @@
 import tinroad.lab.script.Script.Selection;
 
 /**
- * How one client proxy chooses a gateway, from what the roster, its checks and the answers told it.
- * Times in ms.
+ * Chooses gateways for one client proxy, by the updates of the registry, by its health checks and
+ * by the advice in responses. Times are in ms.
  */
 public final class GatewaySelector {
-    private final Selection choice;
+    private final Selection selection;
     private final UniformRandomProvider random;
     private final boolean[] listed;
-    private final boolean[] checkedBad;
-    private final double[] awayUntil;
-    private final int[] open;
-    private int turn;
+    private final boolean[] checkFailed;
+    private final double[] avoidUntilMillis;
+    private final int[] openTries;
+    private int cursor;
 
-    /** A proxy that has so many gateways to choose from, all of them listed. */
-    public GatewaySelector(Selection choice, int gateways, UniformRandomProvider random) {
-        this.choice = choice;
+    /** Creates the selector of a proxy with this number of gateways, all of them listed. */
+    public GatewaySelector(Selection selection, int gateways, UniformRandomProvider random) {
+        this.selection = selection;
         this.random = random;
         listed = new boolean[gateways];
         Arrays.fill(listed, true);
-        checkedBad = new boolean[gateways];
-        awayUntil = new double[gateways];
-        open = new int[gateways];
-        turn = random.nextInt(gateways);
+        checkFailed = new boolean[gateways];
+        avoidUntilMillis = new double[gateways];
+        openTries = new int[gateways];
+        cursor = random.nextInt(gateways);
     }
 
-    /** The roster's news of a gateway reached this proxy. */
+    /** An update of the registry about a gateway reached this proxy. */
     public void listed(int gateway, boolean takesWork) {
         listed[gateway] = takesWork;
     }
 
     /** A health check ended. */
     public void checked(int gateway, boolean good) {
-        checkedBad[gateway] = !good;
+        checkFailed[gateway] = !good;
     }
 
-    /** Advice to stay away from a gateway, which this proxy heeds. */
+    /** Avoids a gateway until this time, as its response advised. */
     public void avoidUntil(int gateway, double until) {
-        awayUntil[gateway] = Math.max(awayUntil[gateway], until);
+        avoidUntilMillis[gateway] = Math.max(avoidUntilMillis[gateway], until);
     }
 
-    /** A try was sent there, or ended. */
-    public void open(int gateway, int change) {
-        open[gateway] += change;
+    /** Changes the number of open tries at a gateway. */
+    public void addOpenTries(int gateway, int change) {
+        openTries[gateway] += change;
     }
 
     /**
-     * The gateway for the next try of a request about {@code subject}, or -1 where none of those
-     * not {@code asked} is left.
+     * Returns the gateway for the next try of a request about {@code subject}, or -1 where every
+     * available one is in {@code tried}.
      */
-    public int next(double nowMillis, BitSet asked, int subject) {
+    public int next(double nowMillis, BitSet tried, int subject) {
         int best = -1;
-        double least = Double.POSITIVE_INFINITY;
-        turn = choice == Selection.TURN ? (turn + 1) % open.length : turn;
-        for (int g = 0; g < open.length; g++) {
-            if (takes(g, nowMillis, asked)) {
+        double minWeight = Double.POSITIVE_INFINITY;
+        cursor = selection == Selection.TURN ? (cursor + 1) % openTries.length : cursor;
+        for (int g = 0; g < openTries.length; g++) {
+            if (isAvailable(g, nowMillis, tried)) {
                 double weight =
-                        switch (choice) {
-                            case TURN -> Math.floorMod(g - turn, open.length);
-                            case LEAST -> open[g] + random.nextDouble();
-                            // Rendezvous hashing: each subject has an order of its own over the
-                            // gateways.
-                            case SUBJECT -> mix(31L * subject + g);
+                        switch (selection) {
+                            case TURN -> Math.floorMod(g - cursor, openTries.length);
+                            case LEAST -> openTries[g] + random.nextDouble();
+                            // Rendezvous hashing: each subject has its own order of the gateways.
+                            case SUBJECT -> hashToUnitInterval(31L * subject + g);
                         };
-                if (weight < least) {
-                    least = weight;
+                if (weight < minWeight) {
+                    minWeight = weight;
                     best = g;
                 }
             }
@@ -78,31 +77,31 @@
         return best;
     }
 
-    private boolean takes(int g, double nowMillis, BitSet asked) {
-        return listed[g] && !checkedBad[g] && awayUntil[g] <= nowMillis && !asked.get(g);
+    private boolean isAvailable(int g, double nowMillis, BitSet tried) {
+        return listed[g] && !checkFailed[g] && avoidUntilMillis[g] <= nowMillis && !tried.get(g);
     }
 
-    /** Whether there is one for another try now. */
-    public boolean left(double nowMillis, BitSet asked) {
-        return IntStream.range(0, open.length).anyMatch(g -> takes(g, nowMillis, asked));
+    /** Whether a gateway not in {@code tried} is available now. */
+    public boolean hasAvailable(double nowMillis, BitSet tried) {
+        return IntStream.range(0, openTries.length).anyMatch(g -> isAvailable(g, nowMillis, tried));
     }
 
     /**
-     * When the first gateway that is listed takes requests again, by the advice heeded; infinite
-     * where none is listed.
+     * Earliest time at which advice allows a gateway that is listed and healthy; infinite where
+     * there is none.
      */
-    public double freeAt() {
-        double first = Double.POSITIVE_INFINITY;
-        for (int g = 0; g < open.length; g++) {
-            if (listed[g] && !checkedBad[g]) {
-                first = Math.min(first, awayUntil[g]);
+    public double nextAvailableMillis() {
+        double earliest = Double.POSITIVE_INFINITY;
+        for (int g = 0; g < openTries.length; g++) {
+            if (listed[g] && !checkFailed[g]) {
+                earliest = Math.min(earliest, avoidUntilMillis[g]);
             }
         }
-        return first;
+        return earliest;
     }
 
-    /** The finalizer of SplitMix64, as a number from 0 to 1. */
-    private static double mix(long x) {
+    /** Hashes with the finalizer of SplitMix64 to a number from 0 to 1. */
+    private static double hashToUnitInterval(long x) {
         long z = x * 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/tinroad/lab/fake/LabContext.java
+++ b/src/main/java/tinroad/lab/fake/LabContext.java
@@ -10,9 +10,9 @@
 import tinroad.lab.verification.RunHistory;
 import tinroad.lab.verification.Try;
 
-/** What the stand-ins of a run share: one event loop owns it and all of them. */
+/** What the fakes of a run share. One event loop owns it and all of them. */
 public final class LabContext {
-    /** A stand-in that does wrong, for tests of the checker. */
+    /** A deliberate fault of a fake, for tests of the checker. */
     public enum Mutant {
         NONE,
         ENGINE_RUNS_TWICE,
@@ -21,72 +21,72 @@
     }
 
     final EventLoop loop;
-    final Schedule plan;
-    final RunHistory ledger;
-    final EventQueue agenda;
+    final Schedule schedule;
+    final RunHistory history;
+    final EventQueue events;
     final Mutant mutant;
-    final Map<String, Try> byId = new HashMap<>();
+    final Map<String, Try> triesById = new HashMap<>();
     private final DoubleSupplier clock;
 
-    /** When a relay saw a gateway close the connection of this source; taken once. */
-    private final Map<InetSocketAddress, Double> closed = new ConcurrentHashMap<>();
+    /** When a relay saw a gateway close the connection of a source; removed when read. */
+    private final Map<InetSocketAddress, Double> closeTimes = new ConcurrentHashMap<>();
 
     private double unixAtZero;
     private final FakeEngine[] engines;
-    private final int[] life;
+    private final int[] incarnations;
     private final int[] connections;
 
-    /** A world whose time {@code clock} is in ms from the beginning of the load. */
+    /** Creates a context; {@code clock} returns ms since the start of the load. */
     public LabContext(
             EventLoop loop,
-            RunHistory ledger,
-            EventQueue agenda,
+            RunHistory history,
+            EventQueue events,
             Mutant mutant,
             DoubleSupplier clock) {
         this.loop = loop;
-        this.ledger = ledger;
-        this.plan = ledger.plan;
-        this.agenda = agenda;
+        this.history = history;
+        this.schedule = history.plan;
+        this.events = events;
         this.mutant = mutant;
         this.clock = clock;
-        int n = plan.script().fleet().gateways();
-        engines = new FakeEngine[n];
-        life = new int[n];
-        connections = new int[n];
+        int count = schedule.script().fleet().gateways();
+        engines = new FakeEngine[count];
+        incarnations = new int[count];
+        connections = new int[count];
     }
 
-    /** Time, in ms from the beginning of the load. */
+    /** Time in ms since the start of the load. */
     public double now() {
         return clock.getAsDouble();
     }
 
-    /** The load begins at this Unix time, in ms. */
-    public void begins(double unix) {
-        unixAtZero = unix;
+    /** Sets the Unix time, in ms, at which the load starts. */
+    public void begins(double unixMillis) {
+        unixAtZero = unixMillis;
     }
 
-    /** Unix time of the beginning of the load, in ms. */
+    /** Unix time, in ms, at which the load starts. */
     public double unixAtZero() {
         return unixAtZero;
     }
 
     /** The try with this id, or null. */
     public Try byId(String id) {
-        return byId.get(id);
+        return triesById.get(id);
     }
 
-    long unix(double at) {
+    long unixMillis(double at) {
         return Math.round(unixAtZero + at);
     }
 
-    /** A gateway closed the connection of this source just now; called by the relays' threads. */
+    /** Records that a gateway closed the connection of this source now; called by relay threads. */
     public void closed(InetSocketAddress from) {
-        closed.put(from, now());
+        closeTimes.put(from, now());
     }
 
-    /** When that was, or now where the connection ended otherwise. */
+    /** When a gateway closed the connection of this source; now where it ended otherwise. */
     double closedAt(InetSocketAddress from) {
-        Double at = from == null ? null : closed.remove(from);
+        Double at = from == null ? null : closeTimes.remove(from);
         return at == null ? now() : at;
     }
 
@@ -99,19 +99,19 @@
         return engines[gateway];
     }
 
-    /** Another process of this gateway begins. */
+    /** Sets the incarnation of a gateway when a new process of it starts. */
     public void lives(int gateway, int number) {
-        life[gateway] = number;
+        incarnations[gateway] = number;
     }
 
-    int life(int gateway) {
-        return life[gateway];
+    int incarnation(int gateway) {
+        return incarnations[gateway];
     }
 
     void connections(int gateway, int change) {
         connections[gateway] += change;
         if (change > 0) {
-            ledger.count(RunHistory.Counter.CONNECTIONS, gateway, now());
+            history.count(RunHistory.Counter.CONNECTIONS, gateway, now());
         }
     }
 
--- a/src/main/java/tinroad/lab/fake/RegistryEntries.java
+++ b/src/main/java/tinroad/lab/fake/RegistryEntries.java
@@ -1,65 +1,66 @@
 package tinroad.lab.fake;
 
 /**
- * What the roster knows: which gateways are listed, and which of them take work. A gateway is
- * listed when its engine comes up, and by a report; it lapses so long after the last of either.
- * While the roster is down nothing is heard and nothing lapses. Times in ms.
+ * Entries of the service registry: which gateways are listed, and which of them take work. A
+ * gateway is listed when its engine comes up and by each report; its entry expires a fixed time
+ * after the last of either. While the registry is down, it receives nothing and no entry expires.
+ * Times are in ms.
  */
 public final class RegistryEntries {
-    private final double lapse;
-    private final double[] heardAt;
+    private final double entryLifetimeMillis;
+    private final double[] lastReportMillis;
     private final boolean[] listed;
-    private final boolean[] on;
+    private final boolean[] acceptsWork;
     private boolean down;
-    private double downAt;
+    private double downSinceMillis;
 
-    /** A list of so many gateways, none of them on it. */
-    public RegistryEntries(int gateways, double lapse) {
-        this.lapse = lapse;
-        heardAt = new double[gateways];
+    /** Creates the entries of this number of gateways, none of them listed. */
+    public RegistryEntries(int gateways, double entryLifetimeMillis) {
+        this.entryLifetimeMillis = entryLifetimeMillis;
+        lastReportMillis = new double[gateways];
         listed = new boolean[gateways];
-        on = new boolean[gateways];
+        acceptsWork = new boolean[gateways];
     }
 
     /** The engine of a gateway comes up. */
     public void engineUp(int gateway, double nowMillis) {
         if (!down) {
-            heardAt[gateway] = nowMillis;
+            lastReportMillis[gateway] = nowMillis;
             listed[gateway] = true;
-            on[gateway] = true;
+            acceptsWork[gateway] = true;
         }
     }
 
-    /** A report of a gateway. */
+    /** A report of a gateway arrived. */
     public void heard(int gateway, boolean takesWork, double nowMillis) {
         if (!down) {
-            heardAt[gateway] = nowMillis;
+            lastReportMillis[gateway] = nowMillis;
             listed[gateway] = true;
-            on[gateway] = takesWork;
+            acceptsWork[gateway] = takesWork;
         }
     }
 
-    /** The roster goes down, or comes back; the time it was down does not count against anybody. */
+    /** Takes the registry down, or brings it back; time while it is down expires no entry. */
     public void down(boolean isDown, double nowMillis) {
         if (isDown && !down) {
-            downAt = nowMillis;
+            downSinceMillis = nowMillis;
         } else if (!isDown && down) {
-            for (int g = 0; g < heardAt.length; g++) {
-                heardAt[g] += nowMillis - downAt;
+            for (int g = 0; g < lastReportMillis.length; g++) {
+                lastReportMillis[g] += nowMillis - downSinceMillis;
             }
         }
         down = isDown;
     }
 
-    /** Takes what lapsed off the list. */
+    /** Removes expired entries from the list. */
     public void expire(double nowMillis) {
         for (int g = 0; !down && g < listed.length; g++) {
-            listed[g] &= nowMillis - heardAt[g] <= lapse;
+            listed[g] &= nowMillis - lastReportMillis[g] <= entryLifetimeMillis;
         }
     }
 
-    /** Whether callers are sent there. */
-    public boolean takes(int gateway) {
-        return listed[gateway] && on[gateway];
+    /** Whether a gateway is listed and takes work. */
+    public boolean takesWork(int gateway) {
+        return listed[gateway] && acceptsWork[gateway];
     }
 }
--- a/src/main/java/tinroad/lab/fake/RetryPolicy.java
+++ b/src/main/java/tinroad/lab/fake/RetryPolicy.java
@@ -5,74 +5,77 @@
 import tinroad.lab.verification.Try;
 
 /**
- * Whether and when a client proxy tries a request again. What may run only once is repeated only
- * where it is proven that the last try never ran. Times in ms.
+ * Decides whether and when a client proxy tries a request again. A request that may run only once
+ * is repeated only where it is proven that the last try did not run. Times are in ms.
  */
 public final class RetryPolicy {
-    /** No other try. */
+    /** No further try. */
     public static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /** The shortest wait for a gateway that is free, where every one is avoided. */
-    private static final double LEAST_WAIT = 10;
+    /** Minimum wait for an available gateway, where all are avoided. */
+    private static final double MIN_WAIT_MILLIS = 10;
 
     private final Callers callers;
-    private final boolean heeds;
+    private final boolean heedsAdvice;
     private final UniformRandomProvider random;
 
-    /** The habits of one proxy. */
-    public RetryPolicy(Callers callers, boolean heeds, UniformRandomProvider random) {
+    /** Creates the policy of one proxy. */
+    public RetryPolicy(Callers callers, boolean heedsAdvice, UniformRandomProvider random) {
         this.callers = callers;
-        this.heeds = heeds;
+        this.heedsAdvice = heedsAdvice;
         this.random = random;
     }
 
-    /** Whether this proxy heeds advice. */
-    public boolean heeds() {
-        return heeds;
+    /** Whether this proxy follows the advice in responses. */
+    public boolean heedsAdvice() {
+        return heedsAdvice;
     }
 
     /**
-     * When to try again after {@code end}, or {@link #NEVER}.
+     * Returns when to try again after a try with outcome {@code end}, or {@link #NEVER}.
      *
-     * @param tries so far
-     * @param until when nobody waits for the request any more
-     * @param othersLeft whether a gateway is left that was not asked yet
-     * @param last the refusal asked that no other gateway be tried
+     * @param free whether the request may run more than once
+     * @param tries number of tries so far
+     * @param deadlineMillis when the caller stops waiting for the request
+     * @param othersLeft whether an available gateway has not been tried yet
+     * @param noRetry whether the response asked that no other gateway be tried
      */
-    public double after(
+    public double nextTryMillis(
             Try.Outcome end,
             boolean free,
             int tries,
             double nowMillis,
-            double until,
+            double deadlineMillis,
             boolean othersLeft,
-            boolean last) {
-        boolean again =
+            boolean noRetry) {
+        boolean mayRetry =
                 end != Try.Outcome.SERVED
                         && (free || end.provenUnrun())
                         && (callers.maxTries() == 0 || tries < callers.maxTries())
-                        && !(last && heeds);
-        if (!again) {
+                        && !(noRetry && heedsAdvice);
+        if (!mayRetry) {
             return NEVER;
         }
-        boolean walks =
+        boolean triesOtherGateway =
                 callers.triesNextAfterRejection() && othersLeft && end != Try.Outcome.FAILED;
-        double at =
-                walks
+        double nextMillis =
+                triesOtherGateway
                         ? nowMillis
                         : nowMillis + callers.retryPauseMillis() * (0.5 + random.nextDouble());
-        return at < until ? at : NEVER;
+        return nextMillis < deadlineMillis ? nextMillis : NEVER;
     }
 
     /**
-     * When to look again for a gateway, as none can be chosen now; {@code freeAt} is when advice
-     * next allows one.
+     * Returns when to search again for a gateway, as none can be chosen now, or {@link #NEVER}.
+     *
+     * @param nextAvailableMillis earliest time at which advice allows a gateway
      */
-    public double wait(double nowMillis, double until, double freeAt) {
-        double at =
+    public double nextSearchMillis(
+            double nowMillis, double deadlineMillis, double nextAvailableMillis) {
+        double nextMillis =
                 Math.min(
-                        Math.max(freeAt, nowMillis + LEAST_WAIT),
+                        Math.max(nextAvailableMillis, nowMillis + MIN_WAIT_MILLIS),
                         nowMillis + callers.retryPauseMillis() * (0.5 + random.nextDouble()));
-        return at < until ? at : NEVER;
+        return nextMillis < deadlineMillis ? nextMillis : NEVER;
     }
 }
--- a/src/main/java/tinroad/lab/fake/Wire.java
+++ b/src/main/java/tinroad/lab/fake/Wire.java
@@ -5,21 +5,29 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** The client proxy's side of FastCGI 1.0: whole requests out, and what a response says. */
+/** The client proxy's side of FastCGI 1.0: writes whole requests and parses responses. */
 public final class Wire {
-    /** Types of records, and the length of a record's header. */
+    /** Type of the record that ends a response. */
     public static final int END_REQUEST = 3;
 
+    /** Type of a record with a part of a request body. */
     public static final int STDIN = 5;
+
+    /** Type of a record with a part of a response. */
     public static final int STDOUT = 6;
+
+    /** Length of the header of a record, in bytes. */
     public static final int HEADER = 8;
+
     private static final int BEGIN_REQUEST = 1;
     private static final int PARAMS = 4;
-    private static final int SHORT = 0x80;
+
+    /** Lengths from here on take four bytes, with this bit set in the first. */
+    private static final int LONG_LENGTH = 0x80;
 
     private Wire() {}
 
-    /** A whole request under this number of its connection. */
+    /** Writes a whole request with this number on its connection. */
     public static ByteBuf request(
             ByteBufAllocator alloc, int id, Map<String, String> fields, byte[] body) {
         ByteBuf out = alloc.buffer();
@@ -42,44 +50,48 @@
         return out;
     }
 
-    /** The header of a record. */
+    /** Writes the header of a record. */
     public static ByteBuf header(ByteBuf out, int type, int id, int length) {
         return out.writeByte(1).writeByte(type).writeShort(id).writeShort(length).writeShort(0);
     }
 
     private static void length(ByteBuf out, int length) {
-        if (length < SHORT) {
+        if (length < LONG_LENGTH) {
             out.writeByte(length);
         } else {
-            out.writeInt(length | SHORT << 24);
+            out.writeInt(length | LONG_LENGTH << 24);
         }
     }
 
     /**
-     * A CGI response: status, or 0 where there is none to be read, the two fields that matter, and
-     * the body.
+     * A CGI response.
+     *
+     * @param status the status, or 0 where the response can't be parsed
+     * @param stayAwayMillis how long the gateway asks not to be chosen, or 0
+     * @param noRetry whether the response asks that the request not be tried again
+     * @param body the body
      */
-    public record Response(int status, double stayAway, boolean last, String body) {
-        /** What this text says. */
+    public record Response(int status, double stayAwayMillis, boolean noRetry, String body) {
+        /** Parses the text of a response. */
         public static Response read(String text) {
             int end = text.indexOf("\r\n\r\n");
             if (end < 0 || !text.startsWith("Status: ")) {
                 return new Response(0, 0, false, "");
             }
             int status = 0;
-            double away = 0;
-            boolean last = false;
+            double stayAwayMillis = 0;
+            boolean noRetry = false;
             for (String line : text.substring(0, end).split("\r\n")) {
                 String value = line.substring(line.indexOf(':') + 1).strip();
                 if (line.startsWith("Status:")) {
                     status = Integer.parseInt(value.substring(0, 3));
                 } else if (line.startsWith("Srv-Wait-Ms:")) {
-                    away = Double.parseDouble(value);
+                    stayAwayMillis = Double.parseDouble(value);
                 } else if (line.startsWith("Srv-Last:")) {
-                    last = value.equals("1");
+                    noRetry = value.equals("1");
                 }
             }
-            return new Response(status, away, last, text.substring(end + 4));
+            return new Response(status, stayAwayMillis, noRetry, text.substring(end + 4));
         }
     }
 }
--- a/src/main/java/tinroad/lab/fake/package-info.java
+++ b/src/main/java/tinroad/lab/fake/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Stand-ins for what a gateway talks to: engine, client proxies, health checks, roster, and the
- * model of the cores. Used by {@code tinroad.lab} only. What decides ({@code CoreModel}, {@code
- * GatewaySelector}, {@code RetryPolicy}, {@code RegistryEntries}) knows no wire or clock; the rest
- * carries it over sockets.
+ * Fakes of what a gateway communicates with: engine, client proxies with their health checks, and
+ * service registry. Used by {@code tinroad.lab} only. The classes that decide ({@code CoreModel},
+ * {@code GatewaySelector}, {@code RetryPolicy}, {@code RegistryEntries}) are independent of
+ * protocol and clock; the others connect them to sockets.
  */
 package tinroad.lab.fake;
--- a/src/test/java/tinroad/lab/fake/CoresTest.java
+++ b/src/test/java/tinroad/lab/fake/CoresTest.java
@@ -8,7 +8,7 @@
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.ServiceTimeLaw;
 
-/** The model of the cores, against what can be worked out by hand. */
+/** The model of the cores, against results calculated by hand. */
 class CoresTest {
     private static CoreModel cores(int count, double crowding, boolean cold) {
         return new CoreModel(
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void eachHasACoreOfItsOwnUntilThereAreMoreThanCores() {
+    void eachJobHasItsOwnCoreUntilThereAreMoreJobsThanCores() {
         CoreModel cores = cores(2, 0, false);
         cores.start("a", 10);
         cores.start("b", 20);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatComesLaterSharesFromThenOn() {
+    void aLaterJobSharesTheCoreFromItsStart() {
         CoreModel cores = cores(1, 0, false);
         cores.start("a", 10);
         cores.advance(5);
@@ -48,32 +48,32 @@
     }
 
     @Test
-    void aCrowdCostsWork() {
+    void tooManyJobsSlowAllDown() {
         CoreModel cores = cores(1, 0.5, false);
         for (int i = 0; i < 4; i++) {
             cores.start("r" + i, 10);
         }
-        // Two beyond the knee: half the speed.
+        // Two jobs per core beyond the knee: half the speed.
         assertEquals(List.of(), cores.advance(79));
         assertEquals(4, cores.advance(80.001).size());
     }
 
     @Test
-    void aColdStartIsSlowAndGetsWarm() {
+    void aColdStartIsSlowAndWarmsUp() {
         CoreModel cores = cores(1, 0, true);
-        assertEquals(0.25, cores.warmth());
+        assertEquals(0.25, cores.warmUpFactor());
         cores.start("a", 1000);
-        // Speeds are held between looks of 1 ms: 625 ms of work in the first second, then full
-        // speed.
+        // The speed is constant within each step of 1 ms: 625 ms of work in the first second, then
+        // full speed.
         for (double t = 0; t < 1000; t++) {
             cores.advance(t);
         }
         assertEquals(624, cores.done(), 1);
-        assertEquals(1, cores.warmth(), 0.01);
+        assertEquals(1, cores.warmUpFactor(), 0.01);
     }
 
     @Test
-    void eachCoreReadsOneAtATimeAndTheRunsGoOn() {
+    void eachCoreReadsOneAtATimeBesideTheRuns() {
         CoreModel cores = cores(1, 0, false);
         cores.start("a", 10);
         for (int i = 0; i < 100; i++) {
@@ -81,7 +81,7 @@
         }
         assertEquals(2, cores.present());
         assertEquals(99, cores.unread());
-        // Half of the core is the run's, however many wait.
+        // The run gets half of the core, however many reads wait.
         assertEquals(List.of("a"), cores.advance(20));
         assertTrue(cores.advance(600).isEmpty());
         assertEquals(0, cores.unread());
