--- a/src/main/java/tinroad/lab/verification/HistoryChecker.java
+++ b/src/main/java/tinroad/lab/verification/HistoryChecker.java
@@ -10,49 +10,64 @@
 import java.util.TreeSet;
 
 /**
- * The rules, judged from a ledger once the day is over. A broken one names the request and tells
- * its way through every process that it came to.
+ * Checks the history of a run against the rules that every run has to keep, once the run is over. A
+ * violation names the request and traces it through every process that handled it.
  */
 public final class HistoryChecker {
     /**
-     * An answer may come so long after its due time, in ms: the slack of the settings and that of
-     * the sockets.
+     * Longest time in ms by which an answer may be late: the slack of the settings plus that of the
+     * sockets.
      */
     public static final double SLACK = 150;
 
-    /** What came later than this after the notice does not run, in ms. */
-    public static final double GRACE = 2500 + 50;
-
-    /** A request that crosses the close of its connection within this, in ms, goes again. */
-    public static final double CROSSING = 50;
+    /**
+     * A try that is sent later than this after the shutdown notice must not run: the {@code
+     * drain_grace} of the lab's settings, and 50 ms for its way.
+     */
+    public static final double MAX_SENT_AFTER_NOTICE_MILLIS = 2500 + 50;
 
     /**
-     * On a day this long, in ms, memory must be level: it grows by so many MB at most from its
-     * second to its last fifth.
+     * A connection that closes within this time, in ms, of the sending of a request may have been
+     * closed before the request arrived: the request is sent again.
      */
-    public static final double LONG_DAY = 60_000;
+    public static final double CROSSING = 50;
 
-    public static final double GROWN_MB = 12;
+    /** Runs of at least this length are checked for memory growth. */
+    public static final double MIN_GROWTH_CHECK_LENGTH_MILLIS = 60_000;
 
-    /** Events of a gateway this near a try, in ms, are told with it. */
-    private static final double NEAR = 500;
+    /** Largest growth of a gateway's memory from the second to the last fifth of a run. */
+    public static final double MAX_GROWTH_MB = 12;
 
-    /** What is broken. */
+    /**
+     * The trace of a try includes the gateway's events from this long before the sending to this
+     * long after the deadline.
+     */
+    private static final double TRACE_CONTEXT_MILLIS = 500;
+
+    /** The rules, each named after its violation. */
     public enum Rule {
+        /** A try got no answer in time, and no fault or closing connection excuses it. */
         LOST,
+        /** A try ran or was answered more than once, or a request that may run once ran again. */
         TWICE,
+        /** A try was served with a result that no run produced for it. */
         WRONG,
+        /** A try was rejected although it ran. */
         REFUSED_BUT_RAN,
+        /** A try ran although it was sent too long after the shutdown notice. */
         RAN_AFTER_NOTICE,
+        /** A gateway's process ended without a cause in the script. */
         CRASHED,
+        /** A gateway exceeded its memory or descriptors, or its memory grew over the run. */
         LIMIT,
+        /** Something unexpected was recorded, such as bytes that belong to no request. */
         STRANGE
     }
 
-    /** One broken rule; {@code trace} is one line for each thing that happened. */
+    /** One violation of a rule; {@code trace} has one line for each related event. */
     public record Violation(Rule rule, String description, List<String> trace) {}
 
-    /** What became of all requests, in one line. */
+    /** Counts of requests by outcome, and of the violations that concern requests. */
     public record OutcomeCounts(
             int asked, int served, int refused, int failed, long lost, long twice, long wrong) {
         @Override
@@ -74,116 +89,120 @@
         }
     }
 
-    private final RunHistory ledger;
-    private final List<Violation> broken = new ArrayList<>();
-    private int excused;
-    private final Map<String, Set<String>> results = new HashMap<>();
+    private final RunHistory history;
+    private final List<Violation> violations = new ArrayList<>();
+    private int excusedTries;
+    private final Map<String, Set<String>> resultsByKey = new HashMap<>();
 
     /**
-     * The verdict of a day.
+     * The result of the check of a run.
      *
-     * @param broken all that is broken
-     * @param excused tries that had no answer in time, and are no broken rule as the script took
-     *     them, or a close crossed them
+     * @param broken all violations
+     * @param excused number of tries that got no answer in time and still violate no rule, because
+     *     a fault of the script explains it or their connection closed as they were sent
      */
     public record Verdict(List<Violation> broken, int excused) {}
 
-    private HistoryChecker(RunHistory ledger) {
-        this.ledger = ledger;
+    private HistoryChecker(RunHistory history) {
+        this.history = history;
     }
 
-    /** Judges a day, once. */
-    public static Verdict check(RunHistory ledger) {
-        HistoryChecker rules = new HistoryChecker(ledger);
-        return new Verdict(rules.check(), rules.excused);
+    /** Checks the history of a finished run. */
+    public static Verdict check(RunHistory history) {
+        HistoryChecker checker = new HistoryChecker(history);
+        return new Verdict(checker.check(), checker.excusedTries);
     }
 
-    /** The count of the fates. */
-    public static OutcomeCounts fates(RunHistory ledger, List<Violation> broken) {
-        int[] ends = new int[3];
-        ledger.requests.forEach(
-                f ->
-                        ends[
-                                f.end == Try.Outcome.SERVED
+    /** Counts the requests of a run by outcome, and its violations by rule. */
+    public static OutcomeCounts fates(RunHistory history, List<Violation> violations) {
+        int[] counts = new int[3];
+        history.requests.forEach(
+                r ->
+                        counts[
+                                r.end == Try.Outcome.SERVED
                                         ? 0
-                                        : f.end == Try.Outcome.REFUSED ? 1 : 2]++);
+                                        : r.end == Try.Outcome.REFUSED ? 1 : 2]++);
         return new OutcomeCounts(
-                ledger.requests.size(),
-                ends[0],
-                ends[1],
-                ends[2],
-                count(broken, Rule.LOST),
-                count(broken, Rule.TWICE),
-                count(broken, Rule.WRONG));
+                history.requests.size(),
+                counts[0],
+                counts[1],
+                counts[2],
+                count(violations, Rule.LOST),
+                count(violations, Rule.TWICE),
+                count(violations, Rule.WRONG));
     }
 
-    private static long count(List<Violation> broken, Rule rule) {
-        return broken.stream().filter(b -> b.rule == rule).count();
+    private static long count(List<Violation> violations, Rule rule) {
+        return violations.stream().filter(b -> b.rule == rule).count();
     }
 
     private List<Violation> check() {
-        Map<Integer, List<Try>> once = new HashMap<>();
-        for (Try t : ledger.tries) {
+        Map<Integer, List<Try>> triesThatRan = new HashMap<>();
+        for (Try t : history.tries) {
             if (t.result != null && t.key != null) {
-                results.computeIfAbsent(t.gateway + " " + t.key, k -> new HashSet<>())
+                resultsByKey
+                        .computeIfAbsent(t.gateway + " " + t.key, k -> new HashSet<>())
                         .add(t.result);
             }
             if (!t.free && t.runs > 0) {
-                once.computeIfAbsent(t.request, k -> new ArrayList<>()).add(t);
+                triesThatRan.computeIfAbsent(t.request, k -> new ArrayList<>()).add(t);
             }
         }
-        ledger.tries.forEach(this::check);
-        once.forEach(
+        history.tries.forEach(this::check);
+        triesThatRan.forEach(
                 (request, ran) -> {
                     if (ran.size() > 1) {
-                        breaks(
+                        addViolation(
                                 Rule.TWICE,
                                 ran.get(1),
                                 "ran in " + ran.size() + " tries, and may run once only");
                     }
                 });
-        ledger.incarnations.forEach(this::check);
-        ledger.strange.forEach(s -> broken.add(new Violation(Rule.STRANGE, s, List.of())));
-        return broken;
+        history.incarnations.forEach(this::check);
+        history.strange.forEach(s -> violations.add(new Violation(Rule.STRANGE, s, List.of())));
+        return violations;
     }
 
     private void check(Try t) {
         if (t.runs > 1) {
-            breaks(Rule.TWICE, t, "its id ran " + t.runs + " times");
+            addViolation(Rule.TWICE, t, "its id ran " + t.runs + " times");
         }
         if (t.answers > 1) {
-            breaks(Rule.TWICE, t, "got " + t.answers + " answers");
+            addViolation(Rule.TWICE, t, "got " + t.answers + " answers");
         }
         if (t.answer == Try.Outcome.REFUSED && t.runs > 0) {
-            breaks(Rule.REFUSED_BUT_RAN, t, "was refused, and ran");
+            addViolation(Rule.REFUSED_BUT_RAN, t, "was refused, and ran");
         }
-        if (t.answer == Try.Outcome.SERVED && !owns(t)) {
-            breaks(Rule.WRONG, t, "was served with what no run made for it");
+        if (t.answer == Try.Outcome.SERVED && !servedValidResult(t)) {
+            addViolation(Rule.WRONG, t, "was served with what no run made for it");
         }
-        RunHistory.GatewayIncarnation life = life(t);
-        if (t.runs > 0 && life != null && t.sentAt > life.noticedAt + GRACE) {
-            breaks(
+        RunHistory.GatewayIncarnation incarnation = incarnationOf(t);
+        if (t.runs > 0
+                && incarnation != null
+                && t.sentAt > incarnation.noticedAt + MAX_SENT_AFTER_NOTICE_MILLIS) {
+            addViolation(
                     Rule.RAN_AFTER_NOTICE,
                     t,
                     "ran, though it was sent "
-                            + Math.round(t.sentAt - life.noticedAt)
+                            + Math.round(t.sentAt - incarnation.noticedAt)
                             + " ms after the notice");
         }
-        double last = Double.isNaN(t.answeredAt) ? t.brokenAt : t.answeredAt;
+        double endedAt = Double.isNaN(t.answeredAt) ? t.brokenAt : t.answeredAt;
         boolean crossed = Double.isNaN(t.answeredAt) && t.brokenAt - t.sentAt <= CROSSING;
-        boolean intime =
+        boolean inTime =
                 !Double.isNaN(t.answeredAt)
-                        && t.answeredAt <= t.deadlineAt + SLACK + stalled(t.sentAt, t.answeredAt);
-        if (Double.isNaN(t.sentAt) || intime) {
+                        && t.answeredAt
+                                <= t.deadlineAt + SLACK + stalledMillis(t.sentAt, t.answeredAt);
+        if (Double.isNaN(t.sentAt) || inTime) {
             return;
         }
-        if (crossed || excused(t, Double.isNaN(last) ? t.deadlineAt + SLACK : last)) {
-            excused++;
+        if (crossed || isExcused(t, Double.isNaN(endedAt) ? t.deadlineAt + SLACK : endedAt)) {
+            excusedTries++;
         } else {
-            breaks(
+            addViolation(
                     Rule.LOST,
                     t,
-                    Double.isNaN(last)
+                    Double.isNaN(endedAt)
                             ? "got no answer"
                             : Double.isNaN(t.answeredAt)
                                     ? "lost its connection, and the script did not cut it"
@@ -193,80 +212,85 @@
         }
     }
 
-    private boolean owns(Try t) {
+    private boolean servedValidResult(Try t) {
         return t.served != null
                 && (t.served.equals(t.result)
                         || (t.free
                                 && t.key != null
-                                && results.getOrDefault(t.gateway + " " + t.key, Set.of())
+                                && resultsByKey
+                                        .getOrDefault(t.gateway + " " + t.key, Set.of())
                                         .contains(t.served)));
     }
 
-    private RunHistory.GatewayIncarnation life(Try t) {
-        return ledger.incarnations.stream()
+    private RunHistory.GatewayIncarnation incarnationOf(Try t) {
+        return history.incarnations.stream()
                 .filter(l -> l.gateway == t.gateway && l.number == t.incarnation)
                 .findFirst()
                 .orElse(null);
     }
 
-    private boolean excused(Try t, double until) {
-        return ledger.excusedIntervals.stream()
+    private boolean isExcused(Try t, double until) {
+        return history.excusedIntervals.stream()
                 .anyMatch(e -> e.gateway() == t.gateway && e.from() <= until && e.to() >= t.sentAt);
     }
 
-    /** For how long the lab itself stood still meanwhile. */
-    private double stalled(double from, double to) {
-        return ledger.stalls.stream()
+    /** Total length of the lab's own stalls that overlap this interval. */
+    private double stalledMillis(double from, double to) {
+        return history.stalls.stream()
                 .filter(s -> s[1] > from && s[0] < to)
                 .mapToDouble(s -> s[1] - s[0])
                 .sum();
     }
 
-    private void check(RunHistory.GatewayIncarnation life) {
-        if (!Double.isNaN(life.endedAt) && !life.endedByScript) {
-            broken.add(
+    private void check(RunHistory.GatewayIncarnation incarnation) {
+        if (!Double.isNaN(incarnation.endedAt) && !incarnation.endedByScript) {
+            violations.add(
                     new Violation(
                             Rule.CRASHED,
                             "gateway "
-                                    + life.gateway
+                                    + incarnation.gateway
                                     + " ended by itself at "
-                                    + at(life.endedAt)
+                                    + formatTime(incarnation.endedAt)
                                     + ", exit "
-                                    + life.exit,
-                            near(life.gateway, life.endedAt - NEAR, life.endedAt + NEAR)));
+                                    + incarnation.exit,
+                            eventsNear(
+                                    incarnation.gateway,
+                                    incarnation.endedAt - TRACE_CONTEXT_MILLIS,
+                                    incarnation.endedAt + TRACE_CONTEXT_MILLIS)));
         }
-        if (life.mostMemoryMb > ledger.plan.script().fleet().memoryMb()
-                || life.mostDescriptors > ledger.plan.script().fleet().sockets()) {
-            broken.add(
+        if (incarnation.mostMemoryMb > history.plan.script().fleet().memoryMb()
+                || incarnation.maxDescriptors > history.plan.script().fleet().sockets()) {
+            violations.add(
                     new Violation(
                             Rule.LIMIT,
                             "gateway "
-                                    + life.gateway
+                                    + incarnation.gateway
                                     + " held "
-                                    + Math.round(life.mostMemoryMb)
+                                    + Math.round(incarnation.mostMemoryMb)
                                     + " MB and "
-                                    + life.mostDescriptors
+                                    + incarnation.maxDescriptors
                                     + " descriptors",
                             List.of()));
         }
-        if (ledger.plan.script().length() >= LONG_DAY && life.grownMb() > GROWN_MB) {
-            broken.add(
+        if (history.plan.script().length() >= MIN_GROWTH_CHECK_LENGTH_MILLIS
+                && incarnation.grownMb() > MAX_GROWTH_MB) {
+            violations.add(
                     new Violation(
                             Rule.LIMIT,
                             "gateway "
-                                    + life.gateway
+                                    + incarnation.gateway
                                     + " grew by "
-                                    + Math.round(life.grownMb())
+                                    + Math.round(incarnation.grownMb())
                                     + " MB over the day",
                             List.of()));
         }
     }
 
-    private void breaks(Rule rule, Try t, String what) {
-        List<String> way = new ArrayList<>();
-        for (Try other : ledger.tries) {
+    private void addViolation(Rule rule, Try t, String description) {
+        List<String> trace = new ArrayList<>();
+        for (Try other : history.tries) {
             if (other.request == t.request) {
-                way.add(
+                trace.add(
                         "try "
                                 + other.number
                                 + ", "
@@ -276,33 +300,44 @@
                                 + " at gateway "
                                 + other.gateway
                                 + ", due "
-                                + at(other.deadlineAt));
-                other.steps.forEach(s -> way.add("  " + line(s)));
-                way.addAll(near(other.gateway, other.sentAt - NEAR, other.deadlineAt + NEAR));
+                                + formatTime(other.deadlineAt));
+                other.steps.forEach(s -> trace.add("  " + formatStep(s)));
+                trace.addAll(
+                        eventsNear(
+                                other.gateway,
+                                other.sentAt - TRACE_CONTEXT_MILLIS,
+                                other.deadlineAt + TRACE_CONTEXT_MILLIS));
             }
         }
-        broken.add(
+        violations.add(
                 new Violation(
                         rule,
-                        "request " + t.request + ", try " + t.number + ", " + t.id + ": " + what,
-                        way));
+                        "request "
+                                + t.request
+                                + ", try "
+                                + t.number
+                                + ", "
+                                + t.id
+                                + ": "
+                                + description,
+                        trace));
     }
 
-    private List<String> near(int gateway, double from, double to) {
+    private List<String> eventsNear(int gateway, double from, double to) {
         Set<String> lines = new TreeSet<>();
-        for (Try.Step s : ledger.events) {
+        for (Try.Step s : history.events) {
             if (s.where().equals("gateway " + gateway) && s.at() >= from && s.at() <= to) {
-                lines.add("  " + line(s));
+                lines.add("  " + formatStep(s));
             }
         }
         return List.copyOf(lines);
     }
 
-    private static String line(Try.Step s) {
-        return at(s.at()) + " " + s.where() + ": " + s.what();
+    private static String formatStep(Try.Step s) {
+        return formatTime(s.at()) + " " + s.where() + ": " + s.what();
     }
 
-    private static String at(double ms) {
-        return String.format(Locale.ROOT, "%9.3f s", ms / 1000);
+    private static String formatTime(double millis) {
+        return String.format(Locale.ROOT, "%9.3f s", millis / 1000);
     }
 }
--- a/src/main/java/tinroad/lab/verification/RecoveryBound.java
+++ b/src/main/java/tinroad/lab/verification/RecoveryBound.java
@@ -8,96 +8,103 @@
 import tinroad.lab.script.Script.FaultAction;
 
 /**
- * What no program could better on a day: the service that the engines' own warm-up allows, where
- * everything asked for is read once, nothing is tried twice and each core has its even part of the
- * load. Of what ends engines and processes; other faults do not lower it. Times in ms.
+ * Upper bound of the service that any program can reach in a run: it is limited only by the warm-up
+ * of the engines, and assumes that every request is read once, nothing is retried and the load is
+ * spread evenly over the cores. Only faults that end engines or processes lower the bound. Times in
+ * ms.
  */
 public final class RecoveryBound {
-    /** An engine is up this long after its gateway's process was started. */
+    /** Time in ms from the start of a gateway's process until its engine is up. */
     public static final double ENGINE_AFTER = 1000;
 
-    private record Away(int gateway, double from, double engineAt, double listedAt) {}
+    private record Outage(int gateway, double from, double engineUpAt, double listedAt) {}
 
     private final Schedule plan;
-    private final List<Away> away = new ArrayList<>();
+    private final List<Outage> outages = new ArrayList<>();
 
     /**
-     * The bound of a plan.
+     * The bound for a schedule.
      *
-     * @param reachAfter how long after the start of its process a gateway is reached by callers: 0
-     *     for the engines' warm-up alone
+     * @param reachableAfterMillis time from the start of a gateway's process until callers can
+     *     reach it; 0 counts the engines' warm-up alone
      */
-    public RecoveryBound(Schedule plan, double reachAfter) {
+    public RecoveryBound(Schedule plan, double reachableAfterMillis) {
         this.plan = plan;
-        for (FaultEvent hit : plan.faultEvents()) {
-            FaultAction deed = hit.fault().action();
-            if (deed == FaultAction.ENGINE_CRASH) {
-                away.add(new Away(hit.gateway(), hit.at(), hit.until(), hit.until()));
-            } else if (deed.ends()) {
-                boolean engineToo = deed != FaultAction.KILL_GATEWAY;
-                // On a notice the gateway takes all of its time to leave, as it is told to answer
-                // all that it read.
-                double leave =
-                        deed == FaultAction.NOTICE
+        for (FaultEvent event : plan.faultEvents()) {
+            FaultAction action = event.fault().action();
+            if (action == FaultAction.ENGINE_CRASH) {
+                outages.add(new Outage(event.gateway(), event.at(), event.until(), event.until()));
+            } else if (action.ends()) {
+                boolean endsEngine = action != FaultAction.KILL_GATEWAY;
+                // After a shutdown notice the gateway uses all of its grace period, as it has to
+                // answer every request that it has read.
+                double shutdownMillis =
+                        action == FaultAction.NOTICE
                                 ? plan.script().fleet().shutdownGraceMillis()
                                 : 0;
-                double back = hit.until() + leave;
-                away.add(
-                        new Away(
-                                hit.gateway(),
-                                hit.at() + leave,
-                                engineToo ? back + ENGINE_AFTER : Double.NEGATIVE_INFINITY,
-                                back + reachAfter));
+                double restartAt = event.until() + shutdownMillis;
+                outages.add(
+                        new Outage(
+                                event.gateway(),
+                                event.at() + shutdownMillis,
+                                endsEngine ? restartAt + ENGINE_AFTER : Double.NEGATIVE_INFINITY,
+                                restartAt + reachableAfterMillis));
             }
         }
     }
 
-    /** Work a ms that the cores of a gateway can do for callers. */
-    private double power(int gateway, double at) {
+    /** Work per ms that the cores of a gateway can do for callers at this time. */
+    private double capacity(int gateway, double at) {
         Script script = plan.script();
-        double warmth = 1;
-        for (Away a : away) {
-            if (a.gateway == gateway && at >= a.from) {
-                double up = at - a.engineAt;
-                warmth =
-                        at < a.listedAt || up < 0
+        double speedShare = 1;
+        for (Outage outage : outages) {
+            if (outage.gateway == gateway && at >= outage.from) {
+                double upMillis = at - outage.engineUpAt;
+                speedShare =
+                        at < outage.listedAt || upMillis < 0
                                 ? 0
                                 : Math.min(
                                         1,
                                         script.engine().cold()
                                                 + (1 - script.engine().cold())
-                                                        * up
+                                                        * upMillis
                                                         / script.engine().warmup());
             }
         }
         List<Double> speeds = script.fleet().speeds();
-        return warmth * script.fleet().cores() * speeds.get(gateway % speeds.size());
+        return speedShare * script.fleet().cores() * speeds.get(gateway % speeds.size());
     }
 
-    /** The share of what is asked for at this time that can be served. */
+    /** Largest share of the requested work that can be served at this time. */
     public double service(double at) {
         Script script = plan.script();
-        double power = 0;
+        double capacity = 0;
         for (int g = 0; g < script.fleet().gateways(); g++) {
-            power += power(g, at);
+            capacity += capacity(g, at);
         }
-        double asked = script.load().at(at) * script.fleet().power();
-        double reading = asked * script.engine().read() / (1 + script.engine().read());
-        return asked == 0 ? 1 : Math.max(0, Math.min(1, (power - reading) / (asked - reading)));
+        double requestedWork = script.load().at(at) * script.fleet().power();
+        double readingWork = requestedWork * script.engine().read() / (1 + script.engine().read());
+        return requestedWork == 0
+                ? 1
+                : Math.max(
+                        0, Math.min(1, (capacity - readingWork) / (requestedWork - readingWork)));
     }
 
     /**
-     * Time from {@code faultEnd} to the first moment from which service can stay at {@link
-     * RunMetrics#FULL} of {@code before}; NaN where no process or engine ended.
+     * Shortest time from {@code faultEnd} until service can stay at {@link
+     * RunMetrics#FULL_SERVICE_SHARE} of {@code before}; NaN where no process or engine ended.
      */
     public double toFullService(double faultEnd, double before) {
-        if (away.isEmpty() || Double.isNaN(faultEnd)) {
+        if (outages.isEmpty() || Double.isNaN(faultEnd)) {
             return Double.NaN;
         }
-        double last = faultEnd;
+        double fullAt = faultEnd;
         for (double t = faultEnd; t < plan.script().length(); t += RunMetrics.WINDOW) {
-            last = service(t) < RunMetrics.FULL * before ? t + RunMetrics.WINDOW : last;
+            fullAt =
+                    service(t) < RunMetrics.FULL_SERVICE_SHARE * before
+                            ? t + RunMetrics.WINDOW
+                            : fullAt;
         }
-        return last - faultEnd;
+        return fullAt - faultEnd;
     }
 }
--- a/src/main/java/tinroad/lab/verification/RunHistory.java
+++ b/src/main/java/tinroad/lab/verification/RunHistory.java
@@ -6,11 +6,11 @@
 import tinroad.lab.schedule.Schedule;
 
 /**
- * Everything that was seen at the ends, as it came. Filled by one thread; times in ms from the
- * beginning of the load.
+ * Records everything that callers, engines and the lab observe during a run, in the order of
+ * arrival. Written by one thread; times in ms from the beginning of the load.
  */
 public final class RunHistory {
-    /** What became of a request, over all its tries. */
+    /** A request and its outcome over all its tries. */
     public static final class RequestRecord {
         public final PlannedRequest asked;
         public int tries;
@@ -23,34 +23,36 @@
     }
 
     /**
-     * A time in which the script keeps a gateway from answering: its connections may break, its
-     * answers be late.
+     * An interval in which a fault of the script keeps a gateway from answering: its connections
+     * may break and its answers may be late.
      */
     public record ExcusedInterval(int gateway, double from, double to) {}
 
-    /** One life of a gateway's process; {@code exit} is -1 while it lives. */
+    /** One process of a gateway, from start to end; {@code exit} is -1 while it runs. */
     public static final class GatewayIncarnation {
         public final int gateway;
         public final int number;
 
-        /**
-         * When its process was started, and when the roster first heard that it takes work; NaN
-         * where nobody looked, or never.
-         */
+        /** When its process was started; NaN where that was not recorded. */
         public double begunAt = Double.NaN;
 
+        /**
+         * When it first reported to the registry that it takes work; NaN if it never did, or where
+         * that was not recorded.
+         */
         public double listedAt = Double.NaN;
+
         public double noticedAt = Double.NaN;
         public double endedAt = Double.NaN;
         public int exit = -1;
 
-        /** The script ended it, or told it to end. */
+        /** Whether a fault of the script killed it or sent it the shutdown notice. */
         public boolean endedByScript;
 
         public double mostMemoryMb;
-        public int mostDescriptors;
-        private double[] sums = new double[2];
-        private int[] counts = new int[2];
+        public int maxDescriptors;
+        private double[] memorySumsMb = new double[2];
+        private int[] memorySampleCounts = new int[2];
 
         GatewayIncarnation(int gateway, int number) {
             this.gateway = gateway;
@@ -58,29 +60,32 @@
         }
 
         /**
-         * A look at the process, {@code part} of the day gone: its second and last fifths tell
-         * whether memory grows.
+         * Adds a sample of the process, taken after {@code elapsedShare} of the run. Memory growth
+         * is computed from the samples of the second and the last fifth.
          */
-        public void addSample(double memoryMb, int descriptors, double part) {
+        public void addSample(double memoryMb, int descriptors, double elapsedShare) {
             mostMemoryMb = Math.max(mostMemoryMb, memoryMb);
-            mostDescriptors = Math.max(mostDescriptors, descriptors);
-            int fifth = (int) (5 * part);
+            maxDescriptors = Math.max(maxDescriptors, descriptors);
+            int fifth = (int) (5 * elapsedShare);
             if (memoryMb > 0 && (fifth == 1 || fifth == 4)) {
-                sums[fifth / 4] += memoryMb;
-                counts[fifth / 4]++;
+                memorySumsMb[fifth / 4] += memoryMb;
+                memorySampleCounts[fifth / 4]++;
             }
         }
 
         /**
-         * Mean memory of the last fifth of the day less that of the second one, in MB; 0 where it
-         * lived through only one.
+         * Mean memory in the last fifth of the run minus that in the second fifth, in MB; 0 where
+         * either has no samples.
          */
         public double grownMb() {
-            return counts[0] == 0 || counts[1] == 0 ? 0 : sums[1] / counts[1] - sums[0] / counts[0];
+            return memorySampleCounts[0] == 0 || memorySampleCounts[1] == 0
+                    ? 0
+                    : memorySumsMb[1] / memorySampleCounts[1]
+                            - memorySumsMb[0] / memorySampleCounts[0];
         }
     }
 
-    /** Something counted by gateway and second. */
+    /** What is counted per gateway and second. */
     public enum Counter {
         CHECKS,
         CONNECTIONS,
@@ -93,42 +98,43 @@
     public final List<ExcusedInterval> excusedIntervals = new ArrayList<>();
     public final List<GatewayIncarnation> incarnations = new ArrayList<>();
 
-    /** Remarks on the gateways from their logs and ends, for the way of a request. */
+    /** Events of the gateways, from their logs and ends, for the traces of requests. */
     public final List<Try.Step> events = new ArrayList<>();
 
-    /** The lab's own late moments: from, to. */
+    /** Intervals in which the lab itself was late: start and end. */
     public final List<double[]> stalls = new ArrayList<>();
 
-    /** What did not fit any request: bytes that no try owns, broken lines, unknown ids. */
+    /** What belongs to no request: bytes of no known try, malformed lines, unknown ids. */
     public final List<String> strange = new ArrayList<>();
 
+    /** Work that the engines did, in ms of a core at speed 1. */
     public double engineWork;
 
-    /** When the last fault ended; NaN without any. */
+    /** When the last fault ended; NaN if there was none. */
     public double faultEnd = Double.NaN;
 
-    private final int[][][] counts;
+    private final int[][][] countsBySecond;
 
-    /** An empty ledger of this plan. */
+    /** An empty history for this schedule. */
     public RunHistory(Schedule plan) {
         this.plan = plan;
         requests = plan.requests().stream().map(RequestRecord::new).toList();
-        counts =
+        countsBySecond =
                 new int[Counter.values().length][plan.script().fleet().gateways()]
                         [(int) (plan.script().length() / 1000) + 61];
     }
 
-    /** Another life of a gateway. */
+    /** Adds the next incarnation of a gateway. */
     public GatewayIncarnation addIncarnation(int gateway) {
-        GatewayIncarnation life =
+        GatewayIncarnation incarnation =
                 new GatewayIncarnation(
                         gateway,
                         (int) incarnations.stream().filter(l -> l.gateway == gateway).count());
-        incarnations.add(life);
-        return life;
+        incarnations.add(incarnation);
+        return incarnation;
     }
 
-    /** The roster heard that this gateway takes work. */
+    /** Records the first report to the registry that this gateway takes work. */
     public void listed(int gateway, double at) {
         incarnations.stream()
                 .filter(l -> l.gateway == gateway)
@@ -137,17 +143,17 @@
                 .ifPresent(l -> l.listedAt = at);
     }
 
-    /** Counts one more. */
-    public void count(Counter what, int gateway, double at) {
-        int[] seconds = counts[what.ordinal()][gateway];
+    /** Adds one to a counter; times outside of the recorded range are ignored. */
+    public void count(Counter counter, int gateway, double at) {
+        int[] seconds = countsBySecond[counter.ordinal()][gateway];
         if (at >= 0 && at < 1000.0 * seconds.length) {
             seconds[(int) (at / 1000)]++;
         }
     }
 
-    /** How many in this second. */
-    public int counted(Counter what, int gateway, int second) {
-        int[] seconds = counts[what.ordinal()][gateway];
+    /** Value of a counter in this second. */
+    public int counted(Counter counter, int gateway, int second) {
+        int[] seconds = countsBySecond[counter.ordinal()][gateway];
         return second >= 0 && second < seconds.length ? seconds[second] : 0;
     }
 }
--- a/src/main/java/tinroad/lab/verification/RunMetrics.java
+++ b/src/main/java/tinroad/lab/verification/RunMetrics.java
@@ -6,115 +6,123 @@
 import tinroad.lab.script.Script;
 import tinroad.lab.script.Script.RequestClass;
 
-/** The figures of a day, from its ledger. Times in ms from the beginning of the load. */
+/**
+ * Computes the metrics of a run from its history. Service is the share of the requested gain that
+ * was served within the latency objectives. Times in ms from the beginning of the load.
+ */
 public final class RunMetrics {
-    /** Width of a window of service. */
+    /** Width of the windows for which service is computed, in ms. */
     public static final double WINDOW = 100;
 
-    /** Width of a bin of arrivals. */
+    /** Width of the bins in which arrivals are counted, in ms. */
     public static final double BIN = 50;
 
-    /** So long after the faults arrivals are looked at for waves. */
-    public static final double AFTERMATH = 5000;
+    /** Arrivals are searched for waves up to this long after the faults. */
+    public static final double WAVE_SEARCH_MILLIS = 5000;
 
-    /** Service is level over this time: single windows hold too few requests. */
-    static final double LEVEL_OVER = 500;
+    /** Service is averaged over this time, as a single window has too few requests. */
+    static final double SERVICE_SPAN_MILLIS = 500;
 
-    /** So long service stays at the share that counts as full. */
-    static final double STAYS = 3000;
+    /** Service has to stay full for this long. */
+    static final double STABLE_MILLIS = 3000;
 
-    static final double FULL = 0.95;
-    private static final long LONGEST_MICROS = 120_000_000;
+    /** Service counts as full from this share of the service before the faults. */
+    static final double FULL_SERVICE_SHARE = 0.95;
 
-    private final RunHistory ledger;
+    private static final long MAX_LATENCY_MICROS = 120_000_000;
+
+    private final RunHistory history;
     private final Script script;
-    private final double[] asked;
-    private final double[] served;
-
-    /** The figures of this ledger. */
-    public RunMetrics(RunHistory ledger) {
-        this.ledger = ledger;
-        script = ledger.plan.script();
-        asked = new double[(int) Math.ceil(script.length() / WINDOW)];
-        served = new double[asked.length];
-        for (RunHistory.RequestRecord f : ledger.requests) {
-            RequestClass kind = script.classes().get(f.asked.kind());
-            int w = (int) (f.asked.at() / WINDOW);
-            asked[w] += kind.gain();
-            served[w] += inTime(f) ? kind.gain() : 0;
+    private final double[] requestedGain;
+    private final double[] servedGain;
+
+    /** The metrics of the run with this history. */
+    public RunMetrics(RunHistory history) {
+        this.history = history;
+        script = history.plan.script();
+        requestedGain = new double[(int) Math.ceil(script.length() / WINDOW)];
+        servedGain = new double[requestedGain.length];
+        for (RunHistory.RequestRecord r : history.requests) {
+            RequestClass requestClass = script.classes().get(r.asked.kind());
+            int w = (int) (r.asked.at() / WINDOW);
+            requestedGain[w] += requestClass.gain();
+            servedGain[w] += inTime(r) ? requestClass.gain() : 0;
         }
     }
 
-    private boolean inTime(RunHistory.RequestRecord f) {
-        return f.end == Try.Outcome.SERVED
-                && f.endedAt <= f.asked.at() + script.classes().get(f.asked.kind()).objective();
+    private boolean inTime(RunHistory.RequestRecord r) {
+        return r.end == Try.Outcome.SERVED
+                && r.endedAt <= r.asked.at() + script.classes().get(r.asked.kind()).objective();
     }
 
-    /** Worth asked for in each window. */
+    /** Gain of the requests that arrived in each window. */
     public double[] asked() {
-        return asked.clone();
+        return requestedGain.clone();
     }
 
-    /** Worth of what came in each window and was served in time. */
+    /** Gain of the requests that arrived in each window and were served in time. */
     public double[] served() {
-        return served.clone();
+        return servedGain.clone();
     }
 
     /**
-     * Share of the worth served in time, of what came from {@code from} to {@code to}; NaN where
-     * nothing came.
+     * Service of the requests that arrived from {@code from} to {@code to}; NaN where there were
+     * none.
      */
     public double service(double from, double to) {
-        double a = 0;
-        double s = 0;
+        double requested = 0;
+        double inTime = 0;
         for (int w = Math.max(0, (int) (from / WINDOW));
-                w < Math.min(asked.length, (int) Math.round(to / WINDOW));
+                w < Math.min(requestedGain.length, (int) Math.round(to / WINDOW));
                 w++) {
-            a += asked[w];
-            s += served[w];
+            requested += requestedGain[w];
+            inTime += servedGain[w];
         }
-        return a == 0 ? Double.NaN : s / a;
+        return requested == 0 ? Double.NaN : inTime / requested;
     }
 
     /**
-     * The service before the first fault, or of the whole day from the first moment that counts
-     * where there is none.
+     * Service from the end of the settling time to the first fault, or to the end of the run where
+     * no fault follows the settling time.
      */
     public double before() {
-        double first = ledger.plan.firstFault();
+        double first = history.plan.firstFault();
         return service(
                 script.settle(),
                 Double.isNaN(first) || first <= script.settle() ? script.length() : first);
     }
 
     /**
-     * Time from the faults' end to the first moment after which, for 3 s, every half second has 95%
-     * of the service before; NaN without faults, infinite where the day ends first.
+     * Time from the end of the faults to the first moment after which, for 3 s, every half second
+     * has 95% of the service before the faults; NaN without faults, infinite where the run ends
+     * first.
      */
     public double toFullService() {
-        if (Double.isNaN(ledger.faultEnd)) {
+        if (Double.isNaN(history.faultEnd)) {
             return Double.NaN;
         }
-        double enough = FULL * before();
-        for (double t = Math.floor(ledger.faultEnd / WINDOW) * WINDOW;
-                t + STAYS <= script.length();
+        double required = FULL_SERVICE_SHARE * before();
+        for (double t = Math.floor(history.faultEnd / WINDOW) * WINDOW;
+                t + STABLE_MILLIS <= script.length();
                 t += WINDOW) {
             boolean full = true;
-            for (double at = t; full && at + LEVEL_OVER <= t + STAYS; at += WINDOW) {
-                double service = service(at, at + LEVEL_OVER);
-                full = Double.isNaN(service) || service >= enough;
+            for (double at = t;
+                    full && at + SERVICE_SPAN_MILLIS <= t + STABLE_MILLIS;
+                    at += WINDOW) {
+                double service = service(at, at + SERVICE_SPAN_MILLIS);
+                full = Double.isNaN(service) || service >= required;
             }
             if (full) {
-                return Math.max(0, t - ledger.faultEnd);
+                return Math.max(0, t - history.faultEnd);
             }
         }
         return Double.POSITIVE_INFINITY;
     }
 
-    /** Tries sent in each bin from {@code from} on. */
+    /** Number of tries sent in each bin from {@code from} to {@code to}. */
     public int[] arrivals(double from, double to) {
         int[] bins = new int[Math.max(0, (int) Math.ceil((to - from) / BIN))];
-        for (Try t : ledger.tries) {
+        for (Try t : history.tries) {
             if (t.sentAt >= from && t.sentAt < to) {
                 bins[(int) ((t.sentAt - from) / BIN)]++;
             }
@@ -122,27 +130,29 @@
         return bins;
     }
 
-    /** Largest bin over the mean one, in the time after the faults; NaN without faults. */
+    /** Ratio of the largest to the mean bin of arrivals after the faults; NaN without faults. */
     public double peakOverMean() {
         int[] bins =
-                arrivals(ledger.faultEnd, Math.min(script.length(), ledger.faultEnd + AFTERMATH));
+                arrivals(
+                        history.faultEnd,
+                        Math.min(script.length(), history.faultEnd + WAVE_SEARCH_MILLIS));
         int sum = 0;
-        int most = 0;
+        int largest = 0;
         for (int bin : bins) {
             sum += bin;
-            most = Math.max(most, bin);
+            largest = Math.max(largest, bin);
         }
-        return sum == 0 ? Double.NaN : (double) most * bins.length / sum;
+        return sum == 0 ? Double.NaN : (double) largest * bins.length / sum;
     }
 
     /**
-     * Time from the start of a process to its first report that it takes work, of this part of all
-     * that were started again; infinite where that never came, NaN where none was, or nobody
-     * looked.
+     * Quantile, over all restarted processes, of the time from the start of a process to its first
+     * report that it takes work. Infinite where that report never came, NaN where no process was
+     * restarted or starts were not recorded.
      */
-    public double ready(double part) {
-        double[] all =
-                ledger.incarnations.stream()
+    public double ready(double quantile) {
+        double[] readyMillis =
+                history.incarnations.stream()
                         .filter(l -> l.number > 0 && !Double.isNaN(l.begunAt))
                         .mapToDouble(
                                 l ->
@@ -151,75 +161,78 @@
                                                 : l.listedAt - l.begunAt)
                         .sorted()
                         .toArray();
-        return all.length == 0 ? Double.NaN : all[(int) Math.ceil(part * all.length) - 1];
+        return readyMillis.length == 0
+                ? Double.NaN
+                : readyMillis[(int) Math.ceil(quantile * readyMillis.length) - 1];
     }
 
-    /** Tries for each request, from the first moment that counts. */
+    /** Mean number of tries per request that arrived after the settling time. */
     public double triesPerFirst() {
         long requests =
-                ledger.requests.stream().filter(f -> f.asked.at() >= script.settle()).count();
+                history.requests.stream().filter(r -> r.asked.at() >= script.settle()).count();
         long tries =
-                ledger.requests.stream()
-                        .filter(f -> f.asked.at() >= script.settle())
-                        .mapToLong(f -> f.tries)
+                history.requests.stream()
+                        .filter(r -> r.asked.at() >= script.settle())
+                        .mapToLong(r -> r.tries)
                         .sum();
         return (double) tries / requests;
     }
 
-    /** Share of the engines' work that served nobody in time. */
+    /** Share of the engines' work that was not spent on requests served in time. */
     public double wasted() {
         double useful =
-                ledger.requests.stream()
+                history.requests.stream()
                         .filter(this::inTime)
-                        .mapToDouble(f -> f.asked.work())
+                        .mapToDouble(r -> r.asked.work())
                         .sum();
-        return ledger.engineWork == 0 ? 0 : Math.max(0, 1 - useful / ledger.engineWork);
+        return history.engineWork == 0 ? 0 : Math.max(0, 1 - useful / history.engineWork);
     }
 
     /**
-     * Time from a request's arrival at its proxy to its answer, in microseconds, of those of this
-     * class that were served.
+     * Latency in microseconds, from a request's arrival at its proxy to its answer, of the served
+     * requests of a class.
      */
     public Histogram latency(int kind) {
-        Histogram histogram = new Histogram(LONGEST_MICROS, 3);
-        for (RunHistory.RequestRecord f : ledger.requests) {
-            if (f.asked.kind() == kind
-                    && f.end == Try.Outcome.SERVED
-                    && f.asked.at() >= script.settle()) {
+        Histogram histogram = new Histogram(MAX_LATENCY_MICROS, 3);
+        for (RunHistory.RequestRecord r : history.requests) {
+            if (r.asked.kind() == kind
+                    && r.end == Try.Outcome.SERVED
+                    && r.asked.at() >= script.settle()) {
                 histogram.recordValue(
                         Math.min(
-                                LONGEST_MICROS,
-                                Math.max(0, Math.round(1000 * (f.endedAt - f.asked.at())))));
+                                MAX_LATENCY_MICROS,
+                                Math.max(0, Math.round(1000 * (r.endedAt - r.asked.at())))));
             }
         }
         return histogram;
     }
 
     /**
-     * Most in a second at one gateway, and most over all of them, from {@code from} to {@code to}.
+     * Largest value of a counter per second from {@code from} to {@code to}: at index 0 of a single
+     * gateway, at index 1 of all gateways together.
      */
-    public int[] most(RunHistory.Counter what, double from, double to) {
-        int[] most = new int[2];
+    public int[] most(RunHistory.Counter counter, double from, double to) {
+        int[] max = new int[2];
         for (int second = (int) (from / 1000); second < to / 1000; second++) {
-            int all = 0;
+            int total = 0;
             for (int g = 0; g < script.fleet().gateways(); g++) {
-                int n = ledger.counted(what, g, second);
-                all += n;
-                most[0] = Math.max(most[0], n);
+                int n = history.counted(counter, g, second);
+                total += n;
+                max[0] = Math.max(max[0], n);
             }
-            most[1] = Math.max(most[1], all);
+            max[1] = Math.max(max[1], total);
         }
-        return most;
+        return max;
     }
 
-    /** Mean a second and gateway, from {@code from} to {@code to}, as whole seconds. */
-    public double mean(RunHistory.Counter what, double from, double to) {
-        List<Integer> all = new ArrayList<>();
+    /** Mean of a counter per second and gateway, over the whole seconds of this interval. */
+    public double mean(RunHistory.Counter counter, double from, double to) {
+        List<Integer> values = new ArrayList<>();
         for (int second = (int) Math.ceil(from / 1000); second < Math.floor(to / 1000); second++) {
             for (int g = 0; g < script.fleet().gateways(); g++) {
-                all.add(ledger.counted(what, g, second));
+                values.add(history.counted(counter, g, second));
             }
         }
-        return all.stream().mapToInt(i -> i).average().orElse(Double.NaN);
+        return values.stream().mapToInt(i -> i).average().orElse(Double.NaN);
     }
 }
--- a/src/main/java/tinroad/lab/verification/Try.java
+++ b/src/main/java/tinroad/lab/verification/Try.java
@@ -4,89 +4,96 @@
 import java.util.List;
 
 /**
- * One try of a request: what its caller saw, and what the engine did. Times in ms from the
- * beginning of the load.
+ * One try of a request, as observed by its caller and by the engine. Times in ms from the beginning
+ * of the load.
  */
 public final class Try {
     /** How a try ended for its caller. */
     public enum Outcome {
         /** Status 200. */
         SERVED,
-        /** 429, 503 or overloaded. */
+        /** Rejected: status 429 or 503, or FastCGI's reply that the gateway is overloaded. */
         REFUSED,
         /** Any other answer. */
         FAILED,
-        /** No connection came about, or nothing was written. */
+        /** No connection was established, or nothing was written. */
         UNSENT,
         /**
-         * The connection was closed just as the request was written: reads go again. No proof, as
-         * the end of a killed process looks the same.
+         * The connection was closed just as the request was written: reads are sent again. This
+         * does not prove that the try never ran, as a killed process looks the same.
          */
         CROSSED,
         /** The connection broke after the request was written. */
         BROKEN,
-        /** Nobody waits any more. */
+        /** The caller stopped waiting for an answer. */
         GIVEN_UP;
 
-        /** Whether it proves that the try never ran. */
+        /** Whether this outcome proves that the try never ran. */
         public boolean provenUnrun() {
             return this == REFUSED || this == UNSENT;
         }
     }
 
-    /** Something that happened to it, somewhere. */
+    /** An event: when, in which process and what happened. */
     public record Step(double at, String where, String what) {}
 
     /** Id on the wire. */
     public final String id;
 
-    /** The request that it is a try of. */
+    /** Number of the request. */
     public final int request;
 
-    /** 1 for the first. */
+    /** Number among the tries of the request, from 1. */
     public final int number;
 
     public final int proxy;
     public final int gateway;
+
+    /** Whether the request may run more than once. */
     public final boolean free;
 
-    /** Class and subject: what a read repeats. */
+    /** Class and subject, which identify equal reads; null for other requests. */
     public final String key;
 
+    /** Until when it has to be answered. */
     public final double deadlineAt;
+
     public final List<Step> steps = new ArrayList<>();
 
     /** When its last byte was written; NaN before. */
     public double sentAt = Double.NaN;
 
-    /**
-     * When its connection was lost, with or without a cause in the script; NaN while it was not.
-     */
+    /** When its connection broke, with or without a cause in the script; NaN if it did not. */
     public double brokenAt = Double.NaN;
 
-    /** First whole answer; NaN without one. */
+    /** When the first complete answer came; NaN without one. */
     public double answeredAt = Double.NaN;
 
+    /** Number of complete answers. */
     public int answers;
 
-    /** What the first answer said; null without one. */
+    /** Outcome according to the first answer; null without one. */
     public Outcome answer;
 
-    /** How it ended for its caller, who may have gone before the answer came. */
+    /** Outcome for the caller, who may have given up before the answer came. */
     public Outcome end;
 
+    /** The result that the first answer carried; null without one. */
     public String served;
 
-    /** Runs begun for it, and the result of the last. */
+    /** Number of runs that the engine started for it. */
     public int runs;
 
+    /** When the engine started to run it; NaN if it did not. */
     public double ranAt = Double.NaN;
+
+    /** Result of the last run; null without one. */
     public String result;
 
-    /** Which life of the gateway it was sent to. */
+    /** Number of the gateway's incarnation that it was sent to. */
     public int incarnation;
 
-    /** A try that is about to be sent. */
+    /** Creates a try that is about to be sent. */
     public Try(
             String id,
             int request,
@@ -106,7 +113,7 @@
         this.deadlineAt = deadlineAt;
     }
 
-    /** Notes what happened. */
+    /** Records an event of this try. */
     public void addStep(double at, String where, String what) {
         steps.add(new Step(at, where, what));
     }
