--- a/src/main/java/tinroad/lab/schedule/FaultEvent.java
+++ b/src/main/java/tinroad/lab/schedule/FaultEvent.java
@@ -3,14 +3,15 @@
 import tinroad.lab.script.Script.Fault;
 
 /**
- * A fault at one gateway, or at the roster.
+ * One occurrence of a fault, at one gateway or at the registry.
  *
  * @param at ms from the beginning of the load
- * @param until its end; for what ends a process, the earliest moment at which it may be back
- * @param gateway number, or -1 for the roster
+ * @param until when it ends; for faults that end a process, the earliest time of its restart
+ * @param gateway number, or -1 for the registry
  * @param awayMillis ms from the end of a process to its next start
- * @param notified whether the signal that goes with it is sent
- * @param faultNumber number of the script's fault
+ * @param notified whether the gateway is sent the signal that belongs to the fault
+ * @param faultNumber number of the fault in the script
+ * @param fault the fault in the script
  */
 public record FaultEvent(
         double at,
@@ -22,7 +23,7 @@
         Fault fault) {
     /**
      * The text that enters the digest of a schedule. Digests compare results of different builds,
-     * so this text keeps the names that it had first.
+     * so this text uses the names of the first build.
      */
     @Override
     public String toString() {
--- a/src/main/java/tinroad/lab/schedule/PlannedRequest.java
+++ b/src/main/java/tinroad/lab/schedule/PlannedRequest.java
@@ -1,14 +1,18 @@
 package tinroad.lab.schedule;
 
 /**
- * A request, as its first caller has it; all tries of it carry the same.
+ * A request of the schedule. All tries of it carry the same values.
  *
- * @param number counted from 0, in the order of their times
+ * @param number counted from 0, in the order of arrival
  * @param at ms from the beginning of the load
  * @param kind number of the class
+ * @param member number of the member that sends it
+ * @param subject number of the subject that it is about
  * @param work ms of a core at speed 1 that a run of it takes
- * @param proxy that it comes to
- * @param memoryKb booked for it
+ * @param proxy number of the client proxy at which it arrives
+ * @param rank random number from 0 to 1 that the gateway receives with it
+ * @param memoryKb memory reserved for it
+ * @param bodyBytes length of its body
  */
 public record PlannedRequest(
         int number,
@@ -23,7 +27,7 @@
         int bodyBytes) {
     /**
      * The text that enters the digest of a schedule. Digests compare results of different builds,
-     * so this text keeps the names that it had first.
+     * so this text uses the names of the first build.
      */
     @Override
     public String toString() {
--- a/src/main/java/tinroad/lab/schedule/Schedule.java
+++ b/src/main/java/tinroad/lab/schedule/Schedule.java
@@ -25,14 +25,14 @@
 import tinroad.lab.script.Script.RequestClass;
 
 /**
- * A script drawn with a seed. The same two give the same plan, whatever program it is played
- * against.
+ * All requests and faults of a run with their times, drawn at random from a script. The same script
+ * and seed give the same schedule, whichever program is run against it.
  */
 public final class Schedule {
-    private static final double MEMORY_KB = 24;
+    private static final double MEDIAN_MEMORY_KB = 24;
     private static final double MEMORY_SIGMA = 0.6;
-    private static final int LEAST_BODY = 16;
-    private static final int BODY_SPAN = 240;
+    private static final int MIN_BODY_BYTES = 16;
+    private static final int BODY_SPAN_BYTES = 240;
 
     private final Script script;
     private final long seed;
@@ -43,20 +43,20 @@
         this.script = script;
         this.seed = seed;
         requests = List.copyOf(drawRequests());
-        faultEvents = List.copyOf(drawHits());
+        faultEvents = List.copyOf(drawFaultEvents());
     }
 
-    /** The plan of this script and seed. */
+    /** Draws the schedule of a script and a seed. */
     public static Schedule of(Script script, long seed) {
         return new Schedule(script, seed);
     }
 
-    /** What it was drawn from. */
+    /** The script that it was drawn from. */
     public Script script() {
         return script;
     }
 
-    /** What it was drawn with. */
+    /** The seed that it was drawn with. */
     public long seed() {
         return seed;
     }
@@ -76,7 +76,7 @@
         return number % script.fleet().zones();
     }
 
-    /** When the first fault or jump of the load begins; NaN without any. */
+    /** When the first fault or jump of the load begins; NaN if there is none. */
     public double firstFault() {
         return DoubleStream.concat(
                         faultEvents.stream().mapToDouble(FaultEvent::at),
@@ -86,22 +86,22 @@
     }
 
     /**
-     * What a request that is read and run once takes of the cores in the mean, in ms: at load 1
-     * they have nothing left.
+     * Mean work in ms of a request that is read once and run once. The load is a share of what the
+     * cores can do, counted with this cost: at load 1 they are fully used.
      */
     public static double meanCost(Script script) {
-        double parts = script.classes().stream().mapToDouble(RequestClass::part).sum();
+        double totalPart = script.classes().stream().mapToDouble(RequestClass::part).sum();
         return script.classes().stream().mapToDouble(k -> k.part() * k.work()).sum()
-                / parts
+                / totalPart
                 * (1 + script.engine().read());
     }
 
-    /** The same for the same plan, and another for another: of every request and every fault. */
+    /** Hash over every request and fault: equal for equal schedules and different for others. */
     public String digest() {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             requests.forEach(r -> sha.update(r.toString().getBytes(StandardCharsets.UTF_8)));
-            faultEvents.forEach(h -> sha.update(h.toString().getBytes(StandardCharsets.UTF_8)));
+            faultEvents.forEach(e -> sha.update(e.toString().getBytes(StandardCharsets.UTF_8)));
             return HexFormat.of().formatHex(sha.digest(), 0, 8);
         } catch (NoSuchAlgorithmException e) {
             // Can't happen: every Java platform has it.
@@ -110,24 +110,28 @@
     }
 
     private List<PlannedRequest> drawRequests() {
-        UniformRandomProvider random = Draw.stream(seed, "arrivals");
-        UniformRandomProvider what = Draw.stream(seed, "requests");
-        ZigguratSampler.Exponential gaps = ZigguratSampler.Exponential.of(random);
-        IntSupplier member = crowd(script.members(), what);
-        IntSupplier subject = crowd(script.subjects(), what);
+        UniformRandomProvider arrivalRandom = Draw.stream(seed, "arrivals");
+        UniformRandomProvider requestRandom = Draw.stream(seed, "requests");
+        ZigguratSampler.Exponential gaps = ZigguratSampler.Exponential.of(arrivalRandom);
+        IntSupplier member = zipfRanks(script.members(), requestRandom);
+        IntSupplier subject = zipfRanks(script.subjects(), requestRandom);
         ContinuousSampler memory =
                 LogNormalSampler.of(
-                        ZigguratSampler.NormalizedGaussian.of(what),
-                        Math.log(MEMORY_KB),
+                        ZigguratSampler.NormalizedGaussian.of(requestRandom),
+                        Math.log(MEDIAN_MEMORY_KB),
                         MEMORY_SIGMA);
-        DoubleSupplier law = law(what);
-        double perMs = script.fleet().power() / meanCost(script);
-        double most = script.load().peak() * perMs;
+        DoubleSupplier serviceTimeFactor = serviceTimeFactors(requestRandom);
+        double fullLoadPerMs = script.fleet().power() / meanCost(script);
+        double peakPerMs = script.load().peak() * fullLoadPerMs;
         List<PlannedRequest> drawn = new ArrayList<>();
-        for (double t = gaps.sample() / most; t < script.length(); t += gaps.sample() / most) {
-            // By thinning: the rate differs from moment to moment.
-            if (random.nextDouble() * most <= script.load().at(t) * perMs) {
-                int kind = kind(what.nextDouble());
+        for (double t = gaps.sample() / peakPerMs;
+                t < script.length();
+                t += gaps.sample() / peakPerMs) {
+            // Thinning, as the rate varies: candidates arrive at the peak rate, and each is
+            // accepted
+            // with the ratio of the rate at its time to the peak rate.
+            if (arrivalRandom.nextDouble() * peakPerMs <= script.load().at(t) * fullLoadPerMs) {
+                int kind = classAt(requestRandom.nextDouble());
                 drawn.add(
                         new PlannedRequest(
                                 drawn.size(),
@@ -135,34 +139,36 @@
                                 kind,
                                 member.getAsInt(),
                                 subject.getAsInt(),
-                                script.classes().get(kind).work() * law.getAsDouble(),
-                                what.nextInt(script.callers().proxies()),
-                                what.nextDouble(),
+                                script.classes().get(kind).work() * serviceTimeFactor.getAsDouble(),
+                                requestRandom.nextInt(script.callers().proxies()),
+                                requestRandom.nextDouble(),
                                 Math.min(1900, Math.max(0.1, memory.sample())),
-                                LEAST_BODY + what.nextInt(BODY_SPAN)));
+                                MIN_BODY_BYTES + requestRandom.nextInt(BODY_SPAN_BYTES)));
             }
         }
         return drawn;
     }
 
-    private int kind(double at) {
-        double left = at * script.classes().stream().mapToDouble(RequestClass::part).sum();
+    private int classAt(double quantile) {
+        double remaining =
+                quantile * script.classes().stream().mapToDouble(RequestClass::part).sum();
         int kind = 0;
-        while (kind < script.classes().size() - 1 && left >= script.classes().get(kind).part()) {
-            left -= script.classes().get(kind++).part();
+        while (kind < script.classes().size() - 1
+                && remaining >= script.classes().get(kind).part()) {
+            remaining -= script.classes().get(kind++).part();
         }
         return kind;
     }
 
-    /** Counted from 0, the most frequent one first. */
-    private static IntSupplier crowd(Population crowd, UniformRandomProvider random) {
+    /** Draws numbers from 0 by a Zipf law: 0 is the most frequent. */
+    private static IntSupplier zipfRanks(Population population, UniformRandomProvider random) {
         SharedStateDiscreteSampler zipf =
-                RejectionInversionZipfSampler.of(random, crowd.count(), crowd.skew());
+                RejectionInversionZipfSampler.of(random, population.count(), population.skew());
         return () -> zipf.sample() - 1;
     }
 
-    /** Draws of a law with the mean 1. */
-    private DoubleSupplier law(UniformRandomProvider random) {
+    /** Draws factors with mean 1 for the work of a run, by the script's service-time law. */
+    private DoubleSupplier serviceTimeFactors(UniformRandomProvider random) {
         double sigma = script.engine().sigma();
         ContinuousSampler lognormal =
                 LogNormalSampler.of(
@@ -175,32 +181,36 @@
         };
     }
 
-    private List<FaultEvent> drawHits() {
+    private List<FaultEvent> drawFaultEvents() {
         List<FaultEvent> drawn = new ArrayList<>();
         for (int i = 0; i < script.faults().size(); i++) {
-            Fault t = script.faults().get(i);
+            Fault fault = script.faults().get(i);
             UniformRandomProvider random = Draw.stream(seed, "fault " + i);
-            if (t.action() == FaultAction.ROSTER_DOWN) {
-                drawn.add(new FaultEvent(t.at(), t.at() + t.length(), -1, 0, true, i, t));
+            if (fault.action() == FaultAction.ROSTER_DOWN) {
+                drawn.add(
+                        new FaultEvent(
+                                fault.at(), fault.at() + fault.length(), -1, 0, true, i, fault));
                 continue;
             }
-            List<Integer> targets = targets(t, random);
-            int missed = (int) Math.round(t.unnotifiedShare() * targets.size());
+            List<Integer> targets = targets(fault, random);
+            int unnotified = (int) Math.round(fault.unnotifiedShare() * targets.size());
             for (int n = 0; n < targets.size(); n++) {
-                double at = t.at() + random.nextDouble() * t.spreadMillis();
-                double away =
-                        t.minAwayMillis()
-                                + random.nextDouble() * (t.maxAwayMillis() - t.minAwayMillis());
-                boolean back = t.action().ends() || t.action() == FaultAction.ENGINE_CRASH;
+                double at = fault.at() + random.nextDouble() * fault.spreadMillis();
+                double awayMillis =
+                        fault.minAwayMillis()
+                                + random.nextDouble()
+                                        * (fault.maxAwayMillis() - fault.minAwayMillis());
+                boolean comesBack =
+                        fault.action().ends() || fault.action() == FaultAction.ENGINE_CRASH;
                 drawn.add(
                         new FaultEvent(
                                 at,
-                                at + (back ? away : t.length()),
+                                at + (comesBack ? awayMillis : fault.length()),
                                 targets.get(n),
-                                away,
-                                n >= missed,
+                                awayMillis,
+                                n >= unnotified,
                                 i,
-                                t));
+                                fault));
             }
         }
         drawn.sort(
@@ -209,15 +219,16 @@
         return drawn;
     }
 
-    private List<Integer> targets(Fault t, UniformRandomProvider random) {
+    private List<Integer> targets(Fault fault, UniformRandomProvider random) {
         List<Integer> targets = new ArrayList<>();
         for (int g = 0; g < script.fleet().gateways(); g++) {
-            if ((t.gateways().isEmpty() || t.gateways().contains(g))
-                    && (t.zone() < 0 || zone(g) == t.zone())) {
+            if ((fault.gateways().isEmpty() || fault.gateways().contains(g))
+                    && (fault.zone() < 0 || zone(g) == fault.zone())) {
                 targets.add(g);
             }
         }
         ListSampler.shuffle(random, targets);
-        return new ArrayList<>(targets.subList(0, (int) Math.round(t.share() * targets.size())));
+        return new ArrayList<>(
+                targets.subList(0, (int) Math.round(fault.share() * targets.size())));
     }
 }
--- a/src/main/java/tinroad/lab/schedule/package-info.java
+++ b/src/main/java/tinroad/lab/schedule/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a script and a seed come to: every request and every fault with its time, drawn ahead. Read
- * by {@code tinroad.lab} and its stand-ins; knows no process, wire or clock.
+ * The schedule of a run: every request and every fault with its time, drawn from a script and a
+ * seed before the run. Used by {@code tinroad.lab} and its fakes; depends on no process, wire
+ * protocol or clock.
  */
 package tinroad.lab.schedule;
--- a/src/test/java/tinroad/lab/schedule/PlanTest.java
+++ b/src/test/java/tinroad/lab/schedule/ScheduleTest.java
@@ -14,8 +14,8 @@
 import tinroad.lab.script.Script;
 import tinroad.lab.script.ScriptReader;
 
-/** What a script and a seed come to. */
-class PlanTest {
+/** Schedules drawn from a script and a seed. */
+class ScheduleTest {
     @TempDir private Path dir;
 
     private Script script(String text) throws Exception {
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theSameScriptAndSeedGiveTheSamePlanAndAnotherSeedAnother() throws Exception {
+    void theSameScriptAndSeedGiveTheSameScheduleAndAnotherSeedADifferentOne() throws Exception {
         Script s = ScriptReader.read(Path.of("lab/mass-restart.conf"));
         assertEquals(Schedule.of(s, 3).digest(), Schedule.of(s, 3).digest());
         assertEquals(Schedule.of(s, 3).requests(), Schedule.of(s, 3).requests());
@@ -32,42 +32,42 @@
     }
 
     @Test
-    void aFaultMoreLeavesTheRequestsAsTheyWere() throws Exception {
+    void anAddedFaultDoesNotChangeTheRequests() throws Exception {
         List<PlannedRequest> before = Schedule.of(script("length = 20s"), 5).requests();
         assertEquals(
                 before, Schedule.of(script("faults = [ { do = kill, at = 8s } ]"), 5).requests());
     }
 
     @Test
-    void theLoadIsTheShareOfTheCoresThatWasAskedFor() throws Exception {
-        Schedule plan =
+    void theLoadIsTheConfiguredShareOfTheCores() throws Exception {
+        Schedule schedule =
                 Schedule.of(
                         script(
                                 "length = 60s, load { level = 0.5, jumps = [ { at = 20s, for = 10s,"
                                         + " level = 1.5 } ] }"),
                         1);
-        double calm =
-                plan.requests().stream()
+        double regularWork =
+                schedule.requests().stream()
                         .filter(r -> r.at() < 20_000)
                         .mapToDouble(PlannedRequest::work)
                         .sum();
-        double jump =
-                plan.requests().stream()
+        double jumpWork =
+                schedule.requests().stream()
                         .filter(r -> r.at() >= 20_000 && r.at() < 30_000)
                         .mapToDouble(PlannedRequest::work)
                         .sum();
         // Reading a request costs a quarter of a run, and is part of the load.
-        assertEquals(0.5, 1.25 * calm / 20_000 / 6, 0.04);
-        assertEquals(1.5, 1.25 * jump / 10_000 / 6, 0.09);
+        assertEquals(0.5, 1.25 * regularWork / 20_000 / 6, 0.04);
+        assertEquals(1.5, 1.25 * jumpWork / 10_000 / 6, 0.09);
         assertEquals(
                 0.2,
-                (double) plan.requests().stream().filter(r -> r.kind() == 1).count()
-                        / plan.requests().size(),
+                (double) schedule.requests().stream().filter(r -> r.kind() == 1).count()
+                        / schedule.requests().size(),
                 0.03);
     }
 
     @Test
-    void membersAndSubjectsComeInUnequalParts() throws Exception {
+    void membersAndSubjectsFollowTheirZipfLaws() throws Exception {
         List<PlannedRequest> all =
                 Schedule.of(
                                 script(
@@ -75,7 +75,7 @@
                                                 + " count = 100, skew = 0 }"),
                                 1)
                         .requests();
-        // The harmonic numbers: 12 of 25 are the first one's.
+        // By the harmonic numbers, 12 of 25 requests are of the first member.
         assertEquals(
                 0.48,
                 (double) all.stream().filter(r -> r.member() == 0).count() / all.size(),
@@ -88,8 +88,8 @@
     }
 
     @Test
-    void faultsHitTheShareThatWasAskedForOfTheirZone() throws Exception {
-        Schedule plan =
+    void faultsAffectTheConfiguredShareOfTheirZone() throws Exception {
+        Schedule schedule =
                 Schedule.of(
                         script(
                                 "fleet { gateways = 20, zones = 4 }\n"
@@ -102,32 +102,35 @@
                                     + "{ do = roster-down, at = 1s, for = 15s } ]"),
                         2);
         List<FaultEvent> killed =
-                plan.faultEvents().stream().filter(h -> h.faultNumber() == 0).toList();
+                schedule.faultEvents().stream().filter(e -> e.faultNumber() == 0).toList();
         assertEquals(14, killed.size());
         Set<Integer> targets = new HashSet<>();
         killed.forEach(
-                h -> {
+                e -> {
                     assertTrue(
-                            targets.add(h.gateway())
-                                    && h.at() >= 5000
-                                    && h.at() <= 6000
-                                    && h.awayMillis() >= 3000
-                                    && h.awayMillis() <= 8000,
-                            h::toString);
+                            targets.add(e.gateway())
+                                    && e.at() >= 5000
+                                    && e.at() <= 6000
+                                    && e.awayMillis() >= 3000
+                                    && e.awayMillis() <= 8000,
+                            e::toString);
                 });
         List<FaultEvent> stopped =
-                plan.faultEvents().stream().filter(h -> h.faultNumber() == 1).toList();
+                schedule.faultEvents().stream().filter(e -> e.faultNumber() == 1).toList();
         assertEquals(2, stopped.size());
         stopped.forEach(
-                h -> assertTrue(plan.zone(h.gateway()) == 3 && h.until() == 11_000, h::toString));
+                e ->
+                        assertTrue(
+                                schedule.zone(e.gateway()) == 3 && e.until() == 11_000,
+                                e::toString));
         assertEquals(
                 1,
-                plan.faultEvents().stream()
-                        .filter(h -> h.faultNumber() == 2 && !h.notified())
+                schedule.faultEvents().stream()
+                        .filter(e -> e.faultNumber() == 2 && !e.notified())
                         .count());
         assertEquals(
-                new FaultEvent(1000, 16_000, -1, 0, true, 3, plan.script().faults().get(3)),
-                plan.faultEvents().get(0));
-        assertEquals(1000, plan.firstFault());
+                new FaultEvent(1000, 16_000, -1, 0, true, 3, schedule.script().faults().get(3)),
+                schedule.faultEvents().get(0));
+        assertEquals(1000, schedule.firstFault());
     }
 }
