--- a/src/main/java/tinroad/lab/script/Script.java
+++ b/src/main/java/tinroad/lab/script/Script.java
@@ -3,12 +3,14 @@
 import java.util.List;
 
 /**
- * One day of the lab, as its script has it. All times in ms from the beginning of the load, all
- * durations in ms, work in ms of a core at speed 1; shares from 0 to 1.
+ * A lab script: the fleet, the load and the faults of one run. All times in ms from the beginning
+ * of the load, all durations in ms, work in ms of a core at speed 1; shares from 0 to 1.
  *
- * @param title what it shows, one line
- * @param length how long requests come
- * @param settle load before the first moment that counts
+ * @param title what the run shows, in one line
+ * @param length for how long requests arrive
+ * @param settle settling time: requests that arrive before it do not enter the metrics
+ * @param members Zipf law of the members that send the requests
+ * @param subjects Zipf law of the subjects of the requests
  */
 public record Script(
         String title,
@@ -28,11 +30,11 @@
      * The gateways and their engines.
      *
      * @param cores of each engine
-     * @param speeds of the engines' cores, in turn over the gateways
-     * @param memoryMb a gateway's limit
-     * @param sockets a gateway's limit of descriptors
-     * @param shutdownGraceMillis time from the notice to the kill
-     * @param sameName gateways that bear the name of gateway 0, by mistake
+     * @param speeds of the engines' cores, assigned to the gateways in turn
+     * @param memoryMb memory limit of a gateway
+     * @param sockets descriptor limit of a gateway
+     * @param shutdownGraceMillis time from the shutdown notice to the kill
+     * @param sameName gateways that are misconfigured with the name of gateway 0
      */
     public record Fleet(
             int gateways,
@@ -43,7 +45,7 @@
             int sockets,
             double shutdownGraceMillis,
             List<Integer> sameName) {
-        /** What all cores can do, in ms of work a ms. */
+        /** Capacity of all cores, in ms of work per ms. */
         public double power() {
             double sum = 0;
             for (int g = 0; g < gateways; g++) {
@@ -54,15 +56,15 @@
     }
 
     /**
-     * How the engines work.
+     * The model of the engines' performance.
      *
-     * @param law of a run's work about its class's mean
+     * @param law distribution of the work of a run around the mean of its class
      * @param sigma of the lognormal law
-     * @param knee runs on a core past which they slow each other down
-     * @param crowding how much work of the same cores each run on a core beyond the knee costs
-     * @param cold share of the speed at a start
-     * @param warmup time to full speed
-     * @param read work of reading a request, as a share of its class's mean
+     * @param knee number of runs per core above which runs slow each other down
+     * @param crowding additional work on the same cores for each run per core above the knee
+     * @param cold share of full speed at the start
+     * @param warmup time from the start to full speed
+     * @param read work of reading a request, as a share of the mean work of its class
      * @param check work of a health check
      * @param handshake work of a new connection
      */
@@ -77,7 +79,7 @@
             double check,
             double handshake) {}
 
-    /** Laws of service time. */
+    /** Distributions of service time. */
     public enum ServiceTimeLaw {
         CONSTANT,
         EXPONENTIAL,
@@ -87,9 +89,12 @@
     /**
      * A class of requests.
      *
-     * @param part of all requests, beside the others' parts
-     * @param work mean
-     * @param free whether it may run twice
+     * @param part its share of all requests, relative to the parts of the other classes
+     * @param work mean work of a run
+     * @param objective latency objective
+     * @param deadline from the sending of a try until it has to be answered
+     * @param gain what a request that is served in time counts in the metrics
+     * @param free whether a request may run more than once
      */
     public record RequestClass(
             String name,
@@ -100,26 +105,27 @@
             double gain,
             boolean free) {}
 
-    /** Members or subjects: how many, and the exponent of their Zipf law; 0 is even. */
+    /** Number of members or subjects, and the exponent of their Zipf law; 0 is uniform. */
     public record Population(int count, double skew) {}
 
     /**
      * The client proxies.
      *
-     * @param connections to one gateway, at most
-     * @param streams open requests that a connection carries before another is opened
-     * @param tryTimeoutShare for one try, as a share of its class's deadline
-     * @param totalTimeoutFactor for all tries together, as a multiple of the class's deadline
-     * @param maxTries at most; 0 is without limit
-     * @param retryPauseMillis before another try where nothing tells when
-     * @param heedingShare share of the proxies that heed advice
-     * @param triesNextAfterRejection whether they go down the list after a refusal, without a
-     *     pause, until all were asked
-     * @param healthCheckPeriodMillis period of health checks by each proxy at each gateway; 0 is
-     *     none
-     * @param idleTimeoutMillis connections are closed after so long
-     * @param unawareShare share of the proxies that follow neither the roster's news nor health
-     *     checks: they use each gateway for as long as it has a connection to give
+     * @param choice how a proxy selects a gateway
+     * @param connections maximum number of connections to one gateway
+     * @param streams open requests on a connection before another connection is opened
+     * @param tryTimeoutShare timeout of one try, as a share of the deadline of its class
+     * @param totalTimeoutFactor timeout of all tries together, as a multiple of that deadline
+     * @param maxTries maximum number of tries; 0 is unlimited
+     * @param retryPauseMillis pause before another try where the gateway advises none
+     * @param heedingShare share of the proxies that follow the gateways' advice
+     * @param triesNextAfterRejection whether a rejected request goes to the next gateway of the
+     *     list without a pause, until all have been tried
+     * @param healthCheckPeriodMillis period of the health checks of each gateway by each proxy; 0
+     *     is none
+     * @param idleTimeoutMillis idle connections are closed after this time
+     * @param unawareShare share of the proxies that follow neither the registry nor health checks:
+     *     they use each gateway for as long as it accepts connections
      */
     public record Callers(
             int proxies,
@@ -136,30 +142,33 @@
             double idleTimeoutMillis,
             double unawareShare) {}
 
-    /** How a proxy chooses a gateway. */
+    /** How a proxy selects a gateway. */
     public enum Selection {
+        /** Each gateway in turn. */
         TURN,
+        /** The gateway with the fewest open requests of this proxy. */
         LEAST,
+        /** By a hash of the subject and the gateway. */
         SUBJECT
     }
 
     /**
-     * Load in open loop, as shares of what the cores can do.
+     * Open-loop load, as a share of the capacity of all cores.
      *
-     * @param waveAmplitude of a wave about the level, as a share of it
+     * @param waveAmplitude amplitude of a sine wave around the level, as a share of the level
      */
     public record Load(double level, double waveAmplitude, double wavePeriod, List<Jump> jumps) {
-        /** The share asked for at this time. */
-        public double at(double t) {
+        /** The load at this time. */
+        public double at(double millis) {
             for (Jump jump : jumps) {
-                if (t >= jump.at && t < jump.at + jump.length) {
+                if (millis >= jump.at && millis < jump.at + jump.length) {
                     return jump.level;
                 }
             }
-            return level * (1 + waveAmplitude * Math.sin(2 * Math.PI * t / wavePeriod));
+            return level * (1 + waveAmplitude * Math.sin(2 * Math.PI * millis / wavePeriod));
         }
 
-        /** The most that is asked for at any time. */
+        /** Upper bound of the load at any time. */
         public double peak() {
             return Math.max(
                     level * (1 + waveAmplitude),
@@ -167,65 +176,71 @@
         }
     }
 
-    /** Another level for a while. */
+    /** A different load level for a limited time. */
     public record Jump(double at, double length, double level) {}
 
-    /** The roster: news reach each proxy so late; an entry lapses so long after the last report. */
+    /**
+     * The service registry.
+     *
+     * @param minDelayMillis shortest delay of an update on its way to a proxy
+     * @param maxDelayMillis longest delay of an update on its way to a proxy
+     * @param entryLifetimeMillis an entry expires this long after the last report
+     */
     public record Roster(
             double minDelayMillis, double maxDelayMillis, double entryLifetimeMillis) {}
 
     /** What a fault does. */
     public enum FaultAction {
-        /** Gateway and engine are killed, and come back. */
+        /** Gateway and engine are killed and restarted. */
         KILL,
-        /** The gateway is killed, its engine lives; it comes back. */
+        /** The gateway is killed and restarted; its engine keeps running. */
         KILL_GATEWAY,
-        /** SIGTERM, SIGKILL at the end of the time to leave; gateway and engine come back. */
+        /** SIGTERM, and SIGKILL after the grace period; gateway and engine are restarted. */
         NOTICE,
         /** SIGSTOP, and SIGCONT at the end. */
         STOP,
-        /** The engine dies, and comes back cold. */
+        /** The engine crashes and restarts cold. */
         ENGINE_CRASH,
-        /** The engine does and says nothing. */
+        /** The engine hangs: it neither runs requests nor answers. */
         ENGINE_PAUSE,
-        /** What lies behind the engine fails: runs crash. */
+        /** A back end of the engine fails: runs crash. */
         ENGINE_SICK,
-        /** The engine has {@code factor} of its speed. */
+        /** The engine runs at {@code factor} of its speed. */
         ENGINE_SLOW,
         /**
-         * The engine moves; the gateways are told by SIGHUP, but for {@code unnotifiedShare} of
-         * them.
+         * The engine moves to another address; the gateways are notified by SIGHUP, except for
+         * {@code unnotifiedShare} of them.
          */
         ENGINE_MOVE,
-        /** The roster is down. */
+        /** The registry is down. */
         ROSTER_DOWN,
-        /** The link brings nothing on, and says nothing. */
+        /** The link silently stops forwarding. */
         CUT,
-        /** The link's connections are reset at the beginning, and new ones until the end. */
+        /** The link resets its connections at the beginning, and new ones until the end. */
         RESET,
-        /** The link brings on half of the next message, and then nothing. */
+        /** The link forwards half of the next message, and then nothing. */
         HALF,
-        /** The link is slow by {@code delay} and up to {@code jitter} more. */
+        /** The link adds a latency of {@code delay} and up to {@code jitter} more. */
         DELAY,
-        /** The link brings on {@code rate} bytes a second. */
+        /** The link forwards {@code rate} bytes per second. */
         THROTTLE,
-        /** The link accepts, reads, and throws away. */
+        /** The link accepts connections, and reads and discards all data. */
         MUTE,
         /** The link refuses connections. */
         REFUSE,
-        /** The link loses {@code chance} of the datagrams. */
+        /** The link drops a share of {@code chance} of the datagrams. */
         LOSE,
-        /** The link repeats {@code chance} of the datagrams. */
+        /** The link duplicates a share of {@code chance} of the datagrams. */
         REPEAT,
-        /** The link brings on {@code chance} of the datagrams after the one that follows. */
+        /** The link delivers a share of {@code chance} of the datagrams after the next one. */
         REORDER;
 
-        /** Whether it is done to links, not to processes. */
+        /** Whether it affects links, not processes. */
         public boolean toLinks() {
             return ordinal() >= CUT.ordinal();
         }
 
-        /** Whether a process ends by it, to be started again. */
+        /** Whether it ends a gateway process that is restarted later. */
         public boolean ends() {
             return this == KILL || this == KILL_GATEWAY || this == NOTICE;
         }
@@ -246,29 +261,41 @@
         BOTH
     }
 
-    /** What becomes of a gateway's folder when it is started again. */
+    /** Which state folder a restarted gateway finds. */
     public enum StateRetention {
+        /** The folder that it left. */
         KEEP,
+        /** None. */
         LOSE,
+        /** A copy from before an earlier restart, or none if there is no copy. */
         OLD
     }
 
     /**
-     * A fault.
+     * A fault of the script.
      *
-     * @param action what is done
-     * @param at when
-     * @param length for how long, where it has an end
-     * @param spreadMillis the targets are hit at moments spread over this time
-     * @param gateways by number; empty: see zone and share
-     * @param zone all gateways of this zone; -1 is any
-     * @param share of the gateways that are left, drawn by the seed
-     * @param links which, where it is done to links
+     * @param action what it does
+     * @param at when it begins
+     * @param length how long it lasts, where it does not end a process
+     * @param spreadMillis it reaches its targets at random times within this interval
+     * @param gateways numbers of the gateways from which the targets are selected; empty is all
+     * @param zone only gateways of this zone; -1 is any
+     * @param share of the remaining gateways, which are drawn at random
+     * @param links the affected links, where it affects links
+     * @param direction of the affected links
      * @param callersZone only links from proxies of this zone; -1 is any
-     * @param minAwayMillis gone for so long, at least; counted from the end of the process
-     * @param jar the program that comes back; "" is the same
-     * @param signals with a notice: names of the signals that follow it, in this order
-     * @param signalGap between two of them, in ms; 0: in the same instant
+     * @param minAwayMillis shortest time from the end of a process to its restart
+     * @param maxAwayMillis longest time from the end of a process to its restart
+     * @param folder which state folder a restarted gateway finds
+     * @param jar the program that is started then; "" is the same as before
+     * @param factor share of the speed that a slow engine has
+     * @param unnotifiedShare share of the targets that are not sent the signal
+     * @param delay added latency of a link
+     * @param jitter largest random addition to the delay
+     * @param rate bytes per second of a throttled link
+     * @param chance share of the affected datagrams
+     * @param signals names of the signals that follow a shutdown notice, in this order
+     * @param signalGap time between two of them; 0 sends them at the same time
      */
     public record Fault(
             FaultAction action,
@@ -295,7 +322,7 @@
             double signalGap) {
         /**
          * The text that enters the digest of a schedule. Digests compare results of different
-         * builds, so this text keeps the names that it had first.
+         * builds, so this text uses the names of the first build.
          */
         @Override
         public String toString() {
--- a/src/main/java/tinroad/lab/script/ScriptReader.java
+++ b/src/main/java/tinroad/lab/script/ScriptReader.java
@@ -31,18 +31,18 @@
 import tinroad.operator.ValidationError;
 
 /**
- * Reads a lab script: what a schema can say is checked against it, and then how the parts fit
- * together.
+ * Reads a lab script. The file is validated against the schema first, and then for the conditions
+ * that a schema can't express.
  */
 public final class ScriptReader {
-    private final Config all;
-    private final List<ValidationError> faults = new ArrayList<>();
+    private final Config root;
+    private final List<ValidationError> errors = new ArrayList<>();
 
-    private ScriptReader(Config all) {
-        this.all = all;
+    private ScriptReader(Config root) {
+        this.root = root;
     }
 
-    /** The script in this file; throws with all that is wrong in it. */
+    /** Reads the script in this file; the exception lists all errors in it. */
     public static Script read(Path file) throws OperatorException {
         return new ScriptReader(ValidatedFile.read(file, Script.class)).read();
     }
@@ -50,21 +50,21 @@
     private Script read() throws OperatorException {
         Script script =
                 new Script(
-                        all.getString("title"),
-                        ms(all, "length"),
-                        ms(all, "settle"),
-                        fleet(all.getConfig("fleet")),
-                        work(all.getConfig("engine")),
+                        root.getString("title"),
+                        ms(root, "length"),
+                        ms(root, "settle"),
+                        fleet(root.getConfig("fleet")),
+                        engine(root.getConfig("engine")),
                         classes(),
-                        crowd("members"),
-                        crowd("subjects"),
-                        callers(all.getConfig("callers")),
-                        load(all.getConfig("load")),
-                        roster(all.getConfig("roster")),
-                        troubles());
+                        population("members"),
+                        population("subjects"),
+                        callers(root.getConfig("callers")),
+                        load(root.getConfig("load")),
+                        roster(root.getConfig("roster")),
+                        faults());
         check(script);
-        if (!faults.isEmpty()) {
-            throw new OperatorException(faults.stream().distinct().sorted().toList());
+        if (!errors.isEmpty()) {
+            throw new OperatorException(errors.stream().distinct().sorted().toList());
         }
         return script;
     }
@@ -73,7 +73,7 @@
         return from.getDuration(key, TimeUnit.NANOSECONDS) / 1e6;
     }
 
-    private static <E extends Enum<E>> E word(Class<E> type, Config from, String key) {
+    private static <E extends Enum<E>> E enumValue(Class<E> type, Config from, String key) {
         return Enum.valueOf(type, from.getString(key).toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
@@ -89,9 +89,9 @@
                 c.getIntList("same-name"));
     }
 
-    private static EngineModel work(Config c) {
+    private static EngineModel engine(Config c) {
         return new EngineModel(
-                word(ServiceTimeLaw.class, c, "law"),
+                enumValue(ServiceTimeLaw.class, c, "law"),
                 c.getDouble("sigma"),
                 c.getDouble("knee"),
                 c.getDouble("crowding"),
@@ -117,21 +117,21 @@
                 .toList();
     }
 
-    /** The objects of a list, each with what stands in {@code each} of the defaults beneath. */
+    /** The objects of a list, each completed by the defaults of the list below {@code each}. */
     private List<Config> items(String key) {
-        return all.getConfigList(key).stream()
-                .map(c -> c.withFallback(all.getConfig("each." + key)))
+        return root.getConfigList(key).stream()
+                .map(c -> c.withFallback(root.getConfig("each." + key)))
                 .toList();
     }
 
-    private Population crowd(String key) {
-        return new Population(all.getInt(key + ".count"), all.getDouble(key + ".skew"));
+    private Population population(String key) {
+        return new Population(root.getInt(key + ".count"), root.getDouble(key + ".skew"));
     }
 
     private static Callers callers(Config c) {
         return new Callers(
                 c.getInt("proxies"),
-                word(Selection.class, c, "choice"),
+                enumValue(Selection.class, c, "choice"),
                 c.getInt("connections"),
                 c.getInt("streams"),
                 c.getDouble("patience"),
@@ -159,12 +159,12 @@
         return new Roster(ms(c, "late-least"), ms(c, "late-most"), ms(c, "lapse"));
     }
 
-    private List<Fault> troubles() {
+    private List<Fault> faults() {
         return items("faults").stream()
                 .map(
                         c ->
                                 new Fault(
-                                        word(FaultAction.class, c, "do"),
+                                        enumValue(FaultAction.class, c, "do"),
                                         ms(c, "at"),
                                         ms(c, "for"),
                                         ms(c, "within"),
@@ -174,11 +174,11 @@
                                         c.getStringList("links").stream()
                                                 .map(l -> Link.valueOf(l.toUpperCase(Locale.ROOT)))
                                                 .toList(),
-                                        word(LinkDirection.class, c, "way"),
+                                        enumValue(LinkDirection.class, c, "way"),
                                         c.getInt("callers-zone"),
                                         ms(c, "back-least"),
                                         ms(c, "back-most"),
-                                        word(StateRetention.class, c, "folder"),
+                                        enumValue(StateRetention.class, c, "folder"),
                                         c.getString("jar"),
                                         c.getDouble("factor"),
                                         c.getDouble("missed"),
@@ -191,75 +191,79 @@
                 .toList();
     }
 
-    // --- what no schema says ---
+    // --- Conditions that the schema does not express ---
 
-    private void check(Script s) {
-        if (s.settle() >= s.length()) {
-            wrong("settle", "must be less than length");
+    private void check(Script script) {
+        if (script.settle() >= script.length()) {
+            addError("settle", "must be less than length");
         }
-        if (s.fleet().zones() > s.fleet().gateways()) {
-            wrong("fleet.zones", "must be no more than fleet.gateways");
+        if (script.fleet().zones() > script.fleet().gateways()) {
+            addError("fleet.zones", "must be no more than fleet.gateways");
         }
-        if (s.fleet().sameName().stream().anyMatch(g -> g >= s.fleet().gateways())) {
-            wrong("fleet.same-name", "must be from 0 to " + (s.fleet().gateways() - 1));
+        if (script.fleet().sameName().stream().anyMatch(g -> g >= script.fleet().gateways())) {
+            addError("fleet.same-name", "must be from 0 to " + (script.fleet().gateways() - 1));
         }
-        if (s.roster().minDelayMillis() > s.roster().maxDelayMillis()) {
-            wrong("roster.late-least", "must be no more than late-most");
+        if (script.roster().minDelayMillis() > script.roster().maxDelayMillis()) {
+            addError("roster.late-least", "must be no more than late-most");
         }
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < s.classes().size(); i++) {
-            RequestClass k = s.classes().get(i);
-            if (!names.add(k.name())) {
-                wrong("classes", i, "name", "must differ from the names of the other classes");
+        for (int i = 0; i < script.classes().size(); i++) {
+            RequestClass requestClass = script.classes().get(i);
+            if (!names.add(requestClass.name())) {
+                addError("classes", i, "name", "must differ from the names of the other classes");
             }
-            if (k.objective() > k.deadline()) {
-                wrong("classes", i, "objective", "must be no more than deadline");
+            if (requestClass.objective() > requestClass.deadline()) {
+                addError("classes", i, "objective", "must be no more than deadline");
             }
         }
-        for (int i = 0; i < s.faults().size(); i++) {
-            check(s, i, s.faults().get(i));
+        for (int i = 0; i < script.faults().size(); i++) {
+            check(script, i, script.faults().get(i));
         }
     }
 
-    private void check(Script s, int i, Fault t) {
-        if (t.at() >= s.length()) {
-            wrong("faults", i, "at", "must be before the end of the load, length");
+    private void check(Script script, int i, Fault fault) {
+        if (fault.at() >= script.length()) {
+            addError("faults", i, "at", "must be before the end of the load, length");
         }
-        if (t.gateways().stream().anyMatch(g -> g >= s.fleet().gateways())) {
-            wrong("faults", i, "gateways", "must be from 0 to " + (s.fleet().gateways() - 1));
+        if (fault.gateways().stream().anyMatch(g -> g >= script.fleet().gateways())) {
+            addError(
+                    "faults",
+                    i,
+                    "gateways",
+                    "must be from 0 to " + (script.fleet().gateways() - 1));
         }
-        if (Math.max(t.zone(), t.callersZone()) >= s.fleet().zones()) {
-            wrong(
+        if (Math.max(fault.zone(), fault.callersZone()) >= script.fleet().zones()) {
+            addError(
                     "faults",
                     i,
-                    t.zone() >= s.fleet().zones() ? "zone" : "callers-zone",
-                    "must be from 0 to " + (s.fleet().zones() - 1));
+                    fault.zone() >= script.fleet().zones() ? "zone" : "callers-zone",
+                    "must be from 0 to " + (script.fleet().zones() - 1));
         }
-        if (t.minAwayMillis() > t.maxAwayMillis()) {
-            wrong("faults", i, "back-least", "must be no more than back-most");
+        if (fault.minAwayMillis() > fault.maxAwayMillis()) {
+            addError("faults", i, "back-least", "must be no more than back-most");
         }
-        if (t.action().toLinks() == t.links().isEmpty()) {
-            wrong(
+        if (fault.action().toLinks() == fault.links().isEmpty()) {
+            addError(
                     "faults",
                     i,
-                    t.links().isEmpty() ? "do" : "links",
-                    t.links().isEmpty()
+                    fault.links().isEmpty() ? "do" : "links",
+                    fault.links().isEmpty()
                             ? "must have links: which links are meant?"
                             : "must go with a fault of links");
         }
         boolean datagrams =
-                t.action() == FaultAction.LOSE
-                        || t.action() == FaultAction.REPEAT
-                        || t.action() == FaultAction.REORDER;
+                fault.action() == FaultAction.LOSE
+                        || fault.action() == FaultAction.REPEAT
+                        || fault.action() == FaultAction.REORDER;
         boolean streams =
-                t.action() == FaultAction.RESET
-                        || t.action() == FaultAction.HALF
-                        || t.action() == FaultAction.REFUSE
-                        || t.action() == FaultAction.THROTTLE
-                        || t.action() == FaultAction.MUTE;
-        if ((datagrams && t.links().stream().anyMatch(l -> l != Link.ROSTER))
-                || (streams && t.links().contains(Link.ROSTER))) {
-            wrong(
+                fault.action() == FaultAction.RESET
+                        || fault.action() == FaultAction.HALF
+                        || fault.action() == FaultAction.REFUSE
+                        || fault.action() == FaultAction.THROTTLE
+                        || fault.action() == FaultAction.MUTE;
+        if ((datagrams && fault.links().stream().anyMatch(l -> l != Link.ROSTER))
+                || (streams && fault.links().contains(Link.ROSTER))) {
+            addError(
                     "faults",
                     i,
                     "links",
@@ -269,14 +273,14 @@
         }
     }
 
-    private void wrong(String path, String text) {
-        ConfigValue at = all.getValue(path);
-        faults.add(ValidatedFile.errorAt(at, path, text));
+    private void addError(String path, String text) {
+        ConfigValue at = root.getValue(path);
+        errors.add(ValidatedFile.errorAt(at, path, text));
     }
 
-    private void wrong(String list, int item, String key, String text) {
-        ConfigObject object = (ConfigObject) ((ConfigList) all.getValue(list)).get(item);
-        faults.add(
+    private void addError(String list, int item, String key, String text) {
+        ConfigObject object = (ConfigObject) ((ConfigList) root.getValue(list)).get(item);
+        errors.add(
                 ValidatedFile.errorAt(
                         object.getOrDefault(key, object), list + "." + item + "." + key, text));
     }
--- a/src/main/java/tinroad/lab/script/package-info.java
+++ b/src/main/java/tinroad/lab/script/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Lab scripts: HOCON checked against a schema, as typed values. Read by {@code tinroad.lab}; knows
- * no process, wire or random number.
+ * Lab scripts: HOCON files validated against a schema and read into typed values. Used by {@code
+ * tinroad.lab}; depends on no process, wire protocol or random number.
  */
 package tinroad.lab.script;
--- a/src/test/java/tinroad/lab/script/ScriptTest.java
+++ b/src/test/java/tinroad/lab/script/ScriptTest.java
@@ -14,10 +14,10 @@
 import tinroad.operator.OperatorException;
 import tinroad.operator.ValidationError;
 
-/** What a script says, and what is said of one that can't be played. */
+/** The values read from a script, and the errors reported for an invalid one. */
 class ScriptTest {
-    /** A script, and line and words of its first fault. */
-    private static final Map<String, String> MISTAKES =
+    /** Invalid scripts, each with the line and the start of the text of its first error. */
+    private static final Map<String, String> FIRST_ERRORS =
             Map.ofEntries(
                     Map.entry("lenth = 5s", "1: lenth: unknown: is length meant?"),
                     Map.entry("\nlength = 5", "2: length: must be a duration"),
@@ -110,9 +110,9 @@
     @TempDir private Path dir;
 
     @Test
-    void whatShipsCanBePlayed() throws Exception {
+    void allShippedScriptsAreValid() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("lab"))) {
-            // Scripts of the scale run have another form: ScaleReaderTest reads them.
+            // Scripts of the scale run have another format, which ScaleReaderTest covers.
             List<Path> scripts =
                     files.filter(
                                     f ->
@@ -129,42 +129,43 @@
     }
 
     @Test
-    void whatIsLeftOutHasItsDefault() throws Exception {
-        Script s =
+    void absentSettingsHaveTheirDefaults() throws Exception {
+        Script script =
                 ScriptReader.read(
                         Files.writeString(
                                 dir.resolve("s.conf"),
                                 "faults = [ { do = engine-sick, at = 5s, for = 1500ms } ]\n"
                                     + "classes = [ { name = a, part = 1, work = 5ms, objective ="
                                     + " 1s, deadline = 2s } ]"));
-        assertEquals(3, s.fleet().gateways());
-        assertEquals(6.0, s.fleet().power());
-        assertEquals(new Script.RequestClass("a", 1, 5, 1000, 2000, 1, true), s.classes().get(0));
-        assertEquals(Script.FaultAction.ENGINE_SICK, s.faults().get(0).action());
-        assertEquals(1500, s.faults().get(0).length());
-        assertEquals(1, s.faults().get(0).share());
+        assertEquals(3, script.fleet().gateways());
+        assertEquals(6.0, script.fleet().power());
+        assertEquals(
+                new Script.RequestClass("a", 1, 5, 1000, 2000, 1, true), script.classes().get(0));
+        assertEquals(Script.FaultAction.ENGINE_SICK, script.faults().get(0).action());
+        assertEquals(1500, script.faults().get(0).length());
+        assertEquals(1, script.faults().get(0).share());
     }
 
     @Test
-    void eachMistakeIsToldWithFileAndLine() throws Exception {
+    void eachErrorIsReportedWithFileAndLine() throws Exception {
         Path file = dir.resolve("s.conf");
-        for (Map.Entry<String, String> mistake : MISTAKES.entrySet()) {
-            Files.writeString(file, mistake.getKey());
-            ValidationError fault =
+        for (Map.Entry<String, String> expected : FIRST_ERRORS.entrySet()) {
+            Files.writeString(file, expected.getKey());
+            ValidationError error =
                     assertThrows(
                                     OperatorException.class,
                                     () -> ScriptReader.read(file),
-                                    mistake.getKey())
+                                    expected.getKey())
                             .errors()
                             .get(0);
             assertTrue(
-                    fault.toString().startsWith(file + ":" + mistake.getValue()),
-                    () -> mistake.getKey() + "\n" + fault);
+                    error.toString().startsWith(file + ":" + expected.getValue()),
+                    () -> expected.getKey() + "\n" + error);
         }
     }
 
     @Test
-    void allMistakesAreToldAtOnce() throws Exception {
+    void allErrorsAreReportedTogether() throws Exception {
         Path file =
                 Files.writeString(
                         dir.resolve("s.conf"),
@@ -179,7 +180,7 @@
     }
 
     @Test
-    void theLoadJumpsAndWaves() {
+    void theLoadFollowsItsJumpsAndWaves() {
         Script.Load load = new Script.Load(0.5, 0.4, 8000, List.of(new Script.Jump(1000, 500, 2)));
         assertEquals(0.7, load.at(2000), 1e-9);
         assertEquals(0.3, load.at(6000), 1e-9);
