--- a/src/main/java/tinroad/lab/soak/SoakRun.java
+++ b/src/main/java/tinroad/lab/soak/SoakRun.java
@@ -11,19 +11,19 @@
 import tinroad.operator.OperatorException;
 
 /**
- * One run of the soak. Its folder gets the script, the report with each broken request's way, and
- * the gateways' logs; the one who plays decides whether to keep it.
+ * One run of the soak. Its folder receives the script, the report with a trace of each violation,
+ * and the gateways' logs; the caller decides whether to keep the folder.
  *
- * @param seed that the script is drawn from
- * @param verdict what is wrong
- * @param requests asked for
+ * @param seed from which the script is drawn
+ * @param verdict the result of its checks
+ * @param requests number of requests in the run
  */
 public record SoakRun(long seed, SoakVerdict verdict, int requests) {
     /**
-     * Plays the run of this seed; blocks until it is over.
+     * Executes the run of this seed; blocks until it is over.
      *
      * @param program of the gateways: a jar, or a class path
-     * @param folder for all that it leaves
+     * @param folder for the script, the report and the logs
      */
     public static SoakRun play(long seed, String program, Path folder)
             throws IOException, InterruptedException {
@@ -43,7 +43,7 @@
             report.write(folder);
             return new SoakRun(seed, SoakVerdict.of(outcome, report), report.fates().asked());
         } catch (OperatorException e) {
-            throw new IllegalStateException("a drawn script has errors: " + e.errors(), e);
+            throw new IllegalStateException("generated soak script is invalid: " + e.errors(), e);
         }
     }
 }
--- a/src/main/java/tinroad/lab/soak/SoakScript.java
+++ b/src/main/java/tinroad/lab/soak/SoakScript.java
@@ -7,12 +7,12 @@
 import tinroad.lab.schedule.Draw;
 
 /**
- * Draws the script of one soak run from its seed: a small fleet in which each gateway ends once and
- * comes back, under clients of which half do not follow the endpoint list. The same seed gives the
- * same script.
+ * Generates the script of one soak run from its seed: a small fleet in which each gateway ends once
+ * and is started again, with clients of which half do not follow the endpoint list. The same seed
+ * gives the same script.
  */
 final class SoakScript {
-    /** In every third run clients ask for more than the fleet can do, and come back soon. */
+    /** Every third run has more load than the fleet can serve, and clients that retry soon. */
     private static final int OVERLOAD_EVERY = 3;
 
     private static final double OVERLOAD_LEVEL = 1.4;
@@ -21,13 +21,13 @@
     private static final int MAX_GATEWAYS = 5;
     private static final int MIN_STOP_MILLIS = 2_600;
     private static final int MAX_STOP_MILLIS = 4_000;
-    private static final int FIRST_END_MILLIS = 1_500;
-    private static final int LAST_END_MILLIS = 3_500;
-    private static final int MAX_BACK_MILLIS = 800;
+    private static final int MIN_END_AT_MILLIS = 1_500;
+    private static final int MAX_END_AT_MILLIS = 3_500;
+    private static final int MAX_AWAY_MILLIS = 800;
     private static final int MAX_SIGNALS = 4;
     private static final List<String> SIGNALS = List.of("TERM", "INT", "HUP");
 
-    /** Slow readers, cut messages and resets, at one gateway each. */
+    /** Slow readers, truncated messages, resets and delays, at one gateway each. */
     private static final List<String> CLIENT_FAULTS =
             List.of(
                     "do = throttle, way = out, rate = 20000",
@@ -44,13 +44,13 @@
         random = Draw.stream(seed, "soak");
     }
 
-    /** The script of this seed, as a file of the lab has it. */
+    /** Returns the script of this seed, in the format of a lab script file. */
     static String of(long seed) {
         return new SoakScript(seed).text();
     }
 
-    private int between(int least, int most) {
-        return least + random.nextInt(most - least + 1);
+    private int between(int min, int max) {
+        return min + random.nextInt(max - min + 1);
     }
 
     private boolean oneIn(int n) {
@@ -63,7 +63,7 @@
         int stopMillis = between(MIN_STOP_MILLIS, MAX_STOP_MILLIS);
         List<String> faults = new ArrayList<>();
         for (int gateway = 0; gateway < gateways; gateway++) {
-            faults.add(end(gateway));
+            faults.add(endFault(gateway));
             if (oneIn(3)) {
                 faults.add(clientFault(gateway));
             }
@@ -113,20 +113,20 @@
                 idempotent);
     }
 
-    private String end(int gateway) {
-        int kind = random.nextInt(10);
-        String how = kind == 0 ? "kill" : kind == 1 ? "kill-gateway" : "notice" + signals();
+    private String endFault(int gateway) {
+        int draw = random.nextInt(10);
+        String action = draw == 0 ? "kill" : draw == 1 ? "kill-gateway" : "notice" + signals();
         return String.format(
                 Locale.ROOT,
                 "{ do = %s, at = %dms, gateways = [%d], back-least = 0ms, back-most = %dms, folder"
                         + " = keep }",
-                how,
-                between(FIRST_END_MILLIS, LAST_END_MILLIS),
+                action,
+                between(MIN_END_AT_MILLIS, MAX_END_AT_MILLIS),
                 gateway,
-                oneIn(2) ? 0 : MAX_BACK_MILLIS);
+                oneIn(2) ? 0 : MAX_AWAY_MILLIS);
     }
 
-    /** Up to four more signals after the notice, in one instant or one after the other. */
+    /** Up to four more signals after the shutdown notice, at the same time or with gaps. */
     private String signals() {
         List<String> names = new ArrayList<>();
         for (int i = random.nextInt(MAX_SIGNALS + 1); i > 0; i--) {
@@ -140,21 +140,21 @@
                 Locale.ROOT,
                 "{ %s, at = %dms, for = %dms, gateways = [%d], links = [callers] }",
                 CLIENT_FAULTS.get(random.nextInt(CLIENT_FAULTS.size())),
-                between(FIRST_END_MILLIS, LAST_END_MILLIS + 1_000),
+                between(MIN_END_AT_MILLIS, MAX_END_AT_MILLIS + 1_000),
                 between(300, 2_000),
                 gateway);
     }
 
-    /** The engine dies while its gateway ends, and comes back or stays away for the rest. */
+    /** The engine crashes around the end of its gateway, and restarts or stays down to the end. */
     private String engineFault(int gateway) {
-        int back = oneIn(2) ? LENGTH_MILLIS : between(200, 1_500);
+        int awayMillis = oneIn(2) ? LENGTH_MILLIS : between(200, 1_500);
         return String.format(
                 Locale.ROOT,
                 "{ do = engine-crash, at = %dms, gateways = [%d], back-least = %dms, back-most ="
                         + " %dms }",
-                between(FIRST_END_MILLIS, LAST_END_MILLIS + 1_000),
+                between(MIN_END_AT_MILLIS, MAX_END_AT_MILLIS + 1_000),
                 gateway,
-                back,
-                back);
+                awayMillis,
+                awayMillis);
     }
 }
--- a/src/main/java/tinroad/lab/soak/SoakVerdict.java
+++ b/src/main/java/tinroad/lab/soak/SoakVerdict.java
@@ -8,92 +8,102 @@
 import tinroad.lab.verification.Try;
 
 /**
- * What is wrong with a soak run: the rules that the lab's report found broken, and ends of gateways
- * that are not in order.
+ * The result of a soak run: the violations that the lab's report found, and gateways that did not
+ * shut down or start again as they should.
  *
- * @param lateMillis how late the lab itself was at most
- * @param faults a line for each; empty where nothing is wrong
+ * @param lateMillis largest delay of the lab itself
+ * @param faults one line for each failed check; empty where all passed
  */
 public record SoakVerdict(double lateMillis, List<String> faults) {
-    /** A run in which the lab itself was later than this, in ms, shows nothing. */
+    /** A run in which the lab itself was delayed by more than this, in ms, is void. */
     public static final double MAX_LATE_MILLIS = 50;
 
     private static final int SIGTERM_STATUS = 128 + 15;
 
-    /** So long before the end of the load a process has to be started to be judged, in ms. */
-    private static final double READY_MILLIS = 5_000;
+    /** A process started at least this long before the end of the load has to listen, in ms. */
+    private static final double MAX_START_MILLIS = 5_000;
 
-    /** What became of a run. */
+    /** Outcome of a run. */
     public enum Outcome {
+        /** All checks passed. */
         KEPT,
+        /** A check failed. */
         BROKEN,
-        /** The lab was late itself: neither kept nor broken. */
+        /** The lab itself was delayed, so the run proves nothing. */
         VOID
     }
 
-    /** Judges a run. */
+    /** Checks a finished run. */
     static SoakVerdict of(Lab.RunOutcome outcome, Report report) {
-        RunHistory ledger = outcome.ledger();
+        RunHistory history = outcome.ledger();
         List<String> faults = new ArrayList<>();
-        report.broken().forEach(broken -> faults.add(broken.rule() + ": " + broken.description()));
-        for (RunHistory.GatewayIncarnation life : ledger.incarnations) {
-            judgeEnd(ledger, life, faults);
-            judgeStart(ledger, life, faults);
+        report.broken()
+                .forEach(
+                        violation -> faults.add(violation.rule() + ": " + violation.description()));
+        for (RunHistory.GatewayIncarnation incarnation : history.incarnations) {
+            checkEnd(history, incarnation, faults);
+            checkStart(history, incarnation, faults);
         }
         double lateMillis = outcome.late();
-        for (double[] stall : ledger.stalls) {
+        for (double[] stall : history.stalls) {
             lateMillis = Math.max(lateMillis, stall[1] - stall[0]);
         }
         return new SoakVerdict(lateMillis, List.copyOf(faults));
     }
 
-    private static void judgeEnd(
-            RunHistory ledger, RunHistory.GatewayIncarnation life, List<String> faults) {
-        if (!(life.noticedAt < ledger.plan.script().length())) {
+    private static void checkEnd(
+            RunHistory history, RunHistory.GatewayIncarnation incarnation, List<String> faults) {
+        if (!(incarnation.noticedAt < history.plan.script().length())) {
             return;
         }
-        String which = "gateway " + life.gateway + ", life " + life.number;
-        if (has(ledger, life, life.noticedAt, "did not end on notice")) {
-            faults.add(which + ": there at the kill");
-        } else if (life.exit != SIGTERM_STATUS) {
-            faults.add(which + ": ended with status " + life.exit);
-        } else if (!has(ledger, life, life.noticedAt, "server - drained")) {
-            faults.add(which + ": ended without 'drained'");
+        String subject = "gateway " + incarnation.gateway + ", incarnation " + incarnation.number;
+        if (hasEvent(history, incarnation, incarnation.noticedAt, "did not end on notice")) {
+            faults.add(subject + ": still running when it was killed");
+        } else if (incarnation.exit != SIGTERM_STATUS) {
+            faults.add(subject + ": ended with status " + incarnation.exit);
+        } else if (!hasEvent(history, incarnation, incarnation.noticedAt, "server - drained")) {
+            faults.add(subject + ": ended without the log line 'drained'");
         }
     }
 
-    private static void judgeStart(
-            RunHistory ledger, RunHistory.GatewayIncarnation life, List<String> faults) {
-        boolean judged =
-                life.number > 0
-                        && life.begunAt < ledger.plan.script().length() - READY_MILLIS
-                        && !(life.endedAt < ledger.plan.script().length());
-        if (judged && !has(ledger, life, life.begunAt, "listening on")) {
+    private static void checkStart(
+            RunHistory history, RunHistory.GatewayIncarnation incarnation, List<String> faults) {
+        boolean hasToListen =
+                incarnation.number > 0
+                        && incarnation.begunAt < history.plan.script().length() - MAX_START_MILLIS
+                        && !(incarnation.endedAt < history.plan.script().length());
+        if (hasToListen && !hasEvent(history, incarnation, incarnation.begunAt, "listening on")) {
             faults.add(
-                    "gateway " + life.gateway + ", life " + life.number + ": never listened again");
+                    "gateway "
+                            + incarnation.gateway
+                            + ", incarnation "
+                            + incarnation.number
+                            + ": did not listen again after its restart");
         }
     }
 
-    private static boolean has(
-            RunHistory ledger,
-            RunHistory.GatewayIncarnation life,
+    private static boolean hasEvent(
+            RunHistory history,
+            RunHistory.GatewayIncarnation incarnation,
             double fromMillis,
-            String remark) {
-        String where = "gateway " + life.gateway;
+            String text) {
+        String where = "gateway " + incarnation.gateway;
         double untilMillis =
-                Double.isNaN(life.endedAt) ? Double.MAX_VALUE : life.endedAt + MAX_LATE_MILLIS;
-        for (Try.Step event : ledger.events) {
+                Double.isNaN(incarnation.endedAt)
+                        ? Double.MAX_VALUE
+                        : incarnation.endedAt + MAX_LATE_MILLIS;
+        for (Try.Step event : history.events) {
             if (event.where().equals(where)
                     && event.at() >= fromMillis - MAX_LATE_MILLIS
                     && event.at() <= untilMillis
-                    && event.what().contains(remark)) {
+                    && event.what().contains(text)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** What became of the run. */
+    /** The outcome of the run; VOID takes precedence over failed checks. */
     public Outcome outcome() {
         if (lateMillis > MAX_LATE_MILLIS) {
             return Outcome.VOID;
--- a/src/test/java/tinroad/lab/soak/SoakTest.java
+++ b/src/test/java/tinroad/lab/soak/SoakTest.java
@@ -16,24 +16,24 @@
 import tinroad.Program;
 import tinroad.lab.script.ScriptReader;
 
-/** The soak on a few fixed seeds; many more are played by hand, see docs/regression.md. */
+/** The soak on a few fixed seeds; many more are run by hand, see docs/regression.md. */
 @Timeout(240)
 class SoakTest {
     @TempDir private Path dir;
 
-    /** Guards against an end of a gateway that loses, repeats or delays a request. */
+    /** Guards against shutdowns of a gateway that lose, repeat or delay a request. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void everyEndIsInOrder(long seed) throws Exception {
+    void everyShutdownIsOrderly(long seed) throws Exception {
         SoakVerdict verdict = SoakRun.play(seed, Program.CLASS_PATH, dir.resolve("s")).verdict();
         assumeFalse(
                 verdict.outcome() == SoakVerdict.Outcome.VOID,
-                () -> "void: the lab itself was late by " + verdict.lateMillis() + " ms");
+                () -> "void: the lab itself was delayed by " + verdict.lateMillis() + " ms");
         assertEquals(List.of(), verdict.faults());
     }
 
     @Test
-    void everySeedDrawsAScriptThatIsValidAndItsOwn() throws Exception {
+    void everySeedGivesAValidAndDistinctScript() throws Exception {
         for (long seed = 1; seed <= 300; seed++) {
             Path file = Files.writeString(dir.resolve("script.conf"), SoakScript.of(seed));
             assertTrue(ScriptReader.read(file).faults().size() >= 2);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aRunInWhichTheLabWasLateIsVoidWhateverElseItShows() {
+    void aRunInWhichTheLabWasDelayedIsVoidWhateverElseFailed() {
         assertEquals(SoakVerdict.Outcome.KEPT, new SoakVerdict(50, List.of()).outcome());
         assertEquals(SoakVerdict.Outcome.BROKEN, new SoakVerdict(50, List.of("lost")).outcome());
         assertEquals(SoakVerdict.Outcome.VOID, new SoakVerdict(51, List.of()).outcome());
