--- a/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
+++ b/src/main/java/tinroad/recovery/RecoveryPhaseTracker.java
@@ -34,7 +34,7 @@
     private double sinceMillis;
     private double attachedAtMillis;
     private double fullAfterMillis = Double.NaN;
-    private String reason = "the engine has not been attached yet";
+    private String reason = "the engine was never there";
 
     /**
      * Creates the tracker of a process that starts now.
--- a/src/main/java/tinroad/recovery/RestoredState.java
+++ b/src/main/java/tinroad/recovery/RestoredState.java
@@ -92,7 +92,7 @@
 
                 @Override
                 public String startMode() {
-                    return "no state is stored";
+                    return "nothing lasts here";
                 }
             };
 }
