--- a/src/main/java/tinroad/simulation/FleetModel.java
+++ b/src/main/java/tinroad/simulation/FleetModel.java
@@ -34,75 +34,80 @@
 import tinroad.lab.verification.Try;
 
 /**
- * A fleet of whole gateways on virtual time, in one thread: the program's own request table, module
- * and recovery, between the lab's models of engines, callers and roster. No process, socket or
- * link: those faults are the lab's. The same plan gives the same day to the byte. Times in ms from
- * the beginning of the load.
+ * Simulates a fleet of whole gateways on virtual time, in one thread. The gateways use the
+ * program's own request table, overload controller and recovery; engines, client proxies and the
+ * service registry are the lab's models. There are no processes, sockets or links, so only the lab
+ * can inject faults in those. The same schedule gives the same run, byte for byte. Times are in ms
+ * from the start of the load.
  */
 public final class FleetModel {
-    /** Unix time of the beginning of every day, in ms. */
-    static final double ZERO = 1.8e12;
+    /** Unix time of the start of the load in every run. */
+    static final double LOAD_START_UNIX_MILLIS = 1.8e12;
 
-    private static final double STEP = 1;
+    private static final double STEP_MILLIS = 1;
 
-    /** A way between two machines, one way. */
-    static final double WAY = 0.2;
+    /** Network delay between two machines, in one direction. */
+    static final double NETWORK_DELAY_MILLIS = 0.2;
 
     /**
-     * From the start of a process until it listens, at least and at most: what lab/start-cost.sh
-     * measures.
+     * Bounds of the time from the start of a process until it listens, as lab/start-cost.sh
+     * measures it.
      */
-    private static final double START_LEAST = 1000;
+    private static final double MIN_START_MILLIS = 1000;
 
-    private static final double START_MOST = 1200;
+    private static final double MAX_START_MILLIS = 1200;
 
-    /** Before the load begins the gateways stand up. */
-    private static final double BEFORE = 1000;
+    /** How long before the load the gateways start. */
+    private static final double START_BEFORE_LOAD_MILLIS = 1000;
 
-    private final Schedule plan;
-    private final boolean remembers;
+    private final Schedule schedule;
+    private final boolean restoresState;
     private final Script script;
-    private final RunHistory ledger;
-    private final EventQueue agenda = new EventQueue();
-    private final LabContext world;
+    private final RunHistory history;
+    private final EventQueue events = new EventQueue();
+    private final LabContext context;
     private final List<ModelEngine> engines = new ArrayList<>();
     private final List<ModelGateway> gateways = new ArrayList<>();
     private final List<ClientProxyModel> proxies = new ArrayList<>();
-    private final FakeRegistry roster;
-    private final UniformRandomProvider starts;
-    private double now = -BEFORE;
+    private final FakeRegistry registry;
+    private final UniformRandomProvider startDelayRandom;
+    private double nowMillis = -START_BEFORE_LOAD_MILLIS;
 
     /**
-     * A fleet that will live through this plan; refuses what needs links. {@code remembers}: state
-     * lasts over restarts.
+     * Creates a fleet for this schedule.
+     *
+     * @param restoresState whether gateways restore their learned state after a restart
+     * @throws IllegalArgumentException if the schedule has a fault that needs links or processes
      */
-    public FleetModel(Schedule plan, boolean remembers) throws IOException {
-        this.plan = plan;
-        this.remembers = remembers;
-        script = plan.script();
-        for (FaultEvent hit : plan.faultEvents()) {
-            FaultAction deed = hit.fault().action();
-            if (deed.toLinks() || deed == FaultAction.STOP || deed == FaultAction.ENGINE_MOVE) {
+    public FleetModel(Schedule schedule, boolean restoresState) throws IOException {
+        this.schedule = schedule;
+        this.restoresState = restoresState;
+        script = schedule.script();
+        for (FaultEvent event : schedule.faultEvents()) {
+            FaultAction action = event.fault().action();
+            if (action.toLinks()
+                    || action == FaultAction.STOP
+                    || action == FaultAction.ENGINE_MOVE) {
                 throw new IllegalArgumentException(
                         "the model has no links and no processes: it can't play "
-                                + deed.name().toLowerCase(Locale.ROOT).replace('_', '-'));
+                                + action.name().toLowerCase(Locale.ROOT).replace('_', '-'));
             }
         }
-        ledger = new RunHistory(plan);
-        world = new LabContext(null, ledger, agenda, LabContext.Mutant.NONE, () -> now);
-        world.begins(ZERO);
-        starts = Draw.stream(plan.seed(), "starts");
-        Site warm = site(false);
-        Site cold = site(true);
+        history = new RunHistory(schedule);
+        context = new LabContext(null, history, events, LabContext.Mutant.NONE, () -> nowMillis);
+        context.begins(LOAD_START_UNIX_MILLIS);
+        startDelayRandom = Draw.stream(schedule.seed(), "starts");
+        Site warmSite = site(false);
+        Site coldSite = site(true);
         for (int g = 0; g < script.fleet().gateways(); g++) {
             ModelEngine engine = new ModelEngine(this, g);
             engines.add(engine);
-            gateways.add(new ModelGateway(this, g, engine, warm, cold));
+            gateways.add(new ModelGateway(this, g, engine, warmSite, coldSite));
         }
         for (int p = 0; p < script.callers().proxies(); p++) {
-            proxies.add(new ClientProxyModel(world, p, this::carry));
+            proxies.add(new ClientProxyModel(context, p, this::send));
         }
-        roster = new FakeRegistry(world, proxies);
+        registry = new FakeRegistry(context, proxies);
     }
 
     private Site site(boolean cold) throws IOException {
@@ -112,227 +117,245 @@
         }
     }
 
-    Schedule plan() {
-        return plan;
+    Schedule schedule() {
+        return schedule;
     }
 
-    boolean remembers() {
-        return remembers;
+    boolean restoresState() {
+        return restoresState;
     }
 
-    RunHistory ledger() {
-        return ledger;
+    RunHistory history() {
+        return history;
     }
 
-    LabContext world() {
-        return world;
+    LabContext context() {
+        return context;
     }
 
-    double now() {
-        return now;
+    double nowMillis() {
+        return nowMillis;
     }
 
-    void at(double time, Runnable task) {
-        agenda.at(time, task);
+    void runAt(double timeMillis, Runnable task) {
+        events.at(timeMillis, task);
     }
 
-    void reports(int gateway, boolean good) {
-        roster.heard(gateway, good);
+    void reportHealth(int gateway, boolean healthy) {
+        registry.heard(gateway, healthy);
     }
 
-    /** Plays the day. */
+    /** Runs the schedule to its end and returns what happened. */
     public Lab.RunOutcome play() {
-        gateways.forEach(g -> g.begin(false));
-        agenda.at(
+        gateways.forEach(g -> g.start(false));
+        events.at(
                 0,
                 () -> {
-                    roster.allUp();
-                    roster.begin();
+                    registry.allUp();
+                    registry.begin();
                 });
-        checks();
-        script.load().jumps().forEach(j -> agenda.at(j.at() + j.length(), this::ended));
-        plan.requests()
+        scheduleHealthChecks();
+        script.load().jumps().forEach(j -> events.at(j.at() + j.length(), this::recordFaultEnd));
+        schedule.requests()
                 .forEach(
-                        asked ->
-                                agenda.at(
-                                        asked.at(),
-                                        () -> proxies.get(asked.proxy()).submit(asked)));
-        plan.faultEvents().forEach(hit -> agenda.at(hit.at(), () -> begin(hit)));
-        double patience =
+                        request ->
+                                events.at(
+                                        request.at(),
+                                        () -> proxies.get(request.proxy()).submit(request)));
+        schedule.faultEvents().forEach(event -> events.at(event.at(), () -> startFault(event)));
+        double maxTimeoutMillis =
                 script.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0)
                         * Math.max(1, script.callers().totalTimeoutFactor());
-        double end = script.length() + patience + 500;
-        while (now < script.length()
-                || (now < end && proxies.stream().anyMatch(p -> p.waiting() > 0))) {
+        double endMillis = script.length() + maxTimeoutMillis + 500;
+        while (nowMillis < script.length()
+                || (nowMillis < endMillis && proxies.stream().anyMatch(p -> p.waiting() > 0))) {
             step();
         }
-        // Callers may have gone; what they sent, and what is on its way, is owed an answer all the
-        // same.
+        // The callers may have given up, but every request that was sent must still be answered.
         step();
-        for (double last = now + patience + HistoryChecker.SLACK;
-                now < last && gateways.stream().anyMatch(ModelGateway::owes); ) {
+        for (double answersDueBy = nowMillis + maxTimeoutMillis + HistoryChecker.SLACK;
+                nowMillis < answersDueBy
+                        && gateways.stream().anyMatch(ModelGateway::hasOpenRequests); ) {
             step();
         }
         step();
-        engines.forEach(ModelEngine::end);
-        return new Lab.RunOutcome(ledger, 0, 1);
+        engines.forEach(ModelEngine::recordWorkDone);
+        return new Lab.RunOutcome(history, 0, 1);
     }
 
     private void step() {
-        now += STEP;
+        nowMillis += STEP_MILLIS;
         engines.forEach(ModelEngine::advance);
-        agenda.run(now);
+        events.run(nowMillis);
     }
 
     // --- callers ---
 
-    private boolean carry(
-            PlannedRequest asked, Try t, RequestClass kind, ClientProxyModel.TryListener told) {
+    private boolean send(
+            PlannedRequest request,
+            Try t,
+            RequestClass requestClass,
+            ClientProxyModel.TryListener listener) {
         ModelGateway g = gateways.get(t.gateway);
-        if (!g.listens()) {
-            agenda.at(now + 2 * WAY, () -> told.lost(false, now));
+        if (!g.isListening()) {
+            events.at(nowMillis + 2 * NETWORK_DELAY_MILLIS, () -> listener.lost(false, nowMillis));
             return true;
         }
-        told.sent();
-        engines.get(t.gateway).takeIn(script.engine().read() * kind.work());
+        listener.sent();
+        engines.get(t.gateway).addWork(script.engine().read() * requestClass.work());
         IncomingRequest in =
                 new IncomingRequest(
                         t.id,
-                        ZERO + now,
-                        kind.name(),
-                        "m" + asked.member(),
+                        LOAD_START_UNIX_MILLIS + nowMillis,
+                        requestClass.name(),
+                        "m" + request.member(),
                         t.proxy,
-                        asked.memoryKb(),
-                        Math.min(0.9999, asked.rank()),
-                        kind.free() ? String.format(Locale.ROOT, "%016x", asked.subject()) : null,
+                        request.memoryKb(),
+                        Math.min(0.9999, request.rank()),
+                        requestClass.free()
+                                ? String.format(Locale.ROOT, "%016x", request.subject())
+                                : null,
                         Unpooled.EMPTY_BUFFER);
-        agenda.at(now + WAY, () -> g.request(in, told));
+        events.at(nowMillis + NETWORK_DELAY_MILLIS, () -> g.handle(in, listener));
         return true;
     }
 
-    /** What an answer says to a caller, on its way back. */
-    void answer(Response a, ClientProxyModel.TryListener told) {
-        Try.Outcome end =
-                switch (a.kind()) {
+    /** Delivers a gateway's response to the caller after the network delay. */
+    void sendResponse(Response response, ClientProxyModel.TryListener listener) {
+        Try.Outcome outcome =
+                switch (response.kind()) {
                     case SERVED -> Try.Outcome.SERVED;
                     case REJECTED -> Try.Outcome.REFUSED;
                     case FAILED, INVALID -> Try.Outcome.FAILED;
                 };
-        String served =
-                end == Try.Outcome.SERVED ? a.result().toString(StandardCharsets.ISO_8859_1) : null;
-        agenda.at(
-                now + WAY,
+        String result =
+                outcome == Try.Outcome.SERVED
+                        ? response.result().toString(StandardCharsets.ISO_8859_1)
+                        : null;
+        events.at(
+                nowMillis + NETWORK_DELAY_MILLIS,
                 () ->
-                        told.answered(
-                                end,
-                                a.kind().name().toLowerCase(Locale.ROOT),
-                                served,
-                                a.retryAfterMillis(),
-                                a.doNotRetry()));
+                        listener.answered(
+                                outcome,
+                                response.kind().name().toLowerCase(Locale.ROOT),
+                                result,
+                                response.retryAfterMillis(),
+                                response.doNotRetry()));
     }
 
-    private void checks() {
-        double period = script.callers().healthCheckPeriodMillis();
-        for (int p = 0; p < proxies.size() && period > 0; p++) {
-            UniformRandomProvider random = Draw.stream(plan.seed(), "checks " + p);
+    private void scheduleHealthChecks() {
+        double periodMillis = script.callers().healthCheckPeriodMillis();
+        for (int p = 0; p < proxies.size() && periodMillis > 0; p++) {
+            UniformRandomProvider random = Draw.stream(schedule.seed(), "checks " + p);
             for (int g = 0; g < gateways.size(); g++) {
                 int proxy = p;
                 int gateway = g;
-                agenda.at(random.nextDouble() * period, () -> check(proxy, gateway, period));
+                events.at(
+                        random.nextDouble() * periodMillis,
+                        () -> checkHealth(proxy, gateway, periodMillis));
             }
         }
     }
 
-    private void check(int proxy, int gateway, double period) {
-        agenda.at(now + period, () -> check(proxy, gateway, period));
-        boolean there = gateways.get(gateway).listens();
-        if (there) {
-            ledger.count(RunHistory.Counter.CHECKS, gateway, now);
-            engines.get(gateway).takeIn(script.engine().check());
+    private void checkHealth(int proxy, int gateway, double periodMillis) {
+        events.at(nowMillis + periodMillis, () -> checkHealth(proxy, gateway, periodMillis));
+        boolean listening = gateways.get(gateway).isListening();
+        if (listening) {
+            history.count(RunHistory.Counter.CHECKS, gateway, nowMillis);
+            engines.get(gateway).addWork(script.engine().check());
         }
-        boolean good = there && gateways.get(gateway).healthy();
-        agenda.at(now + 2 * WAY, () -> proxies.get(proxy).checked(gateway, good));
+        boolean healthy = listening && gateways.get(gateway).healthy();
+        events.at(
+                nowMillis + 2 * NETWORK_DELAY_MILLIS,
+                () -> proxies.get(proxy).checked(gateway, healthy));
     }
 
     // --- faults ---
 
-    private void begin(FaultEvent hit) {
-        if (hit.gateway() < 0) {
-            roster.down(true);
-            agenda.at(
-                    hit.until(),
+    private void startFault(FaultEvent event) {
+        if (event.gateway() < 0) {
+            registry.down(true);
+            events.at(
+                    event.until(),
                     () -> {
-                        roster.down(false);
-                        ended();
+                        registry.down(false);
+                        recordFaultEnd();
                     });
             return;
         }
-        ModelGateway g = gateways.get(hit.gateway());
-        ModelEngine engine = engines.get(hit.gateway());
-        if (hit.fault().action().ends() && !g.leaves()) {
+        ModelGateway g = gateways.get(event.gateway());
+        ModelEngine engine = engines.get(event.gateway());
+        if (event.fault().action().ends() && !g.beginLeaving()) {
             return;
         }
-        switch (hit.fault().action()) {
+        switch (event.fault().action()) {
             case KILL, KILL_GATEWAY -> {
-                g.life().endedByScript = true;
-                if (hit.fault().action() == FaultAction.KILL) {
+                g.incarnation().endedByScript = true;
+                if (event.fault().action() == FaultAction.KILL) {
                     engine.crash();
                 }
-                g.end();
-                ledger.excusedIntervals.add(new ExcusedInterval(hit.gateway(), now, now + 50));
-                restart(g, engine, hit);
+                g.terminate();
+                history.excusedIntervals.add(
+                        new ExcusedInterval(event.gateway(), nowMillis, nowMillis + 50));
+                scheduleRestart(g, engine, event);
             }
             case NOTICE -> {
-                g.life().endedByScript = true;
-                g.notice(script.fleet().shutdownGraceMillis());
-                agenda.at(
-                        now + script.fleet().shutdownGraceMillis(),
+                g.incarnation().endedByScript = true;
+                g.sendShutdownNotice(script.fleet().shutdownGraceMillis());
+                events.at(
+                        nowMillis + script.fleet().shutdownGraceMillis(),
                         () -> {
-                            g.end();
+                            g.terminate();
                             engine.crash();
-                            restart(g, engine, hit);
+                            scheduleRestart(g, engine, event);
                         });
             }
             case ENGINE_CRASH -> {
                 engine.crash();
-                agenda.at(hit.until(), () -> engine.start(true));
+                events.at(event.until(), () -> engine.start(true));
             }
-            case ENGINE_PAUSE -> lasting(hit, engine::pause);
-            case ENGINE_SICK -> lasting(hit, engine::sick);
-            case ENGINE_SLOW -> lasting(hit, on -> engine.slow(on ? hit.fault().factor() : 1));
-            default -> throw new IllegalStateException(hit.fault().action().name());
+            case ENGINE_PAUSE -> applyUntilEnd(event, engine::setPaused);
+            case ENGINE_SICK -> applyUntilEnd(event, engine::setSick);
+            case ENGINE_SLOW ->
+                    applyUntilEnd(
+                            event, on -> engine.setSpeedFactor(on ? event.fault().factor() : 1));
+            default -> throw new IllegalStateException(event.fault().action().name());
         }
-        if (!hit.fault().action().ends()) {
-            agenda.at(Math.max(hit.at(), hit.until()), this::ended);
+        if (!event.fault().action().ends()) {
+            events.at(Math.max(event.at(), event.until()), this::recordFaultEnd);
         }
     }
 
-    private void lasting(FaultEvent hit, Consumer<Boolean> set) {
-        set.accept(true);
-        agenda.at(hit.until(), () -> set.accept(false));
+    private void applyUntilEnd(FaultEvent event, Consumer<Boolean> setter) {
+        setter.accept(true);
+        events.at(event.until(), () -> setter.accept(false));
     }
 
-    private void restart(ModelGateway g, ModelEngine engine, FaultEvent hit) {
-        agenda.at(
-                now + hit.awayMillis(),
+    private void scheduleRestart(ModelGateway g, ModelEngine engine, FaultEvent event) {
+        events.at(
+                nowMillis + event.awayMillis(),
                 () -> {
-                    ended();
-                    g.folder(hit.fault().folder());
-                    agenda.at(
-                            now + START_LEAST + (START_MOST - START_LEAST) * starts.nextDouble(),
-                            () -> g.begin(true));
-                    if (!engine.up()) {
-                        agenda.at(
-                                now + RecoveryBound.ENGINE_AFTER,
+                    recordFaultEnd();
+                    g.applyRetention(event.fault().folder());
+                    events.at(
+                            nowMillis
+                                    + MIN_START_MILLIS
+                                    + (MAX_START_MILLIS - MIN_START_MILLIS)
+                                            * startDelayRandom.nextDouble(),
+                            () -> g.start(true));
+                    if (!engine.isUp()) {
+                        events.at(
+                                nowMillis + RecoveryBound.ENGINE_AFTER,
                                 () -> {
                                     engine.start(true);
-                                    roster.engineUp(hit.gateway());
+                                    registry.engineUp(event.gateway());
                                 });
                     }
                 });
     }
 
-    private void ended() {
-        ledger.faultEnd = Double.isNaN(ledger.faultEnd) ? now : Math.max(now, ledger.faultEnd);
+    private void recordFaultEnd() {
+        history.faultEnd =
+                Double.isNaN(history.faultEnd) ? nowMillis : Math.max(nowMillis, history.faultEnd);
     }
 }
--- a/src/main/java/tinroad/simulation/MembersModel.java
+++ b/src/main/java/tinroad/simulation/MembersModel.java
@@ -16,32 +16,32 @@
 import tinroad.lab.fake.EventQueue;
 
 /**
- * Members of a fleet on virtual time: the program's own {@code fleet.Membership} over a network
- * that delays, loses and is cut. Checks at every change that versions only rise and that no stay
- * that is over comes back. Times in ms; the same seed is the same run.
+ * Simulates the members of a fleet on virtual time: the program's own {@code fleet.Membership} over
+ * a network that delays and loses datagrams and can be partitioned. Checks at every change that
+ * incarnations only increase and that a membership that has ended does not become active again.
+ * Times are in ms; the same seed gives the same run.
  */
 public final class MembersModel {
-    private static final double STEP = 10;
-    private static final double WAY_LEAST = 0.2;
-    private static final double WAY_MOST = 2;
+    private static final double STEP_MILLIS = 10;
+    private static final double MIN_DELAY_MILLIS = 0.2;
+    private static final double MAX_DELAY_MILLIS = 2;
 
-    /**
-     * What a datagram costs beside its claims, and what a claim costs, in bytes: as on the wire.
-     */
-    private static final int DATAGRAM = 60;
+    /** Size of a datagram on the wire without its member updates. */
+    private static final int DATAGRAM_OVERHEAD_BYTES = 60;
 
-    private static final int CLAIM = 56;
+    /** Size of one member update on the wire. */
+    private static final int UPDATE_BYTES = 56;
 
-    /** One process of a member. */
+    /** A process of a member. */
     private final class Node implements Membership.Transport {
         private final int number;
         private final Membership membership;
-        private final List<Runnable> missed = new ArrayList<>();
-        private final Map<String, MemberIncarnation> highest = new HashMap<>();
-        private boolean gone;
-        private boolean stopped;
+        private final List<Runnable> queuedMessages = new ArrayList<>();
+        private final Map<String, MemberIncarnation> highestIncarnations = new HashMap<>();
+        private boolean ended;
+        private boolean paused;
 
-        Node(int number, long life) {
+        Node(int number, long process) {
             this.number = number;
             String address = address(number);
             membership =
@@ -50,11 +50,11 @@
                                     "m" + number,
                                     address,
                                     "z" + number % zones,
-                                    new MemberIncarnation(life, 0, 0),
+                                    new MemberIncarnation(process, 0, 0),
                                     MemberStatus.ALIVE,
                                     "m" + number),
                             seeds,
-                            tuning,
+                            config,
                             random.nextLong(),
                             this);
         }
@@ -63,43 +63,43 @@
         public void send(String address, Message message) {
             int to = Integer.parseInt(address);
             packets++;
-            bytes += DATAGRAM + CLAIM * message.updates().size();
-            if (gone || random.nextDouble() < loss || cut.test(number, to)) {
+            bytes += DATAGRAM_OVERHEAD_BYTES + UPDATE_BYTES * message.updates().size();
+            if (ended || random.nextDouble() < loss || dropRule.test(number, to)) {
                 return;
             }
-            agenda.at(
-                    now + random.nextDouble(WAY_LEAST, WAY_MOST),
+            events.at(
+                    nowMillis + random.nextDouble(MIN_DELAY_MILLIS, MAX_DELAY_MILLIS),
                     () -> {
                         Node node = nodes.get(to);
-                        if (node.stopped) {
-                            node.missed.add(
+                        if (node.paused) {
+                            node.queuedMessages.add(
                                     () ->
                                             node.membership.receive(
-                                                    now, Integer.toString(number), message));
-                        } else if (!node.gone) {
-                            node.membership.receive(now, Integer.toString(number), message);
+                                                    nowMillis, Integer.toString(number), message));
+                        } else if (!node.ended) {
+                            node.membership.receive(nowMillis, Integer.toString(number), message);
                         }
                     });
         }
 
         @Override
         public void memberChanged(double at, MemberUpdate before, MemberUpdate after) {
-            MemberIncarnation known =
-                    highest.merge(
+            MemberIncarnation highestKnown =
+                    highestIncarnations.merge(
                             after.name(),
                             after.incarnation(),
                             (a, b) -> a.compareTo(b) >= 0 ? a : b);
-            boolean mixed =
-                    known.sameMembership(after.incarnation()) && after.status().isTerminal();
-            if (!known.equals(after.incarnation()) && !mixed) {
-                broken.add(
-                        now
+            boolean endedSameMembership =
+                    highestKnown.sameMembership(after.incarnation()) && after.status().isTerminal();
+            if (!highestKnown.equals(after.incarnation()) && !endedSameMembership) {
+                violations.add(
+                        nowMillis
                                 + ": m"
                                 + number
-                                + " went back on "
+                                + " lowered the incarnation of "
                                 + after.name()
                                 + ": "
-                                + known
+                                + highestKnown
                                 + " to "
                                 + after.incarnation());
             }
@@ -107,23 +107,23 @@
                     && before.status().isTerminal()
                     && !after.status().isTerminal()
                     && before.incarnation().sameMembership(after.incarnation())) {
-                broken.add(
-                        now
+                violations.add(
+                        nowMillis
                                 + ": m"
                                 + number
-                                + " has "
+                                + " shows "
                                 + after.name()
-                                + " back from the dead: "
+                                + " active again after its end: "
                                 + after.incarnation());
             }
-            int about = Integer.parseInt(after.name().substring(1));
-            boolean lives = !nodes.get(about).gone;
-            if (after.status() == MemberStatus.SUSPECT && lives) {
+            int subject = Integer.parseInt(after.name().substring(1));
+            boolean running = !nodes.get(subject).ended;
+            if (after.status() == MemberStatus.SUSPECT && running) {
                 falseSuspicions++;
             }
             if (after.status() == MemberStatus.DEAD
-                    && lives
-                    && nodes.get(about)
+                    && running
+                    && nodes.get(subject)
                             .membership
                             .self()
                             .incarnation()
@@ -134,183 +134,188 @@
     }
 
     private final int zones;
-    private final MembershipConfig tuning;
+    private final MembershipConfig config;
     private final SplittableRandom random;
     private final List<String> seeds;
     private final List<Node> nodes = new ArrayList<>();
-    private final EventQueue agenda = new EventQueue();
-    private final List<String> broken = new ArrayList<>();
+    private final EventQueue events = new EventQueue();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Integer> falseDeaths = new LinkedHashMap<>();
-    private BiPredicate<Integer, Integer> cut = (from, to) -> false;
+    private BiPredicate<Integer, Integer> dropRule = (from, to) -> false;
     private double loss;
-    private double now;
+    private double nowMillis;
     private long packets;
-    private long walkedBefore;
+    private long visitedBefore;
     private long bytes;
     private long falseSuspicions;
 
-    /** So many members in so many zones, that know the first three to begin with. */
-    public MembersModel(int members, int zones, MembershipConfig tuning, long seed) {
+    /**
+     * Starts {@code members} members in {@code zones} zones; the first three members are the seeds.
+     */
+    public MembersModel(int members, int zones, MembershipConfig config, long seed) {
         this.zones = zones;
-        this.tuning = tuning;
+        this.config = config;
         random = new SplittableRandom(seed);
         seeds = List.of(address(0), address(1), address(2));
         for (int n = 0; n < members; n++) {
             nodes.add(new Node(n, 1));
         }
-        nodes.forEach(n -> n.membership.start(now));
+        nodes.forEach(n -> n.membership.start(nowMillis));
     }
 
     private static String address(int number) {
         return Integer.toString(number);
     }
 
-    /** Lets time pass. */
-    public void pass(double ms) {
-        for (double end = now + ms; now < end; ) {
-            now += STEP;
-            agenda.run(now);
+    /** Advances the virtual time. */
+    public void advance(double durationMillis) {
+        for (double end = nowMillis + durationMillis; nowMillis < end; ) {
+            nowMillis += STEP_MILLIS;
+            events.run(nowMillis);
             for (Node n : nodes) {
-                if (!n.gone && !n.stopped) {
-                    n.membership.tick(now);
+                if (!n.ended && !n.paused) {
+                    n.membership.tick(nowMillis);
                 }
             }
         }
     }
 
     /**
-     * Lets time pass until all that live hold this of the member, at most so long; tells how long
-     * it took.
+     * Advances the time until all running members see this status of the member, by at most {@code
+     * maxMillis}; returns the time it took.
      */
-    public double until(int member, MemberStatus status, double most) {
-        double from = now;
-        while (now - from < most && !all(member, status)) {
-            pass(STEP);
+    public double advanceUntil(int member, MemberStatus status, double maxMillis) {
+        double from = nowMillis;
+        while (nowMillis - from < maxMillis && !allSee(member, status)) {
+            advance(STEP_MILLIS);
         }
-        return now - from;
+        return nowMillis - from;
     }
 
-    private boolean all(int member, MemberStatus status) {
+    private boolean allSee(int member, MemberStatus status) {
         return nodes.stream()
-                .filter(n -> !n.gone && !n.stopped && n.number != member)
+                .filter(n -> !n.ended && !n.paused && n.number != member)
                 .allMatch(
                         n -> {
-                            MemberUpdate c = n.membership.member("m" + member);
-                            return c != null && c.status() == status;
+                            MemberUpdate latest = n.membership.member("m" + member);
+                            return latest != null && latest.status() == status;
                         });
     }
 
-    /** Whether every one that lives holds every other that lives to be there, and nobody else. */
-    public boolean whole() {
-        long living = nodes.stream().filter(n -> !n.gone).count();
+    /** Whether every running member sees exactly the other running members, and suspects none. */
+    public boolean converged() {
+        long running = nodes.stream().filter(n -> !n.ended).count();
         return nodes.stream()
-                .filter(n -> !n.gone)
+                .filter(n -> !n.ended)
                 .allMatch(
                         n ->
-                                n.membership.presentMembers().size() == living - 1
+                                n.membership.presentMembers().size() == running - 1
                                         && n.membership.others().stream()
                                                 .noneMatch(
                                                         c -> c.status() == MemberStatus.SUSPECT));
     }
 
-    /** Lets time pass until the view is whole, at most so long; tells how long it took. */
-    public double untilWhole(double most) {
-        double from = now;
-        while (now - from < most && !whole()) {
-            pass(STEP);
+    /**
+     * Advances the time until all views have converged, by at most {@code maxMillis}; returns the
+     * time it took.
+     */
+    public double advanceUntilConverged(double maxMillis) {
+        double from = nowMillis;
+        while (nowMillis - from < maxMillis && !converged()) {
+            advance(STEP_MILLIS);
         }
-        return now - from;
+        return nowMillis - from;
     }
 
-    /** The member's process is killed. */
+    /** Kills the member's process. */
     public void kill(int member) {
-        nodes.get(member).gone = true;
+        nodes.get(member).ended = true;
     }
 
-    /** Another process of the member, with a later life. */
+    /** Replaces the member's process by a new one with the next process number. */
     public void restart(int member) {
-        Node before = nodes.get(member);
-        before.gone = true;
-        Node next = new Node(member, before.membership.self().incarnation().process() + 1);
+        Node previous = nodes.get(member);
+        previous.ended = true;
+        Node next = new Node(member, previous.membership.self().incarnation().process() + 1);
         nodes.set(member, next);
-        next.membership.start(now);
+        next.membership.start(nowMillis);
     }
 
-    /** The member says that it leaves, and ends. */
+    /** Ends the member after it has announced that it leaves. */
     public void leave(int member) {
-        nodes.get(member).membership.leave(now);
-        nodes.get(member).gone = true;
+        nodes.get(member).membership.leave(nowMillis);
+        nodes.get(member).ended = true;
     }
 
     /**
-     * The member stands still, or goes on: then what it was sent comes first, and all its timers at
-     * once.
+     * Pauses or resumes the member. After a pause it first receives the messages that arrived
+     * meanwhile; then all timers that have expired run at once.
      */
-    public void stop(int member, boolean on) {
+    public void setPaused(int member, boolean on) {
         Node n = nodes.get(member);
-        n.stopped = on;
+        n.paused = on;
         if (!on) {
-            n.missed.forEach(Runnable::run);
-            n.missed.clear();
+            n.queuedMessages.forEach(Runnable::run);
+            n.queuedMessages.clear();
         }
     }
 
-    /** What does not get through, by sender and receiver. */
-    public void cut(BiPredicate<Integer, Integer> lost) {
-        cut = lost;
+    /** Sets which datagrams are dropped, by sender and receiver. */
+    public void setDropRule(BiPredicate<Integer, Integer> rule) {
+        dropRule = rule;
     }
 
-    /** This part of all datagrams is lost. */
-    public void loss(double part) {
-        loss = part;
+    /** Sets the share of all datagrams that is lost. */
+    public void setLoss(double share) {
+        loss = share;
     }
 
-    /** Counts anew from now on. */
-    public void countAnew() {
-        walkedBefore += walked();
+    /** Resets all counters. */
+    public void resetCounters() {
+        visitedBefore += visitedEntries();
         packets = 0;
         bytes = 0;
         falseSuspicions = 0;
         falseDeaths.clear();
     }
 
-    /** Entries that all members have walked since the counts began. */
-    public long walked() {
-        return nodes.stream().mapToLong(n -> n.membership.visitedEntries()).sum() - walkedBefore;
+    /** Entries that all members have visited since the last reset of the counters. */
+    public long visitedEntries() {
+        return nodes.stream().mapToLong(n -> n.membership.visitedEntries()).sum() - visitedBefore;
     }
 
-    /** Invariants that were broken. */
-    public List<String> broken() {
-        return broken;
+    /** Invariant violations so far. */
+    public List<String> violations() {
+        return violations;
     }
 
-    /** Members that lived and were held dead by somebody. */
+    /** Number of memberships that another member declared dead while they were active. */
     public int falseDeaths() {
         return falseDeaths.size();
     }
 
-    /** How often somebody began to suspect one that lived. */
+    /** How often a member began to suspect a running member. */
     public long falseSuspicions() {
         return falseSuspicions;
     }
 
-    /** Datagrams sent. */
+    /** Datagrams sent since the last reset of the counters. */
     public long packets() {
         return packets;
     }
 
-    /** Bytes sent. */
+    /** Bytes sent since the last reset of the counters. */
     public long bytes() {
         return bytes;
     }
 
-    /** Whether this member takes the others' silence for a cut. */
-    public boolean seesCut(int member) {
+    /** Whether this member suspects a network partition. */
+    public boolean suspectsPartition(int member) {
         return nodes.get(member).membership.suspectsPartition();
     }
 
-    /** What a member holds of another, or null. */
-    public MemberUpdate held(int by, int member) {
-        return nodes.get(by).membership.member("m" + member);
+    /** The latest update about a member that the observer has, or null. */
+    public MemberUpdate latestUpdate(int observer, int member) {
+        return nodes.get(observer).membership.member("m" + member);
     }
 }
--- a/src/main/java/tinroad/simulation/MembersSweep.java
+++ b/src/main/java/tinroad/simulation/MembersSweep.java
@@ -7,11 +7,9 @@
 import tinroad.fleet.MembershipConfig;
 import tinroad.lab.verification.PairedComparison;
 
-/**
- * The figures of a membership against the fleet's size and the network's loss, over several seeds.
- */
+/** Measures the membership protocol by fleet size and network loss, over several seeds. */
 public final class MembersSweep {
-    /** What the columns of {@link #row} are. */
+    /** Names of the columns of {@link #row}. */
     public static final List<String> NAMES =
             List.of(
                     "rules",
@@ -28,70 +26,70 @@
                     "bytes_s",
                     "broken");
 
-    private static final double JOIN = 60_000;
-    private static final double QUIET = 20_000;
-    private static final double CUT = 6000;
-    private static final double STOP = 1900;
-    private static final double MOST = 30_000;
-    private static final double HOUR = 3_600_000;
+    private static final double MAX_JOIN_MILLIS = 60_000;
+    private static final double QUIET_MILLIS = 20_000;
+    private static final double PARTITION_MILLIS = 6000;
+    private static final double PAUSE_MILLIS = 1900;
+    private static final double MAX_WAIT_MILLIS = 30_000;
+    private static final double HOUR_MILLIS = 3_600_000;
 
     private MembersSweep() {}
 
     /**
-     * One line: a fleet of this size joins, is quiet, loses a member, has a tenth stopped for 1.9
-     * s, is cut in halves for 6 s.
+     * Measures one row: a fleet of this size joins, runs without faults, loses a member, has a
+     * tenth of its members paused for 1.9 s, and is partitioned into halves for 6 s.
      */
     public static List<Object> row(
-            String rules, MembershipConfig tuning, int members, double loss, long[] seeds) {
-        List<Double> deaths = new ArrayList<>();
-        List<Double> healed = new ArrayList<>();
+            String rules, MembershipConfig config, int members, double loss, long[] seeds) {
+        List<Double> deathTimes = new ArrayList<>();
+        List<Double> healTimes = new ArrayList<>();
         double suspicions = 0;
         double falseDeaths = 0;
-        int stoppedDeaths = 0;
+        int pausedDeaths = 0;
         double packets = 0;
         double bytes = 0;
-        int broken = 0;
+        int violations = 0;
         for (long seed : seeds) {
-            MembersModel m = new MembersModel(members, 2, tuning, seed);
-            m.untilWhole(JOIN);
-            m.pass(2000);
-            m.loss(loss);
-            m.countAnew();
-            m.pass(QUIET);
-            packets += m.packets() / QUIET * 1000 / members;
-            bytes += m.bytes() / QUIET * 1000 / members;
-            suspicions += m.falseSuspicions() * HOUR / QUIET;
-            falseDeaths += m.falseDeaths() * HOUR / QUIET;
-            m.kill(members - 1);
-            deaths.add(m.until(members - 1, MemberStatus.DEAD, MOST));
-            m.pass(3000);
-            m.countAnew();
-            IntStream.range(0, Math.max(1, members / 10)).forEach(n -> m.stop(n, true));
-            m.pass(STOP);
-            IntStream.range(0, Math.max(1, members / 10)).forEach(n -> m.stop(n, false));
-            m.pass(6000);
-            stoppedDeaths += m.falseDeaths();
-            m.cut((from, to) -> from % 2 != to % 2);
-            m.pass(CUT);
-            m.cut((from, to) -> false);
-            m.loss(0);
-            healed.add(m.untilWhole(MOST));
-            broken += m.broken().size();
+            MembersModel model = new MembersModel(members, 2, config, seed);
+            model.advanceUntilConverged(MAX_JOIN_MILLIS);
+            model.advance(2000);
+            model.setLoss(loss);
+            model.resetCounters();
+            model.advance(QUIET_MILLIS);
+            packets += model.packets() / QUIET_MILLIS * 1000 / members;
+            bytes += model.bytes() / QUIET_MILLIS * 1000 / members;
+            suspicions += model.falseSuspicions() * HOUR_MILLIS / QUIET_MILLIS;
+            falseDeaths += model.falseDeaths() * HOUR_MILLIS / QUIET_MILLIS;
+            model.kill(members - 1);
+            deathTimes.add(model.advanceUntil(members - 1, MemberStatus.DEAD, MAX_WAIT_MILLIS));
+            model.advance(3000);
+            model.resetCounters();
+            IntStream.range(0, Math.max(1, members / 10)).forEach(n -> model.setPaused(n, true));
+            model.advance(PAUSE_MILLIS);
+            IntStream.range(0, Math.max(1, members / 10)).forEach(n -> model.setPaused(n, false));
+            model.advance(6000);
+            pausedDeaths += model.falseDeaths();
+            model.setDropRule((from, to) -> from % 2 != to % 2);
+            model.advance(PARTITION_MILLIS);
+            model.setDropRule((from, to) -> false);
+            model.setLoss(0);
+            healTimes.add(model.advanceUntilConverged(MAX_WAIT_MILLIS));
+            violations += model.violations().size();
         }
         return List.of(
                 rules,
                 members,
                 loss,
-                median(deaths),
-                worst(deaths),
+                median(deathTimes),
+                worst(deathTimes),
                 Math.round(suspicions / seeds.length),
                 Math.round(falseDeaths / seeds.length),
-                stoppedDeaths,
-                median(healed),
-                worst(healed),
+                pausedDeaths,
+                median(healTimes),
+                worst(healTimes),
                 Math.round(10 * packets / seeds.length) / 10.0,
                 Math.round(bytes / seeds.length),
-                broken);
+                violations);
     }
 
     private static long median(List<Double> values) {
--- a/src/main/java/tinroad/simulation/ModelEngine.java
+++ b/src/main/java/tinroad/simulation/ModelEngine.java
@@ -15,16 +15,19 @@
 import tinroad.lab.verification.Try;
 import tinroad.overload.Controller.Gauges;
 
-/** An engine of the model: the lab's cores behind a link that is there while both ends are. */
+/**
+ * Models an engine: simulated cores that a gateway reaches over a link. The link exists while both
+ * the engine and the gateway run.
+ */
 final class ModelEngine implements Engine {
-    private record Running(Try t, double since, boolean sick, Listener listener) {}
+    private record Running(Try t, double startMillis, boolean sick, Listener listener) {}
 
     private final FleetModel model;
     private final int gateway;
     private final Map<String, Running> running = new HashMap<>();
     private CoreModel cores;
     private Listener listener;
-    private double upSince;
+    private double upSinceMillis;
     private boolean up;
     private boolean fresh;
     private boolean paused;
@@ -37,40 +40,42 @@
     }
 
     void start(boolean cold) {
-        Script script = model.plan().script();
+        Script script = model.schedule().script();
         double speed = script.fleet().speeds().get(gateway % script.fleet().speeds().size());
-        cores = new CoreModel(script.engine(), script.fleet().cores(), speed, model.now(), cold);
-        upSince = cold ? model.now() : model.now() - FakeEngine.UP_BEFORE;
+        cores =
+                new CoreModel(
+                        script.engine(), script.fleet().cores(), speed, model.nowMillis(), cold);
+        upSinceMillis = cold ? model.nowMillis() : model.nowMillis() - FakeEngine.UP_BEFORE;
         fresh = cold;
         up = true;
         if (listener != null) {
-            hello();
+            notifyAttached();
         }
     }
 
-    /** A process of the gateway attaches, or, null, is gone. */
-    void attach(Listener to) {
-        listener = to;
-        if (to != null && up) {
-            hello();
+    /** Attaches a process of the gateway; null says that the attached process has ended. */
+    void attach(Listener newListener) {
+        listener = newListener;
+        if (newListener != null && up) {
+            notifyAttached();
         }
     }
 
-    private void hello() {
-        Listener to = listener;
-        model.at(
-                model.now() + 2 * FleetModel.WAY,
+    private void notifyAttached() {
+        Listener receiver = listener;
+        model.runAt(
+                model.nowMillis() + 2 * FleetModel.NETWORK_DELAY_MILLIS,
                 () -> {
-                    if (up && listener == to) {
-                        to.onAttached(fresh, model.now() - upSince);
-                        to.onCaughtUp();
+                    if (up && listener == receiver) {
+                        receiver.onAttached(fresh, model.nowMillis() - upSinceMillis);
+                        receiver.onCaughtUp();
                     }
                 });
     }
 
     void crash() {
         if (up) {
-            model.ledger().engineWork += cores.done();
+            model.history().engineWork += cores.done();
         }
         up = false;
         paused = false;
@@ -81,60 +86,61 @@
         }
     }
 
-    void pause(boolean on) {
+    void setPaused(boolean on) {
         paused = on;
         cores.pause(on);
     }
 
-    void sick(boolean on) {
+    void setSick(boolean on) {
         sick = on;
     }
 
-    void slow(double factor) {
+    void setSpeedFactor(double factor) {
         cores.slow(factor);
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
-    void end() {
+    /** Adds the work that the cores have done to the run's history. */
+    void recordWorkDone() {
         if (up) {
-            model.ledger().engineWork += cores.done();
+            model.history().engineWork += cores.done();
         }
     }
 
-    void takeIn(double work) {
+    void addWork(double work) {
         if (up && work > 0) {
             cores.read(work);
         }
     }
 
-    /** Brings the cores to now, and tells what ended. */
+    /** Advances the cores to the current time and reports the runs that ended. */
     void advance() {
         if (!up) {
             return;
         }
-        for (String id : cores.advance(model.now())) {
+        for (String id : cores.advance(model.nowMillis())) {
             Running run = running.remove(id);
-            // What an earlier process ordered ends, too: nobody is told.
+            // Runs that an earlier gateway process requested also end, but are not reported.
             if (run != null && run.listener == listener) {
-                tell(id, run);
+                reportRunEnd(id, run);
             }
         }
     }
 
-    private void tell(String id, Running run) {
-        double took = model.now() - run.since;
+    private void reportRunEnd(String id, Running run) {
+        double durationMillis = model.nowMillis() - run.startMillis;
         run.t.result = run.sick ? null : "result of " + id + " at " + gateway;
-        model.at(
-                model.now() + FleetModel.WAY,
+        model.runAt(
+                model.nowMillis() + FleetModel.NETWORK_DELAY_MILLIS,
                 () -> {
                     if (listener == run.listener) {
                         listener.onRunEnded(
                                 id,
                                 run.sick ? RunOutcome.CRASHED : RunOutcome.DONE,
-                                took,
+                                durationMillis,
                                 run.sick
                                         ? Unpooled.EMPTY_BUFFER
                                         : Unpooled.copiedBuffer(
@@ -148,23 +154,23 @@
         if (!up) {
             return Progress.NOT_SENT;
         }
-        Try t = model.world().byId(id);
+        Try t = model.context().byId(id);
         if (running.containsKey(id)) {
             return Progress.SENT;
         }
         if (t.runs > 0) {
-            Listener to = listener;
-            model.at(
-                    model.now() + 2 * FleetModel.WAY,
-                    () -> to.onRunEnded(id, RunOutcome.STALE, 0, Unpooled.EMPTY_BUFFER));
+            Listener receiver = listener;
+            model.runAt(
+                    model.nowMillis() + 2 * FleetModel.NETWORK_DELAY_MILLIS,
+                    () -> receiver.onRunEnded(id, RunOutcome.STALE, 0, Unpooled.EMPTY_BUFFER));
             return Progress.SENT;
         }
-        PlannedRequest asked = model.plan().requests().get(t.request);
+        PlannedRequest request = model.schedule().requests().get(t.request);
         t.runs++;
-        t.ranAt = model.now();
-        model.ledger().count(RunHistory.Counter.RUNS, gateway, model.now());
-        running.put(id, new Running(t, model.now(), sick, listener));
-        cores.start(id, asked.work() * (sick ? FakeEngine.SICK_PART : 1));
+        t.ranAt = model.nowMillis();
+        model.history().count(RunHistory.Counter.RUNS, gateway, model.nowMillis());
+        running.put(id, new Running(t, model.nowMillis(), sick, listener));
+        cores.start(id, request.work() * (sick ? FakeEngine.SICK_PART : 1));
         return Progress.SENT;
     }
 
@@ -173,17 +179,17 @@
         if (!up || paused) {
             return up;
         }
-        Listener to = listener;
-        model.at(
-                model.now() + 2 * FleetModel.WAY,
+        Listener receiver = listener;
+        model.runAt(
+                model.nowMillis() + 2 * FleetModel.NETWORK_DELAY_MILLIS,
                 () ->
-                        to.onGauges(
+                        receiver.onGauges(
                                 tag,
                                 new Gauges(
                                         cores.use(),
                                         cores.present(),
                                         FakeEngine.memoryShare(running.size()),
-                                        model.plan().script().callers().proxies())));
+                                        model.schedule().script().callers().proxies())));
         return true;
     }
 }
--- a/src/main/java/tinroad/simulation/ModelGateway.java
+++ b/src/main/java/tinroad/simulation/ModelGateway.java
@@ -21,115 +21,127 @@
 import tinroad.state.SnapshotReadResult;
 import tinroad.state.SnapshotSelector;
 
-/** One gateway of the model, life after life: the program's own parts on the model's time. */
+/**
+ * Models one gateway over all of its incarnations, with the program's own components on virtual
+ * time.
+ */
 final class ModelGateway {
-    /** Of what lasts, in ms: as in lab/operator/state.conf. */
-    private static final double SAVES = 500;
+    /** Settings of the stored state, as in lab/operator/state.conf. */
+    private static final double SAVE_PERIOD_MILLIS = 500;
 
-    private static final double OLDEST = 600_000;
-    private static final double HALF_LIFE = 300_000;
+    private static final double MAX_STATE_AGE_MILLIS = 600_000;
+    private static final double HALF_LIFE_MILLIS = 300_000;
 
-    /** What the process keeps of its time to leave for its end, in ms. */
-    private static final double EXIT_MARGIN = 200;
+    /** Part of the shutdown grace period that is reserved for the end of the process. */
+    private static final double EXIT_MARGIN_MILLIS = 200;
 
     private final FleetModel model;
     private final int number;
     private final ModelEngine engine;
-    private final Site warm;
-    private final Site cold;
-    private final Set<ClientProxyModel.TryListener> open = new LinkedHashSet<>();
+    private final Site warmSite;
+    private final Site coldSite;
+    private final Set<ClientProxyModel.TryListener> openRequests = new LinkedHashSet<>();
     private Gateway gateway;
-    private StateRestorer remembrance;
+    private StateRestorer stateRestorer;
 
-    /** What is in the folder of state, and what was kept of it the time before. */
-    private Snapshot folder;
+    /** The last saved snapshot, or null. */
+    private Snapshot storedSnapshot;
 
-    private Snapshot older;
-    private RunHistory.GatewayIncarnation life;
-    private boolean good;
+    /** The snapshot that was stored at the last restart that retained the state, or null. */
+    private Snapshot olderSnapshot;
+
+    private RunHistory.GatewayIncarnation incarnation;
+    private boolean lastReportedHealthy;
     private boolean leaving;
 
-    ModelGateway(FleetModel model, int number, ModelEngine engine, Site warm, Site cold) {
+    ModelGateway(FleetModel model, int number, ModelEngine engine, Site warmSite, Site coldSite) {
         this.model = model;
         this.number = number;
         this.engine = engine;
-        this.warm = warm;
-        this.cold = cold;
+        this.warmSite = warmSite;
+        this.coldSite = coldSite;
     }
 
-    /** What became of the folder while the process was gone. */
-    void folder(Script.StateRetention what) {
-        switch (what) {
-            case KEEP -> older = folder;
-            case LOSE -> folder = null;
-            case OLD -> folder = older;
+    /** Retains, loses or replaces the stored snapshot while the process is down. */
+    void applyRetention(Script.StateRetention retention) {
+        switch (retention) {
+            case KEEP -> olderSnapshot = storedSnapshot;
+            case LOSE -> storedSnapshot = null;
+            case OLD -> storedSnapshot = olderSnapshot;
         }
     }
 
-    /** Another life begins, and listens at once. */
-    void begin(boolean justStarted) {
-        life = model.ledger().addIncarnation(number);
-        model.world().lives(number, life.number);
+    /**
+     * Starts a new incarnation, which listens at once. Its number comes from outside the stored
+     * state, as from a fence, so that an outdated snapshot is recognized.
+     */
+    void start(boolean justStarted) {
+        incarnation = model.history().addIncarnation(number);
+        model.context().lives(number, incarnation.number);
         long seed =
-                Draw.stream(model.plan().seed(), "gateway " + number + " " + life.number)
+                Draw.stream(model.schedule().seed(), "gateway " + number + " " + incarnation.number)
                         .nextLong();
-        RunHistory.GatewayIncarnation mine = life;
-        good = false;
+        RunHistory.GatewayIncarnation ownIncarnation = incarnation;
+        lastReportedHealthy = false;
         leaving = false;
         gateway =
                 new Gateway(
-                        justStarted ? cold : warm,
+                        justStarted ? coldSite : warmSite,
                         seed,
-                        () -> FleetModel.ZERO + model.now(),
+                        () -> FleetModel.LOAD_START_UNIX_MILLIS + model.nowMillis(),
                         (ms, task) ->
-                                model.at(
-                                        model.now() + ms,
+                                model.runAt(
+                                        model.nowMillis() + ms,
                                         () -> {
-                                            // The timers of a process end with it.
-                                            if (life == mine && gateway != null) {
+                                            // The timers of a process end with the process.
+                                            if (incarnation == ownIncarnation && gateway != null) {
                                                 task.run();
                                             }
                                         }),
                         engine,
                         OverloadController::new,
                         NOPLogger.NOP_LOGGER);
-        if (model.remembers()) {
-            double unix = FleetModel.ZERO + model.now();
-            // The number of a life is told from elsewhere, as by a fence: an older folder is then
-            // known for what it is.
-            SnapshotSelector.Decision d =
+        if (model.restoresState()) {
+            double unixMillis = FleetModel.LOAD_START_UNIX_MILLIS + model.nowMillis();
+            SnapshotSelector.Decision decision =
                     SnapshotSelector.select(
-                            folder == null
+                            storedSnapshot == null
                                     ? List.of()
                                     : List.of(
                                             new SnapshotSelector.Candidate(
                                                     "state",
-                                                    new SnapshotReadResult.Usable(folder))),
+                                                    new SnapshotReadResult.Usable(storedSnapshot))),
+                            "g" + number,
+                            unixMillis,
+                            MAX_STATE_AGE_MILLIS,
+                            incarnation.number,
+                            incarnation.number);
+            stateRestorer =
+                    new StateRestorer(
                             "g" + number,
-                            unix,
-                            OLDEST,
-                            life.number,
-                            life.number);
-            remembrance = new StateRestorer("g" + number, d, life.number + 1, OLDEST, HALF_LIFE);
-            gateway.restoreFrom(remembrance);
-            save(mine);
+                            decision,
+                            incarnation.number + 1,
+                            MAX_STATE_AGE_MILLIS,
+                            HALF_LIFE_MILLIS);
+            gateway.restoreFrom(stateRestorer);
+            savePeriodically(ownIncarnation);
         }
         gateway.onHealth(
                 healthy -> {
-                    good = healthy;
-                    model.reports(number, healthy);
+                    lastReportedHealthy = healthy;
+                    model.reportHealth(number, healthy);
                 });
         gateway.markListening();
         engine.attach(gateway);
-        report(mine, LoadReporter.reportInterval("g" + number, seed));
+        reportPeriodically(ownIncarnation, LoadReporter.reportInterval("g" + number, seed));
     }
 
-    private void save(RunHistory.GatewayIncarnation mine) {
-        if (life == mine && gateway != null) {
+    private void savePeriodically(RunHistory.GatewayIncarnation ownIncarnation) {
+        if (incarnation == ownIncarnation && gateway != null) {
             Map<String, Estimate> values = gateway.learnedEstimates();
             if (!values.isEmpty()) {
-                folder =
-                        remembrance.toSnapshot(
+                storedSnapshot =
+                        stateRestorer.toSnapshot(
                                 gateway.nowMillis(),
                                 values,
                                 gateway.executedIds(),
@@ -137,73 +149,78 @@
                                 gateway.catalog().epoch(),
                                 gateway.catalog().number());
             }
-            model.at(model.now() + SAVES, () -> save(mine));
+            model.runAt(
+                    model.nowMillis() + SAVE_PERIOD_MILLIS, () -> savePeriodically(ownIncarnation));
         }
     }
 
-    private void report(RunHistory.GatewayIncarnation mine, JitteredInterval pace) {
-        if (life == mine && gateway != null) {
-            model.reports(number, good);
-            model.at(model.now() + pace.nextMillis(), () -> report(mine, pace));
+    private void reportPeriodically(
+            RunHistory.GatewayIncarnation ownIncarnation, JitteredInterval interval) {
+        if (incarnation == ownIncarnation && gateway != null) {
+            model.reportHealth(number, lastReportedHealthy);
+            model.runAt(
+                    model.nowMillis() + interval.nextMillis(),
+                    () -> reportPeriodically(ownIncarnation, interval));
         }
     }
 
-    RunHistory.GatewayIncarnation life() {
-        return life;
+    RunHistory.GatewayIncarnation incarnation() {
+        return incarnation;
     }
 
     /**
-     * It is told to leave, or killed, and another life is to come; false where that is so already.
+     * Marks that this incarnation is about to end by a kill or a shutdown notice. Returns false if
+     * the gateway is not running or is already marked.
      */
-    boolean leaves() {
-        boolean first = gateway != null && !leaving;
-        leaving |= first;
-        return first;
+    boolean beginLeaving() {
+        boolean firstTime = gateway != null && !leaving;
+        leaving |= firstTime;
+        return firstTime;
     }
 
-    boolean listens() {
+    boolean isListening() {
         return gateway != null;
     }
 
-    /** Whether a caller waits for an answer. */
-    boolean owes() {
-        return !open.isEmpty();
+    /** Whether a request has not been answered yet. */
+    boolean hasOpenRequests() {
+        return !openRequests.isEmpty();
     }
 
     boolean healthy() {
         return gateway != null && gateway.healthy();
     }
 
-    void request(IncomingRequest in, ClientProxyModel.TryListener told) {
+    void handle(IncomingRequest in, ClientProxyModel.TryListener listener) {
         if (gateway == null) {
-            told.lost(true, model.now());
+            listener.lost(true, model.nowMillis());
             return;
         }
-        open.add(told);
-        RunHistory.GatewayIncarnation mine = life;
+        openRequests.add(listener);
+        RunHistory.GatewayIncarnation ownIncarnation = incarnation;
         gateway.handle(
                 in,
-                answer -> {
-                    if (life == mine && open.remove(told)) {
-                        model.answer(answer, told);
+                response -> {
+                    if (incarnation == ownIncarnation && openRequests.remove(listener)) {
+                        model.sendResponse(response, listener);
                     }
                 });
     }
 
-    void notice(double stop) {
-        life.noticedAt = model.now();
-        double noticedAt = FleetModel.ZERO + model.now();
-        gateway.beginDraining(noticedAt, noticedAt + stop - EXIT_MARGIN);
+    void sendShutdownNotice(double graceMillis) {
+        incarnation.noticedAt = model.nowMillis();
+        double noticedAt = FleetModel.LOAD_START_UNIX_MILLIS + model.nowMillis();
+        gateway.beginDraining(noticedAt, noticedAt + graceMillis - EXIT_MARGIN_MILLIS);
     }
 
-    /** The process ends: whoever waited for it loses its connection. */
-    void end() {
-        life.endedAt = model.now();
-        life.exit = 0;
+    /** Ends the process; callers that wait for a response lose their connection. */
+    void terminate() {
+        incarnation.endedAt = model.nowMillis();
+        incarnation.exit = 0;
         gateway = null;
         engine.attach(null);
-        List<ClientProxyModel.TryListener> lost = List.copyOf(open);
-        open.clear();
-        lost.forEach(told -> told.lost(true, model.now()));
+        List<ClientProxyModel.TryListener> lostListeners = List.copyOf(openRequests);
+        openRequests.clear();
+        lostListeners.forEach(listener -> listener.lost(true, model.nowMillis()));
     }
 }
--- a/src/main/java/tinroad/simulation/package-info.java
+++ b/src/main/java/tinroad/simulation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets of whole gateways on virtual time: the same scripts, figures and rules as the lab's,
- * without processes or links.
+ * Simulation of fleets of whole gateways on virtual time, with the scripts, metrics and rules of
+ * the lab but without processes or links.
  */
 package tinroad.simulation;
--- a/src/test/java/tinroad/simulation/FleetModelTest.java
+++ b/src/test/java/tinroad/simulation/FleetModelTest.java
@@ -13,19 +13,19 @@
 import tinroad.lab.schedule.Schedule;
 import tinroad.lab.script.ScriptReader;
 
-/** Whole gateways on virtual time: figures may be asserted here, as they hang on no machine. */
+/** Tests whole gateways on virtual time, where results do not depend on the machine. */
 class FleetModelTest {
     @TempDir private Path dir;
 
-    private Report play(String script, long seed) throws Exception {
-        return play(script, seed, true);
+    private Report run(String script, long seed) throws Exception {
+        return run(script, seed, true);
     }
 
-    private Report play(String script, long seed, boolean remembers) throws Exception {
+    private Report run(String script, long seed, boolean restoresState) throws Exception {
         Path file = Files.writeString(dir.resolve("s.conf"), script);
         Report report =
                 new Report(
-                        new FleetModel(Schedule.of(ScriptReader.read(file), seed), remembers)
+                        new FleetModel(Schedule.of(ScriptReader.read(file), seed), restoresState)
                                 .play());
         assertEquals(
                 List.of(),
@@ -39,24 +39,24 @@
     }
 
     @Test
-    void theSameSeedIsTheSameDayToTheByte() throws Exception {
+    void theSameSeedGivesTheSameReport() throws Exception {
         String script = shipped("mass-restart") + "length = 16s";
-        String first = play(script, 3).line();
-        assertEquals(first, play(script, 3).line());
-        assertTrue(!first.equals(play(script, 4).line()));
+        String first = run(script, 3).line();
+        assertEquals(first, run(script, 3).line());
+        assertTrue(!first.equals(run(script, 4).line()));
     }
 
     @Test
-    void aCalmDayServesAll() throws Exception {
-        Report report = play(shipped("first"), 1);
+    void aRunWithoutFaultsServesNearlyAllRequests() throws Exception {
+        Report report = run(shipped("first"), 1);
         assertTrue(report.figure("service") > 0.99, report::line);
         assertEquals(1, report.figure("tries_per_first"), 0.01);
     }
 
     @Test
-    void afterAllRestartedServiceIsBackSoonAfterTheEnginesCouldDoIt() throws Exception {
+    void serviceRecoversWithinTheBoundAfterAllGatewaysRestart() throws Exception {
         for (long seed = 1; seed <= 3; seed++) {
-            Report report = play(shipped("mass-restart-all"), seed);
+            Report report = run(shipped("mass-restart-all"), seed);
             assertTrue(
                     report.figure("to_full_s") <= 1.2 * report.figure("bound_s") + 0.5,
                     report::line);
@@ -64,20 +64,20 @@
     }
 
     @Test
-    void aFleetWhoseEnginesAllFailStaysOnTheListAndIsBackWithinTwoSeconds() throws Exception {
+    void aFleetWhoseEnginesAllFailStaysRegisteredAndRecoversWithinTwoSeconds() throws Exception {
         for (long seed = 1; seed <= 3; seed++) {
-            Report report = play(shipped("sick-engines"), seed);
+            Report report = run(shipped("sick-engines"), seed);
             assertTrue(report.figure("to_full_s") < 2, report::line);
         }
     }
 
     /**
-     * In this order: killed again while ramping, the roster down meanwhile, and engines at half
-     * speed for good.
+     * Gateways are killed again while they ramp up and the registry is down, and later the engines
+     * run at half speed until the end.
      */
     @Test
-    void restartsInTheMiddleOfComingBack() throws Exception {
-        play(
+    void restartsDuringRecovery() throws Exception {
+        run(
                 """
                 length = 24s, settle = 3s, fleet { gateways = 8, zones = 2 }, engine.cold = 0.2
                 faults = [ { do = kill, at = 4s, share = 0.75, back-least = 1s, back-most = 3s }
@@ -90,11 +90,11 @@
     }
 
     /**
-     * What was learned on engines at a quarter of their speed, used on fast ones, and the other
-     * way.
+     * State that was learned on engines at a quarter of their speed is restored with fast engines,
+     * and the reverse.
      */
     @Test
-    void theStateOfAnotherDayIsNoWorseThanNone() throws Exception {
+    void outdatedStateIsNoWorseThanNone() throws Exception {
         String slowThenFast =
                 """
                 length = 22s, settle = 3s, fleet { gateways = 6, zones = 2 }, load.level = 0.2
@@ -109,8 +109,8 @@
                 """;
         for (String script : List.of(slowThenFast, fastThenSlow)) {
             for (long seed = 1; seed <= 3; seed++) {
-                double with = play(script, seed, true).figure("service");
-                double without = play(script, seed, false).figure("service");
+                double with = run(script, seed, true).figure("service");
+                double without = run(script, seed, false).figure("service");
                 assertTrue(
                         with > without - 0.02,
                         seed + ": " + with + " with state, " + without + " without");
@@ -119,20 +119,20 @@
     }
 
     @Test
-    void callersThatHeedNothingAndTryWithoutLimit() throws Exception {
-        play(
+    void callersThatIgnoreRetryAfterAndRetryWithoutLimit() throws Exception {
+        run(
                 shipped("mass-restart-all")
                         + "length = 14s, callers { heed = 0, tries = 0, walk = true }",
                 1);
     }
 
     @Test
-    void whatNeedsLinksIsRefusedInWords() {
+    void faultsThatNeedLinksAreRejectedWithAClearMessage() {
         IllegalArgumentException e =
                 assertThrows(
                         IllegalArgumentException.class,
                         () ->
-                                play(
+                                run(
                                         "faults = [ { do = cut, at = 3s, for = 1s, links = [engine]"
                                                 + " } ]",
                                         1));
