--- a/src/main/java/tinroad/lab/Charts.java
+++ b/src/main/java/tinroad/lab/Charts.java
@@ -14,48 +14,52 @@
 import tinroad.lab.verification.RecoveryBound;
 import tinroad.lab.verification.RunMetrics;
 
-/**
- * The charts of a run: service, and the tries that the fleet meets, over the day; each as SVG and
- * PNG.
- */
+/** Draws the charts of a run, service and tries per second over time, each as SVG and PNG. */
 final class Charts {
-    private static final int STEP = 5;
+    /** Number of metric windows that one point of a chart covers. */
+    private static final int WINDOWS_PER_POINT = 5;
 
     private Charts() {}
 
-    static void draw(Schedule plan, RunMetrics measures, double faultEnd, Path folder)
+    static void draw(Schedule schedule, RunMetrics metrics, double faultEnd, Path folder)
             throws IOException {
-        // No display: the pictures go into files.
+        // The charts are written to files and need no display.
         System.setProperty("java.awt.headless", "true");
-        double step = STEP * RunMetrics.WINDOW;
-        List<Double> at = new ArrayList<>();
+        double stepMillis = WINDOWS_PER_POINT * RunMetrics.WINDOW;
+        List<Double> seconds = new ArrayList<>();
         List<Double> service = new ArrayList<>();
         List<Double> tries = new ArrayList<>();
         List<Double> possible = new ArrayList<>();
-        RecoveryBound bound = new RecoveryBound(plan, 0);
-        for (double t = 0; t + step <= plan.script().length(); t += step) {
-            double share = measures.service(t, t + step);
+        RecoveryBound bound = new RecoveryBound(schedule, 0);
+        for (double t = 0; t + stepMillis <= schedule.script().length(); t += stepMillis) {
+            double share = metrics.service(t, t + stepMillis);
             int sent = 0;
-            for (int n : measures.arrivals(t, t + step)) {
+            for (int n : metrics.arrivals(t, t + stepMillis)) {
                 sent += n;
             }
-            at.add((t + step / 2) / 1000);
+            seconds.add((t + stepMillis / 2) / 1000);
             service.add(Double.isNaN(share) ? 0 : share);
-            possible.add(bound.service(t + step / 2));
-            tries.add(sent / step * 1000);
+            possible.add(bound.service(t + stepMillis / 2));
+            tries.add(sent / stepMillis * 1000);
         }
         XYChart served =
-                chart(plan, "share of the worth served in time", at, service, 1.05, faultEnd);
-        served.addSeries("what the engines' warm-up allows", at, possible)
+                chart(
+                        schedule,
+                        "share of the worth served in time",
+                        seconds,
+                        service,
+                        1.05,
+                        faultEnd);
+        served.addSeries("what the engines' warm-up allows", seconds, possible)
                 .setMarker(SeriesMarkers.NONE)
                 .setLineColor(Color.GRAY)
                 .setLineWidth(1);
         save(served, folder.resolve("service"));
         save(
                 chart(
-                        plan,
+                        schedule,
                         "tries a second",
-                        at,
+                        seconds,
                         tries,
                         1.1 * tries.stream().mapToDouble(d -> d).max().orElse(1),
                         faultEnd),
@@ -63,8 +67,8 @@
     }
 
     private static XYChart chart(
-            Schedule plan,
-            String what,
+            Schedule schedule,
+            String label,
             List<Double> x,
             List<Double> y,
             double top,
@@ -73,20 +77,23 @@
                 new XYChartBuilder()
                         .width(900)
                         .height(360)
-                        .title(plan.script().title() + ", seed " + plan.seed())
+                        .title(schedule.script().title() + ", seed " + schedule.seed())
                         .xAxisTitle("s")
-                        .yAxisTitle(what)
+                        .yAxisTitle(label)
                         .build();
         chart.getStyler().setYAxisMin(0.0).setYAxisMax(top).setLegendVisible(false);
-        chart.addSeries(what, x, y).setMarker(SeriesMarkers.NONE);
-        line(chart, "faults begin", plan.firstFault(), top, Color.RED);
+        chart.addSeries(label, x, y).setMarker(SeriesMarkers.NONE);
+        line(chart, "faults begin", schedule.firstFault(), top, Color.RED);
         line(chart, "faults end", faultEnd, top, Color.GREEN.darker());
         return chart;
     }
 
-    private static void line(XYChart chart, String name, double at, double top, Color color) {
-        if (!Double.isNaN(at)) {
-            chart.addSeries(name, new double[] {at / 1000, at / 1000}, new double[] {0, top})
+    private static void line(XYChart chart, String name, double atMillis, double top, Color color) {
+        if (!Double.isNaN(atMillis)) {
+            chart.addSeries(
+                            name,
+                            new double[] {atMillis / 1000, atMillis / 1000},
+                            new double[] {0, top})
                     .setMarker(SeriesMarkers.NONE)
                     .setLineColor(color)
                     .setLineWidth(1);
--- a/src/main/java/tinroad/lab/Comparison.java
+++ b/src/main/java/tinroad/lab/Comparison.java
@@ -7,7 +7,8 @@
 import tinroad.lab.verification.PairedComparison;
 
 /**
- * Two programs by the same script: the pairs of the seeds that count for both, figure by figure.
+ * Compares two programs that run the same script, metric by metric, over the seeds whose runs are
+ * valid for both.
  */
 public final class Comparison {
     private static final long SEED = 17;
@@ -15,7 +16,7 @@
     private final List<Report> first = new ArrayList<>();
     private final List<Report> second = new ArrayList<>();
 
-    /** A seed played by both; left out where the load of one ran late. */
+    /** Adds the reports of both programs for one seed; skipped if the load of either ran late. */
     public void add(Report a, Report b) {
         if ((boolean) a.figures().get("counts") && (boolean) b.figures().get("counts")) {
             first.add(a);
@@ -24,8 +25,8 @@
     }
 
     /**
-     * For each figure: name, both medians, the interval of the difference, pairs, and what it comes
-     * to.
+     * Returns one row for each metric: name, both medians, the interval of the difference, the
+     * number of pairs, and the conclusion.
      */
     public List<List<Object>> rows() {
         List<List<Object>> rows = new ArrayList<>();
@@ -38,21 +39,21 @@
                 }
             }
             if (!pairs.isEmpty()) {
-                PairedComparison p =
+                PairedComparison comparison =
                         PairedComparison.of(
                                 pairs.stream().mapToDouble(x -> x[0]).toArray(),
                                 pairs.stream().mapToDouble(x -> x[1]).toArray(),
                                 Draw.stream(SEED, name));
-                boolean better = name.equals("service") == p.low() > 0;
+                boolean better = name.equals("service") == comparison.low() > 0;
                 rows.add(
                         List.of(
                                 name,
-                                text(p.first()),
-                                text(p.second()),
-                                text(p.low()),
-                                text(p.high()),
-                                p.pairs(),
-                                !p.differ()
+                                text(comparison.first()),
+                                text(comparison.second()),
+                                text(comparison.low()),
+                                text(comparison.high()),
+                                comparison.pairs(),
+                                !comparison.differ()
                                         ? "no difference beyond the noise"
                                         : better ? "the second is better" : "the first is better"));
             }
--- a/src/main/java/tinroad/lab/GatewayProcess.java
+++ b/src/main/java/tinroad/lab/GatewayProcess.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One process of a gateway, {@code serve} from a jar. A shell stands by it that kills it once the
- * pipe from the lab closes, so that no gateway outlives the lab, however that ends.
+ * A gateway process that runs {@code serve} from a jar. A shell monitors it and kills it when the
+ * pipe from the lab closes, so that no gateway outlives the lab, however the lab ends.
  */
 public final class GatewayProcess {
-    /** The flags of the platform's {@code run}. */
+    /** The JVM flags of the platform's {@code run} command. */
     public static final List<String> FLAGS =
             List.of(
                     "-Xms16m",
@@ -38,7 +38,7 @@
                     "-Dio.netty.allocator.numHeapArenas=1",
                     "-Dio.netty.allocator.maxOrder=3");
 
-    private static final String WATCH =
+    private static final String MONITOR_SCRIPT =
             """
             exec 3<&0
             log=$1
@@ -54,19 +54,22 @@
             exit $s
             """;
 
-    private final Process watch;
+    private final Process monitor;
     private final long pid;
     private final ProcessHandle process;
 
-    private GatewayProcess(Process watch, long pid) {
-        this.watch = watch;
+    private GatewayProcess(Process monitor, long pid) {
+        this.monitor = monitor;
         this.pid = pid;
         process = ProcessHandle.of(pid).orElse(null);
     }
 
     /**
-     * Starts one; {@code program} is a jar, or a class path of several entries; {@code operator} is
-     * its operator file, or null.
+     * Starts a gateway process.
+     *
+     * @param program a jar, or a class path of several entries
+     * @param folder the folder with its {@code config.json}, where its log is written
+     * @param operator its operator file, or null
      */
     public static GatewayProcess start(String program, Path folder, Path operator)
             throws IOException {
@@ -75,7 +78,7 @@
                         List.of(
                                 "sh",
                                 "-c",
-                                WATCH,
+                                MONITOR_SCRIPT,
                                 "sh",
                                 folder.resolve("log").toString(),
                                 Path.of(System.getProperty("java.home"), "bin", "java")
@@ -95,40 +98,40 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(new File("/dev/null"));
         builder.environment()
                 .put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
-        Process watch = builder.start();
-        BufferedReader out = watch.inputReader(StandardCharsets.US_ASCII);
+        Process monitor = builder.start();
+        BufferedReader out = monitor.inputReader(StandardCharsets.US_ASCII);
         String pid = out.readLine();
         if (pid == null) {
             throw new IOException("can't start a gateway in " + folder);
         }
-        return new GatewayProcess(watch, Long.parseLong(pid));
+        return new GatewayProcess(monitor, Long.parseLong(pid));
     }
 
-    /** Its process id. */
+    /** The process id of the gateway. */
     public long pid() {
         return pid;
     }
 
-    /** The exit status, once it has ended; 128 and more is a signal. */
+    /** Completes with the exit status; 128 and above is a signal. */
     public CompletableFuture<Integer> onExit() {
-        return watch.onExit().thenApply(Process::exitValue);
+        return monitor.onExit().thenApply(Process::exitValue);
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void notice() {
         if (process != null) {
             process.destroy();
         }
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL. */
     public void kill() {
         if (process != null) {
             process.destroyForcibly();
         }
     }
 
-    /** Any other signal, by its name. */
+    /** Sends any other signal, by its name. */
     public void signal(String name) throws IOException {
         try {
             new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor();
@@ -137,7 +140,7 @@
         }
     }
 
-    /** Resident memory in MB; 0 once it has ended. */
+    /** Resident memory in MB; 0 after the process has ended. */
     public double memoryMb() {
         try {
             return Files.readAllLines(Path.of("/proc", Long.toString(pid), "status")).stream()
@@ -150,7 +153,7 @@
         }
     }
 
-    /** Open descriptors; 0 once it has ended. */
+    /** Number of open file descriptors; 0 after the process has ended. */
     public int descriptors() {
         int n = 0;
         try (DirectoryStream<Path> all =
--- a/src/main/java/tinroad/lab/LoopbackRange.java
+++ b/src/main/java/tinroad/lab/LoopbackRange.java
@@ -9,12 +9,12 @@
 import java.net.UnknownHostException;
 
 /**
- * A range of loopback addresses, {@code 127.X.Y.0} to {@code .253}, that no other lab uses: its
- * ports are then free, whatever they are.
+ * Reserves a range of loopback addresses, {@code 127.X.Y.0} to {@code .253}, that no other lab
+ * uses, so that every port on these addresses is free.
  */
 public final class LoopbackRange implements AutoCloseable {
     private static final int LOCK_HOST = 254;
-    private static final int TRIES = 4000;
+    private static final int MAX_TRIES = 4000;
 
     private final String net;
     private final ServerSocket lock;
@@ -24,32 +24,32 @@
         this.lock = lock;
     }
 
-    /** A range that is free; labs that exclude each other take it by the same port. */
-    public static LoopbackRange take(int port) throws IOException {
-        for (int n = 0; n < TRIES; n++) {
+    /** Reserves a free range. Labs exclude each other only if they use the same lock port. */
+    public static LoopbackRange take(int lockPort) throws IOException {
+        for (int n = 0; n < MAX_TRIES; n++) {
             long start = ProcessHandle.current().pid() + n + (System.nanoTime() >> 10 & 0xff);
             String net = "127." + (20 + start % 200) + "." + (1 + start / 200 % 250) + ".";
             try {
                 return new LoopbackRange(
-                        net, new ServerSocket(port, 1, InetAddress.getByName(net + LOCK_HOST)));
+                        net, new ServerSocket(lockPort, 1, InetAddress.getByName(net + LOCK_HOST)));
             } catch (BindException e) {
-                // Another lab's.
+                // Another lab uses this range.
             }
         }
         throw new IOException("no range of loopback addresses is free");
     }
 
-    /** What the addresses begin with, the last dot included. */
+    /** The common prefix of the addresses, including the last dot. */
     public String net() {
         return net;
     }
 
-    /** An address of the range. */
+    /** Returns an address of the range. */
     public InetSocketAddress address(int host, int port) {
         try {
             return new InetSocketAddress(InetAddress.getByName(net + host), port);
         } catch (UnknownHostException e) {
-            // Can't happen: it is a literal address.
+            // Can't happen: a literal address needs no name lookup.
             throw new UncheckedIOException(e);
         }
     }
--- a/src/main/java/tinroad/lab/package-info.java
+++ b/src/main/java/tinroad/lab/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The lab: a fleet of real gateway processes with stand-ins round them and faults between, played
- * by a script. Called by the command {@code lab} and by tests, never by {@code serve}.
+ * The lab: runs a script against a fleet of real gateway processes, with fakes for everything
+ * around them, and injects faults. Called by the command {@code lab} and by tests, never by {@code
+ * serve}.
  */
 package tinroad.lab;
