--- a/src/main/java/tinroad/catalog/EntryType.java
+++ b/src/main/java/tinroad/catalog/EntryType.java
@@ -40,7 +40,7 @@
                             spec.priorityWeight(),
                             spec.lateWeightShare(),
                             hashedCode(spec.idempotency()),
-                            spec.keyWindowMillis(),
+                            spec.keyRetentionMillis(),
                             spec.callsDependency() ? 1 : 0,
                             spec.degradedWeightShare());
                 }
--- a/src/main/java/tinroad/config/ClassFields.java
+++ b/src/main/java/tinroad/config/ClassFields.java
@@ -20,7 +20,7 @@
     private double deadlineMillis;
     private double priorityWeight;
     private double lateWeightShare;
-    private double keyWindowMillis;
+    private double keyRetentionMillis;
     private Idempotency idempotency = Idempotency.NON_IDEMPOTENT;
 
     private ClassFields() {}
@@ -45,7 +45,7 @@
             case "deadline" -> deadlineMillis = number(in, 0);
             case "gain" -> priorityWeight = number(in, 0);
             case "late_share" -> lateWeightShare = number(in, 0);
-            case "key_ttl" -> keyWindowMillis = number(in, 0);
+            case "key_ttl" -> keyRetentionMillis = number(in, 0);
             case "semantics" -> idempotency = idempotency(text(in), unknownValues);
             default -> {}
         }
@@ -83,7 +83,7 @@
                 priorityWeight,
                 lateWeightShare,
                 idempotency,
-                keyWindowMillis,
+                keyRetentionMillis,
                 callsDependency,
                 degradedWeightShare);
     }
--- a/src/main/java/tinroad/config/ConfigDiff.java
+++ b/src/main/java/tinroad/config/ConfigDiff.java
@@ -21,7 +21,7 @@
         PARTS.put("stop_ms", GatewayConfig::stopMillis);
         PARTS.put("limits", c -> List.of(c.sockets(), c.memoryMb()));
         addSetting("goal", Settings::objectiveWeights);
-        addSetting("rules", Settings::rules);
+        addSetting("rules", Settings::operatingLimits);
         PARTS.put(
                 "settings.family_info",
                 c -> {
@@ -34,11 +34,11 @@
                             settings.callers(),
                             settings.coldStart(),
                             settings.requestsCarryDeadline(),
-                            settings.clientIdleMillis(),
+                            settings.clientIdleTimeoutMillis(),
                             settings.memoryKb(),
                             settings.runMemoryFactor(),
                             settings.keyKb(),
-                            settings.resultFreshMillis(),
+                            settings.resultReplayMillis(),
                             c.site().gaugeNames());
                 });
         addSetting(
--- a/src/main/java/tinroad/config/FamilyInfo.java
+++ b/src/main/java/tinroad/config/FamilyInfo.java
@@ -30,18 +30,18 @@
     private DependencyKind dependencyKind = DependencyKind.NONE;
     private double concurrentCallQuota;
     private double quotaWindowMillis;
-    private double lingerMillis;
+    private double abandonedCallMillis;
     private LoadHint loadHint = LoadHint.NONE;
     private CancellationMode cancellationMode = CancellationMode.NONE;
     private double cores = 1;
     private double callers = 1;
     private boolean coldStart;
     private boolean requestsCarryDeadline = true;
-    private double clientIdleMillis;
+    private double clientIdleTimeoutMillis;
     private double memoryKb;
     private double runMemoryFactor = 1;
     private double keyKb;
-    private double resultFreshMillis;
+    private double resultReplayMillis;
 
     /**
      * Creates an instance in which all values are neutral.
@@ -67,16 +67,16 @@
             case "degraded_worth" -> items(in, i -> degradedWeightShares.add(number(in, 0)));
             case "calls_out" -> concurrentCallQuota = number(in, 0);
             case "share_span" -> quotaWindowMillis = number(in, 0);
-            case "lingers" -> lingerMillis = number(in, 0);
+            case "lingers" -> abandonedCallMillis = number(in, 0);
             case "cores" -> cores = number(in, 1);
             case "callers" -> callers = number(in, 1);
             case "just_started" -> coldStart = flag(in);
             case "passes_deadline" -> requestsCarryDeadline = flag(in);
-            case "idle" -> clientIdleMillis = number(in, 0);
+            case "idle" -> clientIdleTimeoutMillis = number(in, 0);
             case "memory_kb" -> memoryKb = number(in, 0);
             case "run_factor" -> runMemoryFactor = number(in, 1);
             case "kb_per_key" -> keyKb = number(in, 0);
-            case "fresh_for" -> resultFreshMillis = number(in, 0);
+            case "fresh_for" -> resultReplayMillis = number(in, 0);
             default -> {}
         }
     }
@@ -124,7 +124,8 @@
     }
 
     Dependency dependency() {
-        return new Dependency(dependencyKind, concurrentCallQuota, quotaWindowMillis, lingerMillis);
+        return new Dependency(
+                dependencyKind, concurrentCallQuota, quotaWindowMillis, abandonedCallMillis);
     }
 
     LoadHint loadHint() {
@@ -151,8 +152,8 @@
         return requestsCarryDeadline;
     }
 
-    double clientIdleMillis() {
-        return clientIdleMillis;
+    double clientIdleTimeoutMillis() {
+        return clientIdleTimeoutMillis;
     }
 
     double memoryKb() {
@@ -167,8 +168,8 @@
         return keyKb;
     }
 
-    double resultFreshMillis() {
-        return resultFreshMillis;
+    double resultReplayMillis() {
+        return resultReplayMillis;
     }
 
     List<String> gaugeNames() {
--- a/src/main/java/tinroad/config/SettingsValidator.java
+++ b/src/main/java/tinroad/config/SettingsValidator.java
@@ -92,7 +92,7 @@
         atLeast("class ", name, "objective", spec.objectiveMillis(), 0, errors);
         atLeast("class ", name, "gain", spec.priorityWeight(), 0, errors);
         betweenZeroAndOne("class ", name, "late_share", spec.lateWeightShare(), errors);
-        atLeast("class ", name, "key_ttl", spec.keyWindowMillis(), 0, errors);
+        atLeast("class ", name, "key_ttl", spec.keyRetentionMillis(), 0, errors);
     }
 
     /** Checks the values of a tenant. */
@@ -103,18 +103,18 @@
 
     /** Checks all values except those of classes and tenants. */
     static void otherSettings(Controller.Settings settings, ValidationErrors errors) {
-        Controller.Rules rules = settings.rules();
+        Controller.OperatingLimits rules = settings.operatingLimits();
         atLeast("", "rules", "answer_slack", rules.answerSlackMillis(), 0, errors);
-        betweenZeroAndOne("", "rules", "cold_from", rules.coldStartSpeed(), errors);
+        betweenZeroAndOne("", "rules", "cold_from", rules.coldStartSpeedShare(), errors);
         atLeast("", "rules", "ramp_time", rules.slowStartMillis(), 0, errors);
         atLeast("", "rules", "drain_grace", rules.drainGraceMillis(), 0, errors);
-        atLeast("", "rules", "fall_multiple", rules.concurrencyPerCore(), 1, errors);
+        atLeast("", "rules", "fall_multiple", rules.maxRunsPerCore(), 1, errors);
         atLeast("", "rules", "fall", rules.concurrencyWindowMillis(), 0, errors);
         atLeast("", "family_info", "cores", settings.cores(), 1, errors);
         atLeast("", "family_info", "memory_kb", settings.memoryKb(), 0, errors);
         atLeast("", "family_info", "run_factor", settings.runMemoryFactor(), 0, errors);
-        atLeast("", "family_info", "idle", settings.clientIdleMillis(), 0, errors);
-        atLeast("", "family_info", "fresh_for", settings.resultFreshMillis(), 0, errors);
+        atLeast("", "family_info", "idle", settings.clientIdleTimeoutMillis(), 0, errors);
+        atLeast("", "family_info", "fresh_for", settings.resultReplayMillis(), 0, errors);
         atLeast("", "caps", "max_retry_after", settings.maxRetryAfterMillis(), 0, errors);
     }
 
--- a/src/main/java/tinroad/config/SiteReader.java
+++ b/src/main/java/tinroad/config/SiteReader.java
@@ -10,8 +10,8 @@
 import java.io.IOException;
 import java.util.Set;
 import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.OperatingLimits;
 import tinroad.overload.Controller.RequestClass;
-import tinroad.overload.Controller.Rules;
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 
@@ -39,7 +39,7 @@
     private int classCount;
     private int tenantCount;
     private ObjectiveWeights objectiveWeights = new ObjectiveWeights(0, 0, 0, 0);
-    private Rules rules = new Rules(0, 1, 0, 0, 1, 0);
+    private OperatingLimits rules = new OperatingLimits(0, 1, 0, 0, 1, 0);
     private double servers = 1;
     private double maxRetryAfterMillis;
     private boolean sendsRetryAfter;
@@ -137,11 +137,11 @@
                         familyInfo.callers(),
                         familyInfo.coldStart(),
                         familyInfo.requestsCarryDeadline(),
-                        familyInfo.clientIdleMillis(),
+                        familyInfo.clientIdleTimeoutMillis(),
                         familyInfo.memoryKb(),
                         familyInfo.runMemoryFactor(),
                         familyInfo.keyKb(),
-                        familyInfo.resultFreshMillis(),
+                        familyInfo.resultReplayMillis(),
                         maxRetryAfterMillis,
                         sendsRetryAfter,
                         requestsMarkRetries,
@@ -170,7 +170,7 @@
                         spec.priorityWeight(),
                         spec.lateWeightShare(),
                         spec.idempotency(),
-                        spec.keyWindowMillis(),
+                        spec.keyRetentionMillis(),
                         callsDependency,
                         degradedWeightShare));
     }
@@ -248,7 +248,7 @@
                 fields.get("worst_tenant", 0));
     }
 
-    private static Rules rules(JsonParser in) throws IOException {
+    private static OperatingLimits rules(JsonParser in) throws IOException {
         NumberFields fields =
                 NumberFields.read(
                         in,
@@ -259,7 +259,7 @@
                                 "drain_grace",
                                 "fall_multiple",
                                 "fall"));
-        return new Rules(
+        return new OperatingLimits(
                 fields.get("answer_slack", 0),
                 fields.get("cold_from", 1),
                 fields.get("ramp_time", 0),
--- a/src/main/java/tinroad/config/SiteWriter.java
+++ b/src/main/java/tinroad/config/SiteWriter.java
@@ -51,7 +51,7 @@
         number(fields, "deadline", spec.deadlineMillis());
         number(fields, "gain", spec.priorityWeight());
         number(fields, "late_share", spec.lateWeightShare());
-        number(fields, "key_ttl", spec.keyWindowMillis());
+        number(fields, "key_ttl", spec.keyRetentionMillis());
         fields.put("semantics", wireName(spec.idempotency()));
         return fields;
     }
--- a/src/main/java/tinroad/core/ControllerActions.java
+++ b/src/main/java/tinroad/core/ControllerActions.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void setHealth(boolean healthy, boolean stored) {
+    public void setHealth(boolean healthy, boolean withoutRealWork) {
         health.setControllerHealthy(healthy);
     }
 
--- a/src/main/java/tinroad/core/Gateway.java
+++ b/src/main/java/tinroad/core/Gateway.java
@@ -95,7 +95,7 @@
         Settings settings = site.settings();
         actions = new ControllerActions(log);
         driver = new ControllerDriver(controllerFactory.apply(actions), clock, timers, engine, log);
-        idempotency = new IdempotencyTable(settings.resultFreshMillis());
+        idempotency = new IdempotencyTable(settings.resultReplayMillis());
         metrics = new GatewayMetrics(site.classNames());
         requests = new RequestTable(clock);
         activeCatalog = new ActiveCatalog(site, catalog, clock.nowMillis());
@@ -105,7 +105,7 @@
                         activeCatalog, driver, requests, warmStart, timers, clock, log);
         shutdown =
                 new GracefulShutdown(
-                        settings.rules().drainGraceMillis(),
+                        settings.operatingLimits().drainGraceMillis(),
                         driver,
                         requests,
                         warmStart,
--- a/src/main/java/tinroad/core/IdempotencyTable.java
+++ b/src/main/java/tinroad/core/IdempotencyTable.java
@@ -52,7 +52,7 @@
     /** The period, in ms, at which expired idempotency keys are removed. */
     private static final double KEY_EXPIRY_PERIOD_MILLIS = 1000;
 
-    private final double resultFreshMillis;
+    private final double resultReplayMillis;
 
     /** Entries of reads, by class and result key. */
     private final Map<String, Entry> readEntries = new LinkedHashMap<>();
@@ -66,8 +66,8 @@
     private int resultBytes;
     private double nextKeyExpiryAtMillis;
 
-    IdempotencyTable(double resultFreshMillis) {
-        this.resultFreshMillis = resultFreshMillis;
+    IdempotencyTable(double resultReplayMillis) {
+        this.resultReplayMillis = resultReplayMillis;
     }
 
     /** A request, whichever of its attempts runs. */
@@ -140,7 +140,7 @@
             return entry == null || isWindowOver(entry, request, nowMillis) ? null : entry;
         }
         Entry entry =
-                request.resultKey == null || resultFreshMillis <= 0
+                request.resultKey == null || resultReplayMillis <= 0
                         ? null
                         : readEntries.get(readKey(request));
         boolean isUsable =
@@ -149,7 +149,7 @@
                         && (!entry.completed
                                 || (entry.result != null
                                         && nowMillis
-                                                <= entry.completedAtMillis + resultFreshMillis));
+                                                <= entry.completedAtMillis + resultReplayMillis));
         return isUsable ? entry : null;
     }
 
@@ -197,7 +197,7 @@
             return;
         }
         if (request.resultKey == null
-                || resultFreshMillis <= 0
+                || resultReplayMillis <= 0
                 || readEntries.size() >= MAX_READS) {
             return;
         }
--- a/src/main/java/tinroad/core/RequestLifecycle.java
+++ b/src/main/java/tinroad/core/RequestLifecycle.java
@@ -172,7 +172,7 @@
         RequestClass requestClass = request.requestClass();
         if (!idempotency.claimRun(
                 request,
-                requestClass.keyWindowMillis(),
+                requestClass.keyRetentionMillis(),
                 requestClass.deadlineMillis(),
                 clock.nowMillis())) {
             // Another attempt of the request has run, or is about to. This enforces the rule of one
--- a/src/main/java/tinroad/node/NodeShutdown.java
+++ b/src/main/java/tinroad/node/NodeShutdown.java
@@ -167,7 +167,7 @@
                                                                 * config.stopMillis())));
         // The notice counts as sent earlier by its assumed delay: where the process gets little of
         // a core it is handled late, which would lengthen the grace period.
-        double graceMillis = config.site().settings().rules().drainGraceMillis();
+        double graceMillis = config.site().settings().operatingLimits().drainGraceMillis();
         gateway.beginDraining(
                 noticedAtMillis - Math.min(MAX_MARGIN_MILLIS, NOTICE_DELAY_FRACTION * graceMillis),
                 exitAtMillis);
--- a/src/main/java/tinroad/overload/ConcurrencyLimit.java
+++ b/src/main/java/tinroad/overload/ConcurrencyLimit.java
@@ -1,7 +1,7 @@
 package tinroad.overload;
 
 import tinroad.overload.Controller.Gauges;
-import tinroad.overload.Controller.Rules;
+import tinroad.overload.Controller.OperatingLimits;
 import tinroad.overload.Controller.Settings;
 
 /**
@@ -47,19 +47,19 @@
     /**
      * Number of runs, including those paused for calls, that the server survives with a reserve, at
      * least 1. After a cold start it is lower and rises with time until {@link
-     * Rules#slowStartMillis()} have passed.
+     * OperatingLimits#slowStartMillis()} have passed.
      */
     double survivable() {
-        Rules rules = settings.rules();
+        OperatingLimits rules = settings.operatingLimits();
         double speed = 1;
         if (settings.coldStart() && rules.slowStartMillis() > 0) {
             double rampShare = Math.min(1, clock.sinceStartMillis() / rules.slowStartMillis());
-            speed = rules.coldStartSpeed() + (1 - rules.coldStartSpeed()) * rampShare;
+            speed = rules.coldStartSpeedShare() + (1 - rules.coldStartSpeedShare()) * rampShare;
         }
         return Math.max(
                 1,
                 settings.cores()
-                        * (1 + (rules.concurrencyPerCore() - 1) * speed)
+                        * (1 + (rules.maxRunsPerCore() - 1) * speed)
                         * MAX_SURVIVABLE_SHARE);
     }
 
@@ -75,7 +75,7 @@
                     Math.min(
                             onCoreLimit + 1,
                             settings.cores()
-                                    * settings.rules().concurrencyPerCore()
+                                    * settings.operatingLimits().maxRunsPerCore()
                                     * MAX_SURVIVABLE_SHARE);
         }
     }
--- a/src/main/java/tinroad/overload/Controller.java
+++ b/src/main/java/tinroad/overload/Controller.java
@@ -121,10 +121,10 @@
         void replayResult(String id);
 
         /**
-         * Sets the answer to health checks. {@code stored} says that the checks are answered from
-         * this value, without doing real work.
+         * Sets the answer to health checks. {@code withoutRealWork} says that the checks are
+         * answered from this value, without doing real work.
          */
-        void setHealth(boolean healthy, boolean stored);
+        void setHealth(boolean healthy, boolean withoutRealWork);
 
         /**
          * Sets the load hint that is sent with every answer; {@link LoadHint} defines its meaning.
@@ -142,7 +142,7 @@
     }
 
     /** A learned value, in ms or as a share, and the number of samples it was learned from. */
-    record Estimate(double value, double weight) {}
+    record Estimate(double value, double sampleCount) {}
 
     /** How a run or a dependency call ended. */
     enum Outcome {
@@ -223,7 +223,7 @@
 
     /**
      * A class of requests. {@code objectivePerWork} is added to the latency objective for each ms
-     * of announced work; with 0 the objective is fixed. {@code keyWindowMillis} is how long
+     * of announced work; with 0 the objective is fixed. {@code keyRetentionMillis} is how long
      * idempotency keys are retained, used only with {@link Idempotency#IDEMPOTENT_WITH_KEY}. {@code
      * lateWeightShare} and {@code degradedWeightShare} are the shares of {@code priorityWeight}, 0
      * to 1, that an answer after the objective and a degraded answer count.
@@ -235,7 +235,7 @@
             double priorityWeight,
             double lateWeightShare,
             Idempotency idempotency,
-            double keyWindowMillis,
+            double keyRetentionMillis,
             boolean callsDependency,
             double degradedWeightShare) {}
 
@@ -263,15 +263,15 @@
             double overall, double worstWindow, double worstClass, double worstTenant) {}
 
     /**
-     * The limits of the rules that a server has to keep. {@code coldStartSpeed} is the speed right
-     * after a cold start, as a share of the full speed.
+     * The limits of the rules that a server has to keep. {@code coldStartSpeedShare} is the speed
+     * right after a cold start, as a share of the full speed.
      */
-    record Rules(
+    record OperatingLimits(
             double answerSlackMillis,
-            double coldStartSpeed,
+            double coldStartSpeedShare,
             double slowStartMillis,
             double drainGraceMillis,
-            double concurrencyPerCore,
+            double maxRunsPerCore,
             double concurrencyWindowMillis) {}
 
     /**
@@ -283,17 +283,17 @@
             DependencyKind kind,
             double concurrentCallQuota,
             double quotaWindowMillis,
-            double lingerMillis) {}
+            double abandonedCallMillis) {}
 
     /**
      * All settings that a controller receives at the start. {@code memoryKb} and {@code
-     * clientIdleMillis} are 0 where they are unknown.
+     * clientIdleTimeoutMillis} are 0 where they are unknown.
      */
     record Settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
             ObjectiveWeights objectiveWeights,
-            Rules rules,
+            OperatingLimits operatingLimits,
             Dependency dependency,
             LoadHint loadHint,
             CancellationMode cancellationMode,
@@ -302,11 +302,11 @@
             int callers,
             boolean coldStart,
             boolean requestsCarryDeadline,
-            double clientIdleMillis,
+            double clientIdleTimeoutMillis,
             double memoryKb,
             double runMemoryFactor,
             double keyKb,
-            double resultFreshMillis,
+            double resultReplayMillis,
             double maxRetryAfterMillis,
             boolean sendsRetryAfter,
             boolean requestsMarkRetries,
--- a/src/main/java/tinroad/overload/CoreUsage.java
+++ b/src/main/java/tinroad/overload/CoreUsage.java
@@ -112,7 +112,8 @@
      */
     double onCoreShare() {
         return meanRunning > 0
-                ? Math.max(1 / settings.rules().concurrencyPerCore(), meanRunnable / meanRunning)
+                ? Math.max(
+                        1 / settings.operatingLimits().maxRunsPerCore(), meanRunnable / meanRunning)
                 : 1;
     }
 }
--- a/src/main/java/tinroad/overload/DependencyCalls.java
+++ b/src/main/java/tinroad/overload/DependencyCalls.java
@@ -172,7 +172,7 @@
                 quota >= 1 ? inFlight + lingeringUntilMillis.size() + 1 <= quota : quota == 0;
         if (quota > 0 && quota < 1) {
             double reservedMillis =
-                    (inFlight + 1) * (timeoutMillis + settings.dependency().lingerMillis());
+                    (inFlight + 1) * (timeoutMillis + settings.dependency().abandonedCallMillis());
             withinQuota =
                     overdrawnMillis + reservedMillis
                                     <= quota * settings.dependency().quotaWindowMillis() / 2
@@ -189,7 +189,8 @@
         request.callInFlight = false;
         inFlight--;
         if (abandoned) {
-            lingeringUntilMillis.add(clock.nowMillis() + settings.dependency().lingerMillis());
+            lingeringUntilMillis.add(
+                    clock.nowMillis() + settings.dependency().abandonedCallMillis());
         }
     }
 
--- a/src/main/java/tinroad/overload/DrainPolicy.java
+++ b/src/main/java/tinroad/overload/DrainPolicy.java
@@ -37,7 +37,7 @@
     boolean isTooLate(ActiveRequest request, double nowMillis) {
         return request.arrivedAtMillis
                         > drainingSinceMillis
-                                + settings.rules().drainGraceMillis()
+                                + settings.operatingLimits().drainGraceMillis()
                                 - settings.clockStepMillis()
                 || nowMillis >= answerByMillis(request);
     }
--- a/src/main/java/tinroad/overload/IdleTimeoutControl.java
+++ b/src/main/java/tinroad/overload/IdleTimeoutControl.java
@@ -155,7 +155,7 @@
         double raisedFloorMillis =
                 Math.max(
                         maxCalmMillis(),
-                        Math.min(settings.clientIdleMillis(), 2 * lateReadFloorMillis));
+                        Math.min(settings.clientIdleTimeoutMillis(), 2 * lateReadFloorMillis));
         lateReadFloorMillis =
                 arrivals.readDelayShare() > LATE_READ_SHARE
                                 && classes.slowdown() < 1 + 2 * LATE_READ_SHARE
@@ -177,8 +177,8 @@
     }
 
     private double maxCalmMillis() {
-        return settings.clientIdleMillis() > 0
-                ? Math.min(CALM_MILLIS, settings.clientIdleMillis())
+        return settings.clientIdleTimeoutMillis() > 0
+                ? Math.min(CALM_MILLIS, settings.clientIdleTimeoutMillis())
                 : CALM_MILLIS;
     }
 }
--- a/src/main/java/tinroad/overload/LearnedStatistics.java
+++ b/src/main/java/tinroad/overload/LearnedStatistics.java
@@ -121,6 +121,6 @@
         return estimate != null
                 && estimate.value() > 0
                 && estimate.value() < 1e9
-                && estimate.weight() > 0;
+                && estimate.sampleCount() > 0;
     }
 }
--- a/src/main/java/tinroad/overload/MemoryBudget.java
+++ b/src/main/java/tinroad/overload/MemoryBudget.java
@@ -91,12 +91,12 @@
             ActiveRequest active, RequestClass requestClass, Request request, double nowMillis) {
         double retentionMillis = 0;
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
-            retentionMillis = requestClass.keyWindowMillis() + settings.clockStepMillis();
+            retentionMillis = requestClass.keyRetentionMillis() + settings.clockStepMillis();
         } else if (requestClass.idempotency() == Idempotency.IDEMPOTENT
-                && settings.resultFreshMillis() > 0
+                && settings.resultReplayMillis() > 0
                 && request.resultKey() != null
                 && usedKb + settings.keyKb() <= capacityKb(MAX_USED_SHARE_FOR_RUNS)) {
-            retentionMillis = active.deadlineAtMillis - nowMillis + settings.resultFreshMillis();
+            retentionMillis = active.deadlineAtMillis - nowMillis + settings.resultReplayMillis();
         }
         if (retentionMillis > 0) {
             actions.retainKey(active.id, retentionMillis);
--- a/src/main/java/tinroad/overload/OverloadController.java
+++ b/src/main/java/tinroad/overload/OverloadController.java
@@ -165,7 +165,9 @@
     @Override
     public void restore(Map<String, Estimate> estimates, boolean cold) {
         learned.restore(
-                estimates, cold ? Math.max(0.01, settings.rules().coldStartSpeed()) : 1, classes);
+                estimates,
+                cold ? Math.max(0.01, settings.operatingLimits().coldStartSpeedShare()) : 1,
+                classes);
     }
 
     // --- changes of settings ---
--- a/src/main/java/tinroad/overload/RunTimeEstimator.java
+++ b/src/main/java/tinroad/overload/RunTimeEstimator.java
@@ -115,6 +115,7 @@
     private boolean isCalm() {
         return cores.running() <= settings.cores()
                 && (!settings.coldStart()
-                        || clock.sinceStartMillis() >= settings.rules().slowStartMillis());
+                        || clock.sinceStartMillis()
+                                >= settings.operatingLimits().slowStartMillis());
     }
 }
--- a/src/main/java/tinroad/simulator/ActionWriter.java
+++ b/src/main/java/tinroad/simulator/ActionWriter.java
@@ -144,12 +144,12 @@
         }
 
         @Override
-        public void setHealth(boolean healthy, boolean stored) {
+        public void setHealth(boolean healthy, boolean withoutRealWork) {
             write(
                     "readiness",
                     () -> {
                         json.writeBooleanField("enable", healthy);
-                        json.writeBooleanField("cached", stored);
+                        json.writeBooleanField("cached", withoutRealWork);
                     });
         }
 
--- a/src/main/java/tinroad/state/Provenance.java
+++ b/src/main/java/tinroad/state/Provenance.java
@@ -64,16 +64,18 @@
         if (last != null
                 && last.incarnation() == incarnation
                 && last.value() == estimate.value()
-                && last.weight() == estimate.weight()) {
+                && last.weight() == estimate.sampleCount()) {
             return Optional.of(last);
         }
         double newSamples =
-                initial == null ? estimate.weight() : estimate.weight() - initial.weight();
+                initial == null
+                        ? estimate.sampleCount()
+                        : estimate.sampleCount() - initial.sampleCount();
         // If no samples are counted, it is only known that the value changed: it counts as new.
         double newShare =
                 restored == null || newSamples <= 0
                         ? 1
-                        : newSamples / (newSamples + initial.weight());
+                        : newSamples / (newSamples + initial.sampleCount());
         double learnedAtMillis =
                 restored == null
                         ? nowMillis
@@ -81,6 +83,6 @@
                                 + (nowMillis - restored.learnedAtMillis()) * newShare;
         return Optional.of(
                 new LearnedValue(
-                        estimate.value(), estimate.weight(), learnedAtMillis, incarnation));
+                        estimate.value(), estimate.sampleCount(), learnedAtMillis, incarnation));
     }
 }
--- a/src/test/java/tinroad/config/GatewayConfigTest.java
+++ b/src/test/java/tinroad/config/GatewayConfigTest.java
@@ -69,7 +69,9 @@
                 s.classes().get(1));
         assertEquals(List.of(new Controller.Tenant(89, 0.5)), s.tenants());
         assertEquals(new Controller.ObjectiveWeights(0.4, 0.3, 0, 0), s.objectiveWeights());
-        assertEquals(new Controller.Rules(100, 0.2, 16000, 2500, 8, 1500), s.rules());
+        assertEquals(
+                new Controller.OperatingLimits(100, 0.2, 16000, 2500, 8, 1500),
+                s.operatingLimits());
         assertEquals(
                 "6 12 3 true false",
                 s.cores()
@@ -83,7 +85,7 @@
                         + s.requestsCarryDeadline());
         assertEquals(
                 "15000.0 9738.0 4.0 1000.0 true 0.1 5.0",
-                s.clientIdleMillis()
+                s.clientIdleTimeoutMillis()
                         + " "
                         + s.memoryKb()
                         + " "
@@ -168,7 +170,9 @@
             assertEquals(
                     collected.site().settings().tenants(), List.copyOf(recorder.tenants.values()));
             assertEquals(List.of(), visited.site().settings().classes());
-            assertEquals(collected.site().settings().rules(), visited.site().settings().rules());
+            assertEquals(
+                    collected.site().settings().operatingLimits(),
+                    visited.site().settings().operatingLimits());
             assertEquals(collected.engine(), visited.engine());
         }
     }
--- a/src/test/java/tinroad/core/ColdStartFleetTest.java
+++ b/src/test/java/tinroad/core/ColdStartFleetTest.java
@@ -30,8 +30,8 @@
     private static final int GATEWAYS = 30;
     private static final int CORES = 6;
     private static final double WORK_MILLIS = 250;
-    private static final Controller.Rules RULES =
-            new Controller.Rules(100, 0.2, 16_000, 2500, 8, 1500);
+    private static final Controller.OperatingLimits RULES =
+            new Controller.OperatingLimits(100, 0.2, 16_000, 2500, 8, 1500);
     private static final double STEP_MILLIS = 5;
 
     private record Task(double atMillis, long sequence, Runnable run) {}
@@ -94,15 +94,15 @@
         double speed() {
             return Math.min(
                     1,
-                    RULES.coldStartSpeed()
-                            + (1 - RULES.coldStartSpeed())
+                    RULES.coldStartSpeedShare()
+                            + (1 - RULES.coldStartSpeedShare())
                                     * (nowMillis - engineStartedAtMillis)
                                     / RULES.slowStartMillis());
         }
 
         /** Returns how many runs may arrive within the window at the present speed. */
         double limit() {
-            return (1 + (RULES.concurrencyPerCore() - 1) * speed()) * CORES;
+            return (1 + (RULES.maxRunsPerCore() - 1) * speed()) * CORES;
         }
 
         @Override
--- a/src/test/java/tinroad/core/GatewayHarness.java
+++ b/src/test/java/tinroad/core/GatewayHarness.java
@@ -48,10 +48,10 @@
      * Creates a gateway that is not attached yet, with an idempotent class {@code read} (deadline 1
      * s), a non-idempotent class {@code order} (2 s) and the tenant {@code acme}.
      *
-     * @param resultFreshMillis how long results of reads may be replayed, in ms
+     * @param resultReplayMillis how long results of reads may be replayed, in ms
      */
-    public GatewayHarness(double resultFreshMillis) {
-        this(site(resultFreshMillis, false));
+    public GatewayHarness(double resultReplayMillis) {
+        this(site(resultReplayMillis, false));
     }
 
     private GatewayHarness(Site site) {
@@ -85,11 +85,11 @@
      * Returns a gateway like that of {@link #keyed}, not attached yet, with the real overload
      * controller, which is put into the array.
      *
-     * @param resultFreshMillis how long results of reads may be replayed, in ms
+     * @param resultReplayMillis how long results of reads may be replayed, in ms
      */
     public static GatewayHarness withOverloadController(
-            double resultFreshMillis, OverloadController[] overloadController) {
-        return new GatewayHarness(site(resultFreshMillis, true), overloadController);
+            double resultReplayMillis, OverloadController[] overloadController) {
+        return new GatewayHarness(site(resultReplayMillis, true), overloadController);
     }
 
     /**
@@ -112,7 +112,7 @@
         return harness;
     }
 
-    private static Site site(double resultFreshMillis, boolean keyed) {
+    private static Site site(double resultReplayMillis, boolean keyed) {
         Controller.Settings settings =
                 new Controller.Settings(
                         keyed
@@ -126,7 +126,7 @@
                                         requestClass(2000, Controller.Idempotency.NON_IDEMPOTENT)),
                         List.of(new Controller.Tenant(100, 1)),
                         new Controller.ObjectiveWeights(1, 0, 0, 0),
-                        new Controller.Rules(100, 1, 0, 2500, 8, 1500),
+                        new Controller.OperatingLimits(100, 1, 0, 2500, 8, 1500),
                         new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
                         Controller.LoadHint.NONE,
                         Controller.CancellationMode.NONE,
@@ -139,7 +139,7 @@
                         9000,
                         4,
                         70,
-                        resultFreshMillis,
+                        resultReplayMillis,
                         1000,
                         true,
                         false,
--- a/src/test/java/tinroad/core/RandomSettingsTest.java
+++ b/src/test/java/tinroad/core/RandomSettingsTest.java
@@ -121,7 +121,7 @@
                                         i -> new Controller.Tenant(between(1, 100), 1.0 / tenants))
                                 .toList(),
                         new Controller.ObjectiveWeights(0.4, 0.3, 0.2, 0.1),
-                        new Controller.Rules(
+                        new Controller.OperatingLimits(
                                 between(20, 200),
                                 between(0.1, 1),
                                 between(0, 20_000),
@@ -165,11 +165,12 @@
             assertTrue(Double.isNaN(sentRequest.ranAtMillis), "ran twice");
             assertTrue(
                     sentRequest.arrivedAtMillis
-                            <= drainingSinceMillis + site.settings().rules().drainGraceMillis(),
+                            <= drainingSinceMillis
+                                    + site.settings().operatingLimits().drainGraceMillis(),
                     "ran although it came after the grace period");
             if (sentRequest.idempotencyKey != null) {
                 double windowMillis =
-                        site.settings().classes().get(sentRequest.classIndex).keyWindowMillis();
+                        site.settings().classes().get(sentRequest.classIndex).keyRetentionMillis();
                 sentRequests.values().stream()
                         .filter(
                                 other ->
@@ -309,7 +310,7 @@
                 gateway.beginDraining(nowMillis, nowMillis + shutdownMillis);
             }
         }
-        double slackMillis = site.settings().rules().answerSlackMillis();
+        double slackMillis = site.settings().operatingLimits().answerSlackMillis();
         sentRequests
                 .values()
                 .forEach(
--- a/src/test/java/tinroad/lab/capacity/TenantQuotaSimulationTest.java
+++ b/src/test/java/tinroad/lab/capacity/TenantQuotaSimulationTest.java
@@ -106,7 +106,7 @@
                                         0)),
                         List.of(new Controller.Tenant(quota, 0), new Controller.Tenant(1e6, 0)),
                         new Controller.ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-                        new Controller.Rules(60, 0.25, 10000, 2000, 5, 1500),
+                        new Controller.OperatingLimits(60, 0.25, 10000, 2000, 5, 1500),
                         new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
                         Controller.LoadHint.MIN_RANK,
                         Controller.CancellationMode.NONE,
--- a/src/test/java/tinroad/node/GatewayNodeTest.java
+++ b/src/test/java/tinroad/node/GatewayNodeTest.java
@@ -57,7 +57,7 @@
                                         0)),
                         List.of(),
                         new Controller.ObjectiveWeights(1, 0, 0, 0),
-                        new Controller.Rules(100, 1, 0, 2500, 8, 1500),
+                        new Controller.OperatingLimits(100, 1, 0, 2500, 8, 1500),
                         new Controller.Dependency(Controller.DependencyKind.NONE, 0, 0, 0),
                         Controller.LoadHint.NONE,
                         Controller.CancellationMode.NONE,
--- a/src/test/java/tinroad/overload/CounterInvariantsTest.java
+++ b/src/test/java/tinroad/overload/CounterInvariantsTest.java
@@ -23,10 +23,10 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.LoadHint;
 import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.OperatingLimits;
 import tinroad.overload.Controller.Outcome;
 import tinroad.overload.Controller.Request;
 import tinroad.overload.Controller.RequestClass;
-import tinroad.overload.Controller.Rules;
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 import tinroad.overload.Controller.TenantSlot;
@@ -100,7 +100,7 @@
                         requestClass(Idempotency.NON_IDEMPOTENT, 0)),
                 List.of(new Tenant(20, 0.5), new Tenant(20, 0.5)),
                 new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-                new Rules(60, 0.25, 5000, 1000, 5, 1500),
+                new OperatingLimits(60, 0.25, 5000, 1000, 5, 1500),
                 new Dependency(
                         sequence.shared ? DependencyKind.SHARED : DependencyKind.NEXT_HOP,
                         2,
--- a/src/test/java/tinroad/overload/EmbeddingExampleTest.java
+++ b/src/test/java/tinroad/overload/EmbeddingExampleTest.java
@@ -25,7 +25,7 @@
                 new Controller.ObjectiveWeights(
                         /* overall */ 1, /* worst window, class, tenant */ 0, 0, 0);
         var rules =
-                new Controller.Rules(
+                new Controller.OperatingLimits(
                         /* answer slack */ 50, /* cold start speed, slow start */
                         0.3,
                         10000,
@@ -36,7 +36,7 @@
         int cores = 8;
         int servers = 12;
         int callers = 4;
-        double clientIdleMillis = 30000;
+        double clientIdleTimeoutMillis = 30000;
         double memoryKb = 65536;
         double runMemoryFactor = 4;
         double maxRetryAfterMillis = 1000;
@@ -55,7 +55,7 @@
                         callers,
                         /* cold start, requests carry deadline */ false,
                         true,
-                        clientIdleMillis,
+                        clientIdleTimeoutMillis,
                         memoryKb,
                         runMemoryFactor,
                         /* key kB, results fresh for */ 0,
--- a/src/test/java/tinroad/overload/Fixture.java
+++ b/src/test/java/tinroad/overload/Fixture.java
@@ -8,10 +8,10 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.LoadHint;
 import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.OperatingLimits;
 import tinroad.overload.Controller.Outcome;
 import tinroad.overload.Controller.Request;
 import tinroad.overload.Controller.RequestClass;
-import tinroad.overload.Controller.Rules;
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 
@@ -33,15 +33,15 @@
     LoadHint loadHint = LoadHint.NONE;
     CancellationMode cancellationMode = CancellationMode.PAUSE;
     boolean coldStart;
-    double clientIdleMillis = 30000;
+    double clientIdleTimeoutMillis = 30000;
     boolean requestsMarkRetries = true;
     boolean requestsCarryDeadline = true;
     boolean weightByWork;
     double memoryKb = 10000;
-    double resultFreshMillis;
+    double resultReplayMillis;
     Dependency dependency = new Dependency(DependencyKind.NONE, 0, 0, 0);
     double degradedWeightShare;
-    double coldStartSpeed = 0.25;
+    double coldStartSpeedShare = 0.25;
     List<Tenant> tenants = List.of(new Tenant(100, 0.5), new Tenant(100, 0.5));
 
     Fixture begin() {
@@ -84,7 +84,7 @@
                         classes,
                         tenants,
                         new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-                        new Rules(60, coldStartSpeed, 10000, 2000, 5, 1500),
+                        new OperatingLimits(60, coldStartSpeedShare, 10000, 2000, 5, 1500),
                         dependency,
                         loadHint,
                         cancellationMode,
@@ -93,11 +93,11 @@
                         3,
                         coldStart,
                         requestsCarryDeadline,
-                        clientIdleMillis,
+                        clientIdleTimeoutMillis,
                         memoryKb,
                         4,
                         20,
-                        resultFreshMillis,
+                        resultReplayMillis,
                         1000,
                         true,
                         requestsMarkRetries,
--- a/src/test/java/tinroad/overload/FourRulesTest.java
+++ b/src/test/java/tinroad/overload/FourRulesTest.java
@@ -18,10 +18,10 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.LoadHint;
 import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.OperatingLimits;
 import tinroad.overload.Controller.Outcome;
 import tinroad.overload.Controller.Request;
 import tinroad.overload.Controller.RequestClass;
-import tinroad.overload.Controller.Rules;
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 import tinroad.overload.Controller.TenantSlot;
@@ -46,7 +46,8 @@
                 classes,
                 tenants,
                 new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-                new Rules(60, 0.2 + rnd.nextDouble() * 0.5, 5000, 1000, 3 + rnd.nextInt(5), 1500),
+                new OperatingLimits(
+                        60, 0.2 + rnd.nextDouble() * 0.5, 5000, 1000, 3 + rnd.nextInt(5), 1500),
                 new Dependency(dependencyKind, rnd.nextDouble() * 4, 1000, 200),
                 LoadHint.values()[rnd.nextInt(4)],
                 CancellationMode.values()[rnd.nextInt(3)],
@@ -206,7 +207,7 @@
                         ? checker.nowMillis - ageMillis + 300 + rnd.nextInt(2500)
                         : 0;
         String duplicateOf =
-                classSlot % 3 == 2 || (classSlot % 3 == 0 && settings.resultFreshMillis() == 0)
+                classSlot % 3 == 2 || (classSlot % 3 == 0 && settings.resultReplayMillis() == 0)
                         ? null
                         : checker.findDuplicate(key, checker.nowMillis - ageMillis);
         Request incoming =
--- a/src/test/java/tinroad/overload/OverloadControllerTest.java
+++ b/src/test/java/tinroad/overload/OverloadControllerTest.java
@@ -135,7 +135,7 @@
 
     @Test
     void neverClosesSoonerThanTheActionAllows() {
-        f.clientIdleMillis = 20;
+        f.clientIdleTimeoutMillis = 20;
         f.begin();
         f.controller.beginDraining(f.nowMillis, f.nowMillis + 3000);
         assertEquals(List.of("idle 20", "idle 20"), f.recorder.take("idle"));
@@ -222,7 +222,7 @@
     @Test
     void hangDuringAColdStartIsDetectedAndRecovers() {
         f.coldStart = true;
-        f.coldStartSpeed = 0;
+        f.coldStartSpeedShare = 0;
         f.begin();
         f.request("a", IDEMPOTENT_CLASS);
         f.advance(1500);
@@ -460,7 +460,7 @@
     @Test
     void warmingUpServerRunsFewer() {
         f.coldStart = true;
-        f.coldStartSpeed = 0;
+        f.coldStartSpeedShare = 0;
         f.begin();
         f.request("a", IDEMPOTENT_CLASS);
         f.request("b", IDEMPOTENT_CLASS);
@@ -846,7 +846,7 @@
 
     @Test
     void sharedReadsAreRetainedAndJoined() {
-        f.resultFreshMillis = 500;
+        f.resultReplayMillis = 500;
         f.begin();
         f.request("a", IDEMPOTENT_CLASS);
         assertTrue(take().contains("keep a 4500"));
--- a/src/test/java/tinroad/overload/Recorder.java
+++ b/src/test/java/tinroad/overload/Recorder.java
@@ -72,8 +72,8 @@
     }
 
     @Override
-    public void setHealth(boolean healthy, boolean stored) {
-        add("health %s %s", healthy, stored);
+    public void setHealth(boolean healthy, boolean withoutRealWork) {
+        add("health %s %s", healthy, withoutRealWork);
     }
 
     @Override
--- a/src/test/java/tinroad/overload/RuleChecker.java
+++ b/src/test/java/tinroad/overload/RuleChecker.java
@@ -109,7 +109,7 @@
             if (tracked.answerCount == 0
                     && nowMillis
                             > Math.max(tracked.deadlineAtMillis, tracked.arrivedAtMillis)
-                                    + settings.rules().answerSlackMillis()) {
+                                    + settings.operatingLimits().answerSlackMillis()) {
                 tracked.answerCount = 1;
                 violations.add("lost: unanswered after its deadline: " + tracked.request.id());
             }
@@ -128,7 +128,7 @@
         }
         long runningCount =
                 requestsById.values().stream().filter(tracked -> tracked.running).count();
-        if (runningCount > settings.cores() * settings.rules().concurrencyPerCore()) {
+        if (runningCount > settings.cores() * settings.operatingLimits().maxRunsPerCore()) {
             violations.add("limit exceeded: concurrent runs");
         }
     }
@@ -169,9 +169,10 @@
             }
             keyBlockedUntilMillis.put(
                     tracked.request.resultKey(),
-                    tracked.arrivedAtMillis + tracked.spec.keyWindowMillis());
+                    tracked.arrivedAtMillis + tracked.spec.keyRetentionMillis());
         }
-        if (tracked.arrivedAtMillis > drainingSinceMillis + settings.rules().drainGraceMillis()) {
+        if (tracked.arrivedAtMillis
+                > drainingSinceMillis + settings.operatingLimits().drainGraceMillis()) {
             violations.add("drain: ran after the grace period: " + id);
         }
         tracked.ran = true;
@@ -222,7 +223,7 @@
     void callEnded(TrackedRequest tracked, Outcome outcome) {
         tracked.callInFlight = false;
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELED) {
-            lingeringUntilMillis.add(nowMillis + settings.dependency().lingerMillis());
+            lingeringUntilMillis.add(nowMillis + settings.dependency().abandonedCallMillis());
         }
         if (outcome == Outcome.OK) {
             tracked.paused = false;
@@ -260,7 +261,7 @@
     }
 
     @Override
-    public void setHealth(boolean healthy, boolean stored) {}
+    public void setHealth(boolean healthy, boolean withoutRealWork) {}
 
     @Override
     public void advertiseLoad(double value) {
@@ -271,7 +272,7 @@
 
     @Override
     public void setIdleTimeout(double idleMillis) {
-        if (idleMillis < 10 || idleMillis > settings.clientIdleMillis()) {
+        if (idleMillis < 10 || idleMillis > settings.clientIdleTimeoutMillis()) {
             violations.add("idle timeout out of range");
         }
     }
--- a/src/test/java/tinroad/overload/SettingsChangeTest.java
+++ b/src/test/java/tinroad/overload/SettingsChangeTest.java
@@ -27,10 +27,10 @@
 import tinroad.overload.Controller.Idempotency;
 import tinroad.overload.Controller.LoadHint;
 import tinroad.overload.Controller.ObjectiveWeights;
+import tinroad.overload.Controller.OperatingLimits;
 import tinroad.overload.Controller.Outcome;
 import tinroad.overload.Controller.Request;
 import tinroad.overload.Controller.RequestClass;
-import tinroad.overload.Controller.Rules;
 import tinroad.overload.Controller.Settings;
 import tinroad.overload.Controller.Tenant;
 import tinroad.overload.Controller.TenantSlot;
@@ -399,7 +399,7 @@
                 classes,
                 tenants,
                 new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-                new Rules(60, 0.25, 10000, 2000, 5, 1500),
+                new OperatingLimits(60, 0.25, 10000, 2000, 5, 1500),
                 new Dependency(DependencyKind.NONE, 0, 0, 0),
                 LoadHint.MIN_RANK,
                 CancellationMode.PAUSE,
--- a/src/test/java/tinroad/state/ProvenanceTest.java
+++ b/src/test/java/tinroad/state/ProvenanceTest.java
@@ -93,7 +93,7 @@
                     estimate =
                             new Estimate(
                                     estimate.value() + random.nextDouble(-5, 5),
-                                    estimate.weight() + samples);
+                                    estimate.sampleCount() + samples);
                     lastSampleMillis = nowMillis;
                 }
                 saved =
